--- a/crates/samphiredoor-core/src/ordered/codec.rs
+++ b/crates/samphiredoor-core/src/ordered/codec.rs
@@ -107,7 +107,7 @@
 }
 
 /// Cuts the text of a submission into parts that fit into objects.
-pub fn cut_parts(text: &str) -> Vec<Value> {
+pub fn split_into_parts(text: &str) -> Vec<Value> {
     let mut parts = Vec::new();
     let mut rest = text;
     while !rest.is_empty() {
--- a/crates/samphiredoor-core/src/ordered/items.rs
+++ b/crates/samphiredoor-core/src/ordered/items.rs
@@ -33,9 +33,9 @@
     /// The item is over.
     Record(ItemResult),
     /// Run it again after a pause.
-    Again {
+    Retry {
         /// Length of the pause.
-        pause_ms: u64,
+        backoff_ms: u64,
     },
 }
 
@@ -83,7 +83,7 @@
 
     /// Takes the end of a run. Only answers of targets count as tries: what was lost on the way says nothing about the
     /// item.
-    pub fn ended(&mut self, item: u32, end: ItemEnd) -> ItemStep {
+    pub fn run_ended(&mut self, item: u32, end: ItemEnd) -> ItemStep {
         let tries = self.tries.entry(item).or_default();
         match end {
             ItemEnd::Completed { text } => self.record(item, Outcome::Completed, text),
@@ -92,12 +92,12 @@
                 tries.failed += 1;
                 match tries.failed >= self.attempts {
                     true => self.give_up(item),
-                    false => ItemStep::Again { pause_ms: pause_ms(tries.failed) },
+                    false => ItemStep::Retry { backoff_ms: pause_ms(tries.failed) },
                 }
             }
             ItemEnd::NoAnswer => {
                 tries.unanswered += 1;
-                ItemStep::Again { pause_ms: pause_ms(tries.unanswered) }
+                ItemStep::Retry { backoff_ms: pause_ms(tries.unanswered) }
             }
         }
     }
--- a/crates/samphiredoor-core/src/ordered/job.rs
+++ b/crates/samphiredoor-core/src/ordered/job.rs
@@ -61,6 +61,6 @@
 }
 
 /// Key of the object that ends a job.
-pub fn end_key(job: &str) -> ObjectKey {
+pub fn cancellation_key(job: &str) -> ObjectKey {
     ObjectKey::new(Kind::JobEnd, job)
 }
--- a/crates/samphiredoor-core/src/ordered/log.rs
+++ b/crates/samphiredoor-core/src/ordered/log.rs
@@ -69,33 +69,33 @@
     }
 
     /// Log of a job that may have results.
-    pub fn to_be_read(job: JobName) -> ResultLog {
+    pub fn unread(job: JobName) -> ResultLog {
         ResultLog { next: Next::Read, ..ResultLog::new(job) }
     }
 
     /// Results that stand, in the order of their positions.
-    pub fn standing(&self) -> &[ItemResult] {
+    pub fn committed(&self) -> &[ItemResult] {
         &self.standing
     }
 
     /// Whether an item's result stands.
-    pub fn is_decided(&self, item: u32) -> bool {
+    pub fn has_result(&self, item: u32) -> bool {
         self.decided.contains(&item)
     }
 
     /// Whether every segment that stood at the first read is read.
-    pub fn is_read(&self) -> bool {
+    pub fn is_caught_up(&self) -> bool {
         self.next == Next::Append
     }
 
     /// Reads the next segment before anything else: another writer may have appended it. To be called while no call is in
     /// flight.
-    pub fn reread(&mut self) {
+    pub fn request_reread(&mut self) {
         self.next = Next::Read;
     }
 
     /// Whether nothing waits to be appended.
-    pub fn is_settled(&self) -> bool {
+    pub fn is_flushed(&self) -> bool {
         self.pending.is_empty() && self.outputs.is_empty()
     }
 
@@ -112,12 +112,12 @@
     }
 
     /// Takes the outputs of items without a result that were read from segments.
-    pub fn take_kept(&mut self) -> BTreeMap<u32, PartialOutput> {
+    pub fn take_saved_outputs(&mut self) -> BTreeMap<u32, PartialOutput> {
         self.kept.take()
     }
 
     /// Whether another writer was met since the last call.
-    pub fn take_foreign(&mut self) -> bool {
+    pub fn take_other_writer_seen(&mut self) -> bool {
         std::mem::take(&mut self.foreign)
     }
 
@@ -135,7 +135,7 @@
         let key = segment_key(&self.job, self.segments);
         match self.next {
             Next::Read => LogStep::Store(StoreOp::Get { key }),
-            Next::Append if self.is_settled() => LogStep::Idle,
+            Next::Append if self.is_flushed() => LogStep::Idle,
             Next::Append => {
                 self.in_flight = self.fitting();
                 let value = codec::segment_value(&self.in_flight.results, &self.in_flight.outputs);
--- a/crates/samphiredoor-core/src/ordered/mod.rs
+++ b/crates/samphiredoor-core/src/ordered/mod.rs
@@ -18,9 +18,12 @@
 mod outputs;
 
 pub use codec::{
-    JobHeader, JobOwner, PART_BYTES, Segment, cut_parts, read_header, read_part, read_segment,
+    JobHeader, JobOwner, PART_BYTES, Segment, read_header, read_part, read_segment,
+    split_into_parts,
 };
 pub use items::{ItemEnd, ItemStep, Items};
-pub use job::{Item, ItemResult, JobName, Outcome, end_key, header_key, part_key, segment_key};
+pub use job::{
+    Item, ItemResult, JobName, Outcome, cancellation_key, header_key, part_key, segment_key,
+};
 pub use log::{LogStep, ResultLog};
 pub use outputs::{OutputPart, PartialOutput};
--- a/crates/samphiredoor-core/tests/ordered/items.rs
+++ b/crates/samphiredoor-core/tests/ordered/items.rs
@@ -23,7 +23,7 @@
                 let mut outcome = None;
                 for end in $ends {
                     assert_eq!(outcome, None, "an item that is over is not run again");
-                    if let ItemStep::Record(result) = items.ended(0, end) {
+                    if let ItemStep::Record(result) = items.run_ended(0, end) {
                         outcome = Some(result.outcome);
                     }
                 }
@@ -48,8 +48,8 @@
     let mut items = items(3);
     let mut pauses = Vec::new();
     for _ in 0..10 {
-        if let ItemStep::Again { pause_ms } = items.ended(0, ItemEnd::NoAnswer) {
-            pauses.push(pause_ms);
+        if let ItemStep::Retry { backoff_ms } = items.run_ended(0, ItemEnd::NoAnswer) {
+            pauses.push(backoff_ms);
         }
     }
     assert!(pauses.is_sorted());
--- a/crates/samphiredoor-core/tests/ordered/log.rs
+++ b/crates/samphiredoor-core/tests/ordered/log.rs
@@ -81,14 +81,14 @@
 
 impl Writer {
     fn new() -> Writer {
-        let mut log = ResultLog::to_be_read("job".into());
+        let mut log = ResultLog::unread("job".into());
         let step = log.step();
         Writer { log, step, seen: Vec::new(), events: None }
     }
 
     /// Runs an item for one event more, from what the log has kept of it on.
     fn output(&mut self, item: u32) {
-        if !self.log.is_read() {
+        if !self.log.is_caught_up() {
             return;
         }
         let log = &mut self.log;
@@ -101,7 +101,7 @@
 
     /// What a reader was told stays a beginning of what stands.
     fn check(&mut self) {
-        let standing = self.log.standing();
+        let standing = self.log.committed();
         assert!(standing.starts_with(&self.seen), "a position moved");
         self.seen = standing.to_vec();
     }
@@ -117,7 +117,7 @@
         assert_eq!(text, (1..=last).map(event).collect::<String>(), "item {item}");
         (item, last)
     };
-    log.take_kept().into_iter().map(last).collect()
+    log.take_saved_outputs().into_iter().map(last).collect()
 }
 
 fn result(writer: usize, item: u32) -> ItemResult {
@@ -182,7 +182,7 @@
                 }
             }
             Step::Reread(writer) if !matches!(writers[writer].step, LogStep::Store(_)) => {
-                writers[writer].log.reread();
+                writers[writer].log.request_reread();
             }
             Step::Reread(_) => {}
             Step::Restart(writer) => writers[writer] = Writer::new(),
@@ -198,7 +198,7 @@
 
 fn check_outputs(store: &mut Store) {
     let mut reader = Writer::new();
-    while !reader.log.is_read() {
+    while !reader.log.is_caught_up() {
         call(store, &mut reader, Fate::Answered);
     }
     last_events(&mut reader.log);
@@ -213,7 +213,7 @@
     for _ in 0..200 {
         call(store, &mut last, Fate::Answered);
     }
-    let mut items: Vec<u32> = last.log.standing().iter().map(|it| it.item).collect();
+    let mut items: Vec<u32> = last.log.committed().iter().map(|it| it.item).collect();
     items.sort();
     assert_eq!(items, (0..ITEMS).collect::<Vec<u32>>());
 }
@@ -244,11 +244,11 @@
     call(&mut store, &mut former, Fate::Answered);
     former.log.push(result(0, 4));
     call(&mut store, &mut former, Fate::Answered);
-    assert!(next.log.standing().is_empty());
-    next.log.reread();
+    assert!(next.log.committed().is_empty());
+    next.log.request_reread();
     call(&mut store, &mut next, Fate::Answered);
-    assert_eq!(next.log.standing(), former.log.standing());
-    assert!(next.log.take_foreign());
+    assert_eq!(next.log.committed(), former.log.committed());
+    assert!(next.log.take_other_writer_seen());
 }
 
 // An owner is killed while its items are half done. What they had put out stands in the log, in several parts, and the next
@@ -264,7 +264,7 @@
     }
     owner.output(7);
     let mut next = Writer::new();
-    while !next.log.is_read() {
+    while !next.log.is_caught_up() {
         call(&mut store, &mut next, Fate::Answered);
     }
     assert_eq!(last_events(&mut next.log), BTreeMap::from([(7, 5)]));
--- a/crates/samphiredoor-gateway/src/jobs/job_task/ending.rs
+++ b/crates/samphiredoor-gateway/src/jobs/job_task/ending.rs
@@ -41,7 +41,7 @@
 
     /// Marks the job as one that nobody needs to take.
     pub(super) fn close(&mut self, how: &'static str) {
-        log::info!(job = &*self.owned.job, how, results = self.log.standing().len(); "job: closed");
+        log::info!(job = &*self.owned.job, how, results = self.log.committed().len(); "job: closed");
         self.env.metrics.job(how);
         self.phase = Phase::Closing;
         self.owned.header.finished = true;
@@ -63,7 +63,7 @@
         if now < until {
             return;
         }
-        if self.calling || self.give_outputs(now) || !self.log.is_settled() {
+        if self.calling || self.give_outputs(now) || !self.log.is_flushed() {
             // Results wait for others to share a write; now everything waits for them.
             self.write_at = Some(now);
             self.phase = Phase::Releasing(now + STORE_PAUSE);
--- a/crates/samphiredoor-gateway/src/jobs/job_task/mod.rs
+++ b/crates/samphiredoor-gateway/src/jobs/job_task/mod.rs
@@ -245,7 +245,7 @@
                 self.readers.push(Reader { after, arrived: Instant::now(), until, reply });
             }
             JobMessage::Item { id, reply } => {
-                let found = self.items.find(&id).filter(|(item, _)| !self.log.is_decided(*item));
+                let found = self.items.find(&id).filter(|(item, _)| !self.log.has_result(*item));
                 let _ = reply.send(found.map(|(_, it)| Arc::clone(it)));
             }
             JobMessage::RunEnded { item, end } => self.run_ended(item, end),
@@ -306,6 +306,6 @@
     }
 
     fn is_complete(&self) -> bool {
-        self.log.standing().len() as u32 == self.items.len()
+        self.log.committed().len() as u32 == self.items.len()
     }
 }
--- a/crates/samphiredoor-gateway/src/jobs/job_task/results.rs
+++ b/crates/samphiredoor-gateway/src/jobs/job_task/results.rs
@@ -25,7 +25,7 @@
 impl JobTask {
     pub(super) fn step_log(&mut self, now: Instant) {
         let due = self.write_at.is_some_and(|it| it <= now);
-        let reading = !self.log.is_read() && self.write_at.is_none();
+        let reading = !self.log.is_caught_up() && self.write_at.is_none();
         if self.calling || !self.is_active() || !(due || reading) {
             return;
         }
@@ -68,7 +68,7 @@
 
     pub(super) fn stored(&mut self, answer: &StoreAnswer) {
         self.calling = false;
-        let before = self.log.standing().len();
+        let before = self.log.committed().len();
         let step = self.log.answered(answer);
         if let Some(since) = self.checking_since
             && *answer == StoreAnswer::Absent
@@ -83,14 +83,14 @@
             }
             step => self.make_step(step),
         }
-        let standing = self.log.standing().len();
+        let standing = self.log.committed().len();
         if !matches!(answer, StoreAnswer::Unavailable | StoreAnswer::Unknown) {
             self.failures = 0;
         }
         if standing > before {
             log::info!(job = &*self.owned.job, standing, items = self.items.len(); "job: results stand");
         }
-        if self.log.take_foreign() && self.started {
+        if self.log.take_other_writer_seen() && self.started {
             self.call(StoreOp::Get { key: header_key(&self.owned.job) }, JobMessage::Header);
         }
     }
@@ -102,7 +102,7 @@
     }
 
     pub(super) fn answer_readers(&mut self, now: Instant) {
-        if !self.log.is_read() && !self.started {
+        if !self.log.is_caught_up() && !self.started {
             return;
         }
         let readers = std::mem::take(&mut self.readers);
@@ -117,7 +117,7 @@
     }
 
     pub(super) fn reply_to(&self, reader: &Reader, now: Instant) -> Option<ReadReply> {
-        let standing = self.log.standing().len();
+        let standing = self.log.committed().len();
         if reader.after < standing || self.is_complete() {
             return Some(ReadReply::Page(self.page(reader.after.min(standing))));
         }
@@ -152,7 +152,7 @@
         let paused = self.checking_since.is_some_and(|it| it.elapsed() < CHECK_PAUSE);
         if wanted && !paused && self.may_have_others() && self.is_active() && !self.calling {
             self.checking_since = Some(Instant::now());
-            self.log.reread();
+            self.log.request_reread();
             let step = self.log.step();
             self.make_step(step);
         }
@@ -163,7 +163,7 @@
     }
 
     pub(super) fn page(&self, after: usize) -> ResultsPage {
-        let results = page_of(&self.log.standing()[after..]);
+        let results = page_of(&self.log.committed()[after..]);
         ResultsPage { total: self.items.len() as usize, next: after + results.len(), results }
     }
 }
--- a/crates/samphiredoor-gateway/src/jobs/job_task/runs.rs
+++ b/crates/samphiredoor-gateway/src/jobs/job_task/runs.rs
@@ -106,14 +106,14 @@
     }
 
     pub(super) fn start_items(&mut self) {
-        if self.started || self.suspended || !self.log.is_read() {
+        if self.started || self.suspended || !self.log.is_caught_up() {
             return;
         }
         self.started = true;
-        for (item, output) in self.log.take_kept() {
+        for (item, output) in self.log.take_saved_outputs() {
             self.outputs.entry(item).or_insert_with(|| Rc::new(RefCell::new(Output::kept(output))));
         }
-        let open: Vec<u32> = (0..self.items.len()).filter(|it| !self.log.is_decided(*it)).collect();
+        let open: Vec<u32> = (0..self.items.len()).filter(|it| !self.log.has_result(*it)).collect();
         for item in open {
             self.start_run(item);
         }
@@ -153,13 +153,13 @@
 
     pub(super) fn run_ended(&mut self, item: u32, end: ItemEnd) {
         self.runs.remove(&item);
-        if self.log.is_decided(item) || matches!(self.phase, Phase::Closing | Phase::Lingering(_)) {
+        if self.log.has_result(item) || matches!(self.phase, Phase::Closing | Phase::Lingering(_)) {
             return;
         }
-        match self.items.ended(item, end) {
+        match self.items.run_ended(item, end) {
             ItemStep::Record(result) => self.record(result),
-            ItemStep::Again { pause_ms } => {
-                self.again.push((Instant::now() + Duration::from_millis(pause_ms), item));
+            ItemStep::Retry { backoff_ms } => {
+                self.again.push((Instant::now() + Duration::from_millis(backoff_ms), item));
             }
         }
     }
@@ -206,7 +206,7 @@
         self.give_up_at = Instant::now() + FOREVER;
         for item in 0..self.items.len() {
             if let ItemStep::Record(result) = self.items.give_up(item)
-                && !self.log.is_decided(item)
+                && !self.log.has_result(item)
             {
                 log::warn!(job = &*self.owned.job, item = &*result.id; "job: item given up, its time is over");
                 self.record(result);
--- a/crates/samphiredoor-gateway/src/jobs/mod.rs
+++ b/crates/samphiredoor-gateway/src/jobs/mod.rs
@@ -21,7 +21,7 @@
 
 use samphiredoor_core::{
     Name,
-    ordered::{JobHeader, JobName, JobOwner, end_key, header_key, read_header},
+    ordered::{JobHeader, JobName, JobOwner, cancellation_key, header_key, read_header},
     store::{StoreAnswer, StoreOp, Version},
 };
 use samphiredoor_net::clock::Clock;
@@ -139,7 +139,7 @@
 
     /// Whether the caller has ended a job.
     async fn is_ended(&self, job: &JobName) -> Result<bool, Unread> {
-        match self.call(StoreOp::Get { key: end_key(job) }).await {
+        match self.call(StoreOp::Get { key: cancellation_key(job) }).await {
             StoreAnswer::Object(_) => Ok(true),
             StoreAnswer::Absent => Ok(false),
             _ => Err(Unread::Unavailable),
--- a/crates/samphiredoor-gateway/src/jobs/reads.rs
+++ b/crates/samphiredoor-gateway/src/jobs/reads.rs
@@ -13,7 +13,7 @@
 
 use hyper::{Method, Response, StatusCode, Uri, header};
 use samphiredoor_core::{
-    ordered::{JobHeader, JobName, end_key},
+    ordered::{JobHeader, JobName, cancellation_key},
     store::{Labels, StoreOp, Value},
     verdict::Refusal,
 };
@@ -334,7 +334,7 @@
 
     async fn write_end(&self, job: &JobName) -> bool {
         let value: Value = b"{}".as_slice().into();
-        let create = StoreOp::Create { key: end_key(job), labels: Labels::new(), value };
+        let create = StoreOp::Create { key: cancellation_key(job), labels: Labels::new(), value };
         self.env.create_known(create).await
     }
 
--- a/crates/samphiredoor-gateway/src/jobs/submit.rs
+++ b/crates/samphiredoor-gateway/src/jobs/submit.rs
@@ -13,7 +13,7 @@
 use futures_util::future::{Either, join, select};
 use hyper::{Response, StatusCode};
 use samphiredoor_core::{
-    ordered::{Item, Items, JobHeader, JobName, ResultLog, cut_parts, header_key, part_key},
+    ordered::{Item, Items, JobHeader, JobName, ResultLog, header_key, part_key, split_into_parts},
     routes::BatchRule,
     store::{Labels, StoreAnswer, StoreOp, Version},
     verdict::{Doubt, Refusal},
@@ -250,7 +250,7 @@
 async fn create_parts(env: &JobEnv, submitted: &Submitted, header: &JobHeader) -> bool {
     // Read as JSON before, so it is text.
     let text = String::from_utf8_lossy(&submitted.body);
-    for (part, value) in cut_parts(&text).into_iter().enumerate() {
+    for (part, value) in split_into_parts(&text).into_iter().enumerate() {
         let key = part_key(&submitted.job, &header.digest, part as u32);
         let create = StoreOp::Create { key, labels: Labels::new(), value };
         if !env.create_known(create).await {
--- a/crates/samphiredoor-gateway/src/jobs/sweep.rs
+++ b/crates/samphiredoor-gateway/src/jobs/sweep.rs
@@ -10,8 +10,8 @@
 use samphiredoor_core::{
     Name,
     ordered::{
-        Item, Items, JobHeader, JobName, JobOwner, ResultLog, end_key, header_key, part_key,
-        read_header, segment_key,
+        Item, Items, JobHeader, JobName, JobOwner, ResultLog, cancellation_key, header_key,
+        part_key, read_header, segment_key,
     },
     store::{Kind, Labels, ObjectKey, StoreAnswer, StoreOp, Version},
 };
@@ -101,7 +101,7 @@
 /// Removes all objects of a job, the header last: a removal that is cut short is done again.
 async fn remove(env: &JobEnv, job: &JobName, header: &JobHeader) {
     let parts = (0..header.parts).map(|it| part_key(job, &header.digest, it));
-    for key in parts.chain([end_key(job)]) {
+    for key in parts.chain([cancellation_key(job)]) {
         if !delete(env, key).await {
             return;
         }
@@ -252,7 +252,7 @@
 fn start(env: &Rc<JobEnv>, directory: &Directory, owned: OwnedJob, items: Vec<Item>) {
     let Some((messages, inbox)) = directory.open(&owned.job) else { return };
     env.tell_owned(&owned.job, owned.header.items);
-    let log = ResultLog::to_be_read(JobName::clone(&owned.job));
+    let log = ResultLog::unread(JobName::clone(&owned.job));
     let items = Items::new(items, owned.header.attempts);
     let task = JobTask::new(Rc::clone(env), owned, items, log, messages);
     compio::runtime::spawn(task.run(inbox, directory.clone())).detach();
