--- a/crates/samphiredoor-core/src/placement/cells.rs
+++ b/crates/samphiredoor-core/src/placement/cells.rs
@@ -13,7 +13,7 @@
     ops::Range,
 };
 
-use super::{Distance, DoorLoad, DoorState, WaitingItems};
+use super::{Distance, GatewayLoad, GatewayState, WaitingItems};
 use crate::{Name, dispatch::Place};
 
 /// Doors that a cell has at most. More would know a larger part of the targets at once, and send as many messages more.
@@ -51,7 +51,7 @@
 }
 
 impl Cells {
-    /// Cells of these doors, and of these targets by [`super::key_of`]. A fleet that is small enough is one cell.
+    /// Cells of these doors, and of these targets by [`super::name_hash`]. A fleet that is small enough is one cell.
     pub fn new(doors: &BTreeMap<Name, Place>, targets: &BTreeMap<u64, Place>) -> Cells {
         let mut cells = Cells::default();
         if doors.len() <= MOST_DOORS {
@@ -84,17 +84,17 @@
     }
 
     /// Cell of a door.
-    pub fn of_door(&self, door: &str) -> Option<CellId> {
+    pub fn cell_of_gateway(&self, door: &str) -> Option<CellId> {
         self.doors.get(door).copied()
     }
 
     /// Cell whose doors share a target.
-    pub fn of_target(&self, target: u64) -> Option<CellId> {
+    pub fn cell_of_target(&self, target: u64) -> Option<CellId> {
         self.targets.get(&target).copied()
     }
 
     /// Doors of a cell, in order of their names.
-    pub fn doors(&self, cell: CellId) -> &[Name] {
+    pub fn gateways(&self, cell: CellId) -> &[Name] {
         self.cells.get(cell.0).map_or(&[], |it| &it.doors)
     }
 
@@ -104,14 +104,14 @@
     }
 
     /// Requests at targets of other cells than the own one, by cell.
-    pub fn loads_elsewhere(
+    pub fn loads_of_other_cells(
         &self,
         own: Option<CellId>,
-        loads: &[DoorLoad],
-    ) -> BTreeMap<CellId, Vec<DoorLoad>> {
-        let mut elsewhere: BTreeMap<CellId, Vec<DoorLoad>> = BTreeMap::new();
+        loads: &[GatewayLoad],
+    ) -> BTreeMap<CellId, Vec<GatewayLoad>> {
+        let mut elsewhere: BTreeMap<CellId, Vec<GatewayLoad>> = BTreeMap::new();
         for load in loads {
-            let cell = self.of_target(load.target).filter(|it| Some(*it) != own);
+            let cell = self.cell_of_target(load.target).filter(|it| Some(*it) != own);
             if let Some(cell) = cell {
                 elsewhere.entry(cell).or_default().push(*load);
             }
@@ -187,24 +187,24 @@
 
 /// Time between two summaries of a cell to so many others at a distance. It grows with their number, so that what a door
 /// hears and passes on does not.
-pub fn summary_pause_ms(distance: Distance, cells: usize) -> u64 {
+pub fn summary_interval_ms(distance: Distance, cells: usize) -> u64 {
     let (per_cell_ms, shortest_ms) = match distance {
-        Distance::Far => (FAR_PAUSE_PER_CELL_MS, SHORTEST_FAR_PAUSE_MS),
+        Distance::OtherRegion => (FAR_PAUSE_PER_CELL_MS, SHORTEST_FAR_PAUSE_MS),
         _ => (REGION_PAUSE_PER_CELL_MS, SHORTEST_REGION_PAUSE_MS),
     };
     (per_cell_ms * cells as u64).clamp(shortest_ms, LONGEST_PAUSE_MS)
 }
 
 /// Requests of several doors in one sum, without those at targets that are left out.
-pub fn sum_of<'a>(
-    states: impl IntoIterator<Item = &'a DoorState>,
+pub fn sum_states<'a>(
+    states: impl IntoIterator<Item = &'a GatewayState>,
     left_out: impl Fn(u64) -> bool,
-) -> DoorState {
-    let mut loads: BTreeMap<u64, DoorLoad> = BTreeMap::new();
+) -> GatewayState {
+    let mut loads: BTreeMap<u64, GatewayLoad> = BTreeMap::new();
     let mut waiting: BTreeMap<u64, u32> = BTreeMap::new();
     for state in states {
         for load in state.loads.iter().filter(|it| !left_out(it.target)) {
-            let none = DoorLoad { online: 0, batch: 0, ..*load };
+            let none = GatewayLoad { online: 0, batch: 0, ..*load };
             let sum = loads.entry(load.target).or_insert(none);
             sum.online += load.online;
             sum.batch += load.batch;
@@ -214,5 +214,5 @@
         }
     }
     let waiting = waiting.into_iter().map(|(service, items)| WaitingItems { service, items });
-    DoorState { loads: loads.into_values().collect(), waiting: waiting.collect() }
+    GatewayState { loads: loads.into_values().collect(), waiting: waiting.collect() }
 }
--- a/crates/samphiredoor-core/src/placement/items.rs
+++ b/crates/samphiredoor-core/src/placement/items.rs
@@ -7,7 +7,7 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use super::Ask;
+use super::RequestSpec;
 use crate::dispatch::RequestId;
 
 /// Turns of items that can end in time after which the first one goes, even if it cannot.
@@ -23,8 +23,8 @@
 /// Waiting items of one service.
 #[derive(Debug, Default)]
 pub struct ItemQueue {
-    begun: BTreeMap<Rank, Ask>,
-    fresh: BTreeMap<Rank, Ask>,
+    begun: BTreeMap<Rank, RequestSpec>,
+    fresh: BTreeMap<Rank, RequestSpec>,
     ranks: HashMap<RequestId, Rank>,
     arrivals: u64,
     turns: u32,
@@ -34,16 +34,16 @@
 
 impl ItemQueue {
     /// Adds an item.
-    pub fn push(&mut self, ask: Ask) {
-        let rank = (ask.until_ms, self.arrivals);
+    pub fn push(&mut self, ask: RequestSpec) {
+        let rank = (ask.deadline_ms, self.arrivals);
         self.arrivals += 1;
         self.ranks.insert(ask.request, rank);
-        let queue = if ask.ran_ms > 0 { &mut self.begun } else { &mut self.fresh };
+        let queue = if ask.prior_run_ms > 0 { &mut self.begun } else { &mut self.fresh };
         queue.insert(rank, ask);
     }
 
     /// Removes an item, if it waits.
-    pub fn remove(&mut self, request: RequestId) -> Option<Ask> {
+    pub fn remove(&mut self, request: RequestId) -> Option<RequestSpec> {
         let rank = self.ranks.remove(&request)?;
         self.begun.remove(&rank).or_else(|| self.fresh.remove(&rank))
     }
@@ -57,7 +57,7 @@
     }
 
     /// The item whose turn it is.
-    pub fn next(&self, now_ms: u64) -> Option<&Ask> {
+    pub fn next(&self, now_ms: u64) -> Option<&RequestSpec> {
         let first = self.first()?;
         if self.turns >= TURNS_BEFORE_LATE || self.is_in_time(now_ms, first) {
             return Some(first);
@@ -66,7 +66,7 @@
     }
 
     /// Takes an item that [`ItemQueue::next`] returned.
-    pub fn take(&mut self, now_ms: u64, request: RequestId) -> Option<Ask> {
+    pub fn take(&mut self, now_ms: u64, request: RequestId) -> Option<RequestSpec> {
         let ask = self.remove(request)?;
         self.turns = if self.is_in_time(now_ms, &ask) { self.turns.saturating_add(1) } else { 0 };
         Some(ask)
@@ -82,19 +82,19 @@
         self.ranks.is_empty()
     }
 
-    fn first_in_time(&self, now_ms: u64) -> Option<&Ask> {
+    fn first_in_time(&self, now_ms: u64) -> Option<&RequestSpec> {
         let due_later = (now_ms, 0)..;
         let all = self.begun.range(due_later.clone()).chain(self.fresh.range(due_later));
         all.map(|(_, ask)| ask).find(|it| self.is_in_time(now_ms, it))
     }
 
-    fn first(&self) -> Option<&Ask> {
+    fn first(&self) -> Option<&RequestSpec> {
         let firsts = [self.begun.first_key_value(), self.fresh.first_key_value()];
         firsts.into_iter().flatten().min_by_key(|(rank, _)| **rank).map(|(_, ask)| ask)
     }
 
-    fn is_in_time(&self, now_ms: u64, ask: &Ask) -> bool {
-        let left_ms = self.run_ms.saturating_sub(ask.ran_ms);
-        now_ms + left_ms * TIME_TO_END_PERCENT / 100 <= ask.until_ms
+    fn is_in_time(&self, now_ms: u64, ask: &RequestSpec) -> bool {
+        let left_ms = self.run_ms.saturating_sub(ask.prior_run_ms);
+        now_ms + left_ms * TIME_TO_END_PERCENT / 100 <= ask.deadline_ms
     }
 }
--- a/crates/samphiredoor-core/src/placement/messages.rs
+++ b/crates/samphiredoor-core/src/placement/messages.rs
@@ -40,7 +40,7 @@
 
 /// A request that wants a target.
 #[derive(Debug, Clone)]
-pub struct Ask {
+pub struct RequestSpec {
     /// Identity; not used again by this process.
     pub request: RequestId,
     /// Online or batch.
@@ -52,11 +52,11 @@
     /// Hash of the prompt's shared beginning, for routing to a target that may have it cached; 0 for none.
     pub affinity: u64,
     /// Targets on which it was tried before; others come first.
-    pub tried: SmallVec<[Name; 2]>,
+    pub tried_targets: SmallVec<[Name; 2]>,
     /// Monotonic time: until when an online request may wait for room, or when an item is due.
-    pub until_ms: u64,
+    pub deadline_ms: u64,
     /// How long earlier runs of an item took, after whose last event it goes on.
-    pub ran_ms: u64,
+    pub prior_run_ms: u64,
 }
 
 /// How an attempt ended.
@@ -91,8 +91,8 @@
 
 /// Requests of one door at one target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct DoorLoad {
-    /// Target, by [`super::key_of`].
+pub struct GatewayLoad {
+    /// Target, by [`super::name_hash`].
     pub target: u64,
     /// Online requests.
     pub online: u32,
@@ -103,7 +103,7 @@
 /// Items of one service that wait for room at one door.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct WaitingItems {
-    /// Service, by [`super::key_of`].
+    /// Service, by [`super::name_hash`].
     pub service: u64,
     /// How many wait.
     pub items: u32,
@@ -111,9 +111,9 @@
 
 /// What a door tells others of its requests.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct DoorState {
+pub struct GatewayState {
     /// Requests at targets; targets without any are left out.
-    pub loads: Vec<DoorLoad>,
+    pub loads: Vec<GatewayLoad>,
     /// Items that wait; services without any are left out.
     pub waiting: Vec<WaitingItems>,
 }
@@ -123,10 +123,10 @@
 pub enum Input {
     /// All targets as discovery knows them now.
     Targets(Vec<TargetEntry>),
-    /// Targets that the own cell shares, by [`super::key_of`]. Before the first one the fleet counts as one cell.
-    OwnTargets(HashSet<u64>),
+    /// Targets that the own cell shares, by [`super::name_hash`]. Before the first one the fleet counts as one cell.
+    CellTargets(HashSet<u64>),
     /// A request wants a target.
-    Ask(Ask),
+    Request(RequestSpec),
     /// The attempt in hand ended; said once for each [`Action::Dispatch`].
     Ended {
         /// Which request.
@@ -135,12 +135,12 @@
         end: AttemptEnd,
     },
     /// A request that waits is given up by its caller.
-    Gone {
+    Cancelled {
         /// Which request.
         request: RequestId,
     },
     /// A target told its load.
-    Load {
+    LoadReport {
         /// Which target.
         target: Name,
         /// What it said.
@@ -149,9 +149,9 @@
     /// Another door tells its requests, or a cell those of all its doors.
     Peer {
         /// Which door or cell.
-        door: Name,
+        peer: Name,
         /// Its requests.
-        state: DoorState,
+        state: GatewayState,
     },
     /// Time passed.
     Tick,
@@ -170,7 +170,7 @@
         address: SocketAddr,
     },
     /// Cut the attempt in hand: online requests need its room.
-    Recall {
+    Preempt {
         /// Which request.
         request: RequestId,
     },
--- a/crates/samphiredoor-core/src/placement/mod.rs
+++ b/crates/samphiredoor-core/src/placement/mod.rs
@@ -24,10 +24,10 @@
 
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 
-pub use cells::{CellId, Cells, sum_of, summary_pause_ms};
+pub use cells::{CellId, Cells, sum_states, summary_interval_ms};
 pub use messages::{
-    Action, Ask, AttemptEnd, DoorLoad, DoorState, Input, ReportedLoad, TargetEntry, TargetState,
-    WaitingItems,
+    Action, AttemptEnd, GatewayLoad, GatewayState, Input, ReportedLoad, RequestSpec, TargetEntry,
+    TargetState, WaitingItems,
 };
 pub use target::{Distance, Load};
 
@@ -64,7 +64,7 @@
 const MAX_RETRY_AFTER_MS: u64 = 1_000;
 
 /// Key by which doors name a target or a service to each other.
-pub fn key_of(name: &str) -> u64 {
+pub fn name_hash(name: &str) -> u64 {
     rapidhash::v3::rapidhash_v3(name.as_bytes())
 }
 
@@ -125,7 +125,7 @@
     /// Requests sent to a target.
     pub dispatched: u64,
     /// Items recalled for online requests.
-    pub recalled: u64,
+    pub preempted: u64,
 }
 
 /// State of all placing in one process.
@@ -174,22 +174,22 @@
     pub fn handle(&mut self, now_ms: u64, input: Input, out: &mut Vec<Action>) {
         match input {
             Input::Targets(entries) => self.targets(entries),
-            Input::OwnTargets(targets) => self.own_targets(targets),
-            Input::Ask(ask) => self.ask(now_ms, ask, out),
+            Input::CellTargets(targets) => self.own_targets(targets),
+            Input::Request(ask) => self.ask(now_ms, ask, out),
             Input::Ended { request, end } => self.ended(now_ms, request, end),
-            Input::Gone { request } => {
+            Input::Cancelled { request } => {
                 for queues in self.queues.values_mut() {
                     queues.online.remove(request);
                     queues.batch.remove(request);
                 }
                 self.changed = true;
             }
-            Input::Load { target, load } => {
-                if let Some(target) = self.targets.get_mut(&key_of(&target)) {
+            Input::LoadReport { target, load } => {
+                if let Some(target) = self.targets.get_mut(&name_hash(&target)) {
                     target.reported(now_ms, load);
                 }
             }
-            Input::Peer { door, state } => self.peer(now_ms, door, state),
+            Input::Peer { peer: door, state } => self.peer(now_ms, door, state),
             Input::Tick => self.forget_silent_peers(now_ms),
         }
         self.recall(out);
@@ -197,24 +197,24 @@
     }
 
     /// Own requests, if they have changed since the last call.
-    pub fn take_changed_state(&mut self) -> Option<DoorState> {
+    pub fn take_changed_state(&mut self) -> Option<GatewayState> {
         std::mem::take(&mut self.changed).then(|| self.state())
     }
 
     /// Whether, since the last call, an online request was sent to a place that only another door can give back.
-    pub fn take_needs_others(&mut self) -> bool {
+    pub fn take_needs_peer_preemption(&mut self) -> bool {
         std::mem::take(&mut self.needs_others)
     }
 
     /// Own requests, as other doors are told.
-    pub fn state(&self) -> DoorState {
+    pub fn state(&self) -> GatewayState {
         let loads = self.targets.iter().filter_map(|(key, it)| it.told(*key)).collect();
         let waiting = self.queues.iter().filter(|(_, it)| !it.batch.is_empty());
         let waiting = waiting.map(|(service, it)| WaitingItems {
-            service: key_of(service),
+            service: name_hash(service),
             items: it.batch.len() as u32,
         });
-        DoorState { loads, waiting: waiting.collect() }
+        GatewayState { loads, waiting: waiting.collect() }
     }
 
     /// Counts since the start.
@@ -231,7 +231,7 @@
     fn targets(&mut self, entries: Vec<TargetEntry>) {
         let mut gone = std::mem::take(&mut self.targets);
         for entry in entries {
-            let key = key_of(&entry.name);
+            let key = name_hash(&entry.name);
             let target = match gone.remove(&key) {
                 Some(mut known) => {
                     known.update(entry);
@@ -261,7 +261,7 @@
         target
     }
 
-    fn ask(&mut self, now_ms: u64, ask: Ask, out: &mut Vec<Action>) {
+    fn ask(&mut self, now_ms: u64, ask: RequestSpec, out: &mut Vec<Action>) {
         match ask.class {
             Class::Batch => {
                 self.queues_of(&ask).batch.push(ask);
@@ -275,7 +275,7 @@
         }
     }
 
-    fn queues_of(&mut self, ask: &Ask) -> &mut ServiceQueues {
+    fn queues_of(&mut self, ask: &RequestSpec) -> &mut ServiceQueues {
         self.queues.entry(Name::clone(&ask.service)).or_default()
     }
 
@@ -291,11 +291,11 @@
         self.changed = true;
     }
 
-    fn peer(&mut self, now_ms: u64, door: Name, state: DoorState) {
+    fn peer(&mut self, now_ms: u64, door: Name, state: GatewayState) {
         if door == self.own_name {
             return;
         }
-        let DoorState { loads, waiting } = state;
+        let GatewayState { loads, waiting } = state;
         let targets = loads.iter().map(|it| it.target).collect();
         let peer = Peer { heard_ms: now_ms, targets, waiting };
         let before = self.peers.insert(Name::clone(&door), peer);
@@ -327,11 +327,11 @@
     fn recall(&mut self, out: &mut Vec<Action>) {
         for target in self.targets.values_mut().filter(|it| it.own().batch > 0) {
             for request in target.recall(&self.own_name) {
-                self.counters.recalled += 1;
+                self.counters.preempted += 1;
                 if let Some(running) = self.running.get_mut(&request) {
                     running.recalled = true;
                 }
-                out.push(Action::Recall { request });
+                out.push(Action::Preempt { request });
             }
         }
     }
@@ -352,7 +352,7 @@
         for ask in queue.take_all() {
             if let Some(key) = self.best_online(now_ms, &ask) {
                 self.dispatch(now_ms, key, &ask, out);
-            } else if now_ms >= ask.until_ms {
+            } else if now_ms >= ask.deadline_ms {
                 self.refuse_full(&ask, out);
             } else {
                 queue.push(ask);
@@ -381,7 +381,7 @@
     /// How many more items of a service this door may start now.
     fn own_share(&self, now_ms: u64, service: &Name, waiting: u32) -> u32 {
         let targets = self.ready(service).filter(|(_, it)| !it.health.is_paused(now_ms));
-        let key = key_of(service);
+        let key = name_hash(service);
         let of_service = self.peers.values().flat_map(|it| &it.waiting);
         let of_service = of_service.filter(|it| it.service == key).map(|it| it.items);
         let mut demand = Demand { waiting, others: of_service.sum(), ..Demand::default() };
@@ -395,7 +395,7 @@
         demand.more()
     }
 
-    fn dispatch(&mut self, now_ms: u64, key: u64, ask: &Ask, out: &mut Vec<Action>) {
+    fn dispatch(&mut self, now_ms: u64, key: u64, ask: &RequestSpec, out: &mut Vec<Action>) {
         let Some(target) = self.targets.get_mut(&key) else { return };
         target.begin(ask.request, ask.class, false);
         let running = Running {
@@ -404,7 +404,7 @@
             target: key,
             recalled: false,
             began_ms: now_ms,
-            ran_ms: ask.ran_ms,
+            ran_ms: ask.prior_run_ms,
         };
         self.running.insert(ask.request, running);
         self.counters.dispatched += 1;
@@ -419,10 +419,10 @@
     fn usable<'a>(
         &'a self,
         now_ms: u64,
-        ask: &'a Ask,
+        ask: &'a RequestSpec,
     ) -> impl Iterator<Item = (u64, &'a Target)> + 'a {
         let doubts = move |target: &Target| {
-            (target.health.is_paused(now_ms), ask.tried.contains(&target.entry.name))
+            (target.health.is_paused(now_ms), ask.tried_targets.contains(&target.entry.name))
         };
         let ready = self.ready(&ask.service);
         let least = ready.clone().map(|(_, it)| doubts(it)).min();
@@ -440,11 +440,11 @@
         })
     }
 
-    fn has_usable(&self, now_ms: u64, ask: &Ask) -> bool {
+    fn has_usable(&self, now_ms: u64, ask: &RequestSpec) -> bool {
         self.usable(now_ms, ask).next().is_some()
     }
 
-    fn best_online(&mut self, now_ms: u64, ask: &Ask) -> Option<u64> {
+    fn best_online(&mut self, now_ms: u64, ask: &RequestSpec) -> Option<u64> {
         let ranked: Vec<_> = self
             .usable(now_ms, ask)
             .filter(|(_, it)| !it.health.is_full(now_ms))
@@ -459,7 +459,7 @@
         self.among(ask.affinity, &group)
     }
 
-    fn best_batch(&mut self, now_ms: u64, ask: &Ask) -> Option<u64> {
+    fn best_batch(&mut self, now_ms: u64, ask: &RequestSpec) -> Option<u64> {
         let free: Vec<_> = self
             .usable(now_ms, ask)
             .filter(|(_, it)| !it.health.is_full(now_ms))
@@ -494,14 +494,14 @@
         Some(near[self.rng.random_range(0..near.len())])
     }
 
-    fn refuse_full(&mut self, ask: &Ask, out: &mut Vec<Action>) {
+    fn refuse_full(&mut self, ask: &RequestSpec, out: &mut Vec<Action>) {
         // Spread, so that those refused together do not come back together.
         let retry_after_ms = self.rng.random_range(MIN_RETRY_AFTER_MS..=2 * MIN_RETRY_AFTER_MS);
         let (request, reason) = (ask.request, Refusal::Overloaded);
         out.push(Action::Refuse { request, reason, retry_after_ms });
     }
 
-    fn refuse_no_target(&mut self, now_ms: u64, ask: &Ask, out: &mut Vec<Action>) {
+    fn refuse_no_target(&mut self, now_ms: u64, ask: &RequestSpec, out: &mut Vec<Action>) {
         let paused = self.ready(&ask.service).filter(|(_, it)| it.health.is_paused(now_ms));
         let first_back = paused.map(|(_, it)| it.health.paused_until_ms()).min();
         let retry_after_ms = first_back.map_or(MAX_RETRY_AFTER_MS, |it| it.saturating_sub(now_ms));
--- a/crates/samphiredoor-core/src/placement/queue.rs
+++ b/crates/samphiredoor-core/src/placement/queue.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use super::Ask;
+use super::RequestSpec;
 use crate::dispatch::RequestId;
 
 /// Order of waiting: urgency, then how soon the request is of no use or due, then arrival.
@@ -11,15 +11,15 @@
 /// Waiting requests.
 #[derive(Debug, Default)]
 pub struct Queue {
-    waiting: BTreeMap<Rank, Ask>,
+    waiting: BTreeMap<Rank, RequestSpec>,
     ranks: HashMap<RequestId, Rank>,
     arrivals: u64,
 }
 
 impl Queue {
     /// Adds a request.
-    pub fn push(&mut self, ask: Ask) {
-        let rank = (ask.priority, ask.until_ms, self.arrivals);
+    pub fn push(&mut self, ask: RequestSpec) {
+        let rank = (ask.priority, ask.deadline_ms, self.arrivals);
         self.arrivals += 1;
         self.ranks.insert(ask.request, rank);
         self.waiting.insert(rank, ask);
@@ -33,7 +33,7 @@
     }
 
     /// Takes all requests, the most urgent first.
-    pub fn take_all(&mut self) -> impl Iterator<Item = Ask> + use<> {
+    pub fn take_all(&mut self) -> impl Iterator<Item = RequestSpec> + use<> {
         self.ranks.clear();
         std::mem::take(&mut self.waiting).into_values()
     }
--- a/crates/samphiredoor-core/src/placement/target.rs
+++ b/crates/samphiredoor-core/src/placement/target.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use super::{AttemptEnd, DoorLoad, ReportedLoad, TargetEntry, health::Health};
+use super::{AttemptEnd, GatewayLoad, ReportedLoad, TargetEntry, health::Health};
 use crate::{
     Name,
     dispatch::{Class, Place, RequestId},
@@ -22,14 +22,14 @@
     /// Same region.
     Region,
     /// Beyond the link between regions.
-    Far,
+    OtherRegion,
 }
 
 impl Distance {
     /// Distance between two places, whatever their cells.
     pub fn between(own: &Place, other: &Place) -> Distance {
         if own.region != other.region {
-            Distance::Far
+            Distance::OtherRegion
         } else if own.availability_zone == other.availability_zone {
             Distance::Zone
         } else {
@@ -190,8 +190,8 @@
     }
 
     /// Requests of this process, as other doors are told.
-    pub fn told(&self, target: u64) -> Option<DoorLoad> {
+    pub fn told(&self, target: u64) -> Option<GatewayLoad> {
         let Load { online, batch } = self.own;
-        (self.own.total() > 0).then_some(DoorLoad { target, online, batch })
+        (self.own.total() > 0).then_some(GatewayLoad { target, online, batch })
     }
 }
--- a/crates/samphiredoor-core/tests/placement/cells.rs
+++ b/crates/samphiredoor-core/tests/placement/cells.rs
@@ -9,7 +9,7 @@
 use samphiredoor_core::{
     Name,
     dispatch::Place,
-    placement::{CellId, Cells, DoorLoad, DoorState, WaitingItems, sum_of},
+    placement::{CellId, Cells, GatewayLoad, GatewayState, WaitingItems, sum_states},
 };
 
 use crate::harness::place;
@@ -38,18 +38,18 @@
     let cells = Cells::new(doors, targets);
     let mut members = HashSet::new();
     for cell in cells.ids() {
-        let in_cell = cells.doors(cell);
+        let in_cell = cells.gateways(cell);
         assert!((1..=SMALL_FLEET).contains(&in_cell.len()), "a cell is neither empty nor large");
         for door in in_cell {
             assert!(members.insert(Name::clone(door)), "a door is in one cell");
-            assert_eq!(cells.of_door(door), Some(cell));
+            assert_eq!(cells.cell_of_gateway(door), Some(cell));
             let apart = cells.len() > 1 && doors[door] != *cells.place(cell).unwrap();
             assert!(!apart, "the cells of a large fleet stand in one zone each");
         }
     }
     assert_eq!(members.len(), doors.len(), "every door is in a cell");
     for (target, place) in targets {
-        let cell = cells.of_target(*target).expect("every target is in a cell");
+        let cell = cells.cell_of_target(*target).expect("every target is in a cell");
         assert!(cells.targets(cell).any(|it| it == *target));
         let zone_has_doors = doors.values().any(|it| it == place);
         let near = cells.len() == 1 || !zone_has_doors || cells.place(cell) == Some(place);
@@ -73,7 +73,7 @@
         targets.iter().filter(|(_, it)| *it == zone).map(|(key, _)| *key).collect();
     let of_zone = cells.ids().filter(|it| cells.place(*it) == Some(zone));
     let shares: Vec<usize> = of_zone
-        .map(|cell| in_zone.iter().filter(|it| cells.of_target(**it) == Some(cell)).count())
+        .map(|cell| in_zone.iter().filter(|it| cells.cell_of_target(**it) == Some(cell)).count())
         .collect();
     let spread = shares.iter().max().unwrap() - shares.iter().min().unwrap();
     assert!(spread <= 1, "cells of a zone have the same number of targets, give or take one");
@@ -98,7 +98,7 @@
     let all = doors(&[0, 1, 2, 3, 0, 1, 2, 3, 0, 1, 2, 3]);
     let cells = Cells::new(&all, &targets(&[0, 3]));
     assert_eq!(cells.len(), 1);
-    assert_eq!(cells.targets(cells.of_door("door-0").unwrap()).count(), 2);
+    assert_eq!(cells.targets(cells.cell_of_gateway("door-0").unwrap()).count(), 2);
 }
 
 // A zone has targets and no door. They would belong to nobody, and whoever uses them would tell nobody.
@@ -106,18 +106,18 @@
 fn targets_without_doors_nearby_belong_to_the_region() {
     let cells = Cells::new(&doors(&[[0; 10], [2; 10]].concat()), &targets(&[1, 1, 1]));
     for target in targets(&[1, 1, 1]).keys() {
-        let cell = cells.of_target(*target).unwrap();
+        let cell = cells.cell_of_target(*target).unwrap();
         assert_eq!(&*cells.place(cell).unwrap().region, "brisbane");
     }
 }
 
 #[test]
 fn sums_leave_out_what_the_receiver_is_told_directly() {
-    let load = |target, online, batch| DoorLoad { target, online, batch };
+    let load = |target, online, batch| GatewayLoad { target, online, batch };
     let waiting = vec![WaitingItems { service: 5, items: 3 }];
-    let one = DoorState { loads: vec![load(1, 2, 1), load(2, 1, 0)], waiting: waiting.clone() };
-    let two = DoorState { loads: vec![load(1, 1, 0), load(3, 4, 0)], waiting };
-    let sum = sum_of([&one, &two], |target| target == 3);
+    let one = GatewayState { loads: vec![load(1, 2, 1), load(2, 1, 0)], waiting: waiting.clone() };
+    let two = GatewayState { loads: vec![load(1, 1, 0), load(3, 4, 0)], waiting };
+    let sum = sum_states([&one, &two], |target| target == 3);
     assert_eq!(sum.loads, [load(1, 3, 1), load(2, 1, 0)]);
     assert_eq!(sum.waiting, [WaitingItems { service: 5, items: 6 }]);
 }
@@ -127,12 +127,12 @@
     let (doors, targets) = (doors(&[[0; 10], [2; 10]].concat()), targets(&[0, 2]));
     let cells = Cells::new(&doors, &targets);
     let keys: Vec<u64> = targets.keys().copied().collect();
-    let loads: Vec<DoorLoad> =
-        keys.iter().map(|it| DoorLoad { target: *it, online: 1, batch: 0 }).collect();
-    let own = cells.of_door("door-0");
-    assert_eq!(own, cells.of_target(keys[0]));
-    let elsewhere = cells.loads_elsewhere(own, &loads);
+    let loads: Vec<GatewayLoad> =
+        keys.iter().map(|it| GatewayLoad { target: *it, online: 1, batch: 0 }).collect();
+    let own = cells.cell_of_gateway("door-0");
+    assert_eq!(own, cells.cell_of_target(keys[0]));
+    let elsewhere = cells.loads_of_other_cells(own, &loads);
     let far: Vec<CellId> = elsewhere.keys().copied().collect();
-    assert_eq!(far, [cells.of_target(keys[1]).unwrap()]);
+    assert_eq!(far, [cells.cell_of_target(keys[1]).unwrap()]);
     assert_eq!(elsewhere[&far[0]], [loads[1]]);
 }
--- a/crates/samphiredoor-core/tests/placement/fleet.rs
+++ b/crates/samphiredoor-core/tests/placement/fleet.rs
@@ -9,8 +9,8 @@
     Name,
     dispatch::{Class, Place, RequestId},
     placement::{
-        Action, Ask, AttemptEnd, CellId, Cells, Distance, DoorState, Input, Placement, key_of,
-        sum_of, summary_pause_ms,
+        Action, AttemptEnd, CellId, Cells, Distance, GatewayState, Input, Placement, RequestSpec,
+        name_hash, sum_states, summary_interval_ms,
     },
 };
 use smallvec::SmallVec;
@@ -88,18 +88,18 @@
     due_ms: u64,
     to: usize,
     door: Name,
-    state: DoorState,
+    state: GatewayState,
 }
 
 struct Door {
     placement: Placement,
     place: Place,
     name: Name,
-    state: DoorState,
+    state: GatewayState,
     told_ms: u64,
     elsewhere: Vec<CellId>,
     /// What the doors of its cell last told.
-    mates: BTreeMap<usize, DoorState>,
+    mates: BTreeMap<usize, GatewayState>,
 }
 
 pub struct Fleet {
@@ -145,7 +145,7 @@
         let places: BTreeMap<Name, Place> = places.collect();
         let targets: Vec<(Name, Place)> =
             (0..targets).map(|it| (format!("t-{it}").into(), zone(it, targets))).collect();
-        let keys = targets.iter().map(|(name, place)| (key_of(name), place.clone())).collect();
+        let keys = targets.iter().map(|(name, place)| (name_hash(name), place.clone())).collect();
         let cells = Cells::new(&places, &keys);
         let mut fleet = Fleet {
             seed,
@@ -172,16 +172,16 @@
         let mut placement =
             Placement::new(Name::clone(&name), place.clone(), self.seed + number as u64);
         let entries = self.targets.iter().map(|(name, place)| entry(name, place.clone()));
-        let own = self.cells.of_door(&name).unwrap();
+        let own = self.cells.cell_of_gateway(&name).unwrap();
         let mut out = Vec::new();
         placement.handle(self.now_ms, Input::Targets(entries.collect()), &mut out);
         let own_targets = self.cells.targets(own).collect();
-        placement.handle(self.now_ms, Input::OwnTargets(own_targets), &mut out);
+        placement.handle(self.now_ms, Input::CellTargets(own_targets), &mut out);
         self.doors.push(Door {
             placement,
             place,
             name,
-            state: DoorState::default(),
+            state: GatewayState::default(),
             told_ms: 0,
             elsewhere: Vec::new(),
             mates: BTreeMap::new(),
@@ -225,7 +225,7 @@
         }
         self.tell();
         self.summarise(Distance::Region);
-        self.summarise(Distance::Far);
+        self.summarise(Distance::OtherRegion);
     }
 
     /// Places that online requests do not hold.
@@ -277,17 +277,17 @@
         let Request { door, class, asked_ms, left_ms } = self.requests[&request];
         let whole_ms = if class == Class::Online { ONLINE_MS } else { self.load.item_ms };
         let patience_ms = if class == Class::Online { AIM_MS / 5 } else { DUE_MS };
-        let ask = Ask {
+        let ask = RequestSpec {
             request,
             class,
             service: "reader".into(),
             priority: 0,
             affinity: 0,
-            tried: SmallVec::new(),
-            until_ms: asked_ms + patience_ms,
-            ran_ms: whole_ms - left_ms,
+            tried_targets: SmallVec::new(),
+            deadline_ms: asked_ms + patience_ms,
+            prior_run_ms: whole_ms - left_ms,
         };
-        self.input(door, Input::Ask(ask));
+        self.input(door, Input::Request(ask));
     }
 
     fn input(&mut self, door: usize, input: Input) {
@@ -305,7 +305,7 @@
                 self.engines.get_mut(&target).unwrap().queue.push_back(request);
                 self.admit(&target);
             }
-            Action::Recall { request } => {
+            Action::Preempt { request } => {
                 let Some(target) = self.at.remove(&request) else { return };
                 let engine = self.engines.get_mut(&target).unwrap();
                 if let Some(at) = engine.running.iter().position(|(it, _)| *it == request) {
@@ -372,7 +372,7 @@
             if let Some(sender) = sender {
                 receiver.mates.insert(sender, message.state.clone());
             }
-            self.input(message.to, Input::Peer { door: message.door, state: message.state });
+            self.input(message.to, Input::Peer { peer: message.door, state: message.state });
         }
         for door in 0..self.doors.len() {
             if self.doors[door].placement.waiting().0 > 0 {
@@ -381,20 +381,20 @@
         }
     }
 
-    fn send(&mut self, from: usize, to: usize, door: Name, state: DoorState) {
+    fn send(&mut self, from: usize, to: usize, door: Name, state: GatewayState) {
         self.outcome.sent += 1;
         if self.rng.random_ratio(1, LOST_ONE_IN) {
             return;
         }
         let delay_ms = match Distance::between(&self.doors[from].place, &self.doors[to].place) {
-            Distance::Far => 15,
+            Distance::OtherRegion => 15,
             _ => 5,
         };
         self.messages.push(Message { due_ms: self.now_ms + delay_ms, to, door, state });
     }
 
     fn members(&self, cell: CellId) -> Vec<usize> {
-        let names = self.cells.doors(cell).iter();
+        let names = self.cells.gateways(cell).iter();
         names.map(|name| self.doors.iter().position(|it| it.name == *name).unwrap()).collect()
     }
 
@@ -413,14 +413,14 @@
         }
     }
 
-    fn tell_state(&mut self, door: usize, state: DoorState) {
+    fn tell_state(&mut self, door: usize, state: GatewayState) {
         let name = Name::clone(&self.doors[door].name);
-        let own = self.cells.of_door(&name);
+        let own = self.cells.cell_of_gateway(&name);
         for mate in self.members(own.unwrap()).into_iter().filter(|it| *it != door) {
             self.send(door, mate, Name::clone(&name), state.clone());
         }
-        let before = self.cells.loads_elsewhere(own, &self.doors[door].state.loads);
-        let mut elsewhere = self.cells.loads_elsewhere(own, &state.loads);
+        let before = self.cells.loads_of_other_cells(own, &self.doors[door].state.loads);
+        let mut elsewhere = self.cells.loads_of_other_cells(own, &state.loads);
         for cell in std::mem::take(&mut self.doors[door].elsewhere) {
             elsewhere.entry(cell).or_default();
         }
@@ -429,7 +429,7 @@
                 self.doors[door].elsewhere.push(cell);
             }
             if before.get(&cell) != Some(&loads) {
-                let told = DoorState { loads, waiting: Vec::new() };
+                let told = GatewayState { loads, waiting: Vec::new() };
                 for receiver in self.members(cell) {
                     self.send(door, receiver, Name::clone(&name), told.clone());
                 }
@@ -445,7 +445,7 @@
         for cell in self.cells.ids() {
             let others = self.others_at(cell, distance);
             // In steps, as all else here.
-            let pause_ms = summary_pause_ms(distance, others.len()).next_multiple_of(STEP_MS);
+            let pause_ms = summary_interval_ms(distance, others.len()).next_multiple_of(STEP_MS);
             if !self.now_ms.is_multiple_of(pause_ms) {
                 continue;
             }
@@ -460,8 +460,8 @@
 
     fn summarise_to(&mut self, members: &[usize], speaker: usize, receiver: CellId) {
         let told = members.iter().filter_map(|it| self.doors[speaker].mates.get(it));
-        let sum = sum_of(told, |it| self.cells.of_target(it) == Some(receiver));
-        let cell = self.cells.of_door(&self.doors[speaker].name).unwrap();
+        let sum = sum_states(told, |it| self.cells.cell_of_target(it) == Some(receiver));
+        let cell = self.cells.cell_of_gateway(&self.doors[speaker].name).unwrap();
         let name = self.cells.name(cell).unwrap();
         for to in self.members(receiver) {
             self.send(speaker, to, Name::clone(&name), sum.clone());
@@ -470,10 +470,11 @@
 
     fn others_at(&self, cell: CellId, distance: Distance) -> Vec<CellId> {
         let own = self.cells.place(cell).unwrap();
-        let is_far =
-            |it: &CellId| Distance::between(own, self.cells.place(*it).unwrap()) == Distance::Far;
+        let is_far = |it: &CellId| {
+            Distance::between(own, self.cells.place(*it).unwrap()) == Distance::OtherRegion
+        };
         let others = self.cells.ids().filter(|it| *it != cell);
-        others.filter(|it| is_far(it) == (distance == Distance::Far)).collect()
+        others.filter(|it| is_far(it) == (distance == Distance::OtherRegion)).collect()
     }
 }
 
--- a/crates/samphiredoor-core/tests/placement/harness.rs
+++ b/crates/samphiredoor-core/tests/placement/harness.rs
@@ -4,8 +4,8 @@
     Name,
     dispatch::{Class, Place, RequestId},
     placement::{
-        Action, Ask, AttemptEnd, DoorLoad, DoorState, Input, Placement, ReportedLoad, TargetEntry,
-        TargetState, WaitingItems, key_of,
+        Action, AttemptEnd, GatewayLoad, GatewayState, Input, Placement, ReportedLoad, RequestSpec,
+        TargetEntry, TargetState, WaitingItems, name_hash,
     },
 };
 use smallvec::SmallVec;
@@ -68,28 +68,31 @@
 
     pub fn ask_without(&mut self, class: Class, tried: &[&str]) -> (RequestId, Vec<Action>) {
         let mut ask = self.new_ask(class, self.now_ms + 60);
-        ask.tried = tried.iter().map(|it| Name::from(*it)).collect::<SmallVec<[Name; 2]>>();
-        (ask.request, self.input(Input::Ask(ask)))
+        ask.tried_targets = tried.iter().map(|it| Name::from(*it)).collect::<SmallVec<[Name; 2]>>();
+        (ask.request, self.input(Input::Request(ask)))
     }
 
     /// An item that is due in so long and has run for so long.
     pub fn ask_item(&mut self, due_in_ms: u64, ran_ms: u64) -> (RequestId, Vec<Action>) {
-        let ask = Ask { ran_ms, ..self.new_ask(Class::Batch, self.now_ms + due_in_ms) };
-        (ask.request, self.input(Input::Ask(ask)))
+        let ask = RequestSpec {
+            prior_run_ms: ran_ms,
+            ..self.new_ask(Class::Batch, self.now_ms + due_in_ms)
+        };
+        (ask.request, self.input(Input::Request(ask)))
     }
 
-    fn new_ask(&mut self, class: Class, until_ms: u64) -> Ask {
+    fn new_ask(&mut self, class: Class, until_ms: u64) -> RequestSpec {
         let request = RequestId(self.next);
         self.next += 1;
-        Ask {
+        RequestSpec {
             request,
             class,
             service: "reader".into(),
             priority: 0,
             affinity: 0,
-            tried: SmallVec::new(),
-            until_ms,
-            ran_ms: 0,
+            tried_targets: SmallVec::new(),
+            deadline_ms: until_ms,
+            prior_run_ms: 0,
         }
     }
 
@@ -98,25 +101,25 @@
     }
 
     pub fn peer(&mut self, door: &str, loads: &[(&str, u32, u32)]) -> Vec<Action> {
-        let load = |&(target, online, batch): &(&str, u32, u32)| DoorLoad {
-            target: key_of(target),
+        let load = |&(target, online, batch): &(&str, u32, u32)| GatewayLoad {
+            target: name_hash(target),
             online,
             batch,
         };
-        let state = DoorState { loads: loads.iter().map(load).collect(), waiting: Vec::new() };
-        self.input(Input::Peer { door: door.into(), state })
+        let state = GatewayState { loads: loads.iter().map(load).collect(), waiting: Vec::new() };
+        self.input(Input::Peer { peer: door.into(), state })
     }
 
     /// Another door tells that so many items wait at it.
     pub fn peer_waits(&mut self, door: &str, items: u32) -> Vec<Action> {
-        let waiting = vec![WaitingItems { service: key_of("reader"), items }];
-        let state = DoorState { loads: Vec::new(), waiting };
-        self.input(Input::Peer { door: door.into(), state })
+        let waiting = vec![WaitingItems { service: name_hash("reader"), items }];
+        let state = GatewayState { loads: Vec::new(), waiting };
+        self.input(Input::Peer { peer: door.into(), state })
     }
 
     pub fn report(&mut self, target: &str, running: u32, waiting: u32) -> Vec<Action> {
         let load = ReportedLoad { running, waiting, slots: SLOTS };
-        self.input(Input::Load { target: target.into(), load })
+        self.input(Input::LoadReport { target: target.into(), load })
     }
 }
 
--- a/crates/samphiredoor-core/tests/placement/promises.rs
+++ b/crates/samphiredoor-core/tests/placement/promises.rs
@@ -79,7 +79,7 @@
                     assert!((1..=1_000).contains(&retry_after_ms), "a true time to come back");
                     self.waiting.retain(|it| *it != request);
                 }
-                Action::Recall { request } => {
+                Action::Preempt { request } => {
                     assert!(!self.online.contains(&request), "only items are recalled");
                     assert!(self.running.iter().any(|(it, _)| *it == request), "only what runs");
                     assert!(self.recalled.insert(request), "recalled once");
@@ -123,7 +123,7 @@
             }
             Step::Gone(which) if !model.waiting.is_empty() => {
                 let request = model.waiting.remove(which % model.waiting.len());
-                world.input(Input::Gone { request })
+                world.input(Input::Cancelled { request })
             }
             Step::End(..) | Step::Gone(_) => Vec::new(),
             Step::Peer(door, online, batch) => world
--- a/crates/samphiredoor-core/tests/placement/situations.rs
+++ b/crates/samphiredoor-core/tests/placement/situations.rs
@@ -92,11 +92,11 @@
     let items: Vec<_> = (0..7).map(|_| world.ask(Class::Batch).0).collect();
     let (request, actions) = world.ask(Class::Online);
     assert_eq!(sent_to(request, &actions).as_deref(), Some("t-0"));
-    assert!(!actions.iter().any(|it| matches!(it, Action::Recall { .. })));
+    assert!(!actions.iter().any(|it| matches!(it, Action::Preempt { .. })));
     let (request, actions) = world.ask(Class::Online);
     assert_eq!(sent_to(request, &actions).as_deref(), Some("t-0"));
-    assert!(actions.contains(&Action::Recall { request: items[6] }));
-    assert_eq!(actions.iter().filter(|it| matches!(it, Action::Recall { .. })).count(), 1);
+    assert!(actions.contains(&Action::Preempt { request: items[6] }));
+    assert_eq!(actions.iter().filter(|it| matches!(it, Action::Preempt { .. })).count(), 1);
 }
 
 // Two doors have items at a target, and both see that it is overfull by two. Together they recall two, not four.
@@ -107,7 +107,7 @@
         world.ask(Class::Batch);
     }
     let recalled = |actions: &[Action]| {
-        actions.iter().filter(|it| matches!(it, Action::Recall { .. })).count()
+        actions.iter().filter(|it| matches!(it, Action::Preempt { .. })).count()
     };
     assert_eq!(recalled(&world.peer("door-a", &[("t-0", 6, 1)])), 1);
     let mut world = World::with_targets(1);
@@ -126,7 +126,7 @@
     for needs_others in [false, false, true] {
         let (request, actions) = world.ask(Class::Online);
         assert_eq!(sent_to(request, &actions).as_deref(), Some("t-0"));
-        assert_eq!(world.placement.take_needs_others(), needs_others);
+        assert_eq!(world.placement.take_needs_peer_preemption(), needs_others);
     }
     let mut world = World::with_targets(1);
     for _ in 0..6 {
@@ -134,7 +134,7 @@
     }
     for _ in 0..4 {
         world.ask(Class::Online);
-        assert!(!world.placement.take_needs_others());
+        assert!(!world.placement.take_needs_peer_preemption());
     }
 }
 
--- a/crates/samphiredoor-gateway/src/front/online.rs
+++ b/crates/samphiredoor-gateway/src/front/online.rs
@@ -16,7 +16,7 @@
 use samphiredoor_core::{
     Name,
     dispatch::Class,
-    placement::{Ask, AttemptEnd},
+    placement::{AttemptEnd, RequestSpec},
     routes::Route,
     verdict::{Doubt, Refusal},
 };
@@ -329,17 +329,17 @@
         }
     }
 
-    fn ask(&self) -> Ask {
+    fn ask(&self) -> RequestSpec {
         let queue_ms = self.route.objective_ms / QUEUE_PART;
-        Ask {
+        RequestSpec {
             request: self.front.placer.next_request(),
             class: Class::Online,
             service: self.service.clone().unwrap_or_else(|| Name::from("")),
             priority: self.route.priority,
             affinity: self.affinity,
-            tried: self.tried.clone(),
-            until_ms: self.front.clock.now().mono_ms + queue_ms,
-            ran_ms: 0,
+            tried_targets: self.tried.clone(),
+            deadline_ms: self.front.clock.now().mono_ms + queue_ms,
+            prior_run_ms: 0,
         }
     }
 }
--- a/crates/samphiredoor-gateway/src/jobs/item_run.rs
+++ b/crates/samphiredoor-gateway/src/jobs/item_run.rs
@@ -17,7 +17,7 @@
     Name,
     dispatch::Class,
     ordered::{Item, ItemEnd, JobName, OutputPart, PartialOutput},
-    placement::{Ask, AttemptEnd},
+    placement::{AttemptEnd, RequestSpec},
     routes::{Route, RouteKind, RouteTable},
 };
 use samphiredoor_net::{
@@ -208,16 +208,16 @@
         sent
     }
 
-    fn ask(&self, service: &Name, headers: &HeaderMap) -> Ask {
-        Ask {
+    fn ask(&self, service: &Name, headers: &HeaderMap) -> RequestSpec {
+        RequestSpec {
             request: self.env.placer.next_request(),
             class: Class::Batch,
             service: Name::clone(service),
             priority: 0,
             affinity: self.env.platform.dialect.affinity(headers),
-            tried: SmallVec::new(),
-            until_ms: self.due_at_ms,
-            ran_ms: self.output.borrow().ran_ms,
+            tried_targets: SmallVec::new(),
+            deadline_ms: self.due_at_ms,
+            prior_run_ms: self.output.borrow().ran_ms,
         }
     }
 
--- a/crates/samphiredoor-gateway/src/metrics.rs
+++ b/crates/samphiredoor-gateway/src/metrics.rs
@@ -149,7 +149,7 @@
     /// Takes what the placement counts.
     pub fn placement(&self, counters: Counters, waiting_online: usize, waiting_batch: usize) {
         self.dispatched.set(counters.dispatched as i64);
-        self.recalled.set(counters.recalled as i64);
+        self.recalled.set(counters.preempted as i64);
         self.waiting_online.set(waiting_online as i64);
         self.waiting_batch.set(waiting_batch as i64);
     }
--- a/crates/samphiredoor-gateway/src/peers/mates.rs
+++ b/crates/samphiredoor-gateway/src/peers/mates.rs
@@ -10,7 +10,7 @@
 use samphiredoor_core::{
     Name,
     ordered::JobName,
-    placement::{CellId, key_of, sum_of},
+    placement::{CellId, name_hash, sum_states},
 };
 
 use super::{
@@ -76,13 +76,14 @@
         let cells = roster.cells();
         let own = roster.own_cell()?;
         let state = self.state.borrow();
-        let doors = cells.doors(own).iter();
+        let doors = cells.gateways(own).iter();
         let told: Vec<&Told> = doors.filter_map(|it| state.told.get(it)).collect();
         if told.is_empty() {
             return None;
         }
         let requests = told.iter().map(|it| &it.status.requests);
-        let requests = sum_of(requests, |target| cells.of_target(target) == Some(receiver));
+        let requests =
+            sum_states(requests, |target| cells.cell_of_target(target) == Some(receiver));
         let members: Vec<Member> = told.iter().map(|it| member(it)).collect();
         let place_of = |owner: &Name| told.iter().position(|it| *it.status.name == **owner);
         let jobs = state.jobs.iter().filter_map(|it| {
@@ -103,7 +104,7 @@
 fn member(told: &Told) -> Member {
     let status = &told.status;
     Member {
-        key: key_of(&status.name),
+        key: name_hash(&status.name),
         incarnation: status.incarnation,
         routes_version: status.routes_version,
         heard_ms: told.at.elapsed().as_millis().try_into().unwrap_or(u16::MAX),
--- a/crates/samphiredoor-gateway/src/peers/relay.rs
+++ b/crates/samphiredoor-gateway/src/peers/relay.rs
@@ -56,7 +56,7 @@
         if std::mem::replace(&mut behind, routes.version().max(1)) != routes.version().max(1) {
             continue;
         }
-        if holder.distance == Distance::Far && !may_ask_beyond(&roster, &*store) {
+        if holder.distance == Distance::OtherRegion && !may_ask_beyond(&roster, &*store) {
             continue;
         }
         ask(&holder, &relayed).await;
--- a/crates/samphiredoor-gateway/src/peers/roster.rs
+++ b/crates/samphiredoor-gateway/src/peers/roster.rs
@@ -12,7 +12,7 @@
 use samphiredoor_core::{
     Name,
     dispatch::Place,
-    placement::{CellId, Cells, Distance, TargetEntry, key_of},
+    placement::{CellId, Cells, Distance, TargetEntry, name_hash},
     renewal::FleetPlace,
 };
 
@@ -155,7 +155,7 @@
             return;
         }
         self.cells.take();
-        self.names.borrow_mut().insert(key_of(&name), Name::clone(&name));
+        self.names.borrow_mut().insert(name_hash(&name), Name::clone(&name));
         let mut peers = self.peers.borrow_mut();
         let peer = peers.entry(name).or_insert_with(|| Peer {
             address,
@@ -174,14 +174,14 @@
     /// Forgets a gateway that is no longer registered.
     pub fn remove(&self, name: &Name) {
         self.cells.take();
-        self.names.borrow_mut().remove(&key_of(name));
+        self.names.borrow_mut().remove(&name_hash(name));
         self.peers.borrow_mut().remove(name);
     }
 
     /// Takes all targets as discovery knows them now.
     pub fn targets<'a>(&self, targets: impl Iterator<Item = &'a TargetEntry>) {
         let places: BTreeMap<u64, Place> =
-            targets.map(|it| (key_of(&it.name), it.place.clone())).collect();
+            targets.map(|it| (name_hash(&it.name), it.place.clone())).collect();
         if *self.targets.borrow() != places {
             self.cells.take();
             self.targets.replace(places);
@@ -203,7 +203,7 @@
 
     /// Cell of this process.
     pub fn own_cell(&self) -> Option<CellId> {
-        self.cells().of_door(&self.own.name)
+        self.cells().cell_of_gateway(&self.own.name)
     }
 
     /// Whether a cell of this name is that of this process.
@@ -221,7 +221,7 @@
     /// Whether another gateway is of the own cell.
     pub fn is_mate(&self, name: &str) -> bool {
         let own = self.own_cell();
-        own.is_some() && self.cells().of_door(name) == own
+        own.is_some() && self.cells().cell_of_gateway(name) == own
     }
 
     /// Addresses of the other gateways of the own cell.
@@ -233,7 +233,7 @@
     pub fn mates_at(&self, distance: Distance) -> Vec<SocketAddr> {
         let Some(own) = self.own_cell() else { return Vec::new() };
         let (cells, peers) = (self.cells(), self.peers.borrow());
-        let mates = cells.doors(own).iter().filter_map(|it| peers.get(it));
+        let mates = cells.gateways(own).iter().filter_map(|it| peers.get(it));
         let at = mates.filter(|it| Distance::between(&self.own.place, &it.place) == distance);
         at.map(|it| it.address).collect()
     }
@@ -241,14 +241,15 @@
     /// Addresses of the other gateways of a cell.
     pub fn addresses_in(&self, cell: CellId) -> Vec<SocketAddr> {
         let (cells, peers) = (self.cells(), self.peers.borrow());
-        let doors = cells.doors(cell).iter().filter_map(|it| peers.get(it));
+        let doors = cells.gateways(cell).iter().filter_map(|it| peers.get(it));
         doors.map(|it| it.address).collect()
     }
 
     /// Address of any gateway of a cell, if there is one of one that is heard.
     pub fn any_in(&self, cell: CellId) -> Option<SocketAddr> {
         let (cells, peers) = (self.cells(), self.peers.borrow());
-        let doors: Vec<&Peer> = cells.doors(cell).iter().filter_map(|it| peers.get(it)).collect();
+        let doors: Vec<&Peer> =
+            cells.gateways(cell).iter().filter_map(|it| peers.get(it)).collect();
         let heard: Vec<&Peer> = doors.iter().copied().filter(|it| it.is_heard()).collect();
         let among = if heard.is_empty() { &doors } else { &heard };
         among.choose(&mut rand::rng()).map(|it| it.address)
@@ -277,7 +278,7 @@
     fn before(&self, suits: impl Fn(&Peer) -> bool) -> Option<Vec<SocketAddr>> {
         let own = self.own_cell()?;
         let (cells, peers) = (self.cells(), self.peers.borrow());
-        let before = cells.doors(own).iter().filter(|it| **it < self.own.name);
+        let before = cells.gateways(own).iter().filter(|it| **it < self.own.name);
         let suiting = before.filter_map(|it| peers.get(it)).filter(|it| suits(it));
         Some(suiting.map(|it| it.address).collect())
     }
--- a/crates/samphiredoor-gateway/src/peers/speaker.rs
+++ b/crates/samphiredoor-gateway/src/peers/speaker.rs
@@ -9,7 +9,7 @@
 };
 
 use compio::net::UdpSocket;
-use samphiredoor_core::placement::{CellId, Distance, summary_pause_ms};
+use samphiredoor_core::placement::{CellId, Distance, summary_interval_ms};
 
 use super::{Mates, Roster, datagram::Datagram, listener::send_to_all};
 
@@ -43,7 +43,7 @@
             for cell in near {
                 self.tell(cell).await;
             }
-            if far_told.elapsed() >= pause(Distance::Far, &far) {
+            if far_told.elapsed() >= pause(Distance::OtherRegion, &far) {
                 far_told = Instant::now();
                 for cell in far {
                     self.tell(cell).await;
@@ -58,7 +58,9 @@
         let others = cells.ids().filter(|it| Some(*it) != own);
         others.partition(|it| {
             let place = cells.place(*it);
-            place.is_some_and(|it| Distance::between(&self.roster.own().place, it) != Distance::Far)
+            place.is_some_and(|it| {
+                Distance::between(&self.roster.own().place, it) != Distance::OtherRegion
+            })
         })
     }
 
@@ -71,5 +73,5 @@
 }
 
 fn pause(distance: Distance, cells: &[CellId]) -> Duration {
-    Duration::from_millis(summary_pause_ms(distance, cells.len()))
+    Duration::from_millis(summary_interval_ms(distance, cells.len()))
 }
--- a/crates/samphiredoor-gateway/src/peers/status.rs
+++ b/crates/samphiredoor-gateway/src/peers/status.rs
@@ -2,7 +2,7 @@
 
 use samphiredoor_core::{
     ordered::JobName,
-    placement::{DoorLoad, DoorState, WaitingItems},
+    placement::{GatewayLoad, GatewayState, WaitingItems},
     store::Version,
 };
 use samphiredoor_schema::peer_capnp::{
@@ -41,7 +41,7 @@
     /// Whether a planned stop is under way.
     pub stopping: bool,
     /// Its requests at targets, and its items that wait.
-    pub requests: DoorState,
+    pub requests: GatewayState,
     /// Jobs that it has come to own lately.
     pub jobs: Vec<OwnedJob>,
     /// Newest changes that it has seen in the store.
@@ -100,7 +100,7 @@
 
 /// Writes as many of the loads as the list was made for.
 pub(super) fn write_loads(
-    loads: &[DoorLoad],
+    loads: &[GatewayLoad],
     mut list: capnp::struct_list::Builder<'_, requests_at_target::Owned>,
 ) {
     for (index, load) in loads.iter().take(list.len() as usize).enumerate() {
@@ -126,8 +126,8 @@
 pub(super) fn read_requests(
     loads: capnp::struct_list::Reader<'_, requests_at_target::Owned>,
     waiting: capnp::struct_list::Reader<'_, waiting_items::Owned>,
-) -> DoorState {
-    let loads = loads.iter().map(|it| DoorLoad {
+) -> GatewayState {
+    let loads = loads.iter().map(|it| GatewayLoad {
         target: it.get_target(),
         online: u32::from(it.get_online()),
         batch: u32::from(it.get_batch()),
@@ -135,7 +135,7 @@
     let waiting = waiting
         .iter()
         .map(|it| WaitingItems { service: it.get_service(), items: u32::from(it.get_items()) });
-    DoorState { loads: loads.collect(), waiting: waiting.collect() }
+    GatewayState { loads: loads.collect(), waiting: waiting.collect() }
 }
 
 pub(super) fn write_seen(seen: &SeenChanges, mut root: seen_changes::Builder<'_>) {
--- a/crates/samphiredoor-gateway/src/peers/summary.rs
+++ b/crates/samphiredoor-gateway/src/peers/summary.rs
@@ -1,6 +1,6 @@
 //! What a cell tells each other cell.
 
-use samphiredoor_core::{ordered::JobName, placement::DoorState};
+use samphiredoor_core::{ordered::JobName, placement::GatewayState};
 use samphiredoor_schema::peer_capnp::cell_summary;
 
 use super::status::{read_requests, read_seen, write_loads, write_seen, write_waiting};
@@ -16,7 +16,7 @@
 /// A gateway of a cell, as the cell hears it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Member {
-    /// Its name, by [`samphiredoor_core::placement::key_of`].
+    /// Its name, by [`samphiredoor_core::placement::name_hash`].
     pub key: u64,
     /// Which start of it.
     pub incarnation: u64,
@@ -49,7 +49,7 @@
     /// Its gateways that are heard.
     pub members: Vec<Member>,
     /// Their requests at targets, and their items that wait.
-    pub requests: DoorState,
+    pub requests: GatewayState,
     /// Jobs that they have come to own lately.
     pub jobs: Vec<MemberJob>,
     /// Newest changes that one of them has seen in the store.
--- a/crates/samphiredoor-gateway/src/peers/teller.rs
+++ b/crates/samphiredoor-gateway/src/peers/teller.rs
@@ -12,7 +12,7 @@
 };
 
 use compio::net::UdpSocket;
-use samphiredoor_core::placement::{CellId, Distance, DoorLoad, DoorState};
+use samphiredoor_core::placement::{CellId, Distance, GatewayLoad, GatewayState};
 use samphiredoor_net::pool::within;
 
 use super::{
@@ -103,7 +103,7 @@
 
 /// What another cell was told last of the requests at its targets.
 struct ToldCell {
-    loads: Vec<DoorLoad>,
+    loads: Vec<GatewayLoad>,
     at: Instant,
 }
 
@@ -113,10 +113,10 @@
         let mut audiences = [
             Audience::new(Distance::Zone, Duration::ZERO),
             Audience::new(Distance::Region, REGION_PAUSE),
-            Audience::new(Distance::Far, FAR_PAUSE),
+            Audience::new(Distance::OtherRegion, FAR_PAUSE),
         ];
         let mut told_cells = BTreeMap::new();
-        let mut requests = DoorState::default();
+        let mut requests = GatewayState::default();
         loop {
             let left = audiences.iter().map(Audience::left).min().unwrap_or(FOREVER);
             match within(left, told.recv_async()).await {
@@ -144,9 +144,13 @@
     }
 
     /// Tells each other cell of the requests at its targets, once more when there are none left.
-    async fn tell_other_cells(&self, requests: &DoorState, told: &mut BTreeMap<CellId, ToldCell>) {
+    async fn tell_other_cells(
+        &self,
+        requests: &GatewayState,
+        told: &mut BTreeMap<CellId, ToldCell>,
+    ) {
         let (cells, own) = (self.roster.cells(), self.roster.own_cell());
-        let mut by_cell = cells.loads_elsewhere(own, &requests.loads);
+        let mut by_cell = cells.loads_of_other_cells(own, &requests.loads);
         for cell in told.keys() {
             by_cell.entry(*cell).or_default();
         }
@@ -154,7 +158,7 @@
             if told.get(&cell).is_some_and(|it| it.loads == loads && it.at.elapsed() < REPEAT) {
                 continue;
             }
-            let requests = DoorState { loads: loads.clone(), waiting: Vec::new() };
+            let requests = GatewayState { loads: loads.clone(), waiting: Vec::new() };
             let status = self.status(requests, Vec::new());
             let to = self.roster.addresses_in(cell);
             send_to_all(&self.socket, Datagram::Status(status).encode(), to).await;
@@ -166,7 +170,7 @@
         }
     }
 
-    fn status(&self, requests: DoorState, jobs: Vec<OwnedJob>) -> Status {
+    fn status(&self, requests: GatewayState, jobs: Vec<OwnedJob>) -> Status {
         Status {
             name: self.own.name.to_string(),
             incarnation: self.own.incarnation,
--- a/crates/samphiredoor-gateway/src/placement.rs
+++ b/crates/samphiredoor-gateway/src/placement.rs
@@ -11,7 +11,9 @@
 use samphiredoor_core::{
     Name,
     dispatch::RequestId,
-    placement::{Action, Ask, AttemptEnd, DoorState, Input, Placement, ReportedLoad, TargetEntry},
+    placement::{
+        Action, AttemptEnd, GatewayState, Input, Placement, ReportedLoad, RequestSpec, TargetEntry,
+    },
     verdict::Refusal,
 };
 use samphiredoor_net::{clock::Clock, pool::within};
@@ -48,7 +50,7 @@
 }
 
 enum Message {
-    Ask(Ask, flume::Sender<Placed>),
+    Ask(RequestSpec, flume::Sender<Placed>),
     Input(Input),
 }
 
@@ -63,7 +65,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct Told {
     /// Requests at targets, and items that wait.
-    pub state: DoorState,
+    pub state: GatewayState,
     /// Whether others hold places that online requests of this gateway wait for.
     pub urgent: bool,
 }
@@ -98,7 +100,7 @@
     }
 
     /// Asks for a target.
-    pub fn ask(&self, ask: Ask) -> Ticket {
+    pub fn ask(&self, ask: RequestSpec) -> Ticket {
         let (sender, placements) = flume::unbounded();
         let ticket = Ticket {
             request: ask.request,
@@ -117,17 +119,17 @@
 
     /// Tells which targets the own cell shares.
     pub fn own_targets(&self, targets: HashSet<u64>) {
-        self.send(Message::Input(Input::OwnTargets(targets)));
+        self.send(Message::Input(Input::CellTargets(targets)));
     }
 
     /// Tells the load that a target reported.
     pub fn reported(&self, target: &Name, load: ReportedLoad) {
-        self.send(Message::Input(Input::Load { target: Name::clone(target), load }));
+        self.send(Message::Input(Input::LoadReport { target: Name::clone(target), load }));
     }
 
     /// Tells the requests of another gateway, or of a cell.
-    pub fn peer(&self, door: Name, state: DoorState) {
-        self.send(Message::Input(Input::Peer { door, state }));
+    pub fn peer(&self, door: Name, state: GatewayState) {
+        self.send(Message::Input(Input::Peer { peer: door, state }));
     }
 
     // The task ends only with the process.
@@ -179,7 +181,7 @@
         match self.stage {
             Stage::AtTarget => self.ended(AttemptEnd::Cut),
             Stage::Waiting => {
-                let input = Input::Gone { request: self.request };
+                let input = Input::Cancelled { request: self.request };
                 let _ = self.messages.send(Message::Input(input));
             }
             Stage::Over => {}
@@ -202,7 +204,7 @@
             let input = match within(tick, inbox.recv_async()).await {
                 Some(Ok(Message::Ask(ask, reply))) => {
                     self.waiting.insert(ask.request, reply);
-                    Input::Ask(ask)
+                    Input::Request(ask)
                 }
                 Some(Ok(Message::Input(input))) => input,
                 Some(Err(_)) => return,
@@ -224,7 +226,7 @@
     }
 
     fn forget(&mut self, input: &Input) {
-        if let Input::Gone { request } | Input::Ended { request, .. } = input {
+        if let Input::Cancelled { request } | Input::Ended { request, .. } = input {
             self.waiting.remove(request);
         }
     }
@@ -234,7 +236,7 @@
             Action::Dispatch { request, target, address } => {
                 (request, Placed::Go { target, address })
             }
-            Action::Recall { request } => (request, Placed::Recalled),
+            Action::Preempt { request } => (request, Placed::Recalled),
             Action::Refuse { request, reason, retry_after_ms } => {
                 (request, Placed::Refused { reason, retry_after_ms })
             }
@@ -260,7 +262,7 @@
         let state = changed.or_else(|| heartbeat.then(|| self.task.placement.state()));
         if let Some(state) = state {
             self.told_at = Instant::now();
-            let urgent = self.task.placement.take_needs_others();
+            let urgent = self.task.placement.take_needs_peer_preemption();
             let _ = self.task.told.send(Told { state, urgent });
             let (online, batch) = self.task.placement.waiting();
             self.task.metrics.placement(self.task.placement.counters(), online, batch);
--- a/crates/samphiredoor-standin/src/emulate/network.rs
+++ b/crates/samphiredoor-standin/src/emulate/network.rs
@@ -42,7 +42,7 @@
         match Distance::between(from, to) {
             Distance::Cell | Distance::Zone => self.config.zone_ms,
             Distance::Region => self.config.region_ms,
-            Distance::Far => self.config.far_ms,
+            Distance::OtherRegion => self.config.far_ms,
         }
     }
 }
--- a/crates/samphiredoor-standin/src/emulate/world/gateways.rs
+++ b/crates/samphiredoor-standin/src/emulate/world/gateways.rs
@@ -6,7 +6,7 @@
 use samphiredoor_core::{
     Name,
     dispatch::Place,
-    placement::{CellId, Cells, DoorState, Input, Margins, Placement, TargetEntry, key_of},
+    placement::{CellId, Cells, GatewayState, Input, Margins, Placement, TargetEntry, name_hash},
 };
 
 use super::{
@@ -28,11 +28,11 @@
     start: u64,
     ticked_ms: u64,
     pub told_ms: u64,
-    pub told: Rc<DoorState>,
+    pub told: Rc<GatewayState>,
     pub audiences: [Audience; 3],
     pub told_cells: BTreeMap<CellId, ToldCell>,
     /// What the gateways of its cell told it last and when, its own word among them.
-    pub heard: BTreeMap<Name, (u64, Rc<DoorState>)>,
+    pub heard: BTreeMap<Name, (u64, Rc<GatewayState>)>,
 }
 
 fn name_of(number: usize) -> Name {
@@ -54,7 +54,7 @@
             })
             .collect();
         let places = gateways.iter().map(|it| (Name::clone(&it.name), it.place.clone())).collect();
-        let keys = targets.iter().map(|it| (key_of(&it.name), it.place.clone())).collect();
+        let keys = targets.iter().map(|it| (name_hash(&it.name), it.place.clone())).collect();
         let cells = Cells::new(&places, &keys);
         (gateways, cells)
     }
@@ -101,9 +101,9 @@
         let start = gateway.start;
         let entries = self.entries(number);
         self.input(number, Input::Targets(entries));
-        if let Some(cell) = self.cells.of_door(&name) {
+        if let Some(cell) = self.cells.cell_of_gateway(&name) {
             let own = self.cells.targets(cell).collect();
-            self.input(number, Input::OwnTargets(own));
+            self.input(number, Input::CellTargets(own));
         }
         let phase_us = (number as u64 * 1_013) % (TELL_PAUSE_MS * 1_000);
         self.events.push(self.now_us + phase_us, Event::Tick { gateway: number, start });
--- a/crates/samphiredoor-standin/src/emulate/world/mod.rs
+++ b/crates/samphiredoor-standin/src/emulate/world/mod.rs
@@ -12,7 +12,7 @@
 use samphiredoor_core::{
     Name,
     dispatch::Place,
-    placement::{AttemptEnd, Cells, DoorState},
+    placement::{AttemptEnd, Cells, GatewayState},
 };
 
 use super::{
@@ -56,7 +56,7 @@
     /// A gateway looks after what waits.
     Tick { gateway: usize, start: u64 },
     /// A message of a gateway or a cell reaches a gateway, which may pass it on in its cell.
-    Message { to: usize, from: Name, state: Rc<DoorState>, passes_on: bool },
+    Message { to: usize, from: Name, state: Rc<GatewayState>, passes_on: bool },
     /// Cells tell each other sums.
     Summaries { is_far: bool },
     /// A fault begins or ends.
--- a/crates/samphiredoor-standin/src/emulate/world/requests.rs
+++ b/crates/samphiredoor-standin/src/emulate/world/requests.rs
@@ -3,7 +3,7 @@
 use samphiredoor_core::{
     Name,
     dispatch::{Class, RequestId},
-    placement::{Action, Ask, AttemptEnd, Input, ReportedLoad},
+    placement::{Action, AttemptEnd, Input, ReportedLoad, RequestSpec},
 };
 use smallvec::SmallVec;
 
@@ -136,22 +136,22 @@
         run.attempt = Attempt::new(request, run.attempts);
         let gateway = run.gateway;
         let ask = self.ask(request);
-        self.input(gateway, Input::Ask(ask));
+        self.input(gateway, Input::Request(ask));
     }
 
-    fn ask(&self, request: usize) -> Ask {
+    fn ask(&self, request: usize) -> RequestSpec {
         let run = &self.runs[request];
         let asked = &self.requests[request];
         let affinity = if self.has(Mechanism::Affinity) { asked.beginning } else { 0 };
-        Ask {
+        RequestSpec {
             request: RequestId(run.attempt.0),
             class: asked.class,
             service: SERVICE.into(),
             priority: asked.priority,
             affinity,
-            tried: run.tried.clone(),
-            until_ms: self.until_ms(request),
-            ran_ms: run.ran_us / 1_000,
+            tried_targets: run.tried.clone(),
+            deadline_ms: self.until_ms(request),
+            prior_run_ms: run.ran_us / 1_000,
         }
     }
 
@@ -174,10 +174,10 @@
             Action::Dispatch { request, target, .. } => {
                 self.dispatch(gateway, Attempt(request.0), &target);
             }
-            Action::Recall { request } if self.has(Mechanism::Recalls) => {
+            Action::Preempt { request } if self.has(Mechanism::Recalls) => {
                 self.recall(gateway, Attempt(request.0));
             }
-            Action::Recall { .. } => {}
+            Action::Preempt { .. } => {}
             Action::Refuse { request, retry_after_ms, .. } => {
                 self.refused(Attempt(request.0).request(), retry_after_ms);
             }
@@ -235,7 +235,7 @@
         if self.has(Mechanism::ReportedLoad) {
             let load = ReportedLoad { running, waiting, slots: self.scenario.targets.slots };
             let target = Name::clone(&self.targets[target].name);
-            self.input(self.runs[request].gateway, Input::Load { target, load });
+            self.input(self.runs[request].gateway, Input::LoadReport { target, load });
         }
     }
 
@@ -309,7 +309,7 @@
         let Run { gateway, stage, attempt, .. } = self.runs[request];
         let id = RequestId(attempt.0);
         match stage {
-            Stage::Asked => self.input(gateway, Input::Gone { request: id }),
+            Stage::Asked => self.input(gateway, Input::Cancelled { request: id }),
             Stage::Sent(target) => {
                 let cut_us = self.now_us + self.way_us(gateway, target);
                 self.events.push(cut_us, Event::CutAtTarget { attempt, target });
--- a/crates/samphiredoor-standin/src/emulate/world/telling.rs
+++ b/crates/samphiredoor-standin/src/emulate/world/telling.rs
@@ -5,7 +5,9 @@
 use rand::Rng;
 use samphiredoor_core::{
     Name,
-    placement::{CellId, Distance, DoorLoad, DoorState, Input, sum_of, summary_pause_ms},
+    placement::{
+        CellId, Distance, GatewayLoad, GatewayState, Input, sum_states, summary_interval_ms,
+    },
 };
 
 use super::{Event, START_US, World, gateways::number_of};
@@ -49,7 +51,7 @@
 /// What another cell was told last of the requests at its targets.
 #[derive(Debug)]
 pub struct ToldCell {
-    loads: Vec<DoorLoad>,
+    loads: Vec<GatewayLoad>,
     at_ms: u64,
 }
 
@@ -58,7 +60,7 @@
     [
         Audience::new(Distance::Zone, 0),
         Audience::new(Distance::Region, REGION_PAUSE_MS),
-        Audience::new(Distance::Far, FAR_PAUSE_MS),
+        Audience::new(Distance::OtherRegion, FAR_PAUSE_MS),
     ]
 }
 
@@ -78,7 +80,7 @@
             if !has_shares {
                 state.waiting.clear();
             }
-            let is_urgent = gateway.placement.take_needs_others() && has_urgent_word;
+            let is_urgent = gateway.placement.take_needs_peer_preemption() && has_urgent_word;
             gateway.told_ms = now_ms;
             gateway.told = Rc::new(state);
             for audience in &mut gateway.audiences {
@@ -120,8 +122,8 @@
         }
         let now_ms = self.now_ms();
         let gateway = &mut self.gateways[number];
-        let own = self.cells.of_door(&gateway.name);
-        let mut by_cell = self.cells.loads_elsewhere(own, &gateway.told.loads);
+        let own = self.cells.cell_of_gateway(&gateway.name);
+        let mut by_cell = self.cells.loads_of_other_cells(own, &gateway.told.loads);
         for cell in gateway.told_cells.keys() {
             by_cell.entry(*cell).or_default();
         }
@@ -138,14 +140,21 @@
                     .insert(cell, ToldCell { loads: loads.clone(), at_ms: now_ms }),
             };
             let name = Name::clone(&gateway.name);
-            let state = Rc::new(DoorState { loads, waiting: Vec::new() });
+            let state = Rc::new(GatewayState { loads, waiting: Vec::new() });
             for to in self.members(cell) {
                 self.send(number, to, Name::clone(&name), &state, false);
             }
         }
     }
 
-    fn send(&mut self, from: usize, to: usize, name: Name, state: &Rc<DoorState>, passes_on: bool) {
+    fn send(
+        &mut self,
+        from: usize,
+        to: usize,
+        name: Name,
+        state: &Rc<GatewayState>,
+        passes_on: bool,
+    ) {
         self.outcome.messages += 1;
         let (from, receiver) = (&self.gateways[from].place, &self.gateways[to].place);
         if let Some(way_us) = self.network.message_us(from, receiver) {
@@ -155,7 +164,13 @@
         }
     }
 
-    pub(super) fn message(&mut self, to: usize, from: Name, state: Rc<DoorState>, passes_on: bool) {
+    pub(super) fn message(
+        &mut self,
+        to: usize,
+        from: Name,
+        state: Rc<GatewayState>,
+        passes_on: bool,
+    ) {
         if !self.gateways[to].is_up() {
             return;
         }
@@ -166,20 +181,20 @@
         }
         let now_ms = self.now_ms();
         let receiver = &mut self.gateways[to];
-        if self.cells.of_door(&from).is_some()
-            && self.cells.of_door(&from) == self.cells.of_door(&receiver.name)
+        if self.cells.cell_of_gateway(&from).is_some()
+            && self.cells.cell_of_gateway(&from) == self.cells.cell_of_gateway(&receiver.name)
         {
             receiver.heard.insert(Name::clone(&from), (now_ms, Rc::clone(&state)));
         }
-        self.input(to, Input::Peer { door: from, state: (*state).clone() });
+        self.input(to, Input::Peer { peer: from, state: (*state).clone() });
     }
 
     pub(super) fn summaries(&mut self, is_far: bool) {
-        let distance = if is_far { Distance::Far } else { Distance::Region };
-        let mut pause_ms = summary_pause_ms(distance, 1);
+        let distance = if is_far { Distance::OtherRegion } else { Distance::Region };
+        let mut pause_ms = summary_interval_ms(distance, 1);
         for cell in self.cells.ids() {
             let others = self.others_at(cell, is_far);
-            pause_ms = pause_ms.max(summary_pause_ms(distance, others.len()));
+            pause_ms = pause_ms.max(summary_interval_ms(distance, others.len()));
             let members = self.members(cell);
             let speakers = members.into_iter().filter(|it| self.gateways[*it].is_up());
             for speaker in speakers.take(SPEAKERS).collect::<Vec<_>>() {
@@ -199,7 +214,7 @@
         let heard = self.gateways[speaker].heard.values();
         let fresh = heard.filter(|(heard_ms, _)| self.now_ms() < heard_ms + SILENT_MS);
         let heard = fresh.map(|(_, state)| &**state);
-        let sum = Rc::new(sum_of(heard, |it| self.cells.of_target(it) == Some(to)));
+        let sum = Rc::new(sum_states(heard, |it| self.cells.cell_of_target(it) == Some(to)));
         let Some(name) = self.cells.name(cell) else { return };
         let members = self.members(to);
         if !members.is_empty() {
@@ -209,14 +224,14 @@
     }
 
     fn mates(&self, number: usize) -> Vec<usize> {
-        let own = self.cells.of_door(&self.gateways[number].name);
+        let own = self.cells.cell_of_gateway(&self.gateways[number].name);
         let mut mates = own.map(|it| self.members(it)).unwrap_or_default();
         mates.retain(|it| *it != number);
         mates
     }
 
     fn members(&self, cell: CellId) -> Vec<usize> {
-        self.cells.doors(cell).iter().filter_map(|it| number_of(it)).collect()
+        self.cells.gateways(cell).iter().filter_map(|it| number_of(it)).collect()
     }
 
     fn others_at(&self, cell: CellId, is_far: bool) -> Vec<CellId> {
@@ -225,7 +240,9 @@
         others
             .filter(|it| {
                 let place = self.cells.place(*it);
-                place.is_some_and(|it| (Distance::between(own, it) == Distance::Far) == is_far)
+                place.is_some_and(|it| {
+                    (Distance::between(own, it) == Distance::OtherRegion) == is_far
+                })
             })
             .collect()
     }
