--- a/crates/samphiredoor-core/examples/dispatch_slope.rs
+++ b/crates/samphiredoor-core/examples/dispatch_slope.rs
@@ -11,7 +11,7 @@
 
 use samphiredoor_core::{
     Name,
-    dispatch::{Action, Ask, AttemptEnd, Class, Dispatcher, Input, Place, RequestId},
+    dispatch::{Action, Ask, AttemptEnd, Class, Dispatcher, Input, Location, RequestId},
     manifest::Manifest,
     time::Now,
 };
@@ -45,8 +45,8 @@
     Arc::new(Manifest::new(revision, &declared).expect("the declarations make sense"))
 }
 
-fn place(zone: usize) -> Place {
-    Place {
+fn location(zone: usize) -> Location {
+    Location {
         region: REGIONS[zone % ZONES].into(),
         availability_zone: format!("zone-{}", zone % ZONES).into(),
     }
@@ -84,7 +84,7 @@
 impl Run {
     fn new(targets: usize, in_flight: usize) -> Run {
         let mut run = Run {
-            dispatcher: Dispatcher::new(place(0), PROCESS),
+            dispatcher: Dispatcher::new(location(0), PROCESS),
             in_flight: VecDeque::new(),
             next: 0,
             out: Vec::new(),
@@ -161,7 +161,7 @@
     println!("bytes of a declared target: {:.0}", manifest_bytes / TARGETS as f64);
     let shared = manifest(1, TARGETS, 8);
     let dispatcher_bytes = bytes_each(200, || {
-        let mut dispatcher = Dispatcher::new(place(0), PROCESS);
+        let mut dispatcher = Dispatcher::new(location(0), PROCESS);
         dispatcher.handle(NOW, Input::Manifest(Arc::clone(&shared)), &mut Vec::new());
         dispatcher
     });
@@ -216,7 +216,7 @@
     let shared = manifest(1, 1_125, 8);
     let mut users = BTreeMap::<Name, usize>::new();
     for process in 0..PROCESSES {
-        let mut dispatcher = Dispatcher::new(place(process), process as u64);
+        let mut dispatcher = Dispatcher::new(location(process), process as u64);
         dispatcher.handle(NOW, Input::Manifest(Arc::clone(&shared)), &mut Vec::new());
         for (name, ..) in dispatcher.targets_in_use() {
             *users.entry(Name::clone(name)).or_default() += 1;
--- a/crates/samphiredoor-core/examples/overload.rs
+++ b/crates/samphiredoor-core/examples/overload.rs
@@ -16,7 +16,7 @@
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use samphiredoor_core::{
     Name,
-    dispatch::{Action, Ask, AttemptEnd, Class, Dispatcher, Input, Place, Policy, RequestId},
+    dispatch::{Action, Ask, AttemptEnd, Class, Dispatcher, Input, Location, Policy, RequestId},
     manifest::Manifest,
     time::Now,
     verdict::{Doubt, Verdict},
@@ -104,14 +104,14 @@
 
 impl World {
     fn new(variant: Variant, trouble: Trouble) -> World {
-        let place = Place { region: "region".into(), availability_zone: "a".into() };
+        let location = Location { region: "region".into(), availability_zone: "a".into() };
         let mut world = World {
             variant,
             trouble,
             now_ms: 0,
             events: BinaryHeap::new(),
             sequence: 0,
-            dispatcher: Dispatcher::new(place, SEED).with_policy(variant.policy),
+            dispatcher: Dispatcher::new(location, SEED).with_policy(variant.policy),
             calls: BTreeMap::new(),
             next_call: 0,
             at_target: BTreeMap::new(),
--- a/crates/samphiredoor-core/src/dispatch/messages.rs
+++ b/crates/samphiredoor-core/src/dispatch/messages.rs
@@ -10,7 +10,7 @@
 
 /// Where a process stands.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Place {
+pub struct Location {
     /// Region.
     pub region: Name,
     /// Availability zone.
--- a/crates/samphiredoor-core/src/dispatch/mod.rs
+++ b/crates/samphiredoor-core/src/dispatch/mod.rs
@@ -39,7 +39,7 @@
 pub use attempt::AttemptEnd;
 pub use counters::{Counters, Gauges, TargetView};
 pub use health::Ejection;
-pub use messages::{Action, Ask, Class, Input, Place, RequestId};
+pub use messages::{Action, Ask, Class, Input, Location, RequestId};
 pub use policy::Policy;
 pub use retry::RetryReason;
 
@@ -142,11 +142,11 @@
 impl Dispatcher {
     /// Dispatcher without declarations: it refuses everything until the first [`Input::Manifest`]. The seed also
     /// decides which targets this process uses.
-    pub fn new(place: Place, seed: u64) -> Dispatcher {
+    pub fn new(location: Location, seed: u64) -> Dispatcher {
         Dispatcher {
             policy: Policy::default(),
             manifest: Arc::default(),
-            targets: Targets::new(place, seed),
+            targets: Targets::new(location, seed),
             services: BTreeMap::new(),
             requests: BTreeMap::new(),
             workspaces: BTreeMap::new(),
--- a/crates/samphiredoor-core/src/dispatch/targets.rs
+++ b/crates/samphiredoor-core/src/dispatch/targets.rs
@@ -18,7 +18,7 @@
     limits::Limit,
     load::Load,
     loan::{InFlight, Loan},
-    messages::{Class, Place, RequestId},
+    messages::{Class, Location, RequestId},
 };
 use crate::{
     Name,
@@ -180,7 +180,7 @@
 /// All targets in use.
 #[derive(Debug)]
 pub(super) struct Targets {
-    place: Place,
+    location: Location,
     process: u64,
     slots: Vec<Option<Target>>,
     free: Vec<usize>,
@@ -189,9 +189,9 @@
 }
 
 impl Targets {
-    pub(super) fn new(place: Place, process: u64) -> Targets {
+    pub(super) fn new(location: Location, process: u64) -> Targets {
         Targets {
-            place,
+            location,
             process,
             slots: Vec::new(),
             free: Vec::new(),
@@ -360,10 +360,10 @@
     }
 
     fn distance(&self, target: &manifest::Target) -> Distance {
-        if target.region != self.place.region {
+        if target.region != self.location.region {
             return Distance::OtherRegion;
         }
-        match target.availability_zone == self.place.availability_zone {
+        match target.availability_zone == self.location.availability_zone {
             true => Distance::SameZone,
             false => Distance::SameRegion,
         }
--- a/crates/samphiredoor-core/src/placement/cells.rs
+++ b/crates/samphiredoor-core/src/placement/cells.rs
@@ -14,7 +14,7 @@
 };
 
 use super::{Distance, GatewayLoad, GatewayState, WaitingItems};
-use crate::{Name, dispatch::Place};
+use crate::{Name, dispatch::Location};
 
 /// Doors that a cell has at most. More would know a larger part of the targets at once, and send as many messages more.
 const MOST_DOORS: usize = 12;
@@ -36,7 +36,7 @@
 
 #[derive(Debug, Clone)]
 struct Cell {
-    place: Place,
+    location: Location,
     /// Number among the cells of its availability zone.
     number: usize,
     doors: Vec<Name>,
@@ -52,7 +52,7 @@
 
 impl Cells {
     /// Cells of these doors, and of these targets by [`super::name_hash`]. A fleet that is small enough is one cell.
-    pub fn new(doors: &BTreeMap<Name, Place>, targets: &BTreeMap<u64, Place>) -> Cells {
+    pub fn new(doors: &BTreeMap<Name, Location>, targets: &BTreeMap<u64, Location>) -> Cells {
         let mut cells = Cells::default();
         if doors.len() <= MOST_DOORS {
             cells.add_cells(doors.iter().collect(), 1);
@@ -120,31 +120,31 @@
     }
 
     /// Where a cell's first door stands; the doors of a cell stand in one zone unless the whole fleet is one cell.
-    pub fn place(&self, cell: CellId) -> Option<&Place> {
-        self.cells.get(cell.0).map(|it| &it.place)
+    pub fn location(&self, cell: CellId) -> Option<&Location> {
+        self.cells.get(cell.0).map(|it| &it.location)
     }
 
     /// Name of a cell that doors with the same lists give it, too.
     pub fn name(&self, cell: CellId) -> Option<Name> {
         let cell = self.cells.get(cell.0)?;
-        Some(format!("cell {} {}", cell.place.availability_zone, cell.number).into())
+        Some(format!("cell {} {}", cell.location.availability_zone, cell.number).into())
     }
 
-    fn add_cells(&mut self, doors: Vec<(&Name, &Place)>, count: usize) {
+    fn add_cells(&mut self, doors: Vec<(&Name, &Location)>, count: usize) {
         for number in 0..count {
             let doors = &doors[part(doors.len(), number, count)];
-            let Some((_, place)) = doors.first() else { continue };
+            let Some((_, location)) = doors.first() else { continue };
             let id = CellId(self.cells.len());
             let doors: Vec<Name> = doors.iter().map(|(name, _)| Name::clone(name)).collect();
             self.doors.extend(doors.iter().map(|it| (Name::clone(it), id)));
-            self.cells.push(Cell { place: (*place).clone(), number, doors });
+            self.cells.push(Cell { location: (*location).clone(), number, doors });
         }
     }
 
     /// Gives each cell near these targets, which stand in one zone, its part of them.
-    fn share_out(&mut self, targets: &[(&u64, &Place)]) {
-        let Some((_, place)) = targets.first() else { return };
-        let near = self.nearest(place);
+    fn share_out(&mut self, targets: &[(&u64, &Location)]) {
+        let Some((_, location)) = targets.first() else { return };
+        let near = self.nearest(location);
         for (index, cell) in near.iter().enumerate() {
             let part = &targets[part(targets.len(), index, near.len())];
             self.targets.extend(part.iter().map(|(target, _)| (**target, *cell)));
@@ -152,18 +152,18 @@
     }
 
     /// Cells in a zone; where it has none, those of its region, or all.
-    fn nearest(&self, place: &Place) -> Vec<CellId> {
+    fn nearest(&self, location: &Location) -> Vec<CellId> {
         if self.cells.len() == 1 {
             return vec![CellId(0)];
         }
-        let cells_with = |wanted: &dyn Fn(&Place) -> bool| -> Vec<CellId> {
-            self.ids().filter(|it| wanted(&self.cells[it.0].place)).collect()
+        let cells_with = |wanted: &dyn Fn(&Location) -> bool| -> Vec<CellId> {
+            self.ids().filter(|it| wanted(&self.cells[it.0].location)).collect()
         };
-        let in_zone = cells_with(&|it| it == place);
+        let in_zone = cells_with(&|it| it == location);
         if !in_zone.is_empty() {
             return in_zone;
         }
-        let in_region = cells_with(&|it| it.region == place.region);
+        let in_region = cells_with(&|it| it.region == location.region);
         if !in_region.is_empty() {
             return in_region;
         }
@@ -171,11 +171,11 @@
     }
 }
 
-fn by_zone<K>(places: &BTreeMap<K, Place>) -> BTreeMap<(&str, &str), Vec<(&K, &Place)>> {
-    let mut zones: BTreeMap<(&str, &str), Vec<(&K, &Place)>> = BTreeMap::new();
-    for (name, place) in places {
-        let zone = (&*place.region, &*place.availability_zone);
-        zones.entry(zone).or_default().push((name, place));
+fn by_zone<K>(locations: &BTreeMap<K, Location>) -> BTreeMap<(&str, &str), Vec<(&K, &Location)>> {
+    let mut zones: BTreeMap<(&str, &str), Vec<(&K, &Location)>> = BTreeMap::new();
+    for (name, location) in locations {
+        let zone = (&*location.region, &*location.availability_zone);
+        zones.entry(zone).or_default().push((name, location));
     }
     zones
 }
--- a/crates/samphiredoor-core/src/placement/messages.rs
+++ b/crates/samphiredoor-core/src/placement/messages.rs
@@ -6,7 +6,7 @@
 
 use crate::{
     Name,
-    dispatch::{Class, Place, RequestId},
+    dispatch::{Class, Location, RequestId},
     verdict::Refusal,
 };
 
@@ -29,7 +29,7 @@
     /// Where it listens.
     pub address: SocketAddr,
     /// Where it stands.
-    pub place: Place,
+    pub location: Location,
     /// Requests that it runs at once.
     pub slots: u32,
     /// Whether it takes work.
--- a/crates/samphiredoor-core/src/placement/mod.rs
+++ b/crates/samphiredoor-core/src/placement/mod.rs
@@ -33,7 +33,7 @@
 
 use crate::{
     Name,
-    dispatch::{Class, Place, RequestId},
+    dispatch::{Class, Location, RequestId},
     verdict::Refusal,
 };
 use items::ItemQueue;
@@ -132,7 +132,7 @@
 #[derive(Debug)]
 pub struct Placement {
     own_name: Name,
-    place: Place,
+    location: Location,
     targets: BTreeMap<u64, Target>,
     /// Targets of the own cell; `None` while all targets are.
     own_targets: Option<HashSet<u64>>,
@@ -148,10 +148,10 @@
 
 impl Placement {
     /// Placement without targets: requests wait for the first [`Input::Targets`] and are refused if it is late.
-    pub fn new(own_name: Name, place: Place, seed: u64) -> Placement {
+    pub fn new(own_name: Name, location: Location, seed: u64) -> Placement {
         Placement {
             own_name,
-            place,
+            location,
             targets: BTreeMap::new(),
             own_targets: None,
             peers: HashMap::new(),
@@ -254,7 +254,7 @@
     // A target whose entry was away for a moment still runs what it had.
     fn new_target(&self, key: u64, entry: TargetEntry) -> Target {
         let is_own = self.own_targets.as_ref().is_none_or(|it| it.contains(&key));
-        let mut target = Target::new(entry, &self.place, is_own);
+        let mut target = Target::new(entry, &self.location, is_own);
         for (request, running) in self.running.iter().filter(|(_, it)| it.target == key) {
             target.begin(*request, running.class, running.recalled);
         }
--- a/crates/samphiredoor-core/src/placement/target.rs
+++ b/crates/samphiredoor-core/src/placement/target.rs
@@ -5,7 +5,7 @@
 use super::{AttemptEnd, GatewayLoad, ReportedLoad, TargetEntry, health::Health};
 use crate::{
     Name,
-    dispatch::{Class, Place, RequestId},
+    dispatch::{Class, Location, RequestId},
 };
 
 /// How long a load that no door accounts for is believed. Doors tell theirs within 50 ms, so what stays unexplained
@@ -27,7 +27,7 @@
 
 impl Distance {
     /// Distance between two places, whatever their cells.
-    pub fn between(own: &Place, other: &Place) -> Distance {
+    pub fn between(own: &Location, other: &Location) -> Distance {
         if own.region != other.region {
             Distance::OtherRegion
         } else if own.availability_zone == other.availability_zone {
@@ -74,8 +74,8 @@
 
 impl Target {
     /// Target without load.
-    pub fn new(entry: TargetEntry, own_place: &Place, is_own: bool) -> Target {
-        let distance = Distance::between(own_place, &entry.place);
+    pub fn new(entry: TargetEntry, own_location: &Location, is_own: bool) -> Target {
+        let distance = Distance::between(own_location, &entry.location);
         Target {
             entry,
             is_own,
--- a/crates/samphiredoor-core/tests/dispatch/harness.rs
+++ b/crates/samphiredoor-core/tests/dispatch/harness.rs
@@ -5,7 +5,7 @@
 use samphiredoor_core::{
     Name,
     dispatch::{
-        Action, Ask, AttemptEnd, Class, Dispatcher, Gauges, Input, Place, Policy, RequestId,
+        Action, Ask, AttemptEnd, Class, Dispatcher, Gauges, Input, Location, Policy, RequestId,
     },
     manifest::{Lending, Manifest, Service, ServiceKind, Target, Workspace},
     time::Now,
@@ -14,8 +14,8 @@
 
 pub const SEED: u64 = 7;
 
-pub fn place() -> Place {
-    Place { region: "brisbane".into(), availability_zone: "north".into() }
+pub fn location() -> Location {
+    Location { region: "brisbane".into(), availability_zone: "north".into() }
 }
 
 pub fn service(name: &str) -> Service {
@@ -85,7 +85,7 @@
     }
 
     pub fn with_policy(targets: Vec<Target>, policy: Policy) -> Harness {
-        let dispatcher = Dispatcher::new(place(), SEED).with_policy(policy);
+        let dispatcher = Dispatcher::new(location(), SEED).with_policy(policy);
         let mut harness = Harness { dispatcher, now_ms: 1_000, next: 1 };
         harness.handle(Input::Manifest(Arc::new(manifest(1, targets))));
         harness
--- a/crates/samphiredoor-core/tests/dispatch/promises.rs
+++ b/crates/samphiredoor-core/tests/dispatch/promises.rs
@@ -17,7 +17,7 @@
     verdict::{Doubt, Verdict},
 };
 
-use crate::harness::{SEED, ask, manifest, place, target};
+use crate::harness::{SEED, ask, location, manifest, target};
 
 const TARGETS: usize = 6;
 const RETRY_RESERVE: u64 = 10;
@@ -109,7 +109,7 @@
 impl Model {
     fn new() -> Model {
         let mut model = Model {
-            dispatcher: Dispatcher::new(place(), SEED),
+            dispatcher: Dispatcher::new(location(), SEED),
             now_ms: 10_000,
             declared: Manifest::default(),
             out_of_work: BTreeMap::new(),
--- a/crates/samphiredoor-core/tests/dispatch/routing.rs
+++ b/crates/samphiredoor-core/tests/dispatch/routing.rs
@@ -10,7 +10,7 @@
     verdict::Doubt,
 };
 
-use crate::harness::{Harness, manifest, place, sent_to, target};
+use crate::harness::{Harness, location, manifest, sent_to, target};
 
 fn zones() -> Vec<Target> {
     vec![
@@ -251,7 +251,7 @@
     let declared = Arc::new(manifest(1, targets(300, 4)));
     let mut used = BTreeMap::<Name, u32>::new();
     for process in 0..100 {
-        let mut dispatcher = Dispatcher::new(place(), process);
+        let mut dispatcher = Dispatcher::new(location(), process);
         let input = Input::Manifest(Arc::clone(&declared));
         dispatcher.handle(Now::new(0, 0), input, &mut Vec::new());
         let names: Vec<Name> = dispatcher.targets_in_use().map(|it| Name::clone(it.0)).collect();
--- a/crates/samphiredoor-core/tests/lending/world.rs
+++ b/crates/samphiredoor-core/tests/lending/world.rs
@@ -5,7 +5,7 @@
 use samphiredoor_core::{
     Name,
     dispatch::{
-        Action, Ask, AttemptEnd, Class, Dispatcher, Input, Place, RequestId, lender::LiveDoor,
+        Action, Ask, AttemptEnd, Class, Dispatcher, Input, Location, RequestId, lender::LiveDoor,
     },
     manifest::{Lending, Manifest, Service, ServiceKind, Target, Workspace},
     time::Now,
@@ -74,7 +74,7 @@
 
 impl World {
     pub fn new(targets: &[&str]) -> World {
-        let place = Place { region: "brisbane".into(), availability_zone: "north".into() };
+        let location = Location { region: "brisbane".into(), availability_zone: "north".into() };
         let heavy = Workspace { name: "heavy".into(), weight: 3, max_in_flight: 0 };
         let manifest = Manifest {
             revision: 1,
@@ -84,7 +84,7 @@
             ..Manifest::default()
         };
         let mut world = World {
-            dispatcher: Dispatcher::new(place, SEED),
+            dispatcher: Dispatcher::new(location, SEED),
             now_ms: 10_000,
             manifest,
             known: BTreeMap::new(),
--- a/crates/samphiredoor-core/tests/placement/cells.rs
+++ b/crates/samphiredoor-core/tests/placement/cells.rs
@@ -8,11 +8,11 @@
 };
 use samphiredoor_core::{
     Name,
-    dispatch::Place,
+    dispatch::Location,
     placement::{CellId, Cells, GatewayLoad, GatewayState, WaitingItems, sum_states},
 };
 
-use crate::harness::place;
+use crate::harness::location;
 
 const SEED: [u8; 32] = *b"samphiredoor-placement-cells-xx-";
 const ZONES: [(&str, &str); 4] =
@@ -20,21 +20,21 @@
 /// A small fleet tells everybody everything; cells of a large one are no larger.
 const SMALL_FLEET: usize = 12;
 
-fn zone(number: usize) -> Place {
-    place(ZONES[number % ZONES.len()].0, ZONES[number % ZONES.len()].1)
+fn zone(number: usize) -> Location {
+    location(ZONES[number % ZONES.len()].0, ZONES[number % ZONES.len()].1)
 }
 
-fn doors(zones: &[usize]) -> BTreeMap<Name, Place> {
+fn doors(zones: &[usize]) -> BTreeMap<Name, Location> {
     let named = zones.iter().enumerate().map(|(n, it)| (format!("door-{n}").into(), zone(*it)));
     named.collect()
 }
 
-fn targets(zones: &[usize]) -> BTreeMap<u64, Place> {
+fn targets(zones: &[usize]) -> BTreeMap<u64, Location> {
     let keyed = zones.iter().enumerate().map(|(n, it)| (n as u64 * 7_919, zone(*it)));
     keyed.collect()
 }
 
-fn check(doors: &BTreeMap<Name, Place>, targets: &BTreeMap<u64, Place>) {
+fn check(doors: &BTreeMap<Name, Location>, targets: &BTreeMap<u64, Location>) {
     let cells = Cells::new(doors, targets);
     let mut members = HashSet::new();
     for cell in cells.ids() {
@@ -43,35 +43,35 @@
         for door in in_cell {
             assert!(members.insert(Name::clone(door)), "a door is in one cell");
             assert_eq!(cells.cell_of_gateway(door), Some(cell));
-            let apart = cells.len() > 1 && doors[door] != *cells.place(cell).unwrap();
+            let apart = cells.len() > 1 && doors[door] != *cells.location(cell).unwrap();
             assert!(!apart, "the cells of a large fleet stand in one zone each");
         }
     }
     assert_eq!(members.len(), doors.len(), "every door is in a cell");
-    for (target, place) in targets {
+    for (target, location) in targets {
         let cell = cells.cell_of_target(*target).expect("every target is in a cell");
         assert!(cells.targets(cell).any(|it| it == *target));
-        let zone_has_doors = doors.values().any(|it| it == place);
-        let near = cells.len() == 1 || !zone_has_doors || cells.place(cell) == Some(place);
+        let zone_has_doors = doors.values().any(|it| it == location);
+        let near = cells.len() == 1 || !zone_has_doors || cells.location(cell) == Some(location);
         assert!(near, "a target is shared by doors of its own zone");
     }
     for zone in ZONES {
-        check_shares(&cells, doors, targets, &place(zone.0, zone.1));
+        check_shares(&cells, doors, targets, &location(zone.0, zone.1));
     }
 }
 
 fn check_shares(
     cells: &Cells,
-    doors: &BTreeMap<Name, Place>,
-    targets: &BTreeMap<u64, Place>,
-    zone: &Place,
+    doors: &BTreeMap<Name, Location>,
+    targets: &BTreeMap<u64, Location>,
+    zone: &Location,
 ) {
     if cells.len() == 1 || !doors.values().any(|it| it == zone) {
         return;
     }
     let in_zone: Vec<u64> =
         targets.iter().filter(|(_, it)| *it == zone).map(|(key, _)| *key).collect();
-    let of_zone = cells.ids().filter(|it| cells.place(*it) == Some(zone));
+    let of_zone = cells.ids().filter(|it| cells.location(*it) == Some(zone));
     let shares: Vec<usize> = of_zone
         .map(|cell| in_zone.iter().filter(|it| cells.cell_of_target(**it) == Some(cell)).count())
         .collect();
@@ -107,7 +107,7 @@
     let cells = Cells::new(&doors(&[[0; 10], [2; 10]].concat()), &targets(&[1, 1, 1]));
     for target in targets(&[1, 1, 1]).keys() {
         let cell = cells.cell_of_target(*target).unwrap();
-        assert_eq!(&*cells.place(cell).unwrap().region, "brisbane");
+        assert_eq!(&*cells.location(cell).unwrap().region, "brisbane");
     }
 }
 
--- a/crates/samphiredoor-core/tests/placement/fleet.rs
+++ b/crates/samphiredoor-core/tests/placement/fleet.rs
@@ -7,7 +7,7 @@
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use samphiredoor_core::{
     Name,
-    dispatch::{Class, Place, RequestId},
+    dispatch::{Class, Location, RequestId},
     placement::{
         Action, AttemptEnd, CellId, Cells, Distance, GatewayState, Input, Placement, RequestSpec,
         name_hash, sum_states, summary_interval_ms,
@@ -15,7 +15,7 @@
 };
 use smallvec::SmallVec;
 
-use crate::harness::{SLOTS, entry, place};
+use crate::harness::{SLOTS, entry, location};
 
 const SEED: u64 = 71;
 const STEP_MS: u64 = 5;
@@ -93,7 +93,7 @@
 
 struct Door {
     placement: Placement,
-    place: Place,
+    location: Location,
     name: Name,
     state: GatewayState,
     told_ms: u64,
@@ -109,7 +109,7 @@
     rng: SmallRng,
     doors: Vec<Door>,
     cells: Cells,
-    targets: Vec<(Name, Place)>,
+    targets: Vec<(Name, Location)>,
     engines: HashMap<Name, Engine>,
     at: HashMap<RequestId, Name>,
     requests: HashMap<RequestId, Request>,
@@ -134,19 +134,20 @@
     sent: u64,
 }
 
-fn zone(number: usize, count: usize) -> Place {
+fn zone(number: usize, count: usize) -> Location {
     let (region, zone) = ZONES[number * ZONES.len() / count];
-    place(region, zone)
+    location(region, zone)
 }
 
 impl Fleet {
     pub fn new(seed: u64, doors: usize, targets: usize, load: Load) -> Fleet {
-        let places = (0..doors).map(|it| (Name::from(format!("door-{it:03}")), zone(it, doors)));
-        let places: BTreeMap<Name, Place> = places.collect();
-        let targets: Vec<(Name, Place)> =
+        let locations = (0..doors).map(|it| (Name::from(format!("door-{it:03}")), zone(it, doors)));
+        let locations: BTreeMap<Name, Location> = locations.collect();
+        let targets: Vec<(Name, Location)> =
             (0..targets).map(|it| (format!("t-{it}").into(), zone(it, targets))).collect();
-        let keys = targets.iter().map(|(name, place)| (name_hash(name), place.clone())).collect();
-        let cells = Cells::new(&places, &keys);
+        let keys =
+            targets.iter().map(|(name, location)| (name_hash(name), location.clone())).collect();
+        let cells = Cells::new(&locations, &keys);
         let mut fleet = Fleet {
             seed,
             load,
@@ -162,16 +163,16 @@
             next: 1,
             outcome: Outcome::default(),
         };
-        for (number, (name, place)) in places.into_iter().enumerate() {
-            fleet.add_door(number, name, place);
+        for (number, (name, location)) in locations.into_iter().enumerate() {
+            fleet.add_door(number, name, location);
         }
         fleet
     }
 
-    fn add_door(&mut self, number: usize, name: Name, place: Place) {
+    fn add_door(&mut self, number: usize, name: Name, location: Location) {
         let mut placement =
-            Placement::new(Name::clone(&name), place.clone(), self.seed + number as u64);
-        let entries = self.targets.iter().map(|(name, place)| entry(name, place.clone()));
+            Placement::new(Name::clone(&name), location.clone(), self.seed + number as u64);
+        let entries = self.targets.iter().map(|(name, location)| entry(name, location.clone()));
         let own = self.cells.cell_of_gateway(&name).unwrap();
         let mut out = Vec::new();
         placement.handle(self.now_ms, Input::Targets(entries.collect()), &mut out);
@@ -179,7 +180,7 @@
         placement.handle(self.now_ms, Input::CellTargets(own_targets), &mut out);
         self.doors.push(Door {
             placement,
-            place,
+            location,
             name,
             state: GatewayState::default(),
             told_ms: 0,
@@ -386,7 +387,8 @@
         if self.rng.random_ratio(1, LOST_ONE_IN) {
             return;
         }
-        let delay_ms = match Distance::between(&self.doors[from].place, &self.doors[to].place) {
+        let delay_ms = match Distance::between(&self.doors[from].location, &self.doors[to].location)
+        {
             Distance::OtherRegion => 15,
             _ => 5,
         };
@@ -469,9 +471,9 @@
     }
 
     fn others_at(&self, cell: CellId, distance: Distance) -> Vec<CellId> {
-        let own = self.cells.place(cell).unwrap();
+        let own = self.cells.location(cell).unwrap();
         let is_far = |it: &CellId| {
-            Distance::between(own, self.cells.place(*it).unwrap()) == Distance::OtherRegion
+            Distance::between(own, self.cells.location(*it).unwrap()) == Distance::OtherRegion
         };
         let others = self.cells.ids().filter(|it| *it != cell);
         others.filter(|it| is_far(it) == (distance == Distance::OtherRegion)).collect()
--- a/crates/samphiredoor-core/tests/placement/harness.rs
+++ b/crates/samphiredoor-core/tests/placement/harness.rs
@@ -2,7 +2,7 @@
 
 use samphiredoor_core::{
     Name,
-    dispatch::{Class, Place, RequestId},
+    dispatch::{Class, Location, RequestId},
     placement::{
         Action, AttemptEnd, GatewayLoad, GatewayState, Input, Placement, ReportedLoad, RequestSpec,
         TargetEntry, TargetState, WaitingItems, name_hash,
@@ -20,16 +20,16 @@
     next: u64,
 }
 
-pub fn place(region: &str, zone: &str) -> Place {
-    Place { region: region.into(), availability_zone: zone.into() }
+pub fn location(region: &str, zone: &str) -> Location {
+    Location { region: region.into(), availability_zone: zone.into() }
 }
 
-pub fn entry(name: &str, place: Place) -> TargetEntry {
+pub fn entry(name: &str, location: Location) -> TargetEntry {
     TargetEntry {
         name: name.into(),
         service: "reader".into(),
         address: ([127, 0, 0, 1], 80).into(),
-        place,
+        location,
         slots: SLOTS,
         state: TargetState::Ready,
         started_unix_ms: 1,
@@ -39,7 +39,7 @@
 impl World {
     /// Door `door-m` in `north`, with the given targets.
     pub fn new(entries: Vec<TargetEntry>) -> World {
-        let placement = Placement::new("door-m".into(), place("brisbane", "north"), SEED);
+        let placement = Placement::new("door-m".into(), location("brisbane", "north"), SEED);
         let mut world = World { placement, now_ms: 1_000, next: 1 };
         world.input(Input::Targets(entries));
         world
@@ -47,7 +47,7 @@
 
     /// Door with so many targets in its own zone, named `t-0` and so on.
     pub fn with_targets(count: usize) -> World {
-        let entries = (0..count).map(|it| entry(&format!("t-{it}"), place("brisbane", "north")));
+        let entries = (0..count).map(|it| entry(&format!("t-{it}"), location("brisbane", "north")));
         World::new(entries.collect())
     }
 
--- a/crates/samphiredoor-core/tests/placement/promises.rs
+++ b/crates/samphiredoor-core/tests/placement/promises.rs
@@ -13,7 +13,7 @@
     placement::{Action, AttemptEnd, Input, TargetState},
 };
 
-use crate::harness::{SLOTS, World, entry, place};
+use crate::harness::{SLOTS, World, entry, location};
 
 const SEED: [u8; 32] = *b"samphiredoor-placement-promises-";
 const TARGETS: usize = 4;
@@ -133,7 +133,7 @@
                 let present = (0..TARGETS).filter(|it| present & (1 << it) != 0);
                 let entries: Vec<_> = present
                     .map(|it| {
-                        let mut entry = entry(&format!("t-{it}"), place("brisbane", "north"));
+                        let mut entry = entry(&format!("t-{it}"), location("brisbane", "north"));
                         if ready & (1 << it) == 0 {
                             entry.state = TargetState::Leaving;
                         }
--- a/crates/samphiredoor-core/tests/placement/situations.rs
+++ b/crates/samphiredoor-core/tests/placement/situations.rs
@@ -6,7 +6,7 @@
     verdict::Refusal,
 };
 
-use crate::harness::{SLOTS, World, entry, place, sent_to};
+use crate::harness::{SLOTS, World, entry, location, sent_to};
 
 /// Run time of an item.
 const RUN_MS: u64 = 1_000;
@@ -20,9 +20,9 @@
 #[test]
 fn the_nearest_free_target_is_used_first() {
     let mut world = World::new(vec![
-        entry("far", place("cairns", "port")),
-        entry("region", place("brisbane", "south")),
-        entry("zone", place("brisbane", "north")),
+        entry("far", location("cairns", "port")),
+        entry("region", location("brisbane", "south")),
+        entry("zone", location("brisbane", "north")),
     ]);
     let mut used = Vec::new();
     for _ in 0..2 * SLOTS + 1 {
@@ -143,7 +143,7 @@
     let mut world = World::with_targets(1);
     let leaving = samphiredoor_core::placement::TargetEntry {
         state: TargetState::Leaving,
-        ..entry("t-0", place("brisbane", "north"))
+        ..entry("t-0", location("brisbane", "north"))
     };
     world.input(Input::Targets(vec![leaving]));
     let (request, actions) = world.ask(Class::Online);
@@ -173,8 +173,8 @@
             #[test]
             fn $name() {
                 let mut world = World::new(vec![
-                    entry("bad", place("brisbane", "north")),
-                    entry("good", place("brisbane", "south")),
+                    entry("bad", location("brisbane", "north")),
+                    entry("good", location("brisbane", "south")),
                 ]);
                 for _ in 0..$times {
                     let (request, actions) = world.ask(Class::Online);
--- a/crates/samphiredoor-gateway/src/config.rs
+++ b/crates/samphiredoor-gateway/src/config.rs
@@ -3,7 +3,7 @@
 use std::{collections::BTreeMap, net::SocketAddr, time::Duration};
 
 use log::LevelFilter;
-use samphiredoor_core::{Name, dispatch::Place};
+use samphiredoor_core::{Name, dispatch::Location};
 use samphiredoor_schema::gateway_settings::{
     GatewayJobs, GatewayListener, GatewayLog, GatewayLogLevel, GatewaySettings, GatewayStopping,
 };
@@ -25,7 +25,7 @@
     /// Name of the process.
     pub name: Name,
     /// Where its host stands.
-    pub place: Place,
+    pub location: Location,
     /// Region of each availability zone.
     pub regions: BTreeMap<Name, Name>,
     /// The platform's store.
@@ -85,7 +85,7 @@
         };
         Ok(CommonConfig {
             name: settings.name.as_str().into(),
-            place: Place {
+            location: Location {
                 region: settings.region.as_str().into(),
                 availability_zone: settings.availability_zone.as_str().into(),
             },
--- a/crates/samphiredoor-gateway/src/peers/mod.rs
+++ b/crates/samphiredoor-gateway/src/peers/mod.rs
@@ -19,7 +19,7 @@
 
 use std::{net::SocketAddr, time::Duration};
 
-use samphiredoor_core::{Name, dispatch::Place};
+use samphiredoor_core::{Name, dispatch::Location};
 
 pub use followed::Followed;
 pub use listener::Listener;
@@ -43,7 +43,7 @@
     /// Which start.
     pub incarnation: u64,
     /// Where it stands.
-    pub place: Place,
+    pub location: Location,
     /// Where it listens for others.
     pub address: SocketAddr,
 }
--- a/crates/samphiredoor-gateway/src/peers/registration.rs
+++ b/crates/samphiredoor-gateway/src/peers/registration.rs
@@ -4,7 +4,7 @@
 
 use samphiredoor_core::{
     Name,
-    dispatch::Place,
+    dispatch::Location,
     store::{Kind, Labels, ObjectKey, StoreAnswer, StoreOp, Stored, Value},
 };
 use serde_json::json;
@@ -80,8 +80,8 @@
 fn entry(own: &Own) -> Value {
     let entry = json!({
         "address": own.address.to_string(),
-        "region": &*own.place.region,
-        "availability_zone": &*own.place.availability_zone,
+        "region": &*own.location.region,
+        "availability_zone": &*own.location.availability_zone,
     });
     entry.to_string().into_bytes().into()
 }
@@ -133,17 +133,17 @@
 
 fn take_entry(roster: &Roster, stored: &Stored) {
     match read_entry(&stored.value) {
-        Some((address, place)) => roster.register(Name::clone(&stored.name), address, place),
+        Some((address, location)) => roster.register(Name::clone(&stored.name), address, location),
         None => log::warn!(peer = &*stored.name; "peers: entry ignored"),
     }
 }
 
-fn read_entry(value: &[u8]) -> Option<(SocketAddr, Place)> {
+fn read_entry(value: &[u8]) -> Option<(SocketAddr, Location)> {
     let entry: serde_json::Value = serde_json::from_slice(value).ok()?;
     let text = |key: &str| entry.get(key)?.as_str();
-    let place = Place {
+    let location = Location {
         region: text("region")?.into(),
         availability_zone: text("availability_zone")?.into(),
     };
-    Some((text("address")?.parse().ok()?, place))
+    Some((text("address")?.parse().ok()?, location))
 }
--- a/crates/samphiredoor-gateway/src/peers/roster.rs
+++ b/crates/samphiredoor-gateway/src/peers/roster.rs
@@ -11,7 +11,7 @@
 use rand::seq::{IndexedRandom, SliceRandom};
 use samphiredoor_core::{
     Name,
-    dispatch::Place,
+    dispatch::Location,
     placement::{CellId, Cells, Distance, TargetEntry, name_hash},
     renewal::FleetPlace,
 };
@@ -44,7 +44,7 @@
 #[derive(Debug, Clone)]
 struct Peer {
     address: SocketAddr,
-    place: Place,
+    location: Location,
     heard: Option<Instant>,
     /// Silence after which it counts as gone.
     gone_after: Duration,
@@ -102,7 +102,7 @@
     peers: Rc<RefCell<BTreeMap<Name, Peer>>>,
     /// Names of the peers by their keys.
     names: Rc<RefCell<BTreeMap<u64, Name>>>,
-    targets: Rc<RefCell<BTreeMap<u64, Place>>>,
+    targets: Rc<RefCell<BTreeMap<u64, Location>>>,
     /// Worked out anew after a change of peers or targets.
     cells: Rc<RefCell<Option<Rc<Cells>>>>,
     sightings: Sightings,
@@ -150,7 +150,7 @@
     }
 
     /// Takes a gateway's registered address.
-    pub fn register(&self, name: Name, address: SocketAddr, place: Place) {
+    pub fn register(&self, name: Name, address: SocketAddr, location: Location) {
         if name == self.own.name {
             return;
         }
@@ -159,7 +159,7 @@
         let mut peers = self.peers.borrow_mut();
         let peer = peers.entry(name).or_insert_with(|| Peer {
             address,
-            place: place.clone(),
+            location: location.clone(),
             heard: None,
             gone_after: GONE,
             incarnation: 0,
@@ -168,7 +168,7 @@
             routes_version: 0,
         });
         peer.address = address;
-        peer.place = place;
+        peer.location = location;
     }
 
     /// Forgets a gateway that is no longer registered.
@@ -180,11 +180,11 @@
 
     /// Takes all targets as discovery knows them now.
     pub fn targets<'a>(&self, targets: impl Iterator<Item = &'a TargetEntry>) {
-        let places: BTreeMap<u64, Place> =
-            targets.map(|it| (name_hash(&it.name), it.place.clone())).collect();
-        if *self.targets.borrow() != places {
+        let locations: BTreeMap<u64, Location> =
+            targets.map(|it| (name_hash(&it.name), it.location.clone())).collect();
+        if *self.targets.borrow() != locations {
             self.cells.take();
-            self.targets.replace(places);
+            self.targets.replace(locations);
         }
     }
 
@@ -193,8 +193,8 @@
         let mut cells = self.cells.borrow_mut();
         let cells = cells.get_or_insert_with(|| {
             let peers = self.peers.borrow();
-            let others = peers.iter().map(|(name, it)| (Name::clone(name), it.place.clone()));
-            let own = (Name::clone(&self.own.name), self.own.place.clone());
+            let others = peers.iter().map(|(name, it)| (Name::clone(name), it.location.clone()));
+            let own = (Name::clone(&self.own.name), self.own.location.clone());
             let doors = others.chain([own]).collect();
             Rc::new(Cells::new(&doors, &self.targets.borrow()))
         });
@@ -234,7 +234,7 @@
         let Some(own) = self.own_cell() else { return Vec::new() };
         let (cells, peers) = (self.cells(), self.peers.borrow());
         let mates = cells.gateways(own).iter().filter_map(|it| peers.get(it));
-        let at = mates.filter(|it| Distance::between(&self.own.place, &it.place) == distance);
+        let at = mates.filter(|it| Distance::between(&self.own.location, &it.location) == distance);
         at.map(|it| it.address).collect()
     }
 
@@ -412,14 +412,14 @@
         let version = heard.iter().map(|it| it.routes_version).max()?;
         let holders = heard.into_iter().filter(|it| it.routes_version == version).collect();
         let nearest = *self.nearest_first(holders).first()?;
-        let distance = Distance::between(&self.own.place, &nearest.place);
+        let distance = Distance::between(&self.own.location, &nearest.location);
         Some(RoutesHolder { version, address: nearest.address, distance })
     }
 
     /// Number of gateways of the own region that are heard, this one included.
     pub fn heard_in_region(&self) -> usize {
         let peers = self.peers.borrow();
-        let near = |it: &&Peer| it.is_heard() && it.place.region == self.own.place.region;
+        let near = |it: &&Peer| it.is_heard() && it.location.region == self.own.location.region;
         1 + peers.values().filter(near).count()
     }
 
@@ -434,7 +434,7 @@
     /// Peers by their distance, those at one distance in any order.
     fn nearest_first<'a>(&self, mut peers: Vec<&'a Peer>) -> Vec<&'a Peer> {
         peers.shuffle(&mut rand::rng());
-        peers.sort_by_key(|it| Distance::between(&self.own.place, &it.place));
+        peers.sort_by_key(|it| Distance::between(&self.own.location, &it.location));
         peers
     }
 }
--- a/crates/samphiredoor-gateway/src/peers/speaker.rs
+++ b/crates/samphiredoor-gateway/src/peers/speaker.rs
@@ -57,9 +57,9 @@
         let (cells, own) = (self.roster.cells(), self.roster.own_cell());
         let others = cells.ids().filter(|it| Some(*it) != own);
         others.partition(|it| {
-            let place = cells.place(*it);
-            place.is_some_and(|it| {
-                Distance::between(&self.roster.own().place, it) != Distance::OtherRegion
+            let location = cells.location(*it);
+            location.is_some_and(|it| {
+                Distance::between(&self.roster.own().location, it) != Distance::OtherRegion
             })
         })
     }
--- a/crates/samphiredoor-gateway/src/process.rs
+++ b/crates/samphiredoor-gateway/src/process.rs
@@ -128,7 +128,7 @@
     let own = Own {
         name: common.name.clone(),
         incarnation: since.as_micros() as u64,
-        place: common.place.clone(),
+        location: common.location.clone(),
         address: peers,
     };
     let metrics = Metrics::new();
@@ -137,7 +137,7 @@
     let stopping = Rc::new(Cell::new(false));
     let (told, tell) = flume::unbounded();
     let seed = rand::random();
-    let placement = Placement::new(own.name.clone(), own.place.clone(), seed);
+    let placement = Placement::new(own.name.clone(), own.location.clone(), seed);
     let metrics_of_task = Rc::clone(&metrics);
     let placer = Placer::start(PlacementTask { clock, placement, metrics: metrics_of_task, told });
     let client = TargetClient::new(platform.dialect.headers().request_id.clone());
--- a/crates/samphiredoor-standin/src/emulate/network.rs
+++ b/crates/samphiredoor-standin/src/emulate/network.rs
@@ -1,7 +1,7 @@
 //! Ways between processes. Messages between gateways may be late or lost; connections are only as slow as their way.
 
 use rand::{Rng, SeedableRng, rngs::SmallRng};
-use samphiredoor_core::{dispatch::Place, placement::Distance};
+use samphiredoor_core::{dispatch::Location, placement::Distance};
 
 use super::scenario;
 
@@ -23,12 +23,12 @@
     }
 
     /// One way on a connection.
-    pub fn way_us(&self, from: &Place, to: &Place) -> u64 {
+    pub fn way_us(&self, from: &Location, to: &Location) -> u64 {
         (self.way_ms(from, to) * 1_000.0) as u64
     }
 
     /// One way of a message; `None` if it is lost.
-    pub fn message_us(&mut self, from: &Place, to: &Place) -> Option<u64> {
+    pub fn message_us(&mut self, from: &Location, to: &Location) -> Option<u64> {
         let lost_part = self.config.lost_part.max(self.lost_part);
         if lost_part > 0.0 && self.rng.random_bool(lost_part) {
             return None;
@@ -38,7 +38,7 @@
         Some((whole_ms * 1_000.0) as u64)
     }
 
-    fn way_ms(&self, from: &Place, to: &Place) -> f64 {
+    fn way_ms(&self, from: &Location, to: &Location) -> f64 {
         match Distance::between(from, to) {
             Distance::Cell | Distance::Zone => self.config.zone_ms,
             Distance::Region => self.config.region_ms,
--- a/crates/samphiredoor-standin/src/emulate/world/gateways.rs
+++ b/crates/samphiredoor-standin/src/emulate/world/gateways.rs
@@ -5,7 +5,7 @@
 use rand::Rng;
 use samphiredoor_core::{
     Name,
-    dispatch::Place,
+    dispatch::Location,
     placement::{CellId, Cells, GatewayState, Input, Margins, Placement, TargetEntry, name_hash},
 };
 
@@ -21,7 +21,7 @@
 #[derive(Debug)]
 pub struct Gateway {
     pub name: Name,
-    pub place: Place,
+    pub location: Location,
     pub placement: Placement,
     /// Faults that keep it down.
     down: u32,
@@ -53,17 +53,18 @@
                 Gateway::new(name_of(number), zone(&scenario.gateways.zones, number, count))
             })
             .collect();
-        let places = gateways.iter().map(|it| (Name::clone(&it.name), it.place.clone())).collect();
-        let keys = targets.iter().map(|it| (name_hash(&it.name), it.place.clone())).collect();
-        let cells = Cells::new(&places, &keys);
+        let locations =
+            gateways.iter().map(|it| (Name::clone(&it.name), it.location.clone())).collect();
+        let keys = targets.iter().map(|it| (name_hash(&it.name), it.location.clone())).collect();
+        let cells = Cells::new(&locations, &keys);
         (gateways, cells)
     }
 
-    fn new(name: Name, place: Place) -> Gateway {
+    fn new(name: Name, location: Location) -> Gateway {
         Gateway {
-            placement: Placement::new(Name::clone(&name), place.clone(), 0),
+            placement: Placement::new(Name::clone(&name), location.clone(), 0),
             name,
-            place,
+            location,
             down: 0,
             start: 0,
             ticked_ms: 0,
@@ -92,11 +93,11 @@
         let seed = self.rng.random();
         let margins = self.margins();
         let gateway = &mut self.gateways[number];
-        let (name, place) = (Name::clone(&gateway.name), gateway.place.clone());
-        let before = std::mem::replace(gateway, Gateway::new(Name::clone(&name), place.clone()));
+        let (name, location) = (Name::clone(&gateway.name), gateway.location.clone());
+        let before = std::mem::replace(gateway, Gateway::new(Name::clone(&name), location.clone()));
         gateway.down = before.down;
         gateway.start = before.start;
-        let placement = Placement::new(Name::clone(&name), place, seed);
+        let placement = Placement::new(Name::clone(&name), location, seed);
         gateway.placement = placement.with_margins(margins);
         let start = gateway.start;
         let entries = self.entries(number);
@@ -132,8 +133,8 @@
         let slots = self.scenario.targets.slots;
         let up = self.targets.iter().filter(|it| it.is_up());
         up.map(|it| match self.has(Mechanism::NearestFirst) {
-            true => it.entry(slots, &it.place),
-            false => it.entry(slots, &self.gateways[number].place),
+            true => it.entry(slots, &it.location),
+            false => it.entry(slots, &self.gateways[number].location),
         })
         .collect()
     }
--- a/crates/samphiredoor-standin/src/emulate/world/mod.rs
+++ b/crates/samphiredoor-standin/src/emulate/world/mod.rs
@@ -11,7 +11,7 @@
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use samphiredoor_core::{
     Name,
-    dispatch::Place,
+    dispatch::Location,
     placement::{AttemptEnd, Cells, GatewayState},
 };
 
@@ -200,7 +200,7 @@
     }
 
     fn way_us(&self, gateway: usize, target: usize) -> u64 {
-        self.network.way_us(&self.gateways[gateway].place, &self.targets[target].place)
+        self.network.way_us(&self.gateways[gateway].location, &self.targets[target].location)
     }
 
     fn live_gateway(&mut self) -> Option<usize> {
@@ -214,8 +214,8 @@
 }
 
 /// Zone of one of so many, if they are spread evenly over the zones.
-fn zone(zones: &[String], number: usize, count: usize) -> Place {
+fn zone(zones: &[String], number: usize, count: usize) -> Location {
     let zone = &zones[number * zones.len() / count];
     let (region, zone) = zone.split_once('/').unwrap_or((zone, zone));
-    Place { region: region.into(), availability_zone: zone.into() }
+    Location { region: region.into(), availability_zone: zone.into() }
 }
--- a/crates/samphiredoor-standin/src/emulate/world/targets.rs
+++ b/crates/samphiredoor-standin/src/emulate/world/targets.rs
@@ -2,7 +2,7 @@
 
 use samphiredoor_core::{
     Name,
-    dispatch::{Class, Place},
+    dispatch::{Class, Location},
     placement::{AttemptEnd, TargetEntry, TargetState},
 };
 
@@ -20,7 +20,7 @@
 #[derive(Debug)]
 pub struct Target {
     pub name: Name,
-    pub place: Place,
+    pub location: Location,
     pub engine: Engine,
     /// Faults that keep it down.
     down: u32,
@@ -33,7 +33,7 @@
     pub fn all(config: &scenario::Targets) -> Vec<Target> {
         let target = |number| Target {
             name: name_of(number),
-            place: zone(&config.zones, number, config.count),
+            location: zone(&config.zones, number, config.count),
             engine: Engine::new(config.clone()),
             down: 0,
             start: 0,
@@ -47,12 +47,12 @@
     }
 
     /// As discovery tells it to a gateway at a place.
-    pub fn entry(&self, slots: u32, place: &Place) -> TargetEntry {
+    pub fn entry(&self, slots: u32, location: &Location) -> TargetEntry {
         TargetEntry {
             name: Name::clone(&self.name),
             service: SERVICE.into(),
             address: ([127, 0, 0, 1], 80).into(),
-            place: place.clone(),
+            location: location.clone(),
             slots,
             state: TargetState::Ready,
             started_unix_ms: self.start,
--- a/crates/samphiredoor-standin/src/emulate/world/telling.rs
+++ b/crates/samphiredoor-standin/src/emulate/world/telling.rs
@@ -109,7 +109,7 @@
         gateway.heard.insert(Name::clone(&name), (now_ms, Rc::clone(&state)));
         for mate in self.mates(number) {
             let distance =
-                Distance::between(&self.gateways[number].place, &self.gateways[mate].place);
+                Distance::between(&self.gateways[number].location, &self.gateways[mate].location);
             if due.contains(&distance) {
                 self.send(number, mate, Name::clone(&name), &state, false);
             }
@@ -156,7 +156,7 @@
         passes_on: bool,
     ) {
         self.outcome.messages += 1;
-        let (from, receiver) = (&self.gateways[from].place, &self.gateways[to].place);
+        let (from, receiver) = (&self.gateways[from].location, &self.gateways[to].location);
         if let Some(way_us) = self.network.message_us(from, receiver) {
             let state = Rc::clone(state);
             let message = Event::Message { to, from: name, state, passes_on };
@@ -235,12 +235,12 @@
     }
 
     fn others_at(&self, cell: CellId, is_far: bool) -> Vec<CellId> {
-        let Some(own) = self.cells.place(cell) else { return Vec::new() };
+        let Some(own) = self.cells.location(cell) else { return Vec::new() };
         let others = self.cells.ids().filter(|it| *it != cell);
         others
             .filter(|it| {
-                let place = self.cells.place(*it);
-                place.is_some_and(|it| {
+                let location = self.cells.location(*it);
+                location.is_some_and(|it| {
                     (Distance::between(own, it) == Distance::OtherRegion) == is_far
                 })
             })
--- a/crates/samphiredoor/src/dispatch_task.rs
+++ b/crates/samphiredoor/src/dispatch_task.rs
@@ -12,7 +12,7 @@
 use samphiredoor_core::{
     Name,
     dispatch::{
-        Action, Ask, AttemptEnd, Dispatcher, Input, Place, RequestId, TargetView,
+        Action, Ask, AttemptEnd, Dispatcher, Input, Location, RequestId, TargetView,
         lender::ShareChange,
     },
     manifest::Manifest,
@@ -74,13 +74,13 @@
     /// Starts the task; what it has to tell other doors goes to `news`.
     pub fn start(
         clock: Clock,
-        place: Place,
+        location: Location,
         seed: u64,
         metrics: Rc<Metrics>,
         news: flume::Sender<(Name, News)>,
     ) -> Dispatch {
         let (messages, inbox) = flume::unbounded();
-        let dispatcher = Dispatcher::new(place, seed);
+        let dispatcher = Dispatcher::new(location, seed);
         let task = Task {
             clock,
             dispatcher,
--- a/crates/samphiredoor/src/parts.rs
+++ b/crates/samphiredoor/src/parts.rs
@@ -9,7 +9,7 @@
 
 use samphiredoor_core::{
     Name,
-    dispatch::Place,
+    dispatch::Location,
     keys::{KeysConfig, holder_name},
     news::News,
     quarantine::QuarantineConfig,
@@ -75,7 +75,7 @@
     let (peers, peers_inbox) = Peers::new(peer_address);
     let (orders, orders_inbox) = OrdersHandle::new();
     let (lending_news, lending_inbox) = flume::unbounded();
-    let place = Place {
+    let location = Location {
         region: Name::clone(&config.region),
         availability_zone: Name::clone(&config.availability_zone),
     };
@@ -85,7 +85,7 @@
     let door = Door {
         clock,
         incarnation,
-        dispatch: Dispatch::start(clock, place, seed, Rc::clone(&metrics), lending_news),
+        dispatch: Dispatch::start(clock, location, seed, Rc::clone(&metrics), lending_news),
         jobs,
         keys,
         quarantine,
