--- a/crates/samphiredoor-core/examples/dispatch_slope.rs
+++ b/crates/samphiredoor-core/examples/dispatch_slope.rs
@@ -11,7 +11,7 @@
 
 use samphiredoor_core::{
     Name,
-    dispatch::{Action, Ask, AttemptEnd, Class, Dispatcher, Input, Location, RequestId},
+    dispatch::{Action, AttemptEnd, Class, Dispatcher, Input, Location, RequestId, RequestSpec},
     manifest::Manifest,
     time::Now,
 };
@@ -52,8 +52,8 @@
     }
 }
 
-fn ask(request: u64, class: Class) -> Ask {
-    Ask {
+fn ask(request: u64, class: Class) -> RequestSpec {
+    RequestSpec {
         request: RequestId(request),
         class,
         service: "small".into(),
@@ -106,13 +106,16 @@
     fn online(&mut self) {
         let request = self.next;
         self.next += 1;
-        self.handle(Input::Ask(ask(request, Class::Online)));
+        self.handle(Input::Request(ask(request, Class::Online)));
         self.in_flight.push_back(request);
     }
 
     fn end(&mut self) {
         if let Some(request) = self.in_flight.pop_front() {
-            self.handle(Input::Ended { request: RequestId(request), end: AttemptEnd::Done });
+            self.handle(Input::AttemptEnded {
+                request: RequestId(request),
+                end: AttemptEnd::Completed,
+            });
         }
     }
 
@@ -178,7 +181,7 @@
         for item in 0..ITEMS {
             let mut ask = ask(item, Class::Batch);
             ask.job = format!("job-{}", item / 500).into();
-            run.handle(Input::Ask(ask));
+            run.handle(Input::Request(ask));
         }
     });
     println!("bytes of an item that waits: {:.0}", batch_bytes / ITEMS as f64);
@@ -194,12 +197,12 @@
     let target = name.expect("a target is in use");
     let load_ns = run.time(ROUNDS, |it| {
         let target = Name::clone(&target);
-        it.handle(Input::Load { target, running: 1, waiting: 0 });
+        it.handle(Input::LoadReport { target, running: 1, waiting: 0 });
     });
     let tick_ns = run.time(ROUNDS, |it| it.handle(Input::Tick));
     // Items wait beside: no event may look at all of them.
     for request in 0..400 {
-        run.handle(Input::Ask(ask(1_000_000_000 + request, Class::Batch)));
+        run.handle(Input::Request(ask(1_000_000_000 + request, Class::Batch)));
     }
     let batch_ns = run.time(ROUNDS, |it| {
         it.online();
--- a/crates/samphiredoor-core/examples/overload.rs
+++ b/crates/samphiredoor-core/examples/overload.rs
@@ -16,7 +16,9 @@
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use samphiredoor_core::{
     Name,
-    dispatch::{Action, Ask, AttemptEnd, Class, Dispatcher, Input, Location, Policy, RequestId},
+    dispatch::{
+        Action, AttemptEnd, Class, Dispatcher, Input, Location, Policy, RequestId, RequestSpec,
+    },
     manifest::Manifest,
     time::Now,
     verdict::{Doubt, Verdict},
@@ -184,7 +186,7 @@
         self.next_call += 1;
         self.calls.insert(request, Call { tries, attempt: 0, target: None });
         self.after(DEADLINE_MS as f64, Event::Timeout { request });
-        let ask = Ask {
+        let ask = RequestSpec {
             request: RequestId(request),
             class: Class::Online,
             service: "small".into(),
@@ -197,7 +199,7 @@
             job: "".into(),
             due_unix_ms: None,
         };
-        self.input(Input::Ask(ask));
+        self.input(Input::Request(ask));
     }
 
     fn end(&mut self, request: u64, attempt: u32, broken: bool) {
@@ -206,14 +208,14 @@
         };
         let Some(target) = call.target.take() else { return };
         *self.at_target.entry(target).or_default() -= 1;
-        let lost = AttemptEnd::Lost(Doubt::ConnectionLost);
-        let end = if broken { lost } else { AttemptEnd::Done };
+        let lost = AttemptEnd::AnswerLost(Doubt::ConnectionLost);
+        let end = if broken { lost } else { AttemptEnd::Completed };
         if !broken {
             self.calls.remove(&request);
             let second = self.second();
             self.good[second] += 1;
         }
-        self.input(Input::Ended { request: RequestId(request), end });
+        self.input(Input::AttemptEnded { request: RequestId(request), end });
     }
 
     /// The caller's deadline has passed: the door closes the connection to the target.
@@ -223,11 +225,11 @@
         match call.target.take() {
             Some(target) => {
                 *self.at_target.entry(target).or_default() -= 1;
-                let end = AttemptEnd::Lost(Doubt::DeadlinePassed);
-                self.input(Input::Ended { request: request_id, end });
+                let end = AttemptEnd::AnswerLost(Doubt::DeadlinePassed);
+                self.input(Input::AttemptEnded { request: request_id, end });
             }
             None => {
-                self.input(Input::Gone { request: request_id });
+                self.input(Input::Cancelled { request: request_id });
                 self.give_up(request, 100);
             }
         }
@@ -248,7 +250,7 @@
                     };
                     self.give_up(request.0, retry_after_ms);
                 }
-                Action::Abort { .. } | Action::Share { .. } | Action::Demand { .. } => {}
+                Action::Abort { .. } | Action::SlotGrant { .. } | Action::Demand { .. } => {}
             }
         }
     }
--- a/crates/samphiredoor-core/src/dispatch/admission.rs
+++ b/crates/samphiredoor-core/src/dispatch/admission.rs
@@ -5,7 +5,7 @@
 use smallvec::SmallVec;
 
 use super::{
-    Action, Ask, Class, Dispatcher, Policy, Request, RequestId, ServiceState, Stage,
+    Action, Class, Dispatcher, Policy, Request, RequestId, RequestSpec, ServiceState, Stage,
     refusal::jittered,
 };
 use crate::{
@@ -38,7 +38,7 @@
 }
 
 impl Dispatcher {
-    pub(super) fn ask(&mut self, now_ms: u64, ask: Ask, out: &mut Vec<Action>) {
+    pub(super) fn ask(&mut self, now_ms: u64, ask: RequestSpec, out: &mut Vec<Action>) {
         if self.requests.contains_key(&ask.request) {
             return;
         }
@@ -63,7 +63,7 @@
         }
     }
 
-    fn admit_online(&mut self, now_ms: u64, ask: &Ask) -> Result<(), Refusal> {
+    fn admit_online(&mut self, now_ms: u64, ask: &RequestSpec) -> Result<(), Refusal> {
         self.check_known(now_ms, ask)?;
         let in_hand = self.workspaces.get(&ask.workspace).copied().unwrap_or(0);
         let declared = self.manifest.workspaces.get(&ask.workspace);
@@ -80,7 +80,7 @@
         Ok(())
     }
 
-    fn admit_batch(&mut self, now_ms: u64, ask: &Ask) -> Result<(), Refusal> {
+    fn admit_batch(&mut self, now_ms: u64, ask: &RequestSpec) -> Result<(), Refusal> {
         self.check_known(now_ms, ask)?;
         let Some(state) = self.services.get_mut(&ask.service) else {
             return Err(Refusal::UnknownService);
@@ -91,7 +91,7 @@
         }
     }
 
-    fn check_known(&self, now_ms: u64, ask: &Ask) -> Result<(), Refusal> {
+    fn check_known(&self, now_ms: u64, ask: &RequestSpec) -> Result<(), Refusal> {
         if self.manifest.revision == 0 {
             return Err(Refusal::NotReady);
         }
@@ -243,13 +243,13 @@
         }
     }
 
-    fn refuse(&mut self, now_ms: u64, ask: &Ask, reason: Refusal, out: &mut Vec<Action>) {
+    fn refuse(&mut self, now_ms: u64, ask: &RequestSpec, reason: Refusal, out: &mut Vec<Action>) {
         let retry_after_ms = self.retry_after_ms(now_ms, ask, reason);
         let verdict = Verdict::NotRun { retry_after_ms, reason };
         out.push(Action::Refuse { request: ask.request, verdict });
     }
 
-    fn retry_after_ms(&mut self, now_ms: u64, ask: &Ask, reason: Refusal) -> u64 {
+    fn retry_after_ms(&mut self, now_ms: u64, ask: &RequestSpec, reason: Refusal) -> u64 {
         let Some(state) = self.services.get_mut(&ask.service) else {
             return jittered(LATER_MS, &mut self.rng);
         };
--- a/crates/samphiredoor-core/src/dispatch/attempt.rs
+++ b/crates/samphiredoor-core/src/dispatch/attempt.rs
@@ -6,7 +6,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptEnd {
     /// The whole answer arrived.
-    Done,
+    Completed,
     /// The whole answer arrived, and says that the target failed; the caller gets it as it is.
     Failed,
     /// No byte of the request reached the target.
@@ -17,39 +17,42 @@
         retry_after_ms: u64,
     },
     /// The request was sent; its answer is lost, and nothing of it reached the caller.
-    Lost(Doubt),
+    AnswerLost(Doubt),
     /// The answer was cut after a part of it had reached the caller, who has been told so.
-    Cut(Doubt),
+    AnswerTruncated(Doubt),
     /// Cut by ourselves, so that the capacity is free again.
     Aborted,
     /// Cut by ourselves as well, but the request waits for a slot again: a decision follows. For batch requests only.
-    Yielded,
+    Preempted,
 }
 
 impl AttemptEnd {
     /// Whether the request ends with this attempt, without any further action of the dispatcher.
-    pub fn closes(self) -> bool {
+    pub fn is_final(self) -> bool {
         match self {
-            AttemptEnd::Done | AttemptEnd::Failed | AttemptEnd::Cut(_) | AttemptEnd::Aborted => {
-                true
-            }
+            AttemptEnd::Completed
+            | AttemptEnd::Failed
+            | AttemptEnd::AnswerTruncated(_)
+            | AttemptEnd::Aborted => true,
             AttemptEnd::NotSent
             | AttemptEnd::Pushback { .. }
-            | AttemptEnd::Lost(_)
-            | AttemptEnd::Yielded => false,
+            | AttemptEnd::AnswerLost(_)
+            | AttemptEnd::Preempted => false,
         }
     }
 
     /// Whether it speaks against the target.
     pub fn is_failure(self) -> bool {
         match self {
-            AttemptEnd::Lost(doubt) | AttemptEnd::Cut(doubt) => doubt != Doubt::DeadlinePassed,
+            AttemptEnd::AnswerLost(doubt) | AttemptEnd::AnswerTruncated(doubt) => {
+                doubt != Doubt::DeadlinePassed
+            }
             AttemptEnd::Failed => true,
-            AttemptEnd::Done
+            AttemptEnd::Completed
             | AttemptEnd::NotSent
             | AttemptEnd::Pushback { .. }
             | AttemptEnd::Aborted
-            | AttemptEnd::Yielded => false,
+            | AttemptEnd::Preempted => false,
         }
     }
 }
--- a/crates/samphiredoor-core/src/dispatch/attempts.rs
+++ b/crates/samphiredoor-core/src/dispatch/attempts.rs
@@ -1,8 +1,8 @@
 //! Attempts at targets: their start, their end, what is learned from it, and whether another one follows.
 
 use super::{
-    Action, Ask, AttemptEnd, Class, Dispatcher, Ejection, Request, RequestId, RetryReason, Running,
-    Stage,
+    Action, AttemptEnd, Class, Dispatcher, Ejection, Request, RequestId, RequestSpec, RetryReason,
+    Running, Stage,
     targets::{Distance, TargetId},
 };
 use crate::{
@@ -75,7 +75,7 @@
         let Stage::Running(attempt) = &mut running.stage else { return false };
         attempt.recalled = true;
         self.targets.recalled(now_ms, attempt.target, item);
-        self.counters.recalls += 1;
+        self.counters.preemptions += 1;
         out.push(Action::Abort { request: item });
         true
     }
@@ -95,10 +95,13 @@
         self.leave_target(now_ms, request);
         self.learn(now_ms, attempt, class, end);
         match end {
-            AttemptEnd::Done | AttemptEnd::Failed | AttemptEnd::Cut(_) | AttemptEnd::Aborted => {
+            AttemptEnd::Completed
+            | AttemptEnd::Failed
+            | AttemptEnd::AnswerTruncated(_)
+            | AttemptEnd::Aborted => {
                 self.close(now_ms, request);
             }
-            AttemptEnd::Yielded => self.wait_again(now_ms, request, out),
+            AttemptEnd::Preempted => self.wait_again(now_ms, request, out),
             AttemptEnd::NotSent => {
                 let (retry, reason) = (RetryReason::ConnectFailed, Refusal::ConnectFailed);
                 self.retry_or_give_up(now_ms, request, retry, reason, out);
@@ -107,7 +110,7 @@
                 let (retry, reason) = (RetryReason::Pushback, Refusal::Overloaded);
                 self.retry_or_give_up(now_ms, request, retry, reason, out);
             }
-            AttemptEnd::Lost(doubt) => self.lost(now_ms, request, doubt, out),
+            AttemptEnd::AnswerLost(doubt) => self.lost(now_ms, request, doubt, out),
         }
         self.settle(now_ms, &service, out);
     }
@@ -249,7 +252,7 @@
             beyond_chance = state.pace.failures_beyond_chance();
         }
         match end {
-            AttemptEnd::Done => {
+            AttemptEnd::Completed => {
                 target.health.succeeded(now_ms);
                 let in_flight = target.load.own() + 1;
                 target.limit.sample(now_ms, latency_ms, in_flight);
@@ -269,10 +272,11 @@
                 target.limit.pushed_back(now_ms);
                 target.health.hold(now_ms, retry_after_ms);
             }
-            AttemptEnd::Lost(Doubt::DeadlinePassed) | AttemptEnd::Cut(Doubt::DeadlinePassed) => {
+            AttemptEnd::AnswerLost(Doubt::DeadlinePassed)
+            | AttemptEnd::AnswerTruncated(Doubt::DeadlinePassed) => {
                 target.limit.timed_out(now_ms, latency_ms);
             }
-            AttemptEnd::Failed | AttemptEnd::Lost(_) | AttemptEnd::Cut(_) => {
+            AttemptEnd::Failed | AttemptEnd::AnswerLost(_) | AttemptEnd::AnswerTruncated(_) => {
                 if end != AttemptEnd::Failed {
                     target.limit.lost(now_ms);
                 }
@@ -282,11 +286,11 @@
                     self.counters.ejected(Ejection::Failing);
                 }
             }
-            AttemptEnd::Aborted | AttemptEnd::Yielded => {}
+            AttemptEnd::Aborted | AttemptEnd::Preempted => {}
         }
     }
 }
 
-fn weight(manifest: &Manifest, ask: &Ask) -> u32 {
+fn weight(manifest: &Manifest, ask: &RequestSpec) -> u32 {
     manifest.workspaces.get(&ask.workspace).map_or(1, |it| it.weight)
 }
--- a/crates/samphiredoor-core/src/dispatch/counters.rs
+++ b/crates/samphiredoor-core/src/dispatch/counters.rs
@@ -15,7 +15,7 @@
     /// Load reports found to be frozen or wrong.
     pub reports_distrusted: u64,
     /// Items of jobs recalled to make room for an online request.
-    pub recalls: u64,
+    pub preemptions: u64,
     /// Bytes of bodies sent to another region.
     pub bytes_to_other_regions: u64,
 }
--- a/crates/samphiredoor-core/src/dispatch/fairness.rs
+++ b/crates/samphiredoor-core/src/dispatch/fairness.rs
@@ -12,7 +12,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use super::messages::{Ask, RequestId};
+use super::messages::{RequestId, RequestSpec};
 use crate::Name;
 
 /// A job rises this long before it is due.
@@ -59,7 +59,7 @@
     }
 
     /// Adds an item, if there is room for it.
-    pub(super) fn push(&mut self, ask: &Ask) -> bool {
+    pub(super) fn push(&mut self, ask: &RequestSpec) -> bool {
         if self.waiting >= MAX_WAITING || self.waiting_of(ask) >= MAX_WAITING_PER_JOB {
             return false;
         }
@@ -68,7 +68,7 @@
     }
 
     /// Adds an item that was let in before.
-    pub(super) fn push_again(&mut self, ask: &Ask) {
+    pub(super) fn push_again(&mut self, ask: &RequestSpec) {
         let floor_ms = self.least_clock_ms();
         let workspace = self.workspaces.entry(Name::clone(&ask.workspace)).or_default();
         if workspace.jobs.is_empty() {
@@ -98,7 +98,7 @@
     }
 
     /// Starts an item that waits; returns the slot time that is charged in advance.
-    pub(super) fn start(&mut self, ask: &Ask, weight: u32) -> f64 {
+    pub(super) fn start(&mut self, ask: &RequestSpec, weight: u32) -> f64 {
         let Some(workspace) = self.workspaces.get_mut(&ask.workspace) else { return 0.0 };
         let Some(job) = workspace.jobs.get_mut(&ask.job) else { return 0.0 };
         let guess_ms = job.guess_ms.unwrap_or(FIRST_GUESS_MS);
@@ -110,7 +110,7 @@
     }
 
     /// Charges what an attempt took in place of what was charged at its start.
-    pub(super) fn ended(&mut self, ask: &Ask, charged_ms: f64, took_ms: u64, weight: u32) {
+    pub(super) fn ended(&mut self, ask: &RequestSpec, charged_ms: f64, took_ms: u64, weight: u32) {
         let Some(workspace) = self.workspaces.get_mut(&ask.workspace) else { return };
         let Some(job) = workspace.jobs.get_mut(&ask.job) else { return };
         let took_ms = took_ms as f64;
@@ -123,7 +123,7 @@
     }
 
     /// Takes out an item that waits.
-    pub(super) fn remove(&mut self, ask: &Ask) {
+    pub(super) fn remove(&mut self, ask: &RequestSpec) {
         let Some(workspace) = self.workspaces.get_mut(&ask.workspace) else { return };
         let Some(job) = workspace.jobs.get_mut(&ask.job) else { return };
         let removed = usize::from(job.waiting.remove(&ask.request));
@@ -132,7 +132,7 @@
         self.forget_if_empty(ask);
     }
 
-    fn waiting_of(&self, ask: &Ask) -> usize {
+    fn waiting_of(&self, ask: &RequestSpec) -> usize {
         let workspace = self.workspaces.get(&ask.workspace);
         workspace.and_then(|it| it.jobs.get(&ask.job)).map_or(0, |it| it.waiting.len())
     }
@@ -142,7 +142,7 @@
     }
 
     /// Lines end with their last item, so that the state stays bounded by the work in hand.
-    fn forget_if_empty(&mut self, ask: &Ask) {
+    fn forget_if_empty(&mut self, ask: &RequestSpec) {
         let Some(workspace) = self.workspaces.get_mut(&ask.workspace) else { return };
         if let Some(job) = workspace.jobs.get(&ask.job)
             && job.running == 0
--- a/crates/samphiredoor-core/src/dispatch/lending.rs
+++ b/crates/samphiredoor-core/src/dispatch/lending.rs
@@ -8,8 +8,8 @@
 
 use super::{
     Action, Dispatcher, RequestId,
-    lender::{Demand, Lender, LiveDoor, SHARE_TTL_MS, lender_of},
     loan::Role,
+    slot_allocator::{Demand, Lender, LiveGateway, SHARE_TTL_MS, lender_of},
     targets::{Distance, Target, TargetId},
 };
 use crate::{Name, news::TargetLoad};
@@ -68,7 +68,7 @@
         &mut self,
         now_ms: u64,
         own_name: Name,
-        live: Vec<LiveDoor>,
+        live: Vec<LiveGateway>,
         out: &mut Vec<Action>,
     ) {
         if live == self.doors && own_name == self.own_name {
@@ -146,8 +146,8 @@
         // More than a target can lend is no use to anyone.
         let wanted = waiting.min(target.declared.loan_limit);
         let own_wanted = in_flight.batch + wanted;
-        for change in target.loan.divide(now_ms, &target.declared, in_flight, own_wanted) {
-            out.push(Action::Share { target: Name::clone(&name), change });
+        for grant in target.loan.divide(now_ms, &target.declared, in_flight, own_wanted) {
+            out.push(Action::SlotGrant { target: Name::clone(&name), grant });
         }
         let demand =
             Demand { online: in_flight.online, batch: in_flight.batch, wanted: own_wanted };
@@ -161,7 +161,7 @@
                 batch_in_flight: in_flight.batch,
                 batch_wanted: wanted,
             };
-            out.push(Action::Demand { lender: Name::clone(lender), load });
+            out.push(Action::Demand { allocator: Name::clone(lender), load });
         }
     }
 }
--- a/crates/samphiredoor-core/src/dispatch/loan.rs
+++ b/crates/samphiredoor-core/src/dispatch/loan.rs
@@ -8,7 +8,7 @@
 
 use super::{
     envelope::Envelope,
-    lender::{Demand, Lender, Share, ShareChange},
+    slot_allocator::{Demand, Lender, Share, SlotGrant},
     step_model::StepModel,
 };
 use crate::manifest::{Lending as Rule, Service, ServiceKind, Target};
@@ -140,7 +140,7 @@
         target: &Target,
         in_flight: InFlight,
         own_wanted: u32,
-    ) -> SmallVec<[ShareChange; 4]> {
+    ) -> SmallVec<[SlotGrant; 4]> {
         let kept_free = self.kept_free(now_ms, self.online(in_flight));
         let room = self.room(now_ms, target, in_flight).saturating_sub(kept_free);
         let mut changes = Vec::new();
--- a/crates/samphiredoor-core/src/dispatch/messages.rs
+++ b/crates/samphiredoor-core/src/dispatch/messages.rs
@@ -4,7 +4,7 @@
 
 use super::{
     attempt::AttemptEnd,
-    lender::{LiveDoor, ShareChange},
+    slot_allocator::{LiveGateway, SlotGrant},
 };
 use crate::{Name, manifest::Manifest, news::TargetLoad, verdict::Verdict};
 
@@ -32,7 +32,7 @@
 
 /// A request that wants a target.
 #[derive(Debug, Clone)]
-pub struct Ask {
+pub struct RequestSpec {
     /// Identity; not used again by this process.
     pub request: RequestId,
     /// Online or batch.
@@ -63,21 +63,21 @@
     /// A new revision of the declarations.
     Manifest(Arc<Manifest>),
     /// A request wants a target.
-    Ask(Ask),
+    Request(RequestSpec),
     /// The attempt in hand of a request ended; said once for each [`Action::Dispatch`].
-    Ended {
+    AttemptEnded {
         /// Which request.
         request: RequestId,
         /// How.
         end: AttemptEnd,
     },
     /// Nobody waits for the request any more.
-    Gone {
+    Cancelled {
         /// Which request.
         request: RequestId,
     },
     /// A target was reached and reported its load.
-    Load {
+    LoadReport {
         /// Which target.
         target: Name,
         /// Sequences running.
@@ -86,7 +86,7 @@
         waiting: u32,
     },
     /// A target's own report of the work it has done since its start.
-    Work {
+    ProgressReport {
         /// Which target.
         target: Name,
         /// Steps.
@@ -95,18 +95,18 @@
         tokens: u64,
     },
     /// The doors that are known to live, this one among them.
-    Doors {
+    LiveGateways {
         /// Name of this door.
         own_name: Name,
         /// All names, in order.
-        live: Vec<LiveDoor>,
+        live: Vec<LiveGateway>,
     },
     /// The lender of a target gives this door a share of its batch slots.
-    Share {
+    SlotGrant {
         /// Which target.
         target: Name,
         /// The door that says so.
-        lender: Name,
+        allocator: Name,
         /// Slots from now on.
         slots: u32,
         /// Number of the change; the highest one of a lender holds.
@@ -115,7 +115,7 @@
     /// Another door tells its traffic at a target that this one lends.
     Demand {
         /// Which door.
-        door: Name,
+        gateway: Name,
         /// Its traffic.
         load: TargetLoad,
     },
@@ -131,7 +131,7 @@
     },
     /// The host list or a peer says that a target leaves. It gets no new work for this long, whatever it reports of
     /// itself.
-    ToldLeaving {
+    ReportedLeaving {
         /// Which target.
         target: Name,
         /// When the word is forgotten, unless it is heard again.
@@ -154,22 +154,22 @@
         address: SocketAddr,
     },
     /// Cut the attempt in hand: its capacity is wanted back. Its end is to be reported as [`AttemptEnd::Aborted`],
-    /// or as [`AttemptEnd::Yielded`] if it is to go on later.
+    /// or as [`AttemptEnd::Preempted`] if it is to go on later.
     Abort {
         /// Which request.
         request: RequestId,
     },
     /// Tell another door which share it has of a target that this one lends.
-    Share {
+    SlotGrant {
         /// Which target.
         target: Name,
         /// The share.
-        change: ShareChange,
+        grant: SlotGrant,
     },
     /// Tell the lender of a target what this door has and wants there.
     Demand {
         /// Which door.
-        lender: Name,
+        allocator: Name,
         /// The own traffic.
         load: TargetLoad,
     },
--- a/crates/samphiredoor-core/src/dispatch/mod.rs
+++ b/crates/samphiredoor-core/src/dispatch/mod.rs
@@ -15,7 +15,6 @@
 mod envelope;
 mod fairness;
 mod health;
-pub mod lender;
 mod lending;
 mod limits;
 mod load;
@@ -27,6 +26,7 @@
 mod refusal;
 mod retry;
 mod routing;
+pub mod slot_allocator;
 mod step_model;
 mod targets;
 mod trial;
@@ -39,7 +39,7 @@
 pub use attempt::AttemptEnd;
 pub use counters::{Counters, Gauges, TargetView};
 pub use health::Ejection;
-pub use messages::{Action, Ask, Class, Input, Location, RequestId};
+pub use messages::{Action, Class, Input, Location, RequestId, RequestSpec};
 pub use policy::Policy;
 pub use retry::RetryReason;
 
@@ -50,11 +50,11 @@
     verdict::{Doubt, Refusal},
 };
 use fairness::FairQueue;
-use lender::LiveDoor;
 use pace::Pace;
 use queue::{OnlineQueue, Tag};
 use refusal::ReturnTimes;
 use retry::RetryBudget;
+use slot_allocator::LiveGateway;
 use targets::{TargetId, Targets};
 
 /// Where a request stands.
@@ -82,14 +82,14 @@
 
 #[derive(Debug)]
 struct Request {
-    ask: Ask,
+    ask: RequestSpec,
     stage: Stage,
     tried: SmallVec<[Name; 2]>,
     doubt: Option<Doubt>,
 }
 
 impl Request {
-    fn new(ask: Ask, stage: Stage) -> Request {
+    fn new(ask: RequestSpec, stage: Stage) -> Request {
         Request { ask, stage, tried: SmallVec::new(), doubt: None }
     }
 }
@@ -133,7 +133,7 @@
     workspaces: BTreeMap<Name, u32>,
     counters: Counters,
     own_name: Name,
-    doors: Vec<LiveDoor>,
+    doors: Vec<LiveGateway>,
     // Wall-clock time of the event in hand.
     unix_ms: u64,
     rng: SmallRng,
@@ -170,21 +170,23 @@
         self.unix_ms = now.unix_ms;
         match input {
             Input::Manifest(manifest) => self.apply(now_ms, manifest, out),
-            Input::Ask(ask) => self.ask(now_ms, ask, out),
-            Input::Ended { request, end } => self.ended(now_ms, request, end, out),
-            Input::Gone { request } => self.gone(now_ms, request, out),
-            Input::Load { target, running, waiting } => {
+            Input::Request(ask) => self.ask(now_ms, ask, out),
+            Input::AttemptEnded { request, end } => self.ended(now_ms, request, end, out),
+            Input::Cancelled { request } => self.gone(now_ms, request, out),
+            Input::LoadReport { target, running, waiting } => {
                 self.reported(now_ms, &target, running.saturating_add(waiting), out);
             }
-            Input::Work { target, steps, tokens } => self.worked(now_ms, &target, steps, tokens),
-            Input::Doors { own_name, live } => self.doors(now_ms, own_name, live, out),
-            Input::Share { target, lender, slots, epoch } => {
-                self.share(now_ms, &target, &lender, (slots, epoch), out);
+            Input::ProgressReport { target, steps, tokens } => {
+                self.worked(now_ms, &target, steps, tokens)
             }
-            Input::Demand { door, load } => self.demand(now_ms, &door, &load, out),
+            Input::LiveGateways { own_name, live } => self.doors(now_ms, own_name, live, out),
+            Input::SlotGrant { target, allocator, slots, epoch } => {
+                self.share(now_ms, &target, &allocator, (slots, epoch), out);
+            }
+            Input::Demand { gateway, load } => self.demand(now_ms, &gateway, &load, out),
             Input::Unreachable { target } => self.eject(now_ms, &target, Ejection::Unreachable),
             Input::Leaving { target } => self.eject(now_ms, &target, Ejection::Leaving),
-            Input::ToldLeaving { target, for_ms } => {
+            Input::ReportedLeaving { target, for_ms } => {
                 self.targets.told_leaving(&target, now_ms + for_ms);
             }
             Input::Tick => self.tick(now_ms, out),
--- a/crates/samphiredoor-core/src/dispatch/lender.rs
+++ b/crates/samphiredoor-core/src/dispatch/slot_allocator.rs
@@ -33,7 +33,7 @@
 
 /// A door that is known to live.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct LiveDoor {
+pub struct LiveGateway {
     /// Name.
     pub name: Name,
     /// Region.
@@ -42,8 +42,8 @@
 
 /// Door that lends the room of `target`, which stands in `region`: one of that region, if any lives there, so that
 /// lending goes on at both sides of a cut link. None if no door is known.
-pub fn lender_of<'a>(target: &str, region: &str, doors: &'a [LiveDoor]) -> Option<&'a Name> {
-    let names = |it: &'a LiveDoor| &it.name;
+pub fn lender_of<'a>(target: &str, region: &str, doors: &'a [LiveGateway]) -> Option<&'a Name> {
+    let names = |it: &'a LiveGateway| &it.name;
     let near = doors.iter().filter(|it| &*it.region == region).map(names);
     let heaviest = |it: &&Name| (weight(target, it), Name::clone(it));
     near.max_by_key(heaviest).or_else(|| doors.iter().map(names).max_by_key(heaviest))
@@ -58,9 +58,9 @@
 
 /// Batch slots of another door at a target.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct ShareChange {
+pub struct SlotGrant {
     /// Which door.
-    pub door: Name,
+    pub gateway: Name,
     /// Slots it has from now on.
     pub slots: u32,
     /// Number of the lender's term and change; the higher one holds.
@@ -133,7 +133,7 @@
 
     /// Divides `slots` among the other doors and this one, which could use `own_wanted`; appends what the others are
     /// to be told. What they do not get is this door's own.
-    pub fn divide(&mut self, now_ms: u64, slots: u32, own_wanted: u32, out: &mut Vec<ShareChange>) {
+    pub fn divide(&mut self, now_ms: u64, slots: u32, own_wanted: u32, out: &mut Vec<SlotGrant>) {
         self.forget_silent(now_ms);
         if self.borrowers.is_empty() {
             return;
@@ -154,8 +154,8 @@
             borrower.slots = share;
             borrower.sent_ms = now_ms;
             self.epoch += 1;
-            let door = Name::clone(door);
-            out.push(ShareChange { door, slots: share, epoch: self.epoch });
+            let gateway = Name::clone(door);
+            out.push(SlotGrant { gateway, slots: share, epoch: self.epoch });
         }
     }
 
--- a/crates/samphiredoor-core/tests/dispatch/harness.rs
+++ b/crates/samphiredoor-core/tests/dispatch/harness.rs
@@ -5,7 +5,8 @@
 use samphiredoor_core::{
     Name,
     dispatch::{
-        Action, Ask, AttemptEnd, Class, Dispatcher, Gauges, Input, Location, Policy, RequestId,
+        Action, AttemptEnd, Class, Dispatcher, Gauges, Input, Location, Policy, RequestId,
+        RequestSpec,
     },
     manifest::{Lending, Manifest, Service, ServiceKind, Target, Workspace},
     time::Now,
@@ -57,8 +58,8 @@
     Manifest { revision, services, targets, workspaces, ..Manifest::default() }
 }
 
-pub fn ask(request: u64, class: Class) -> Ask {
-    Ask {
+pub fn ask(request: u64, class: Class) -> RequestSpec {
+    RequestSpec {
         request: RequestId(request),
         class,
         service: "small".into(),
@@ -98,12 +99,12 @@
     }
 
     /// Asks with a new identity; returns it with what was decided at once.
-    pub fn ask(&mut self, change: impl FnOnce(&mut Ask)) -> (RequestId, Vec<Action>) {
+    pub fn ask(&mut self, change: impl FnOnce(&mut RequestSpec)) -> (RequestId, Vec<Action>) {
         let mut ask = ask(self.next, Class::Online);
         self.next += 1;
         change(&mut ask);
         let request = ask.request;
-        (request, self.handle(Input::Ask(ask)))
+        (request, self.handle(Input::Request(ask)))
     }
 
     /// Asks online; returns the identity with the target that it was sent to at once.
@@ -121,11 +122,11 @@
     }
 
     pub fn end(&mut self, request: RequestId, end: AttemptEnd) -> Vec<Action> {
-        self.handle(Input::Ended { request, end })
+        self.handle(Input::AttemptEnded { request, end })
     }
 
     pub fn report(&mut self, target: &str, running: u32) {
-        self.handle(Input::Load { target: target.into(), running, waiting: 0 });
+        self.handle(Input::LoadReport { target: target.into(), running, waiting: 0 });
     }
 
     pub fn gauges(&self) -> Gauges {
--- a/crates/samphiredoor-core/tests/dispatch/leaving.rs
+++ b/crates/samphiredoor-core/tests/dispatch/leaving.rs
@@ -10,7 +10,7 @@
     let mut harness =
         Harness::new(vec![target("target-0", "north", 64), target("target-1", "north", 64)]);
     let target = "target-0".into();
-    harness.handle(Input::ToldLeaving { target, for_ms: FOR_MS });
+    harness.handle(Input::ReportedLeaving { target, for_ms: FOR_MS });
     harness
 }
 
@@ -41,6 +41,6 @@
     let (request, sent) = harness.online();
     assert_eq!(sent.as_deref(), Some("target-0"));
     let target = "target-0".into();
-    assert!(harness.handle(Input::ToldLeaving { target, for_ms: FOR_MS }).is_empty());
-    assert!(harness.end(request, AttemptEnd::Done).is_empty());
+    assert!(harness.handle(Input::ReportedLeaving { target, for_ms: FOR_MS }).is_empty());
+    assert!(harness.end(request, AttemptEnd::Completed).is_empty());
 }
--- a/crates/samphiredoor-core/tests/dispatch/limits.rs
+++ b/crates/samphiredoor-core/tests/dispatch/limits.rs
@@ -21,7 +21,7 @@
     for _ in 0..20 {
         let (request, _) = harness.online();
         harness.now_ms += 100;
-        harness.end(request, AttemptEnd::Done);
+        harness.end(request, AttemptEnd::Completed);
     }
     for _ in 0..limit {
         assert!(harness.online().1.is_some());
@@ -56,7 +56,7 @@
         assert!(matches!(actions[0], Action::Abort { .. }), "{actions:?}");
         assert!(sent_to(&actions, request).is_some(), "online request {online} waits");
     }
-    assert_eq!(harness.dispatcher.counters().recalls, 8);
+    assert_eq!(harness.dispatcher.counters().preemptions, 8);
     let (_, actions) = harness.ask(|_| {});
     assert!(actions.is_empty(), "every place is taken online; it is queued");
 }
@@ -70,7 +70,7 @@
     });
     let (online, actions) = harness.ask(|_| {});
     assert!(actions.is_empty());
-    let actions = harness.end(item, AttemptEnd::Done);
+    let actions = harness.end(item, AttemptEnd::Completed);
     assert!(sent_to(&actions, online).is_some());
 }
 
@@ -79,7 +79,7 @@
     let mut harness = full(2);
     let (queued, _) = harness.online();
     harness.batch();
-    let actions = harness.end(RequestId(21), AttemptEnd::Done);
+    let actions = harness.end(RequestId(21), AttemptEnd::Completed);
     assert_eq!(actions.len(), 1);
     assert!(sent_to(&actions, queued).is_some());
 }
@@ -148,7 +148,7 @@
     };
     let mut harness = full(4);
     harness.now_ms += 100;
-    harness.end(RequestId(21), AttemptEnd::Done);
+    harness.end(RequestId(21), AttemptEnd::Completed);
     assert_eq!(in_ms(&mut harness, 90), Some(Refusal::DeadlineTooShort), "though there is room");
     harness.online();
     assert_eq!(in_ms(&mut harness, 200), None);
@@ -169,8 +169,8 @@
     let (quiet, actions) = harness.ask(|it| it.workspace = "rounds".into());
     assert_eq!(actions.len(), 1, "{actions:?}");
     assert_eq!(refused(&actions, quiet), None, "a request of the busy one makes room");
-    harness.end(RequestId(21), AttemptEnd::Done);
-    let actions = harness.end(RequestId(22), AttemptEnd::Done);
+    harness.end(RequestId(21), AttemptEnd::Completed);
+    let actions = harness.end(RequestId(22), AttemptEnd::Completed);
     assert!(sent_to(&actions, quiet).is_some(), "it goes second");
 }
 
@@ -182,7 +182,7 @@
     ask();
     let (third, actions) = ask();
     assert_eq!(reason(refused(&actions, third)), Some(Refusal::WorkspaceLimit));
-    harness.end(first, AttemptEnd::Done);
+    harness.end(first, AttemptEnd::Completed);
     let (fourth, actions) = harness.ask(|it| it.workspace = "capped".into());
     assert!(sent_to(&actions, fourth).is_some());
 }
@@ -232,7 +232,7 @@
     for repeatable in [true, false] {
         let mut harness = Harness::new(targets(2, 10));
         let (request, _) = harness.ask(|it| it.repeatable = repeatable);
-        let actions = harness.end(request, AttemptEnd::Lost(Doubt::ConnectionLost));
+        let actions = harness.end(request, AttemptEnd::AnswerLost(Doubt::ConnectionLost));
         assert_eq!(sent_to(&actions, request).is_some(), repeatable);
         let verdict = match repeatable {
             true => refused(&harness.end(request, AttemptEnd::NotSent), request),
@@ -254,7 +254,7 @@
         let (request, mut sent) = harness.online();
         while sent.take().is_some() {
             attempts += 1;
-            let actions = harness.end(request, AttemptEnd::Lost(Doubt::AnswerCut));
+            let actions = harness.end(request, AttemptEnd::AnswerLost(Doubt::AnswerCut));
             sent = sent_to(&actions, request);
         }
     }
@@ -269,12 +269,12 @@
         let sent: Vec<_> = (0..40).map(|_| harness.online()).collect();
         let (running, queued): (Vec<_>, Vec<_>) = sent.into_iter().partition(|it| it.1.is_some());
         for (request, _) in queued {
-            harness.handle(Input::Gone { request });
+            harness.handle(Input::Cancelled { request });
         }
         placed = running.len();
         harness.now_ms += latency_ms(placed as u64);
         for (request, _) in running {
-            harness.end(request, AttemptEnd::Done);
+            harness.end(request, AttemptEnd::Completed);
         }
     }
     placed
@@ -309,7 +309,7 @@
         let mut harness = full(10);
         harness.now_ms += elapsed_ms;
         for request in 21..31 {
-            let end = AttemptEnd::Lost(Doubt::DeadlinePassed);
+            let end = AttemptEnd::AnswerLost(Doubt::DeadlinePassed);
             harness.end(RequestId(request), end);
         }
         (0..10).filter(|_| harness.online().1.is_some()).count()
@@ -350,15 +350,15 @@
         for _ in 0..40 {
             let (request, target) = harness.ask(|it| it.repeatable = false);
             let Some(target) = sent_to(&target, request) else {
-                harness.handle(Input::Gone { request });
+                harness.handle(Input::Cancelled { request });
                 continue;
             };
             let beside = at.entry(target).or_default();
             *beside += 1;
             number += 1;
             let is_lost = lost(*beside, number);
-            let lost_end = AttemptEnd::Lost(Doubt::ConnectionLost);
-            ends.push((request, if is_lost { lost_end } else { AttemptEnd::Done }));
+            let lost_end = AttemptEnd::AnswerLost(Doubt::ConnectionLost);
+            ends.push((request, if is_lost { lost_end } else { AttemptEnd::Completed }));
         }
         placed = ends.len();
         harness.now_ms += 100;
--- a/crates/samphiredoor-core/tests/dispatch/promises.rs
+++ b/crates/samphiredoor-core/tests/dispatch/promises.rs
@@ -38,13 +38,13 @@
 
 fn end() -> impl Strategy<Value = AttemptEnd> {
     prop_oneof![
-        4 => Just(AttemptEnd::Done),
+        4 => Just(AttemptEnd::Completed),
         1 => Just(AttemptEnd::Failed),
         2 => Just(AttemptEnd::NotSent),
         2 => Just(AttemptEnd::Pushback { retry_after_ms: 200 }),
-        2 => Just(AttemptEnd::Lost(Doubt::ConnectionLost)),
-        1 => Just(AttemptEnd::Lost(Doubt::DeadlinePassed)),
-        1 => Just(AttemptEnd::Cut(Doubt::AnswerCut)),
+        2 => Just(AttemptEnd::AnswerLost(Doubt::ConnectionLost)),
+        1 => Just(AttemptEnd::AnswerLost(Doubt::DeadlinePassed)),
+        1 => Just(AttemptEnd::AnswerTruncated(Doubt::AnswerCut)),
         1 => Just(AttemptEnd::Aborted),
     ]
 }
@@ -156,14 +156,14 @@
             Step::Stray { which, end } => {
                 let request = RequestId(which);
                 if self.requests.get(&request).is_none_or(|it| it.running.is_none()) {
-                    self.handle(Input::Ended { request, end });
+                    self.handle(Input::AttemptEnded { request, end });
                 }
             }
             Step::Gone { which } => self.gone(RequestId(which)),
             Step::Load { target, running } => {
                 let target = Name::from(format!("target-{target}"));
                 self.out_of_work.remove(&target);
-                self.handle(Input::Load { target, running, waiting: 0 });
+                self.handle(Input::LoadReport { target, running, waiting: 0 });
             }
             Step::Unreachable { target } => {
                 let target = Name::from(format!("target-{target}"));
@@ -196,7 +196,7 @@
         self.requests.iter().filter(|(_, it)| it.running.is_some()).map(|(id, _)| *id).collect()
     }
 
-    fn ask(&mut self, ask: samphiredoor_core::dispatch::Ask) {
+    fn ask(&mut self, ask: samphiredoor_core::dispatch::RequestSpec) {
         let known = Known {
             class: Some(ask.class),
             service: ask.service.to_string(),
@@ -205,18 +205,18 @@
             ..Known::default()
         };
         self.requests.insert(ask.request, known);
-        self.handle(Input::Ask(ask));
+        self.handle(Input::Request(ask));
     }
 
     fn end(&mut self, request: RequestId, end: AttemptEnd) {
         let known = self.requests.get_mut(&request).expect("it runs");
         let target = known.running.take().expect("it runs");
-        known.ended |= end.closes();
-        known.doubted |= matches!(end, AttemptEnd::Lost(_));
+        known.ended |= end.is_final();
+        known.doubted |= matches!(end, AttemptEnd::AnswerLost(_));
         if end == AttemptEnd::NotSent {
             self.refuses_until(&target, self.now_ms + 1_000);
         }
-        self.handle(Input::Ended { request, end });
+        self.handle(Input::AttemptEnded { request, end });
         let known = &self.requests[&request];
         let batch_is_final = known.class == Some(Class::Online) || known.ended;
         assert!(batch_is_final, "an item's failed attempt ends it at once");
@@ -227,7 +227,7 @@
             known.running = None;
             known.ended = true;
         }
-        self.handle(Input::Gone { request });
+        self.handle(Input::Cancelled { request });
     }
 
     fn handle(&mut self, input: Input) {
@@ -240,7 +240,7 @@
 
     fn check(&mut self, action: Action) {
         match action {
-            Action::Share { .. } | Action::Demand { .. } => {
+            Action::SlotGrant { .. } | Action::Demand { .. } => {
                 panic!("a door that knows of no other has nobody to tell")
             }
             Action::Dispatch { request, target, .. } => self.check_dispatch(request, &target),
@@ -297,12 +297,12 @@
     /// Ends everything: nothing is left open, and every slot is free.
     fn finish(mut self) {
         while let Some(request) = self.running().first().copied() {
-            self.end(request, AttemptEnd::Done);
+            self.end(request, AttemptEnd::Completed);
         }
         self.now_ms += 10_000;
         self.handle(Input::Tick);
         while let Some(request) = self.running().first().copied() {
-            self.end(request, AttemptEnd::Done);
+            self.end(request, AttemptEnd::Completed);
         }
         for (request, known) in &self.requests {
             let answered = known.ended || known.class == Some(Class::Batch);
--- a/crates/samphiredoor-core/tests/dispatch/routing.rs
+++ b/crates/samphiredoor-core/tests/dispatch/routing.rs
@@ -69,7 +69,7 @@
                 assert!(at.is_some(), "another target is tried at once");
             } else {
                 assert!(target.starts_with("zone"), "the other region is not used");
-                harness.end(request, AttemptEnd::Done);
+                harness.end(request, AttemptEnd::Completed);
             }
         }
     }
@@ -81,7 +81,7 @@
     while harness.gauges().ejected == 0 {
         let (request, target) = harness.online();
         let fails = target.is_some_and(|it| &*it == bad);
-        harness.end(request, if fails { AttemptEnd::Failed } else { AttemptEnd::Done });
+        harness.end(request, if fails { AttemptEnd::Failed } else { AttemptEnd::Completed });
     }
 }
 
@@ -123,9 +123,9 @@
         let (request, target) = harness.ask(|it| it.repeatable = false);
         if sent_to(&target, request).as_ref() == Some(&bad) {
             sent += 1;
-            harness.end(request, AttemptEnd::Lost(Doubt::ConnectionLost));
+            harness.end(request, AttemptEnd::AnswerLost(Doubt::ConnectionLost));
         } else {
-            harness.end(request, AttemptEnd::Done);
+            harness.end(request, AttemptEnd::Completed);
         }
     }
     assert!((3..=10).contains(&sent), "{sent}");
@@ -155,7 +155,7 @@
         for _ in 0..160 {
             let (request, target) = harness.online();
             let fails = target.is_some_and(|it| bad.contains(&&*it));
-            harness.end(request, if fails { AttemptEnd::Failed } else { AttemptEnd::Done });
+            harness.end(request, if fails { AttemptEnd::Failed } else { AttemptEnd::Completed });
         }
     };
     fail_all(&mut harness, &["target-0", "target-1"]);
@@ -212,7 +212,7 @@
         harness.report("target-0", 17);
         for _ in 0..4 {
             let (request, _) = harness.online();
-            harness.end(request, AttemptEnd::Done);
+            harness.end(request, AttemptEnd::Completed);
         }
     }
     assert_eq!(harness.dispatcher.counters().reports_distrusted, 1);
@@ -242,7 +242,7 @@
     for _ in 0..20 {
         let (request, actions) = one_by_one.ask(|it| it.prefix_hash = 42);
         assert_eq!(sent_to(&actions, request), first);
-        one_by_one.end(request, AttemptEnd::Done);
+        one_by_one.end(request, AttemptEnd::Completed);
     }
 }
 
@@ -267,11 +267,13 @@
 fn late_and_duplicated_ends_of_unknown_requests_change_nothing() {
     let mut harness = Harness::new(targets(1, 1));
     let (request, _) = harness.online();
-    harness.end(request, AttemptEnd::Done);
-    for end in [AttemptEnd::Done, AttemptEnd::NotSent, AttemptEnd::Lost(Doubt::AnswerCut)] {
+    harness.end(request, AttemptEnd::Completed);
+    for end in
+        [AttemptEnd::Completed, AttemptEnd::NotSent, AttemptEnd::AnswerLost(Doubt::AnswerCut)]
+    {
         assert!(harness.end(request, end).is_empty());
         assert!(harness.end(RequestId(99), end).is_empty());
-        assert!(harness.handle(Input::Gone { request }).is_empty());
+        assert!(harness.handle(Input::Cancelled { request }).is_empty());
     }
     assert_eq!(harness.gauges().known, 0);
     assert!(harness.online().1.is_some());
--- a/crates/samphiredoor-core/tests/lending/division.rs
+++ b/crates/samphiredoor-core/tests/lending/division.rs
@@ -6,7 +6,9 @@
 };
 use samphiredoor_core::{
     Name,
-    dispatch::lender::{Demand, Lender, LiveDoor, SHARE_TTL_MS, Share, ShareChange, lender_of},
+    dispatch::slot_allocator::{
+        Demand, Lender, LiveGateway, SHARE_TTL_MS, Share, SlotGrant, lender_of,
+    },
 };
 
 const ROOM: u32 = 12;
@@ -31,9 +33,9 @@
     format!("door-{door}").into()
 }
 
-fn deliver(now_ms: u64, lender: &str, changes: &[ShareChange], shares: &mut [Share]) {
+fn deliver(now_ms: u64, lender: &str, changes: &[SlotGrant], shares: &mut [Share]) {
     for change in changes {
-        let door = (0..DOORS).find(|it| name(*it) == change.door).expect("a known door");
+        let door = (0..DOORS).find(|it| name(*it) == change.gateway).expect("a known door");
         shares[door].change(now_ms, &lender.into(), change.slots, change.epoch);
     }
 }
@@ -115,7 +117,7 @@
             }
             lender.divide(now_ms, ROOM, 0, &mut changes);
             // Each door hears the lender that it takes for the right one.
-            changes.retain(|it| (it.door == name(0) || it.door == name(1)) == (index == 0));
+            changes.retain(|it| (it.gateway == name(0) || it.gateway == name(1)) == (index == 0));
             deliver(now_ms, ["first", "second"][index], &changes, &mut shares);
         }
         assert!(in_force(now_ms, &shares) <= 2 * ROOM);
@@ -124,9 +126,9 @@
 
 #[test]
 fn only_the_targets_of_a_door_that_goes_change_their_lender() {
-    let door = |it: usize| LiveDoor { name: name(it), region: "brisbane".into() };
-    let all: Vec<LiveDoor> = (0..9).map(door).collect();
-    let without: Vec<LiveDoor> = (0..8).map(door).collect();
+    let door = |it: usize| LiveGateway { name: name(it), region: "brisbane".into() };
+    let all: Vec<LiveGateway> = (0..9).map(door).collect();
+    let without: Vec<LiveGateway> = (0..8).map(door).collect();
     let mut of_each = [0; 9];
     for target in 0..900 {
         let target = format!("engine-{target}");
@@ -141,7 +143,7 @@
 
 #[test]
 fn a_target_is_lent_by_a_door_of_its_region_if_one_lives() {
-    let door = |name: &str, region: &str| LiveDoor { name: name.into(), region: region.into() };
+    let door = |name: &str, region: &str| LiveGateway { name: name.into(), region: region.into() };
     let doors = [door("a", "brisbane"), door("b", "brisbane"), door("c", "cairns")];
     for target in 0..50 {
         let target = format!("engine-{target}");
--- a/crates/samphiredoor-core/tests/lending/promises.rs
+++ b/crates/samphiredoor-core/tests/lending/promises.rs
@@ -7,7 +7,7 @@
 use samphiredoor_core::{
     dispatch::{
         Action, AttemptEnd, Class, Input, RequestId,
-        lender::{SHARE_TTL_MS, lender_of},
+        slot_allocator::{SHARE_TTL_MS, lender_of},
     },
     verdict::{Refusal, Verdict},
 };
@@ -32,7 +32,7 @@
 
 fn end() -> impl Strategy<Value = AttemptEnd> {
     prop_oneof![
-        4 => Just(AttemptEnd::Done),
+        4 => Just(AttemptEnd::Completed),
         1 => Just(AttemptEnd::Failed),
         1 => Just(AttemptEnd::Aborted),
         1 => Just(AttemptEnd::NotSent),
@@ -88,7 +88,7 @@
         let actions = match *step {
             Step::Online => self.world.online().1,
             Step::Item { job, repeatable } => {
-                let change = |it: &mut samphiredoor_core::dispatch::Ask| {
+                let change = |it: &mut samphiredoor_core::dispatch::RequestSpec| {
                     it.job = format!("job-{job}").into();
                     it.repeatable = repeatable;
                 };
@@ -100,7 +100,7 @@
                 if known.is_empty() {
                     return;
                 }
-                self.world.handle(Input::Gone { request: known[which % known.len()] })
+                self.world.handle(Input::Cancelled { request: known[which % known.len()] })
             }
             Step::Pass { ms } => {
                 for _ in 0..ms.div_ceil(100) {
@@ -113,9 +113,9 @@
                 let target: samphiredoor_core::Name = TARGETS[target].into();
                 self.work += steps;
                 let (steps, tokens) = (self.work, self.work * u64::from(running));
-                let work = Input::Work { target: target.clone(), steps, tokens };
+                let work = Input::ProgressReport { target: target.clone(), steps, tokens };
                 self.world.handle(work);
-                self.world.handle(Input::Load { target, running, waiting: 0 })
+                self.world.handle(Input::LoadReport { target, running, waiting: 0 })
             }
             Step::Reclaim { target, reclaimed } => self.world.reclaim(TARGETS[target], reclaimed),
             Step::Doors { live } => self.change_doors(live),
@@ -137,11 +137,11 @@
         let class = self.world.known[&request].class;
         match (end, class, recalled) {
             (AttemptEnd::Aborted, Class::Batch, true) => {
-                self.world.end(request, AttemptEnd::Yielded)
+                self.world.end(request, AttemptEnd::Preempted)
             }
             // A retry of an online request would make the model follow the tried targets.
             (AttemptEnd::NotSent | AttemptEnd::Aborted, Class::Online, _) => {
-                self.world.end(request, AttemptEnd::Done)
+                self.world.end(request, AttemptEnd::Completed)
             }
             _ => self.world.end(request, end),
         }
@@ -151,8 +151,9 @@
         self.doors = (0..DOORS.len()).filter(|it| doors >> it & 1 == 1).collect();
         let names: Vec<&str> = self.doors.iter().map(|it| DOORS[*it]).collect();
         let was = self.lenders();
-        let actions =
-            self.world.handle(Input::Doors { own_name: OWN_NAME.into(), live: live(&names) });
+        let actions = self
+            .world
+            .handle(Input::LiveGateways { own_name: OWN_NAME.into(), live: live(&names) });
         for (target, (was, is)) in was.into_iter().zip(self.lenders()).enumerate() {
             if was.as_deref() == Some(OWN_NAME) || is.as_deref() == Some(OWN_NAME) {
                 self.shares[target] = None;
@@ -175,9 +176,9 @@
             let until_ms = self.world.now_ms + SHARE_TTL_MS;
             self.shares[target] = Some(Held { lender, slots, epoch, until_ms });
         }
-        self.world.handle(Input::Share {
+        self.world.handle(Input::SlotGrant {
             target: TARGETS[target].into(),
-            lender: DOORS[lender].into(),
+            allocator: DOORS[lender].into(),
             slots,
             epoch,
         })
--- a/crates/samphiredoor-core/tests/lending/situations.rs
+++ b/crates/samphiredoor-core/tests/lending/situations.rs
@@ -4,7 +4,7 @@
 
 use samphiredoor_core::{
     Name,
-    dispatch::{Action, AttemptEnd, Class, Input, RequestId, lender::SHARE_TTL_MS},
+    dispatch::{Action, AttemptEnd, Class, Input, RequestId, slot_allocator::SHARE_TTL_MS},
 };
 
 use crate::world::{LOAN_LIMIT, QUIET_MS, World, dispatched, live, recalled};
@@ -26,7 +26,7 @@
     assert_eq!(recalled(&actions).len(), LOAN_LIMIT as usize);
     assert_eq!(world.lent("engine"), []);
     for request in recalled(&actions) {
-        world.end(request, AttemptEnd::Yielded);
+        world.end(request, AttemptEnd::Preempted);
     }
     assert_eq!(dispatched(&world.pass(5_000)), []);
     world.reclaim("engine", false);
@@ -54,11 +54,11 @@
     let online: Vec<RequestId> = (0..4).map(|_| world.online().0).collect();
     world.pass(200);
     for request in online {
-        world.end(request, AttemptEnd::Done);
+        world.end(request, AttemptEnd::Completed);
     }
     for request in world.known.keys().copied().collect::<Vec<_>>() {
         if world.known[&request].recalled {
-            world.end(request, AttemptEnd::Yielded);
+            world.end(request, AttemptEnd::Preempted);
         }
     }
     world.pass(QUIET_MS + 1_000);
@@ -78,9 +78,9 @@
     let (online, actions) = world.online();
     let lost = recalled(&actions);
     for request in &lost {
-        world.end(*request, AttemptEnd::Yielded);
+        world.end(*request, AttemptEnd::Preempted);
     }
-    world.end(online, AttemptEnd::Done);
+    world.end(online, AttemptEnd::Completed);
     let again = dispatched(&world.pass(QUIET_MS + 1_000));
     let mut expected = lost;
     expected.sort();
@@ -98,7 +98,7 @@
     world.manifest.targets.clear();
     world.handle(Input::Manifest(Arc::new(world.manifest.clone())));
     for request in lost {
-        let actions = world.end(request, AttemptEnd::Yielded);
+        let actions = world.end(request, AttemptEnd::Preempted);
         let refused =
             |it: &Action| matches!(it, Action::Refuse { request: it, .. } if *it == request);
         assert!(actions.iter().any(refused), "{actions:?}");
@@ -112,13 +112,17 @@
     let mut world = World::new(&["engine"]);
     let others: Vec<String> = (1..9).map(|it| format!("door-{it}")).collect();
     let names: Vec<&str> = others.iter().map(String::as_str).collect();
-    world.handle(Input::Doors { own_name: "door-0".into(), live: live(&names) });
+    world.handle(Input::LiveGateways { own_name: "door-0".into(), live: live(&names) });
     world.items(20, "list", "light");
     assert_eq!(dispatched(&world.pass(5_000)), [], "nothing without a share");
     let mut granted = false;
     for lender in &names {
-        let share =
-            Input::Share { target: "engine".into(), lender: (*lender).into(), slots: 2, epoch: 1 };
+        let share = Input::SlotGrant {
+            target: "engine".into(),
+            allocator: (*lender).into(),
+            slots: 2,
+            epoch: 1,
+        };
         granted |= !dispatched(&world.handle(share)).is_empty();
         world.pass(100);
     }
@@ -130,11 +134,11 @@
 #[test]
 fn a_smaller_share_recalls_in_the_same_turn_and_an_older_one_changes_nothing() {
     let mut world = World::new(&["engine"]);
-    world.handle(Input::Doors { own_name: "door-0".into(), live: live(&["door-1"]) });
+    world.handle(Input::LiveGateways { own_name: "door-0".into(), live: live(&["door-1"]) });
     world.items(20, "list", "light");
-    let share = |slots, epoch| Input::Share {
+    let share = |slots, epoch| Input::SlotGrant {
         target: "engine".into(),
-        lender: "door-1".into(),
+        allocator: "door-1".into(),
         slots,
         epoch,
     };
@@ -153,10 +157,11 @@
 #[test]
 fn a_borrower_yields_to_its_own_online_request_in_the_same_turn() {
     let mut world = World::new(&["engine"]);
-    world.handle(Input::Doors { own_name: "door-0".into(), live: live(&["door-1"]) });
+    world.handle(Input::LiveGateways { own_name: "door-0".into(), live: live(&["door-1"]) });
     world.items(20, "list", "light");
     let (slots, epoch) = (3, 1);
-    let share = Input::Share { target: "engine".into(), lender: "door-1".into(), slots, epoch };
+    let share =
+        Input::SlotGrant { target: "engine".into(), allocator: "door-1".into(), slots, epoch };
     world.handle(share);
     world.pass(500);
     assert_eq!(world.lent("engine").len(), 3);
@@ -203,7 +208,7 @@
     world.items(400, "many", "heavy");
     world.items(400, "few", "light");
     world.pass(QUIET_MS);
-    let slot_ms = run(&mut world, 20_000, |_| (200, AttemptEnd::Done));
+    let slot_ms = run(&mut world, 20_000, |_| (200, AttemptEnd::Completed));
     assert_share(&slot_ms, "many", 0.75);
 }
 
@@ -214,8 +219,8 @@
     world.items(400, "short", "light");
     world.pass(QUIET_MS);
     let slot_ms = run(&mut world, 20_000, |job| match job {
-        "long" => (1_000, AttemptEnd::Done),
-        _ => (100, AttemptEnd::Done),
+        "long" => (1_000, AttemptEnd::Completed),
+        _ => (100, AttemptEnd::Completed),
     });
     assert_share(&slot_ms, "long", 0.5);
 }
@@ -230,7 +235,7 @@
     world.pass(QUIET_MS);
     let slot_ms = run(&mut world, 10_000, |job| match job {
         "broken" => (20, AttemptEnd::Failed),
-        _ => (200, AttemptEnd::Done),
+        _ => (200, AttemptEnd::Completed),
     });
     let sheets = slot_ms.get("sheets").copied().unwrap_or(0);
     let broken = slot_ms.get("broken").copied().unwrap_or(0);
@@ -250,7 +255,7 @@
         });
     }
     world.pass(QUIET_MS);
-    let slot_ms = run(&mut world, 5_000, |_| (200, AttemptEnd::Done));
+    let slot_ms = run(&mut world, 5_000, |_| (200, AttemptEnd::Completed));
     assert_eq!(slot_ms.get("later").copied().unwrap_or(0), 0, "{slot_ms:?}");
     assert_share(&slot_ms, "coach", 0.5);
 }
--- a/crates/samphiredoor-core/tests/lending/world.rs
+++ b/crates/samphiredoor-core/tests/lending/world.rs
@@ -5,7 +5,8 @@
 use samphiredoor_core::{
     Name,
     dispatch::{
-        Action, Ask, AttemptEnd, Class, Dispatcher, Input, Location, RequestId, lender::LiveDoor,
+        Action, AttemptEnd, Class, Dispatcher, Input, Location, RequestId, RequestSpec,
+        slot_allocator::LiveGateway,
     },
     manifest::{Lending, Manifest, Service, ServiceKind, Target, Workspace},
     time::Now,
@@ -67,8 +68,8 @@
     }
 }
 
-pub fn live(names: &[&str]) -> Vec<LiveDoor> {
-    let door = |it: &&str| LiveDoor { name: (*it).into(), region: "brisbane".into() };
+pub fn live(names: &[&str]) -> Vec<LiveGateway> {
+    let door = |it: &&str| LiveGateway { name: (*it).into(), region: "brisbane".into() };
     names.iter().map(door).collect()
 }
 
@@ -97,13 +98,13 @@
     /// Hands an event over and keeps the model; returns the actions.
     pub fn handle(&mut self, input: Input) -> Vec<Action> {
         match &input {
-            Input::Ended { request, end: AttemptEnd::Yielded } => {
+            Input::AttemptEnded { request, end: AttemptEnd::Preempted } => {
                 if let Some(known) = self.known.get_mut(request) {
                     known.running = None;
                     known.recalled = false;
                 }
             }
-            Input::Ended { request, .. } | Input::Gone { request } => {
+            Input::AttemptEnded { request, .. } | Input::Cancelled { request } => {
                 self.known.remove(request);
             }
             _ => {}
@@ -133,14 +134,18 @@
             Action::Refuse { request, .. } => {
                 self.known.remove(request);
             }
-            Action::Share { .. } | Action::Demand { .. } => {}
+            Action::SlotGrant { .. } | Action::Demand { .. } => {}
         }
     }
 
-    pub fn ask(&mut self, class: Class, change: impl FnOnce(&mut Ask)) -> (RequestId, Vec<Action>) {
+    pub fn ask(
+        &mut self,
+        class: Class,
+        change: impl FnOnce(&mut RequestSpec),
+    ) -> (RequestId, Vec<Action>) {
         let request = RequestId(self.next);
         self.next += 1;
-        let mut ask = Ask {
+        let mut ask = RequestSpec {
             request,
             class,
             service: "small".into(),
@@ -162,7 +167,7 @@
             recalled: false,
         };
         self.known.insert(request, known);
-        (request, self.handle(Input::Ask(ask)))
+        (request, self.handle(Input::Request(ask)))
     }
 
     pub fn online(&mut self) -> (RequestId, Vec<Action>) {
@@ -189,7 +194,7 @@
     }
 
     pub fn end(&mut self, request: RequestId, end: AttemptEnd) -> Vec<Action> {
-        self.handle(Input::Ended { request, end })
+        self.handle(Input::AttemptEnded { request, end })
     }
 
     pub fn reclaim(&mut self, name: &str, reclaimed: bool) -> Vec<Action> {
--- a/crates/samphiredoor/src/ask.rs
+++ b/crates/samphiredoor/src/ask.rs
@@ -6,7 +6,7 @@
 use hyper::{HeaderMap, Response, Uri, header};
 use samphiredoor_core::{
     Name,
-    dispatch::{Ask, Class, RequestId},
+    dispatch::{Class, RequestId, RequestSpec},
     ledger::service_in_path,
     manifest::ServiceKind,
 };
@@ -67,7 +67,7 @@
     head: &Head,
     uri: &Uri,
     body: &Bytes,
-) -> Result<(Ask, Instant), Response<Body>> {
+) -> Result<(RequestSpec, Instant), Response<Body>> {
     let workspace: Name =
         header_text(headers, WORKSPACE_HEADER).unwrap_or(DEFAULT_WORKSPACE).into();
     let manifest = door.manifest.current();
@@ -81,7 +81,7 @@
         },
     };
     let prefix = &body[..body.len().min(PREFIX_BYTES)];
-    let ask = Ask {
+    let ask = RequestSpec {
         request: door.dispatch.next_request(),
         class: Class::Online,
         service: head.model.as_str().into(),
--- a/crates/samphiredoor/src/dispatch_metrics.rs
+++ b/crates/samphiredoor/src/dispatch_metrics.rs
@@ -82,7 +82,7 @@
         }
         raise(&self.retries_over_budget, counters.retries_over_budget);
         raise(&self.reports_distrusted, counters.reports_distrusted);
-        raise(&self.recalls, counters.recalls);
+        raise(&self.recalls, counters.preemptions);
         raise(&self.bytes_to_other_regions, counters.bytes_to_other_regions);
         self.queued.set(gauges.queued as i64);
         self.waiting_batch.set(gauges.waiting_batch as i64);
--- a/crates/samphiredoor/src/dispatch_task.rs
+++ b/crates/samphiredoor/src/dispatch_task.rs
@@ -12,8 +12,8 @@
 use samphiredoor_core::{
     Name,
     dispatch::{
-        Action, Ask, AttemptEnd, Dispatcher, Input, Location, RequestId, TargetView,
-        lender::ShareChange,
+        Action, AttemptEnd, Dispatcher, Input, Location, RequestId, RequestSpec, TargetView,
+        slot_allocator::SlotGrant,
     },
     manifest::Manifest,
     news::News,
@@ -57,7 +57,7 @@
 }
 
 enum Message {
-    Ask(Ask, flume::Sender<Placement>),
+    Ask(RequestSpec, flume::Sender<Placement>),
     Input(Input),
     TargetsInUse(flume::Sender<Vec<TargetInUse>>),
     TargetViews(flume::Sender<Vec<TargetView>>),
@@ -101,7 +101,7 @@
 
     /// Gives the target no new work for a while.
     pub fn leaving(&self, target: Name) {
-        self.input(Input::ToldLeaving { target, for_ms: TOLD_LEAVING_MS });
+        self.input(Input::ReportedLeaving { target, for_ms: TOLD_LEAVING_MS });
     }
 
     /// New identity for a request.
@@ -112,7 +112,7 @@
     }
 
     /// Asks for a target.
-    pub fn ask(&self, ask: Ask) -> Ticket {
+    pub fn ask(&self, ask: RequestSpec) -> Ticket {
         let (sender, placements) = flume::unbounded();
         let ticket = Ticket {
             request: ask.request,
@@ -180,8 +180,8 @@
         if !std::mem::take(&mut self.at_target) {
             return;
         }
-        self.open &= !end.closes();
-        let input = Input::Ended { request: self.request, end };
+        self.open &= !end.is_final();
+        let input = Input::AttemptEnded { request: self.request, end };
         let _ = self.messages.send(Message::Input(input));
     }
 }
@@ -189,7 +189,7 @@
 impl Drop for Ticket {
     fn drop(&mut self) {
         if self.open {
-            let input = Input::Gone { request: self.request };
+            let input = Input::Cancelled { request: self.request };
             let _ = self.messages.send(Message::Input(input));
         }
     }
@@ -213,7 +213,7 @@
             let input = match inbox.next().await {
                 Next::Message(Message::Ask(ask, reply)) => {
                     self.waiting.insert(ask.request, reply);
-                    Input::Ask(ask)
+                    Input::Request(ask)
                 }
                 Next::Message(Message::Input(input)) => input,
                 Next::Message(Message::TargetViews(reply)) => {
@@ -253,16 +253,16 @@
     }
 
     fn forget_ended(&mut self, input: &Input) {
-        if let Input::Gone { request } | Input::Ended { request, .. } = input
+        if let Input::Cancelled { request } | Input::AttemptEnded { request, .. } = input
             && let Some(recalled) = self.recalled.remove(request)
         {
             self.metrics.recalled(recalled.elapsed().as_secs_f64());
         }
         match input {
-            Input::Gone { request } => {
+            Input::Cancelled { request } => {
                 self.waiting.remove(request);
             }
-            Input::Ended { request, end } if end.closes() => {
+            Input::AttemptEnded { request, end } if end.is_final() => {
                 self.waiting.remove(request);
             }
             _ => {}
@@ -281,12 +281,12 @@
                 (request, Placement::Abort)
             }
             Action::Refuse { request, verdict } => (request, Placement::Refused(verdict)),
-            Action::Share { target, change } => {
-                let ShareChange { door, slots, epoch } = change;
+            Action::SlotGrant { target, grant } => {
+                let SlotGrant { gateway, slots, epoch } = grant;
                 let news = News::Recall { target, batch_slots: slots, epoch };
-                return self.tell(door, news);
+                return self.tell(gateway, news);
             }
-            Action::Demand { lender, load } => return self.tell(lender, News::Need(load)),
+            Action::Demand { allocator, load } => return self.tell(allocator, News::Need(load)),
         };
         let last = matches!(placement, Placement::Refused(_));
         if let Some(reply) = self.waiting.get(&request) {
--- a/crates/samphiredoor/src/item_call.rs
+++ b/crates/samphiredoor/src/item_call.rs
@@ -119,7 +119,7 @@
             let sent = door.targets.send(address, &self.next_call()).await;
             let response = sent.map_err(|err| match err {
                 SendError::NotSent(_) => AttemptEnd::NotSent,
-                SendError::MayHaveRun(_) => AttemptEnd::Lost(Doubt::ConnectionLost),
+                SendError::MayHaveRun(_) => AttemptEnd::AnswerLost(Doubt::ConnectionLost),
             })?;
             if let Some(pushback) = pushback(is_engine, &response) {
                 return Err(pushback);
@@ -133,7 +133,7 @@
                 _ => read_answer(status, response.into_body()).await,
             }
         });
-        exchange.await.unwrap_or(Err(AttemptEnd::Lost(Doubt::DeadlinePassed)))
+        exchange.await.unwrap_or(Err(AttemptEnd::AnswerLost(Doubt::DeadlinePassed)))
     }
 
     /// An attempt that was cut between its last token and the end of its framing has nothing left to ask for.
@@ -184,14 +184,14 @@
 
 async fn read_answer(status: u16, body: Answer) -> Result<ItemEnd, AttemptEnd> {
     let body = read_whole(body, MAX_RESULT_BYTES).await;
-    let body = body.map_err(|_| AttemptEnd::Lost(Doubt::AnswerCut))?;
+    let body = body.map_err(|_| AttemptEnd::AnswerLost(Doubt::AnswerCut))?;
     let text = || Value::String(String::from_utf8_lossy(&body).into_owned());
     let body = serde_json::from_slice(&body).unwrap_or_else(|_| text());
     Ok(ItemEnd::Answered { status, body })
 }
 
 async fn read_events(partial: &RefCell<Partial>, mut body: Answer) -> Result<(), AttemptEnd> {
-    let cut = AttemptEnd::Lost(Doubt::AnswerCut);
+    let cut = AttemptEnd::AnswerLost(Doubt::AnswerCut);
     let mut unread = Vec::new();
     while let Some(frame) = body.frame().await {
         let Ok(data) = frame.map_err(|_| cut)?.into_data() else { continue };
--- a/crates/samphiredoor/src/item_run.rs
+++ b/crates/samphiredoor/src/item_run.rs
@@ -14,7 +14,7 @@
 use hyper::{HeaderMap, Method, header};
 use samphiredoor_core::{
     Name,
-    dispatch::{Ask, AttemptEnd, Class, RequestId},
+    dispatch::{AttemptEnd, Class, RequestId, RequestSpec},
     ledger::{ItemEnd, ItemRef, ItemWork},
     verdict::{Refusal, Verdict},
 };
@@ -58,18 +58,18 @@
                 match attempted {
                     Attempted::Ended(Ok(end)) => {
                         pass.answered();
-                        ticket.ended(AttemptEnd::Done);
+                        ticket.ended(AttemptEnd::Completed);
                         let elapsed_s = started.elapsed().as_secs_f64();
                         door.metrics.ended(Class::Batch, Verdict::Done, elapsed_s);
                         return end;
                     }
                     Attempted::Ended(Err(end)) => {
-                        if matches!(end, AttemptEnd::Lost(reason) if reason.is_loss()) {
+                        if matches!(end, AttemptEnd::AnswerLost(reason) if reason.is_loss()) {
                             pass.lost().await;
                         }
                         ticket.ended(end);
                     }
-                    Attempted::Recalled if call.resumes() => ticket.ended(AttemptEnd::Yielded),
+                    Attempted::Recalled if call.resumes() => ticket.ended(AttemptEnd::Preempted),
                     Attempted::Recalled | Attempted::Stopped => {
                         ticket.ended(AttemptEnd::Aborted);
                         return ItemEnd::NotRun { retry_after_ms: 0 };
@@ -164,9 +164,9 @@
     manifest.services.get(&work.service).is_some_and(|it| it.resumable)
 }
 
-fn ask(door: &Door, work: &ItemWork, request: RequestId, body_bytes: usize) -> Ask {
+fn ask(door: &Door, work: &ItemWork, request: RequestId, body_bytes: usize) -> RequestSpec {
     let path = work.url.split('?').next().unwrap_or_default();
-    Ask {
+    RequestSpec {
         request,
         class: Class::Batch,
         service: Name::clone(&work.service),
--- a/crates/samphiredoor/src/keyed.rs
+++ b/crates/samphiredoor/src/keyed.rs
@@ -10,7 +10,7 @@
 use hyper::{HeaderMap, Response, StatusCode, header};
 use samphiredoor_core::{
     Name,
-    dispatch::{Ask, Class},
+    dispatch::{Class, RequestSpec},
     keys::{Arrival, KeptAnswer, KeyOutcome, MAX_BODY_BYTES, key_id},
     verdict::{Doubt, Refusal, Verdict},
 };
@@ -45,7 +45,7 @@
 }
 
 /// Answers a request under a key.
-pub async fn answer(mut online: Online, mut ask: Ask, key: Name) -> Response<Body> {
+pub async fn answer(mut online: Online, mut ask: RequestSpec, key: Name) -> Response<Body> {
     // A run that outlived the memory of its key could meet a second one.
     let longest = online.door.config.remember_keys / 2;
     online.deadline = online.deadline.min(Instant::now() + longest);
@@ -90,7 +90,7 @@
 }
 
 /// Runs in a task of its own: the caller may go away, the run and its record go on.
-async fn run(online: Online, ask: Ask, ticket: KeyTicket) -> Response<Body> {
+async fn run(online: Online, ask: RequestSpec, ticket: KeyTicket) -> Response<Body> {
     let (sender, receiver) = oneshot::channel();
     compio::runtime::spawn(async move {
         let response = record(online.run(ask).await, ticket);
--- a/crates/samphiredoor/src/lending_task.rs
+++ b/crates/samphiredoor/src/lending_task.rs
@@ -4,7 +4,7 @@
 
 use samphiredoor_core::{
     Name,
-    dispatch::{Input, lender::LiveDoor},
+    dispatch::{Input, slot_allocator::LiveGateway},
     news::News,
 };
 use samphiredoor_net::pool::within;
@@ -30,15 +30,15 @@
 
 /// Lending divides targets among the doors that live; a stopping one is left out, so that its part moves on in time.
 fn tell_live_doors(door: &Door) {
-    let own = LiveDoor { name: door.config.name(), region: Name::clone(&door.config.region) };
+    let own = LiveGateway { name: door.config.name(), region: Name::clone(&door.config.region) };
     let members = door.peers.live();
     let others = members.iter().filter(|it| it.name != own.name);
-    let mut live: Vec<LiveDoor> = others
-        .map(|it| LiveDoor { name: Name::clone(&it.name), region: Name::clone(&it.region) })
+    let mut live: Vec<LiveGateway> = others
+        .map(|it| LiveGateway { name: Name::clone(&it.name), region: Name::clone(&it.region) })
         .collect();
     if !door.stopping.get() {
         live.push(own);
     }
     live.sort_by(|a, b| a.name.cmp(&b.name));
-    door.dispatch.input(Input::Doors { own_name: door.config.name(), live });
+    door.dispatch.input(Input::LiveGateways { own_name: door.config.name(), live });
 }
--- a/crates/samphiredoor/src/load_poll.rs
+++ b/crates/samphiredoor/src/load_poll.rs
@@ -105,8 +105,8 @@
     match report.leaving {
         true => vec![Input::Leaving { target: name() }],
         false => vec![
-            Input::Load { target: name(), running, waiting },
-            Input::Work { target: name(), steps, tokens },
+            Input::LoadReport { target: name(), running, waiting },
+            Input::ProgressReport { target: name(), steps, tokens },
         ],
     }
 }
--- a/crates/samphiredoor/src/news.rs
+++ b/crates/samphiredoor/src/news.rs
@@ -18,11 +18,11 @@
         // The members task handles revisions itself.
         News::Revision(_) => {}
         News::Recall { target, batch_slots, epoch } => {
-            let lender = Name::clone(from);
-            door.dispatch.input(Input::Share { target, lender, slots: batch_slots, epoch });
+            let allocator = Name::clone(from);
+            door.dispatch.input(Input::SlotGrant { target, allocator, slots: batch_slots, epoch });
         }
         News::Need(load) => {
-            door.dispatch.input(Input::Demand { door: Name::clone(from), load });
+            door.dispatch.input(Input::Demand { gateway: Name::clone(from), load });
         }
         News::Suspect { fingerprint, deaths, lifted } => {
             door.quarantine.told(Suspect { fingerprint, deaths, lifted });
--- a/crates/samphiredoor/src/online.rs
+++ b/crates/samphiredoor/src/online.rs
@@ -14,7 +14,7 @@
     http::response,
 };
 use samphiredoor_core::{
-    dispatch::{Ask, AttemptEnd, Class},
+    dispatch::{AttemptEnd, Class, RequestSpec},
     ledger::service_in_path,
     verdict::{Doubt, Refusal, Verdict},
 };
@@ -103,7 +103,7 @@
 impl Online {
     /// Places and sends the request until it has an answer or a verdict. An answer of the door itself has its verdict
     /// in its extensions, a stream its [`StreamEnd`].
-    pub async fn run(mut self, ask: Ask) -> Response<Body> {
+    pub async fn run(mut self, ask: RequestSpec) -> Response<Body> {
         let mut ticket = self.door.dispatch.ask(ask.clone());
         let mut doubt = None;
         loop {
@@ -130,7 +130,7 @@
                     return self.pass_on(*parts, body, first, ticket, pass);
                 }
                 Outcome::Nothing(end) => {
-                    if let AttemptEnd::Lost(reason) = end {
+                    if let AttemptEnd::AnswerLost(reason) = end {
                         doubt.get_or_insert(reason);
                         if reason.is_loss() {
                             // Before another attempt, so that it is not sent to a second target unsuspected.
@@ -151,9 +151,9 @@
             Some(Ok(response)) => response,
             Some(Err(SendError::NotSent(_))) => return Outcome::Nothing(AttemptEnd::NotSent),
             Some(Err(SendError::MayHaveRun(_))) => {
-                return Outcome::Nothing(AttemptEnd::Lost(Doubt::ConnectionLost));
+                return Outcome::Nothing(AttemptEnd::AnswerLost(Doubt::ConnectionLost));
             }
-            None => return Outcome::Nothing(AttemptEnd::Lost(Doubt::DeadlinePassed)),
+            None => return Outcome::Nothing(AttemptEnd::AnswerLost(Doubt::DeadlinePassed)),
         };
         let status = response.status();
         if let Some(pushback) = pushback(self.is_engine, &response) {
@@ -162,10 +162,10 @@
         if self.stream && status.is_success() {
             return self.begin(response).await;
         }
-        let end = if status.is_server_error() { AttemptEnd::Failed } else { AttemptEnd::Done };
+        let end = if status.is_server_error() { AttemptEnd::Failed } else { AttemptEnd::Completed };
         match self.read_answer(response).await {
             Ok(response) => Outcome::Whole(response, end),
-            Err(doubt) => Outcome::Nothing(AttemptEnd::Lost(doubt)),
+            Err(doubt) => Outcome::Nothing(AttemptEnd::AnswerLost(doubt)),
         }
     }
 
@@ -175,11 +175,13 @@
         let (parts, mut body) = response.into_parts();
         match next_piece(&mut body, self.deadline).await {
             Ok(Some(first)) => Outcome::Begun(Box::new(parts), body, first),
-            Ok(None) if self.is_engine => Outcome::Nothing(AttemptEnd::Lost(Doubt::AnswerCut)),
+            Ok(None) if self.is_engine => {
+                Outcome::Nothing(AttemptEnd::AnswerLost(Doubt::AnswerCut))
+            }
             Ok(None) => {
-                Outcome::Whole(Response::from_parts(parts, Body::empty()), AttemptEnd::Done)
+                Outcome::Whole(Response::from_parts(parts, Body::empty()), AttemptEnd::Completed)
             }
-            Err(doubt) => Outcome::Nothing(AttemptEnd::Lost(doubt)),
+            Err(doubt) => Outcome::Nothing(AttemptEnd::AnswerLost(doubt)),
         }
     }
 
--- a/crates/samphiredoor/src/passing.rs
+++ b/crates/samphiredoor/src/passing.rs
@@ -68,7 +68,7 @@
                 if let Some(pass) = this.pass.take() {
                     pass.answered();
                 }
-                this.ticket.ended(AttemptEnd::Done);
+                this.ticket.ended(AttemptEnd::Completed);
                 this.count(Verdict::Done);
                 None
             }
@@ -77,7 +77,7 @@
                 if let Some(pass) = this.pass.take_if(|_| reason.is_loss()) {
                     pass.lost_at_the_end();
                 }
-                this.ticket.ended(AttemptEnd::Cut(reason));
+                this.ticket.ended(AttemptEnd::AnswerTruncated(reason));
                 let verdict = Verdict::MayHaveRun { reason };
                 this.count(verdict);
                 // The caller is told that its answer is cut: an error event, and no `[DONE]` after it.
