--- a/crates/samphiredoor-gateway/src/peers/mates.rs
+++ b/crates/samphiredoor-gateway/src/peers/cell_statuses.rs
@@ -45,11 +45,11 @@
 
 /// Handle to what the gateways of the own cell last told.
 #[derive(Clone, Default)]
-pub struct Mates {
+pub struct CellStatuses {
     state: Rc<RefCell<State>>,
 }
 
-impl Mates {
+impl CellStatuses {
     /// Takes the status of a gateway, be it this one's own.
     pub fn told(&self, status: &Status) {
         let mut state = self.state.borrow_mut();
--- a/crates/samphiredoor-gateway/src/peers/followed.rs
+++ b/crates/samphiredoor-gateway/src/peers/followed.rs
@@ -136,7 +136,7 @@
         let (waiting, changed) = flume::bounded(1);
         of_kind.waiting.retain(|it| !it.is_disconnected());
         of_kind.waiting.push(waiting);
-        let incarnation = self.roster.own().incarnation;
+        let incarnation = self.roster.local().incarnation;
         let by = Source { incarnation, outages: of_kind.outages };
         Some((Told { by, news }, changed))
     }
--- a/crates/samphiredoor-gateway/src/peers/listener.rs
+++ b/crates/samphiredoor-gateway/src/peers/listener.rs
@@ -10,7 +10,7 @@
 use samphiredoor_core::Name;
 
 use super::{
-    Mates, Owner, Owners, Roster,
+    CellStatuses, Owner, Owners, Roster,
     datagram::{Datagram, MAX_BYTES},
     status::Status,
     summary::Summary,
@@ -24,7 +24,7 @@
     /// Other gateways.
     pub roster: Roster,
     /// What the own cell's gateways told.
-    pub mates: Mates,
+    pub cell_statuses: CellStatuses,
     /// Where the loads of others are told.
     pub placer: Placer,
     /// Where the owners of jobs are told.
@@ -69,7 +69,7 @@
                 self.owners.learn(&job.name, owner);
             }
             if self.roster.is_mate(&name) {
-                self.mates.told(&status);
+                self.cell_statuses.told(&status);
             }
         }
         // Also of gateways whose entries were not read yet: a process that has just started would take their places for
--- a/crates/samphiredoor-gateway/src/peers/mod.rs
+++ b/crates/samphiredoor-gateway/src/peers/mod.rs
@@ -4,32 +4,32 @@
 //! gateways of its cell, and to those whose targets it uses; of all others it hears sums, cell by cell. Everything here is
 //! a hint; a datagram that is lost is made good by the next one.
 
+mod cell_statuses;
 mod datagram;
 pub mod followed;
 mod listener;
-mod mates;
 mod owners;
 pub mod registration;
 pub mod relay;
 mod roster;
-mod speaker;
 mod status;
+mod status_sender;
 mod summary;
-mod teller;
+mod summary_sender;
 
 use std::{net::SocketAddr, time::Duration};
 
 use samphiredoor_core::{Name, dispatch::Location};
 
+pub use cell_statuses::CellStatuses;
 pub use followed::Followed;
 pub use listener::Listener;
-pub use mates::Mates;
 pub use owners::{Owner, Owners};
 pub use registration::registered_address;
 pub use roster::{Liveness, Roster};
-pub use speaker::Speaker;
 pub use status::OwnedJob;
-pub use teller::Teller;
+pub use status_sender::StatusSender;
+pub use summary_sender::SummarySender;
 
 /// How long the store may be silent before others are told that this process does not reach it. They may take its jobs
 /// from then on, so it holds its runs back from then on as well.
@@ -37,7 +37,7 @@
 
 /// This process, as others know it.
 #[derive(Debug, Clone)]
-pub struct Own {
+pub struct LocalGateway {
     /// Name.
     pub name: Name,
     /// Which start.
--- a/crates/samphiredoor-gateway/src/peers/registration.rs
+++ b/crates/samphiredoor-gateway/src/peers/registration.rs
@@ -9,7 +9,7 @@
 };
 use serde_json::json;
 
-use super::{Own, Roster};
+use super::{LocalGateway, Roster};
 use crate::{
     edge::{Change, ObjectStore},
     placement::Placer,
@@ -23,7 +23,7 @@
 const REGISTER_PAUSE: Duration = Duration::from_millis(500);
 
 /// Registers this process until the store has it.
-async fn register(own: Own, store: Rc<dyn ObjectStore>, found: Found) {
+async fn register(own: LocalGateway, store: Rc<dyn ObjectStore>, found: Found) {
     let key = ObjectKey::new(Kind::Door, Name::clone(&own.name));
     let value: Value = entry(&own);
     loop {
@@ -49,7 +49,7 @@
     Same,
 }
 
-fn find(own: &Own, all: &[Stored]) -> Found {
+fn find(own: &LocalGateway, all: &[Stored]) -> Found {
     match all.iter().find(|it| it.name == own.name) {
         None => Found::Nothing,
         Some(stored) if read_entry(&stored.value) == read_entry(&entry(own)) => Found::Same,
@@ -77,7 +77,7 @@
     store.call(StoreOp::Update { key, version, labels: Labels::new(), value: value.clone() }).await
 }
 
-fn entry(own: &Own) -> Value {
+fn entry(own: &LocalGateway) -> Value {
     let entry = json!({
         "address": own.address.to_string(),
         "region": &*own.location.region,
@@ -99,9 +99,9 @@
         match follower.next().await {
             Seen::All(all) => {
                 all.iter().for_each(|it| take_entry(&roster, it));
-                let found = find(roster.own(), &all);
+                let found = find(roster.local(), &all);
                 if !std::mem::replace(&mut registering, true) && found != Found::Same {
-                    let register = register(roster.own().clone(), Rc::clone(&store), found);
+                    let register = register(roster.local().clone(), Rc::clone(&store), found);
                     compio::runtime::spawn(register).detach();
                     compio::time::sleep(FOLLOW_PAUSE).await;
                     continue;
--- a/crates/samphiredoor-gateway/src/peers/roster.rs
+++ b/crates/samphiredoor-gateway/src/peers/roster.rs
@@ -16,7 +16,7 @@
     renewal::FleetPlace,
 };
 
-use super::{Own, status::Status, summary::Member};
+use super::{LocalGateway, status::Status, summary::Member};
 use crate::sightings::Sightings;
 
 /// Silence after which a gateway counts as gone. Statuses come at least twice a second and some are lost; jobs of a
@@ -95,7 +95,7 @@
 /// Handle to what is known of other gateways.
 #[derive(Clone)]
 pub struct Roster {
-    own: Rc<Own>,
+    local: Rc<LocalGateway>,
     started: Instant,
     /// When all gateways were first listed.
     listed: Rc<Cell<Option<Instant>>>,
@@ -121,9 +121,9 @@
 
 impl Roster {
     /// Roster without peers.
-    pub fn new(own: Own) -> Roster {
+    pub fn new(local: LocalGateway) -> Roster {
         Roster {
-            own: Rc::new(own),
+            local: Rc::new(local),
             started: Instant::now(),
             listed: Rc::default(),
             peers: Rc::default(),
@@ -135,8 +135,8 @@
     }
 
     /// This process.
-    pub fn own(&self) -> &Own {
-        &self.own
+    pub fn local(&self) -> &LocalGateway {
+        &self.local
     }
 
     /// Newest changes of the store that this process and others have seen.
@@ -151,7 +151,7 @@
 
     /// Takes a gateway's registered address.
     pub fn register(&self, name: Name, address: SocketAddr, location: Location) {
-        if name == self.own.name {
+        if name == self.local.name {
             return;
         }
         self.cells.take();
@@ -194,7 +194,7 @@
         let cells = cells.get_or_insert_with(|| {
             let peers = self.peers.borrow();
             let others = peers.iter().map(|(name, it)| (Name::clone(name), it.location.clone()));
-            let own = (Name::clone(&self.own.name), self.own.location.clone());
+            let own = (Name::clone(&self.local.name), self.local.location.clone());
             let doors = others.chain([own]).collect();
             Rc::new(Cells::new(&doors, &self.targets.borrow()))
         });
@@ -203,7 +203,7 @@
 
     /// Cell of this process.
     pub fn own_cell(&self) -> Option<CellId> {
-        self.cells().cell_of_gateway(&self.own.name)
+        self.cells().cell_of_gateway(&self.local.name)
     }
 
     /// Whether a cell of this name is that of this process.
@@ -234,7 +234,8 @@
         let Some(own) = self.own_cell() else { return Vec::new() };
         let (cells, peers) = (self.cells(), self.peers.borrow());
         let mates = cells.gateways(own).iter().filter_map(|it| peers.get(it));
-        let at = mates.filter(|it| Distance::between(&self.own.location, &it.location) == distance);
+        let at =
+            mates.filter(|it| Distance::between(&self.local.location, &it.location) == distance);
         at.map(|it| it.address).collect()
     }
 
@@ -278,7 +279,7 @@
     fn before(&self, suits: impl Fn(&Peer) -> bool) -> Option<Vec<SocketAddr>> {
         let own = self.own_cell()?;
         let (cells, peers) = (self.cells(), self.peers.borrow());
-        let before = cells.gateways(own).iter().filter(|it| **it < self.own.name);
+        let before = cells.gateways(own).iter().filter(|it| **it < self.local.name);
         let suiting = before.filter_map(|it| peers.get(it)).filter(|it| suits(it));
         Some(suiting.map(|it| it.address).collect())
     }
@@ -387,7 +388,7 @@
         let (mut position, mut processes) = (0, 1);
         for (name, _) in heard {
             processes += 1;
-            position += usize::from(*name < self.own.name);
+            position += usize::from(*name < self.local.name);
         }
         FleetPlace { position, processes }
     }
@@ -412,14 +413,14 @@
         let version = heard.iter().map(|it| it.routes_version).max()?;
         let holders = heard.into_iter().filter(|it| it.routes_version == version).collect();
         let nearest = *self.nearest_first(holders).first()?;
-        let distance = Distance::between(&self.own.location, &nearest.location);
+        let distance = Distance::between(&self.local.location, &nearest.location);
         Some(RoutesHolder { version, address: nearest.address, distance })
     }
 
     /// Number of gateways of the own region that are heard, this one included.
     pub fn heard_in_region(&self) -> usize {
         let peers = self.peers.borrow();
-        let near = |it: &&Peer| it.is_heard() && it.location.region == self.own.location.region;
+        let near = |it: &&Peer| it.is_heard() && it.location.region == self.local.location.region;
         1 + peers.values().filter(near).count()
     }
 
@@ -434,7 +435,7 @@
     /// Peers by their distance, those at one distance in any order.
     fn nearest_first<'a>(&self, mut peers: Vec<&'a Peer>) -> Vec<&'a Peer> {
         peers.shuffle(&mut rand::rng());
-        peers.sort_by_key(|it| Distance::between(&self.own.location, &it.location));
+        peers.sort_by_key(|it| Distance::between(&self.local.location, &it.location));
         peers
     }
 }
--- a/crates/samphiredoor-gateway/src/peers/teller.rs
+++ b/crates/samphiredoor-gateway/src/peers/status_sender.rs
@@ -16,7 +16,7 @@
 use samphiredoor_net::pool::within;
 
 use super::{
-    Mates, Own, Roster, STORE_LOST,
+    CellStatuses, LocalGateway, Roster, STORE_LOST,
     datagram::Datagram,
     listener::send_to_all,
     status::{OwnedJob, Status},
@@ -34,15 +34,15 @@
 const FOREVER: Duration = Duration::from_secs(3_600);
 
 /// Tells other gateways the state of this one.
-pub struct Teller {
+pub struct StatusSender {
     /// This process.
-    pub own: Own,
+    pub local: LocalGateway,
     /// Socket to send from.
     pub socket: Rc<UdpSocket>,
     /// Other gateways.
     pub roster: Roster,
     /// What the own cell's gateways told.
-    pub mates: Mates,
+    pub cell_statuses: CellStatuses,
     /// Routes in force.
     pub routes: Routes,
     /// Whether the store answers.
@@ -107,7 +107,7 @@
     at: Instant,
 }
 
-impl Teller {
+impl StatusSender {
     /// Sends a status for each change of the own loads, and for each job that this process comes to own.
     pub async fn run(self, told: flume::Receiver<Told>, owned: flume::Receiver<OwnedJob>) {
         let mut audiences = [
@@ -136,7 +136,7 @@
                 audience.urgent = false;
                 audience.told_at = Instant::now();
                 let status = self.status(requests.clone(), audience.take_jobs());
-                self.mates.told(&status);
+                self.cell_statuses.told(&status);
                 let to = self.roster.mates_at(audience.distance);
                 send_to_all(&self.socket, Datagram::Status(status).encode(), to).await;
             }
@@ -172,8 +172,8 @@
 
     fn status(&self, requests: GatewayState, jobs: Vec<OwnedJob>) -> Status {
         Status {
-            name: self.own.name.to_string(),
-            incarnation: self.own.incarnation,
+            name: self.local.name.to_string(),
+            incarnation: self.local.incarnation,
             routes_version: self.routes.version(),
             store_reached: !self.health.is_lost_for(STORE_LOST),
             stopping: self.stopping.get(),
--- a/crates/samphiredoor-gateway/src/peers/speaker.rs
+++ b/crates/samphiredoor-gateway/src/peers/summary_sender.rs
@@ -11,22 +11,22 @@
 use compio::net::UdpSocket;
 use samphiredoor_core::placement::{CellId, Distance, summary_interval_ms};
 
-use super::{Mates, Roster, datagram::Datagram, listener::send_to_all};
+use super::{CellStatuses, Roster, datagram::Datagram, listener::send_to_all};
 
 /// How often a process whose fleet is one cell looks whether there are others by now.
 const ALONE_PAUSE: Duration = Duration::from_millis(800);
 
 /// Speaks for the own cell while that is this process's part.
-pub struct Speaker {
+pub struct SummarySender {
     /// Socket to send from.
     pub socket: Rc<UdpSocket>,
     /// Other gateways.
     pub roster: Roster,
     /// What the own cell's gateways told.
-    pub mates: Mates,
+    pub cell_statuses: CellStatuses,
 }
 
-impl Speaker {
+impl SummarySender {
     /// Speaks for as long as the process runs.
     pub async fn run(self) {
         let mut far_told = Instant::now();
@@ -59,14 +59,14 @@
         others.partition(|it| {
             let location = cells.location(*it);
             location.is_some_and(|it| {
-                Distance::between(&self.roster.own().location, it) != Distance::OtherRegion
+                Distance::between(&self.roster.local().location, it) != Distance::OtherRegion
             })
         })
     }
 
     async fn tell(&self, cell: CellId) {
         let Some(address) = self.roster.any_in(cell) else { return };
-        let Some(summary) = self.mates.summary(&self.roster, cell) else { return };
+        let Some(summary) = self.cell_statuses.summary(&self.roster, cell) else { return };
         let bytes = Datagram::Summary(summary).encode();
         send_to_all(&self.socket, bytes, vec![address]).await;
     }
--- a/crates/samphiredoor-gateway/src/process.rs
+++ b/crates/samphiredoor-gateway/src/process.rs
@@ -24,7 +24,10 @@
     jobs::{self, Gaps, JobEnv, Jobs},
     metrics::Metrics,
     mirror::Mirrors,
-    peers::{self, Followed, Mates, Own, Owners, Roster, Speaker, Teller, relay::RoutesRelay},
+    peers::{
+        self, CellStatuses, Followed, LocalGateway, Owners, Roster, StatusSender, SummarySender,
+        relay::RoutesRelay,
+    },
     placement::{PlacementTask, Placer},
     routes::Routes,
     sightings::Sighting,
@@ -125,7 +128,7 @@
     let common = &config.common;
     let clock = Clock::new();
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-    let own = Own {
+    let own = LocalGateway {
         name: common.name.clone(),
         incarnation: since.as_micros() as u64,
         location: common.location.clone(),
@@ -194,31 +197,34 @@
         follow_gateways,
     );
     compio::runtime::spawn(registration).detach();
-    let (owners, mates) = (Owners::default(), Mates::default());
+    let (owners, cell_statuses) = (Owners::default(), CellStatuses::default());
     let listener = peers::Listener {
         socket: Rc::clone(&socket),
         roster: roster.clone(),
-        mates: mates.clone(),
+        cell_statuses: cell_statuses.clone(),
         placer: placer.clone(),
         owners: owners.clone(),
         health: health.clone(),
         metrics: Rc::clone(&metrics),
     };
     compio::runtime::spawn(listener.run()).detach();
-    let speaker =
-        Speaker { socket: Rc::clone(&socket), roster: roster.clone(), mates: mates.clone() };
-    compio::runtime::spawn(speaker.run()).detach();
+    let summary_sender = SummarySender {
+        socket: Rc::clone(&socket),
+        roster: roster.clone(),
+        cell_statuses: cell_statuses.clone(),
+    };
+    compio::runtime::spawn(summary_sender.run()).detach();
     let (owned, tell_owned) = flume::unbounded();
-    let teller = Teller {
-        own: own.clone(),
+    let status_sender = StatusSender {
+        local: own.clone(),
         socket,
         roster: roster.clone(),
-        mates,
+        cell_statuses,
         routes: routes.clone(),
         health: health.clone(),
         stopping: Rc::clone(&stopping),
     };
-    compio::runtime::spawn(teller.run(tell, tell_owned)).detach();
+    compio::runtime::spawn(status_sender.run(tell, tell_owned)).detach();
 
     let gaps = Gaps::new(clock, roster.clone(), health.clone());
     let env = JobEnv {
