--- a/crates/samphiredoor-core/src/watch_cache.rs
+++ b/crates/samphiredoor-core/src/watch_cache.rs
@@ -16,18 +16,18 @@
 
 /// What is told to a process that watches.
 #[derive(Debug, Clone, PartialEq)]
-pub enum News {
+pub enum Delta {
     /// Nothing that it does not know.
     None,
     /// Objects that were touched, as they stand; `None` for those that are gone.
-    Touched {
+    Changed {
         /// The objects, by name.
         objects: BTreeMap<Name, Option<Stored>>,
         /// Version up to which that is so.
         version: Version,
     },
     /// All objects, as its version is older than what is remembered.
-    All {
+    Snapshot {
         /// The objects, in order of their names.
         objects: Vec<Stored>,
         /// Version at which they stood so.
@@ -78,20 +78,20 @@
     }
 
     /// What a process does not know that knows everything up to a version, or nothing yet.
-    pub fn since(&self, since: Option<Version>) -> News {
-        let Some(version) = self.version else { return News::None };
+    pub fn since(&self, since: Option<Version>) -> Delta {
+        let Some(version) = self.version else { return Delta::None };
         match since {
-            Some(since) if since >= version => News::None,
+            Some(since) if since >= version => Delta::None,
             Some(since) if since >= self.floor => self.touched_since(since, version),
-            _ => News::All { objects: self.objects.values().cloned().collect(), version },
+            _ => Delta::Snapshot { objects: self.objects.values().cloned().collect(), version },
         }
     }
 
-    fn touched_since(&self, since: Version, version: Version) -> News {
+    fn touched_since(&self, since: Version, version: Version) -> Delta {
         let names = self.touched.iter().filter(|(touched, _)| *touched > since);
         let objects: BTreeMap<Name, Option<Stored>> =
             names.map(|(_, name)| (Name::clone(name), self.objects.get(name).cloned())).collect();
-        if objects.is_empty() { News::None } else { News::Touched { objects, version } }
+        if objects.is_empty() { Delta::None } else { Delta::Changed { objects, version } }
     }
 
     fn touch(&mut self, version: Version, name: Name) {
--- a/crates/samphiredoor-core/tests/watch_cache.rs
+++ b/crates/samphiredoor-core/tests/watch_cache.rs
@@ -9,7 +9,7 @@
 use samphiredoor_core::{
     Name,
     store::{Labels, Stored, Version},
-    watch_cache::{News, WatchCache},
+    watch_cache::{Delta, WatchCache},
 };
 
 const SEED: [u8; 32] = *b"samphiredoor-watch-cache-seed-xx";
@@ -73,15 +73,15 @@
 }
 
 impl Reader {
-    fn take(&mut self, news: News) {
+    fn take(&mut self, news: Delta) {
         let version = match news {
-            News::None => return,
-            News::All { objects, version } => {
+            Delta::None => return,
+            Delta::Snapshot { objects, version } => {
                 let all = objects.into_iter().map(|it| (it.name, it.version.0));
                 self.objects = all.collect();
                 version
             }
-            News::Touched { objects, version } => {
+            Delta::Changed { objects, version } => {
                 for (name, state) in objects {
                     match state {
                         Some(stored) => self.objects.insert(name, stored.version.0),
@@ -146,7 +146,7 @@
             Step::Relayed(reader) => {
                 let reader = &mut readers[reader];
                 let news = cache.since(reader.version);
-                let led = news != News::None;
+                let led = news != Delta::None;
                 reader.take(news);
                 if led {
                     assert_eq!(reader.version, cached.map(Version));
--- a/crates/samphiredoor-gateway/src/peers/mod.rs
+++ b/crates/samphiredoor-gateway/src/peers/mod.rs
@@ -6,23 +6,22 @@
 
 mod cell_statuses;
 mod datagram;
-pub mod followed;
 mod listener;
 mod owners;
 pub mod registration;
-pub mod relay;
 mod roster;
+pub mod routes_relay;
 mod status;
 mod status_sender;
 mod summary;
 mod summary_sender;
+pub mod watch_relay;
 
 use std::{net::SocketAddr, time::Duration};
 
 use samphiredoor_core::{Name, dispatch::Location};
 
 pub use cell_statuses::CellStatuses;
-pub use followed::Followed;
 pub use listener::Listener;
 pub use owners::{Owner, Owners};
 pub use registration::registered_address;
@@ -30,6 +29,7 @@
 pub use status::OwnedJob;
 pub use status_sender::StatusSender;
 pub use summary_sender::SummarySender;
+pub use watch_relay::WatchRelay;
 
 /// How long the store may be silent before others are told that this process does not reach it. They may take its jobs
 /// from then on, so it holds its runs back from then on as well.
--- a/crates/samphiredoor-gateway/src/peers/roster.rs
+++ b/crates/samphiredoor-gateway/src/peers/roster.rs
@@ -266,7 +266,7 @@
     /// Address of the gateway that follows the store for the own cell, if it is another one: the first one does that is
     /// heard and reaches the store. A process that has just started takes for heard whom it has not heard yet. `None` where
     /// the whole fleet is one cell.
-    pub fn follower(&self) -> Option<SocketAddr> {
+    pub fn watch_relay_address(&self) -> Option<SocketAddr> {
         if self.cells().len() < 2 {
             return None;
         }
--- a/crates/samphiredoor-gateway/src/peers/followed.rs
+++ b/crates/samphiredoor-gateway/src/peers/watch_relay.rs
@@ -17,7 +17,7 @@
 use samphiredoor_core::{
     Name,
     store::{Kind, Labels, Stored, Version},
-    watch_cache::{News, WatchCache},
+    watch_cache::{Delta, WatchCache},
 };
 use samphiredoor_net::{Body, Pool, fetch::FetchLimits, pool::within};
 use samphiredoor_schema::peer_capnp::followed_news;
@@ -26,7 +26,7 @@
 use crate::{edge::Change, front::plain};
 
 /// Beginning of the paths of the calls.
-pub const ROOT: &str = "/followed/";
+pub const PATH_PREFIX: &str = "/followed/";
 /// Longest wait for a connection within an availability zone.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(100);
 /// Time beyond the wait within which the other gateway begins to answer.
@@ -39,7 +39,7 @@
 
 /// Which start of a gateway told something, and how often it had missed the store by then.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Source {
+pub struct RelayEpoch {
     /// Which start of it.
     pub incarnation: u64,
     /// How often it has missed the store.
@@ -48,11 +48,11 @@
 
 /// What another gateway has seen.
 #[derive(Debug)]
-pub struct Told {
+pub struct RelayedChanges {
     /// Who told it.
-    pub by: Source,
+    pub epoch: RelayEpoch,
     /// What is new.
-    pub news: News,
+    pub delta: Delta,
 }
 
 #[derive(Default)]
@@ -64,25 +64,25 @@
 
 /// Handle to what this process has seen of the kinds that it follows.
 #[derive(Clone)]
-pub struct Followed {
+pub struct WatchRelay {
     roster: Roster,
     kinds: Rc<RefCell<BTreeMap<&'static str, OfKind>>>,
     pools: Rc<RefCell<HashMap<SocketAddr, Pool>>>,
 }
 
-impl Followed {
+impl WatchRelay {
     /// Handle of a process that has seen nothing yet.
-    pub fn new(roster: Roster) -> Followed {
-        Followed { roster, kinds: Rc::default(), pools: Rc::default() }
+    pub fn new(roster: Roster) -> WatchRelay {
+        WatchRelay { roster, kinds: Rc::default(), pools: Rc::default() }
     }
 
     /// Takes a list of all objects of a kind.
-    pub fn listed(&self, kind: Kind, all: &[Stored], version: Version) {
+    pub fn record_list(&self, kind: Kind, all: &[Stored], version: Version) {
         self.update(kind, |it| it.cache.listed(all, version));
     }
 
     /// Takes changes of a kind, up to a version.
-    pub fn changed(&self, kind: Kind, changes: &[Change], version: Version) {
+    pub fn record_changes(&self, kind: Kind, changes: &[Change], version: Version) {
         self.update(kind, |it| {
             for change in changes {
                 match change {
@@ -95,7 +95,7 @@
     }
 
     /// Notes that the store answers again.
-    pub fn regained(&self, kind: Kind) {
+    pub fn record_store_outage(&self, kind: Kind) {
         self.kinds.borrow_mut().entry(kind.path()).or_default().outages += 1;
     }
 
@@ -120,7 +120,7 @@
                 return plain(StatusCode::NOT_FOUND, "this kind is not followed here");
             };
             let left = until.saturating_duration_since(Instant::now());
-            if told.news != News::None || left.is_zero() {
+            if told.delta != Delta::None || left.is_zero() {
                 return Response::new(Body::full(encode(&told)));
             }
             // Whether something has changed or the time is over, the next look tells.
@@ -129,21 +129,21 @@
     }
 
     /// What is new for a call, and a channel on which the next change is told.
-    fn told(&self, call: &Call) -> Option<(Told, flume::Receiver<()>)> {
+    fn told(&self, call: &Call) -> Option<(RelayedChanges, flume::Receiver<()>)> {
         let mut kinds = self.kinds.borrow_mut();
         let of_kind = kinds.get_mut(&*call.kind)?;
-        let news = of_kind.cache.since(call.since);
+        let delta = of_kind.cache.since(call.since);
         let (waiting, changed) = flume::bounded(1);
         of_kind.waiting.retain(|it| !it.is_disconnected());
         of_kind.waiting.push(waiting);
         let incarnation = self.roster.local().incarnation;
-        let by = Source { incarnation, outages: of_kind.outages };
-        Some((Told { by, news }, changed))
+        let epoch = RelayEpoch { incarnation, outages: of_kind.outages };
+        Some((RelayedChanges { epoch, delta }, changed))
     }
 
     /// Where the gateway is met that follows the store for this one, if it is another one.
-    pub fn follower(&self) -> Option<SocketAddr> {
-        self.roster.follower()
+    pub fn relay_address(&self) -> Option<SocketAddr> {
+        self.roster.watch_relay_address()
     }
 
     /// Waits for changes of a kind after a version, as another gateway sees them; `None` if it does not tell.
@@ -153,9 +153,10 @@
         kind: Kind,
         since: Version,
         wait: Duration,
-    ) -> Option<Told> {
+    ) -> Option<RelayedChanges> {
         let pool = self.pool(at);
-        let path = format!("{ROOT}{}?since={}&wait_ms={}", kind.path(), since.0, wait.as_millis());
+        let path =
+            format!("{PATH_PREFIX}{}?since={}&wait_ms={}", kind.path(), since.0, wait.as_millis());
         let request =
             Request::get(path).header(header::HOST, "gateway").body(Body::empty()).ok()?;
         exchange(&pool, request, wait + MARGIN).await
@@ -179,7 +180,7 @@
 
 impl Call {
     fn parse(uri: &Uri) -> Option<Call> {
-        let kind = uri.path().strip_prefix(ROOT)?.to_owned();
+        let kind = uri.path().strip_prefix(PATH_PREFIX)?.to_owned();
         let query = uri.query()?;
         let number = |key: &str| {
             let pairs = query.split('&').filter_map(|it| it.split_once('='));
@@ -190,7 +191,7 @@
     }
 }
 
-async fn exchange(pool: &Pool, request: Request<Body>, head: Duration) -> Option<Told> {
+async fn exchange(pool: &Pool, request: Request<Body>, head: Duration) -> Option<RelayedChanges> {
     let limits = FetchLimits::new(SILENCE, MAX_BYTES).with_head(head);
     let fetched = pool.fetch(request, limits).await.ok()?;
     if fetched.status != StatusCode::OK {
@@ -205,17 +206,17 @@
     }
 }
 
-fn encode(told: &Told) -> Vec<u8> {
+fn encode(told: &RelayedChanges) -> Vec<u8> {
     let mut message = message::Builder::new_default();
     let mut root = message.init_root::<followed_news::Builder<'_>>();
-    root.set_incarnation(told.by.incarnation);
-    root.set_outages(told.by.outages);
-    let (objects, version, is_whole): (Vec<(&Name, Option<&Stored>)>, _, _) = match &told.news {
-        News::None => (Vec::new(), Version::default(), false),
-        News::Touched { objects, version } => {
+    root.set_incarnation(told.epoch.incarnation);
+    root.set_outages(told.epoch.outages);
+    let (objects, version, is_whole): (Vec<(&Name, Option<&Stored>)>, _, _) = match &told.delta {
+        Delta::None => (Vec::new(), Version::default(), false),
+        Delta::Changed { objects, version } => {
             (objects.iter().map(|(name, it)| (name, it.as_ref())).collect(), *version, false)
         }
-        News::All { objects, version } => {
+        Delta::Snapshot { objects, version } => {
             (objects.iter().map(|it| (&it.name, Some(it))).collect(), *version, true)
         }
     };
@@ -237,11 +238,11 @@
     bytes
 }
 
-fn decode(bytes: &[u8]) -> capnp::Result<Told> {
+fn decode(bytes: &[u8]) -> capnp::Result<RelayedChanges> {
     let options = message::ReaderOptions::new();
     let message = serialize_packed::read_message(bytes, options)?;
     let root = message.get_root::<followed_news::Reader<'_>>()?;
-    let by = Source { incarnation: root.get_incarnation(), outages: root.get_outages() };
+    let epoch = RelayEpoch { incarnation: root.get_incarnation(), outages: root.get_outages() };
     let version = Version(root.get_version());
     let mut objects: BTreeMap<Name, Option<Stored>> = BTreeMap::new();
     for object in root.get_objects()? {
@@ -254,10 +255,10 @@
         };
         objects.insert(name, (!object.get_is_gone()).then_some(stored));
     }
-    let news = match root.get_is_whole() {
-        true => News::All { objects: objects.into_values().flatten().collect(), version },
-        false if objects.is_empty() => News::None,
-        false => News::Touched { objects, version },
+    let delta = match root.get_is_whole() {
+        true => Delta::Snapshot { objects: objects.into_values().flatten().collect(), version },
+        false if objects.is_empty() => Delta::None,
+        false => Delta::Changed { objects, version },
     };
-    Ok(Told { by, news })
+    Ok(RelayedChanges { epoch, delta })
 }
--- a/crates/samphiredoor-gateway/src/process.rs
+++ b/crates/samphiredoor-gateway/src/process.rs
@@ -25,8 +25,8 @@
     metrics::Metrics,
     mirror::Mirrors,
     peers::{
-        self, CellStatuses, Followed, LocalGateway, Owners, Roster, StatusSender, SummarySender,
-        relay::RoutesRelay,
+        self, CellStatuses, LocalGateway, Owners, Roster, StatusSender, SummarySender, WatchRelay,
+        routes_relay::RoutesRelay,
     },
     placement::{PlacementTask, Placer},
     routes::Routes,
@@ -68,7 +68,7 @@
     jobs: Jobs,
     metrics: Rc<Metrics>,
     routes: Routes,
-    followed: Followed,
+    watch_relay: WatchRelay,
     targets_known: Rc<Cell<Option<usize>>>,
     stopping: Rc<Cell<bool>>,
 }
@@ -146,7 +146,7 @@
     let client = TargetClient::new(platform.dialect.headers().request_id.clone());
     let targets_known = Rc::new(Cell::new(None));
     let mirrors = Mirrors::new(&common.mirrors);
-    let followed = Followed::new(roster.clone());
+    let watch_relay = WatchRelay::new(roster.clone());
     let follow = |kind, within, sighting: &Sighting| {
         let fleet = Fleet::new(roster.clone(), within, sighting.clone());
         Follower::new(Rc::clone(&platform.store), kind, common.watch)
@@ -154,7 +154,7 @@
             .with_mirrors(mirrors.clone())
             .with_health(health.clone())
             .with_fleet(fleet)
-            .with_followed(followed.clone(), within)
+            .with_watch_relay(watch_relay.clone(), within)
     };
     let sightings = roster.sightings();
 
@@ -170,8 +170,12 @@
     let (relayed, relay) = flume::unbounded();
     compio::runtime::spawn(Rc::clone(&routes_task).run_relay(relay)).detach();
     compio::runtime::spawn(routes_task.run(follow_routes)).detach();
-    let asking =
-        peers::relay::run(roster.clone(), routes.clone(), Rc::clone(&platform.store), relayed);
+    let asking = peers::routes_relay::run(
+        roster.clone(),
+        routes.clone(),
+        Rc::clone(&platform.store),
+        relayed,
+    );
     compio::runtime::spawn(asking).detach();
     let targets_task = TargetsTask {
         platform: platform.clone(),
@@ -255,7 +259,7 @@
         clock,
         open: Rc::default(),
     };
-    Parts { front: Rc::new(front), jobs, metrics, routes, followed, targets_known, stopping }
+    Parts { front: Rc::new(front), jobs, metrics, routes, watch_relay, targets_known, stopping }
 }
 
 async fn serve_side(
@@ -277,16 +281,16 @@
         async move { ready.answer(&request) }
     };
     compio::runtime::spawn(readiness.run(answer_readiness)).detach();
-    let (front, followed) = (Rc::clone(&parts.front), parts.followed.clone());
+    let (front, watch_relay) = (Rc::clone(&parts.front), parts.watch_relay.clone());
     let relay = RoutesRelay::new(parts.routes.clone());
     let answer_peers = move |request: Request<Incoming>| {
-        let (front, relay, followed) = (Rc::clone(&front), relay.clone(), followed.clone());
+        let (front, relay, watch_relay) = (Rc::clone(&front), relay.clone(), watch_relay.clone());
         async move {
             let jobs = &front.jobs;
             match request.uri().path() {
-                peers::relay::PATH => relay.answer(),
-                path if path.starts_with(peers::followed::ROOT) => {
-                    followed.answer(request.uri()).await
+                peers::routes_relay::PATH => relay.answer(),
+                path if path.starts_with(peers::watch_relay::PATH_PREFIX) => {
+                    watch_relay.answer(request.uri()).await
                 }
                 path if path.starts_with(jobs::pass_on::ROOT) => {
                     front::passed_on(Rc::clone(&front), request).await
--- a/crates/samphiredoor-gateway/src/watch.rs
+++ b/crates/samphiredoor-gateway/src/watch.rs
@@ -19,7 +19,7 @@
 use samphiredoor_core::{
     Name,
     store::{Kind, Stored, Version},
-    watch_cache::News,
+    watch_cache::Delta,
 };
 use samphiredoor_net::pool::within;
 
@@ -29,8 +29,8 @@
     metrics::Metrics,
     mirror::Mirrors,
     peers::{
-        Followed,
-        followed::{self, Told},
+        WatchRelay,
+        watch_relay::{self, RelayedChanges},
     },
     store_health::StoreHealth,
 };
@@ -116,12 +116,12 @@
     /// Whether the last watch was given up because another process is ahead.
     behind: bool,
     /// What this process has seen, and the one through which it may watch.
-    followed: Option<Followed>,
+    watch_relay: Option<WatchRelay>,
     relayed_wait: Duration,
     /// Process that was last watched through.
     relay: Option<SocketAddr>,
     /// Who told the last changes that came through another process.
-    told_by: Option<followed::Source>,
+    told_by: Option<watch_relay::RelayEpoch>,
     /// Whether that one has missed the store since, or is another one.
     relay_regained: bool,
     /// Whether the process that was to be watched through has just not answered.
@@ -150,7 +150,7 @@
             health: None,
             fleet: None,
             behind: false,
-            followed: None,
+            watch_relay: None,
             relayed_wait: Duration::ZERO,
             relay: None,
             told_by: None,
@@ -197,8 +197,8 @@
 
     /// Has the follower watch through the process that follows the store for its cell, and keep what it sees for others. A
     /// change has to be in force `within` some time.
-    pub fn with_followed(mut self, followed: Followed, within: Duration) -> Follower {
-        self.followed = Some(followed);
+    pub fn with_watch_relay(mut self, watch_relay: WatchRelay, within: Duration) -> Follower {
+        self.watch_relay = Some(watch_relay);
         self.relayed_wait = within.mul_f64(RELAYED_PART);
         self
     }
@@ -395,13 +395,13 @@
         if self.failures > 0 || self.behind {
             return Relayed::Not;
         }
-        let Some(followed) = self.followed.clone() else { return Relayed::Not };
-        let Some(address) = followed.follower() else { return Relayed::Not };
+        let Some(watch_relay) = self.watch_relay.clone() else { return Relayed::Not };
+        let Some(address) = watch_relay.relay_address() else { return Relayed::Not };
         if self.relay.replace(address) != Some(address) {
             log::info!(kind = self.kind.path(), peer:% = address; "store: followed through another gateway");
         }
         let (asked, wait) = (Instant::now(), self.relayed_wait);
-        let watch = followed.watch(address, self.kind, since, wait);
+        let watch = watch_relay.watch(address, self.kind, since, wait);
         match self.until_doubted(since, watch).await {
             Ok(Some(told)) => Relayed::Seen(self.take_told(told)),
             Ok(None) => {
@@ -417,12 +417,12 @@
     }
 
     /// Takes what another process has seen. One that has missed the store meanwhile may tell of entries that have lapsed.
-    fn take_told(&mut self, told: Told) -> Seen {
-        let before = self.told_by.replace(told.by);
-        self.relay_regained = before.is_some_and(|it| it != told.by);
-        match told.news {
-            News::None => Seen::Changes(Vec::new()),
-            News::Touched { objects, version } => {
+    fn take_told(&mut self, told: RelayedChanges) -> Seen {
+        let before = self.told_by.replace(told.epoch);
+        self.relay_regained = before.is_some_and(|it| it != told.epoch);
+        match told.delta {
+            Delta::None => Seen::Changes(Vec::new()),
+            Delta::Changed { objects, version } => {
                 let changes = objects.into_iter().map(|(name, stored)| match stored {
                     Some(stored) => Change::Written(stored),
                     None => Change::Deleted(name),
@@ -431,7 +431,7 @@
                 self.note_changes(&changes, version);
                 Seen::Changes(changes)
             }
-            News::All { objects, version } => {
+            Delta::Snapshot { objects, version } => {
                 self.note_listed(&objects, version);
                 self.since = Some(version);
                 Seen::All(objects)
@@ -443,9 +443,9 @@
         if let Some(fleet) = &self.fleet {
             fleet.listed(all);
         }
-        if let Some(followed) = &self.followed {
-            self.note_regained(followed);
-            followed.listed(self.kind, all, version);
+        if let Some(watch_relay) = &self.watch_relay {
+            self.note_regained(watch_relay);
+            watch_relay.record_list(self.kind, all, version);
         }
     }
 
@@ -454,16 +454,16 @@
         if let Some(fleet) = &self.fleet {
             fleet.watched(changes, version);
         }
-        if let Some(followed) = &self.followed {
-            self.note_regained(followed);
-            followed.changed(self.kind, changes, version);
+        if let Some(watch_relay) = &self.watch_relay {
+            self.note_regained(watch_relay);
+            watch_relay.record_changes(self.kind, changes, version);
         }
     }
 
     /// Those that watch through this process have to know that it had missed the store, before they see what has lapsed.
-    fn note_regained(&self, followed: &Followed) {
+    fn note_regained(&self, watch_relay: &WatchRelay) {
         if self.failures > 0 || self.behind || self.relay_regained {
-            followed.regained(self.kind);
+            watch_relay.record_store_outage(self.kind);
         }
     }
 
