--- a/crates/samphiredoor-gateway/src/discovery.rs
+++ b/crates/samphiredoor-gateway/src/discovery.rs
@@ -145,9 +145,9 @@
         self.known.set(Some(targets.len()));
         let names: HashSet<Name> = table.entries.keys().cloned().collect();
         self.client.keep_only(&names);
-        self.roster.targets(targets.iter());
+        self.roster.set_targets(targets.iter());
         self.placer.targets(targets);
-        self.placer.own_targets(self.roster.own_targets());
+        self.placer.own_targets(self.roster.own_cell_targets());
     }
 }
 
--- a/crates/samphiredoor-gateway/src/fleet.rs
+++ b/crates/samphiredoor-gateway/src/fleet.rs
@@ -35,7 +35,7 @@
 
     /// How long the next watch waits for a change.
     pub fn wait(&self) -> Duration {
-        self.renewal.wait(self.roster.place(), self.last.get())
+        self.renewal.wait(self.roster.fleet_position(), self.last.get())
     }
 
     /// Notes what a list told.
--- a/crates/samphiredoor-gateway/src/jobs/gaps.rs
+++ b/crates/samphiredoor-gateway/src/jobs/gaps.rs
@@ -100,7 +100,7 @@
     fn look_at_peers(&self) {
         let state = &self.state;
         let is_over = |at: Instant| at.elapsed() >= CUT_OFF_PAUSE;
-        match (state.roster.is_cut_off(), state.cut_off.get()) {
+        match (state.roster.is_isolated(), state.cut_off.get()) {
             (true, None) if state.has_heard_most.get() => self.note_cut_off(Some(Instant::now())),
             (true, Some(at)) if is_over(at) => self.note_cut_off(Some(Instant::now())),
             (true, _) => {}
--- a/crates/samphiredoor-gateway/src/jobs/job_task/results.rs
+++ b/crates/samphiredoor-gateway/src/jobs/job_task/results.rs
@@ -134,7 +134,7 @@
     /// that have seen its results there must find them here. A process that does not hear most others may itself be such
     /// a former owner.
     pub(super) fn may_have_others(&self) -> bool {
-        self.displaced || self.has_former() || !self.env.roster.hears_most()
+        self.displaced || self.has_former() || !self.env.roster.at_least_half_live()
     }
 
     /// Whether a former owner may still append. One that has started anew does not, but for a last write that may take
--- a/crates/samphiredoor-gateway/src/jobs/mod.rs
+++ b/crates/samphiredoor-gateway/src/jobs/mod.rs
@@ -33,7 +33,7 @@
 use crate::{
     edge::Platform,
     metrics::Metrics,
-    peers::{OwnedJob, Owners, Roster, STORE_LOST},
+    peers::{JobOwners, OwnedJob, Roster, STORE_LOST_AFTER},
     placement::Placer,
     routes::Routes,
     store_health::StoreHealth,
@@ -66,7 +66,7 @@
     /// Other gateways.
     pub roster: Roster,
     /// Owners of jobs, as others tell.
-    pub owners: Owners,
+    pub owners: JobOwners,
     /// Whether the store answers this process.
     pub health: StoreHealth,
     /// Times in which others may have taken this process for gone.
@@ -94,7 +94,7 @@
 
     /// Whether the store answers others, and not this process, so that they take its jobs.
     fn is_displaced(&self) -> bool {
-        self.health.is_lost_for(STORE_LOST) && self.health.is_alone()
+        self.health.is_lost_for(STORE_LOST_AFTER) && self.health.is_alone()
     }
 
     /// Tells others that this process owns a job.
--- a/crates/samphiredoor-gateway/src/jobs/pass_on.rs
+++ b/crates/samphiredoor-gateway/src/jobs/pass_on.rs
@@ -31,7 +31,7 @@
 
 /// Has another gateway accept a submission.
 pub async fn pass_on(env: &JobEnv, submitted: &Submitted) -> SubmissionEnd {
-    let takers = env.roster.takers();
+    let takers = env.roster.takeover_candidates();
     for address in takers.into_iter().take(TRIES) {
         let pool = Pool::new(address).with_connect_timeout(CONNECT_TIMEOUT);
         let end = match within(TIMEOUT, send(env, &pool, submitted)).await {
--- a/crates/samphiredoor-gateway/src/jobs/reads.rs
+++ b/crates/samphiredoor-gateway/src/jobs/reads.rs
@@ -31,7 +31,7 @@
 use crate::{
     edge::{JobCall, ResultsPage},
     front::{plain, refused},
-    peers::{Liveness, Owner, STORE_LOST, registered_address},
+    peers::{Liveness, Owner, STORE_LOST_AFTER, registered_address},
 };
 
 /// Longest wait for a result, whatever the caller asks for.
@@ -122,7 +122,7 @@
             }
             PeerCall::Works { incarnation } => {
                 match incarnation == self.env.incarnation
-                    && !self.env.health.is_lost_for(STORE_LOST)
+                    && !self.env.health.is_lost_for(STORE_LOST_AFTER)
                 {
                     true => plain(StatusCode::OK, "works"),
                     false => plain(StatusCode::NOT_FOUND, "does not work"),
@@ -282,9 +282,9 @@
     fn is_gone(&self, owner: &Owner) -> bool {
         let (process, incarnation) = (&*owner.process, owner.incarnation);
         let roster = &self.env.roster;
-        let is_heard = roster.heard_address(process, incarnation).is_some();
+        let is_heard = roster.live_address(process, incarnation).is_some();
         let liveness = roster.liveness(process, incarnation);
-        !is_heard && liveness == Liveness::Gone && roster.hears_most()
+        !is_heard && liveness == Liveness::Dead && roster.at_least_half_live()
     }
 
     /// Has an owner end its job, also one that stops, misses the store or is not heard: its runs go on. `None` if it does not
@@ -304,7 +304,7 @@
     /// Where an owner listens: one that is heard, or else where the store has it now.
     async fn owner_address(&self, owner: &Owner) -> Option<SocketAddr> {
         let roster = &self.env.roster;
-        let heard = roster.heard_address(&owner.process, owner.incarnation);
+        let heard = roster.live_address(&owner.process, owner.incarnation);
         if heard.is_some() {
             return heard;
         }
@@ -340,7 +340,7 @@
 
     /// Last known owner of a job; the store is asked only where nobody has told it.
     async fn owner_of(&self, job: &JobName) -> Result<Owner, Unread> {
-        match self.env.owners.of(job) {
+        match self.env.owners.get(job) {
             Some(owner) => Ok(owner),
             None => Ok(owner_in(&self.stored.header(job).await?)),
         }
@@ -351,7 +351,7 @@
         if owner.process == self.env.name {
             return None;
         }
-        let alive = self.env.roster.liveness(&owner.process, owner.incarnation) == Liveness::Works;
+        let alive = self.env.roster.liveness(&owner.process, owner.incarnation) == Liveness::Alive;
         alive.then(|| self.env.roster.address(&owner.process)).flatten()
     }
 
--- a/crates/samphiredoor-gateway/src/jobs/sweep.rs
+++ b/crates/samphiredoor-gateway/src/jobs/sweep.rs
@@ -55,7 +55,7 @@
         if !env.stopping.get() {
             sweep(&env, &directory, &stored).await;
         }
-        let processes = env.roster.heard_count() as u32 + 1;
+        let processes = env.roster.live_count() as u32 + 1;
         compio::time::sleep(FLEET_PAUSE.saturating_mul(processes).max(SHORTEST_PAUSE)).await;
     }
 }
@@ -158,22 +158,23 @@
         // Handed over, or of an earlier start of this process, or accepted by a call of it that was given up.
         return true;
     }
-    let gone = env.roster.liveness(&owner.process, owner.incarnation) == Liveness::Gone;
-    gone && env.roster.hears_most() && !has_told_owner(env, job)
+    let gone = env.roster.liveness(&owner.process, owner.incarnation) == Liveness::Dead;
+    gone && env.roster.at_least_half_live() && !has_told_owner(env, job)
 }
 
 /// Whether a process that works has told that it owns the job. The list of jobs may be seconds older than that, and each
 /// process of the fleet would read the job's header once more to learn it.
 fn has_told_owner(env: &JobEnv, job: &JobName) -> bool {
-    let owner = env.owners.of(job);
-    owner.is_some_and(|it| env.roster.liveness(&it.process, it.incarnation) == Liveness::Works)
+    let owner = env.owners.get(job);
+    owner.is_some_and(|it| env.roster.liveness(&it.process, it.incarnation) == Liveness::Alive)
 }
 
 /// Whether an owner says that it works on its jobs. Asked where it was never heard: a gateway that is new in the fleet is
 /// known to others only when they have read its entry.
 async fn says_it_works(env: &JobEnv, owner: &JobOwner) -> bool {
     let (process, incarnation) = (Name::from(&*owner.process), owner.incarnation);
-    if process.is_empty() || process == env.name || env.roster.was_heard(&process, incarnation) {
+    if process.is_empty() || process == env.name || env.roster.has_been_seen(&process, incarnation)
+    {
         return false;
     }
     let address = match env.roster.address(&process) {
@@ -260,7 +261,7 @@
 
 /// Tells the nearest process that works that a job was handed over.
 pub async fn offer(env: Rc<JobEnv>, job: JobName) {
-    for address in env.roster.takers().into_iter().take(3) {
+    for address in env.roster.takeover_candidates().into_iter().take(3) {
         let pool = Pool::new(address).with_connect_timeout(OFFER_TIMEOUT);
         let call = PeerCall::Offer { job: JobName::clone(&job) };
         if exchange(&pool, &call, OFFER_TIMEOUT).await.is_some() {
--- a/crates/samphiredoor-gateway/src/peers/listener.rs
+++ b/crates/samphiredoor-gateway/src/peers/listener.rs
@@ -10,7 +10,7 @@
 use samphiredoor_core::Name;
 
 use super::{
-    CellStatuses, Owner, Owners, Roster,
+    CellStatuses, JobOwners, Owner, Roster,
     datagram::{Datagram, MAX_BYTES},
     status::Status,
     summary::Summary,
@@ -28,7 +28,7 @@
     /// Where the loads of others are told.
     pub placer: Placer,
     /// Where the owners of jobs are told.
-    pub owners: Owners,
+    pub owners: JobOwners,
     /// Whether the store answers.
     pub health: StoreHealth,
     /// Counters.
@@ -62,7 +62,7 @@
     fn take_status(&self, status: Status) {
         let name = Name::from(&*status.name);
         if self.roster.heard(&status) {
-            self.metrics.peers(self.roster.heard_count());
+            self.metrics.peers(self.roster.live_count());
             self.others_reach_store(status.store_silent_ms);
             for job in &status.jobs {
                 let owner = Owner { process: Name::clone(&name), incarnation: status.incarnation };
@@ -87,7 +87,7 @@
         }
         let members: Vec<Option<Name>> =
             summary.members.iter().map(|it| self.roster.heard_of(it)).collect();
-        self.metrics.peers(self.roster.heard_count());
+        self.metrics.peers(self.roster.live_count());
         self.roster.sightings().told(&summary.seen);
         self.others_reach_store(summary.store_silent_ms);
         for job in &summary.jobs {
--- a/crates/samphiredoor-gateway/src/peers/mod.rs
+++ b/crates/samphiredoor-gateway/src/peers/mod.rs
@@ -23,7 +23,7 @@
 
 pub use cell_statuses::CellStatuses;
 pub use listener::Listener;
-pub use owners::{Owner, Owners};
+pub use owners::{JobOwners, Owner};
 pub use registration::registered_address;
 pub use roster::{Liveness, Roster};
 pub use status::OwnedJob;
@@ -33,7 +33,7 @@
 
 /// How long the store may be silent before others are told that this process does not reach it. They may take its jobs
 /// from then on, so it holds its runs back from then on as well.
-pub const STORE_LOST: Duration = Duration::from_millis(1_000);
+pub const STORE_LOST_AFTER: Duration = Duration::from_millis(1_000);
 
 /// This process, as others know it.
 #[derive(Debug, Clone)]
--- a/crates/samphiredoor-gateway/src/peers/owners.rs
+++ b/crates/samphiredoor-gateway/src/peers/owners.rs
@@ -31,11 +31,11 @@
 
 /// Handle to the owners that this process has heard of.
 #[derive(Clone, Default)]
-pub struct Owners {
+pub struct JobOwners {
     known: Rc<RefCell<Known>>,
 }
 
-impl Owners {
+impl JobOwners {
     /// Takes word of an owner.
     pub fn learn(&self, job: &JobName, owner: Owner) {
         let mut known = self.known.borrow_mut();
@@ -50,7 +50,7 @@
     }
 
     /// Last known owner of a job.
-    pub fn of(&self, job: &str) -> Option<Owner> {
+    pub fn get(&self, job: &str) -> Option<Owner> {
         self.known.borrow().owners.get(job).cloned()
     }
 }
--- a/crates/samphiredoor-gateway/src/peers/registration.rs
+++ b/crates/samphiredoor-gateway/src/peers/registration.rs
@@ -114,7 +114,7 @@
             Seen::Lost | Seen::Regained => continue,
         }
         roster.listed();
-        let own_targets = roster.own_targets();
+        let own_targets = roster.own_cell_targets();
         let (cells, mates, targets) =
             (roster.cells().len(), roster.mates().len(), own_targets.len());
         log::info!(cells, mates, targets; "peers: cells worked out");
--- a/crates/samphiredoor-gateway/src/peers/roster.rs
+++ b/crates/samphiredoor-gateway/src/peers/roster.rs
@@ -112,9 +112,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Liveness {
     /// It is heard, and reaches the store; one that stops hands its jobs over itself.
-    Works,
+    Alive,
     /// It is gone, has started anew, or does not reach the store.
-    Gone,
+    Dead,
     /// This process cannot tell yet.
     Unknown,
 }
@@ -179,7 +179,7 @@
     }
 
     /// Takes all targets as discovery knows them now.
-    pub fn targets<'a>(&self, targets: impl Iterator<Item = &'a TargetEntry>) {
+    pub fn set_targets<'a>(&self, targets: impl Iterator<Item = &'a TargetEntry>) {
         let locations: BTreeMap<u64, Location> =
             targets.map(|it| (name_hash(&it.name), it.location.clone())).collect();
         if *self.targets.borrow() != locations {
@@ -213,7 +213,7 @@
     }
 
     /// Targets that the own cell shares.
-    pub fn own_targets(&self) -> HashSet<u64> {
+    pub fn own_cell_targets(&self) -> HashSet<u64> {
         let cells = self.cells();
         self.own_cell().map(|it| cells.targets(it).collect()).unwrap_or_default()
     }
@@ -327,12 +327,12 @@
         let unheard_for = if is_near { GONE } else { UNHEARD_ELSEWHERE };
         let peers = self.peers.borrow();
         match peers.get(name).filter(|it| it.is_heard()) {
-            Some(peer) if peer.incarnation == incarnation && peer.has_jobs() => Liveness::Works,
+            Some(peer) if peer.incarnation == incarnation && peer.has_jobs() => Liveness::Alive,
             // It has started anew and was not heard since; what is heard may be its former start's last word.
             Some(peer) if peer.incarnation < incarnation => Liveness::Unknown,
-            Some(_) => Liveness::Gone,
+            Some(_) => Liveness::Dead,
             _ if self.listed.get().is_none_or(|it| it.elapsed() < unheard_for) => Liveness::Unknown,
-            _ => Liveness::Gone,
+            _ => Liveness::Dead,
         }
     }
 
@@ -343,7 +343,7 @@
     }
 
     /// Whether a process was heard in this start or a later one.
-    pub fn was_heard(&self, name: &str, incarnation: u64) -> bool {
+    pub fn has_been_seen(&self, name: &str, incarnation: u64) -> bool {
         let peers = self.peers.borrow();
         peers.get(name).is_some_and(|it| it.heard.is_some() && it.incarnation >= incarnation)
     }
@@ -351,12 +351,12 @@
     /// Whether this process hears at least half of the gateways that there should be. One that hears fewer is cut off
     /// itself: it would take the jobs of all others, and they would take them back. One that does not know yet which there
     /// are hears nobody.
-    pub fn hears_most(&self) -> bool {
-        self.listed.get().is_some() && self.heard_count() * 2 >= self.expected_count()
+    pub fn at_least_half_live(&self) -> bool {
+        self.listed.get().is_some() && self.live_count() * 2 >= self.expected_count()
     }
 
     /// Whether this process is about to hear less than half of the gateways that there should be.
-    pub fn is_cut_off(&self) -> bool {
+    pub fn is_isolated(&self) -> bool {
         let heard = self.peers.borrow().values().filter(|it| it.is_heard_with_margin()).count();
         self.listed.get().is_none() || heard * 2 < self.expected_count()
     }
@@ -370,14 +370,14 @@
     }
 
     /// Number of gateways that are heard.
-    pub fn heard_count(&self) -> usize {
+    pub fn live_count(&self) -> usize {
         let peers = self.peers.borrow();
         peers.values().filter(|it| it.is_heard()).count()
     }
 
     /// Place of this process among those that follow the store: all that are heard, or, in a fleet of several cells, one of
     /// each.
-    pub fn place(&self) -> FleetPlace {
+    pub fn fleet_position(&self) -> FleetPlace {
         let cells = self.cells();
         if let Some(own) = self.own_cell().filter(|_| cells.len() > 1) {
             let position = cells.ids().take_while(|it| *it != own).count();
@@ -394,7 +394,7 @@
     }
 
     /// Address of a process, in one start of it, if it is heard, whatever it can do now.
-    pub fn heard_address(&self, name: &str, incarnation: u64) -> Option<SocketAddr> {
+    pub fn live_address(&self, name: &str, incarnation: u64) -> Option<SocketAddr> {
         let peers = self.peers.borrow();
         let peer = peers.get(name).filter(|it| it.incarnation == incarnation)?;
         peer.is_heard().then_some(peer.address)
@@ -426,7 +426,7 @@
 
     /// Gateways that could take a job over: heard, reaching the store and not stopping; nearest first, and those at one
     /// distance in any order, so that jobs are spread over them.
-    pub fn takers(&self) -> Vec<SocketAddr> {
+    pub fn takeover_candidates(&self) -> Vec<SocketAddr> {
         let peers = self.peers.borrow();
         let takers = peers.values().filter(|it| it.takes_jobs()).collect();
         self.nearest_first(takers).into_iter().map(|it| it.address).collect()
--- a/crates/samphiredoor-gateway/src/peers/status_sender.rs
+++ b/crates/samphiredoor-gateway/src/peers/status_sender.rs
@@ -16,7 +16,7 @@
 use samphiredoor_net::pool::within;
 
 use super::{
-    CellStatuses, LocalGateway, Roster, STORE_LOST,
+    CellStatuses, LocalGateway, Roster, STORE_LOST_AFTER,
     datagram::Datagram,
     listener::send_to_all,
     status::{OwnedJob, Status},
@@ -175,7 +175,7 @@
             name: self.local.name.to_string(),
             incarnation: self.local.incarnation,
             routes_version: self.routes.version(),
-            store_reached: !self.health.is_lost_for(STORE_LOST),
+            store_reached: !self.health.is_lost_for(STORE_LOST_AFTER),
             stopping: self.stopping.get(),
             requests,
             jobs,
--- a/crates/samphiredoor-gateway/src/process.rs
+++ b/crates/samphiredoor-gateway/src/process.rs
@@ -25,8 +25,8 @@
     metrics::Metrics,
     mirror::Mirrors,
     peers::{
-        self, CellStatuses, LocalGateway, Owners, Roster, StatusSender, SummarySender, WatchRelay,
-        routes_relay::RoutesRelay,
+        self, CellStatuses, JobOwners, LocalGateway, Roster, StatusSender, SummarySender,
+        WatchRelay, routes_relay::RoutesRelay,
     },
     placement::{PlacementTask, Placer},
     routes::Routes,
@@ -201,7 +201,7 @@
         follow_gateways,
     );
     compio::runtime::spawn(registration).detach();
-    let (owners, cell_statuses) = (Owners::default(), CellStatuses::default());
+    let (owners, cell_statuses) = (JobOwners::default(), CellStatuses::default());
     let listener = peers::Listener {
         socket: Rc::clone(&socket),
         roster: roster.clone(),
