--- a/crates/samphiredoor-core/examples/overload.rs
+++ b/crates/samphiredoor-core/examples/overload.rs
@@ -21,7 +21,7 @@
     },
     manifest::Manifest,
     time::Now,
-    verdict::{Doubt, Verdict},
+    verdict::{MayHaveRunReason, Verdict},
 };
 use serde_json::json;
 
@@ -208,7 +208,7 @@
         };
         let Some(target) = call.target.take() else { return };
         *self.at_target.entry(target).or_default() -= 1;
-        let lost = AttemptEnd::AnswerLost(Doubt::ConnectionLost);
+        let lost = AttemptEnd::AnswerLost(MayHaveRunReason::ConnectionLost);
         let end = if broken { lost } else { AttemptEnd::Completed };
         if !broken {
             self.calls.remove(&request);
@@ -225,7 +225,7 @@
         match call.target.take() {
             Some(target) => {
                 *self.at_target.entry(target).or_default() -= 1;
-                let end = AttemptEnd::AnswerLost(Doubt::DeadlinePassed);
+                let end = AttemptEnd::AnswerLost(MayHaveRunReason::DeadlinePassed);
                 self.input(Input::AttemptEnded { request: request_id, end });
             }
             None => {
--- a/crates/samphiredoor-core/src/dispatch/attempt.rs
+++ b/crates/samphiredoor-core/src/dispatch/attempt.rs
@@ -1,6 +1,6 @@
 //! How one attempt at a target can end.
 
-use crate::verdict::Doubt;
+use crate::verdict::MayHaveRunReason;
 
 /// End of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -17,9 +17,9 @@
         retry_after_ms: u64,
     },
     /// The request was sent; its answer is lost, and nothing of it reached the caller.
-    AnswerLost(Doubt),
+    AnswerLost(MayHaveRunReason),
     /// The answer was cut after a part of it had reached the caller, who has been told so.
-    AnswerTruncated(Doubt),
+    AnswerTruncated(MayHaveRunReason),
     /// Cut by ourselves, so that the capacity is free again.
     Aborted,
     /// Cut by ourselves as well, but the request waits for a slot again: a decision follows. For batch requests only.
@@ -45,7 +45,7 @@
     pub fn is_failure(self) -> bool {
         match self {
             AttemptEnd::AnswerLost(doubt) | AttemptEnd::AnswerTruncated(doubt) => {
-                doubt != Doubt::DeadlinePassed
+                doubt != MayHaveRunReason::DeadlinePassed
             }
             AttemptEnd::Failed => true,
             AttemptEnd::Completed
--- a/crates/samphiredoor-core/src/dispatch/attempts.rs
+++ b/crates/samphiredoor-core/src/dispatch/attempts.rs
@@ -8,7 +8,7 @@
 use crate::{
     Name,
     manifest::Manifest,
-    verdict::{Doubt, Refusal},
+    verdict::{MayHaveRunReason, Refusal},
 };
 
 impl Dispatcher {
@@ -198,10 +198,16 @@
     }
 
     /// The answer of an attempt is lost: the request may have run.
-    fn lost(&mut self, now_ms: u64, request: RequestId, doubt: Doubt, out: &mut Vec<Action>) {
+    fn lost(
+        &mut self,
+        now_ms: u64,
+        request: RequestId,
+        doubt: MayHaveRunReason,
+        out: &mut Vec<Action>,
+    ) {
         let Some(lost) = self.requests.get_mut(&request) else { return };
         lost.doubt.get_or_insert(doubt);
-        if lost.ask.repeatable && doubt != Doubt::DeadlinePassed {
+        if lost.ask.repeatable && doubt != MayHaveRunReason::DeadlinePassed {
             let (retry, reason) = (RetryReason::AnswerLost, Refusal::NoTarget);
             self.retry_or_give_up(now_ms, request, retry, reason, out);
         } else {
@@ -272,8 +278,8 @@
                 target.limit.pushed_back(now_ms);
                 target.health.hold(now_ms, retry_after_ms);
             }
-            AttemptEnd::AnswerLost(Doubt::DeadlinePassed)
-            | AttemptEnd::AnswerTruncated(Doubt::DeadlinePassed) => {
+            AttemptEnd::AnswerLost(MayHaveRunReason::DeadlinePassed)
+            | AttemptEnd::AnswerTruncated(MayHaveRunReason::DeadlinePassed) => {
                 target.limit.timed_out(now_ms, latency_ms);
             }
             AttemptEnd::Failed | AttemptEnd::AnswerLost(_) | AttemptEnd::AnswerTruncated(_) => {
--- a/crates/samphiredoor-core/src/dispatch/lending.rs
+++ b/crates/samphiredoor-core/src/dispatch/lending.rs
@@ -12,7 +12,7 @@
     slot_allocator::{Demand, Lender, LiveGateway, SHARE_TTL_MS, lender_of},
     targets::{Distance, Target, TargetId},
 };
-use crate::{Name, news::TargetLoad};
+use crate::{Name, hints::TargetLoad};
 
 impl Dispatcher {
     /// Gives lent capacity to items of jobs, as long as no online request waits.
--- a/crates/samphiredoor-core/src/dispatch/messages.rs
+++ b/crates/samphiredoor-core/src/dispatch/messages.rs
@@ -6,7 +6,7 @@
     attempt::AttemptEnd,
     slot_allocator::{LiveGateway, SlotGrant},
 };
-use crate::{Name, manifest::Manifest, news::TargetLoad, verdict::Verdict};
+use crate::{Name, hints::TargetLoad, manifest::Manifest, verdict::Verdict};
 
 /// Where a process stands.
 #[derive(Debug, Clone, PartialEq, Eq)]
--- a/crates/samphiredoor-core/src/dispatch/mod.rs
+++ b/crates/samphiredoor-core/src/dispatch/mod.rs
@@ -47,7 +47,7 @@
     Name,
     manifest::Manifest,
     time::Now,
-    verdict::{Doubt, Refusal},
+    verdict::{MayHaveRunReason, Refusal},
 };
 use fairness::FairQueue;
 use pace::Pace;
@@ -85,7 +85,7 @@
     ask: RequestSpec,
     stage: Stage,
     tried: SmallVec<[Name; 2]>,
-    doubt: Option<Doubt>,
+    doubt: Option<MayHaveRunReason>,
 }
 
 impl Request {
--- a/crates/samphiredoor-core/src/news.rs
+++ b/crates/samphiredoor-core/src/hints.rs
@@ -11,7 +11,7 @@
 
 /// A hint.
 #[derive(Debug, Clone, PartialEq)]
-pub enum News {
+pub enum Hint {
     /// A job's header says that it is cancelled.
     Cancelled(Name),
     /// A request may crash targets.
@@ -76,12 +76,12 @@
 /// Hints seen lately, so that each is passed on once. Bounded: one that was forgotten is passed on again, which costs
 /// a message and does no harm.
 #[derive(Debug, Default)]
-pub struct Seen {
+pub struct SeenHints {
     set: HashSet<Origin>,
     order: VecDeque<Origin>,
 }
 
-impl Seen {
+impl SeenHints {
     /// Remembers a hint; tells whether it was new.
     pub fn insert(&mut self, origin: &Origin) -> bool {
         if !self.set.insert(origin.clone()) {
--- a/crates/samphiredoor-core/src/keys/change.rs
+++ b/crates/samphiredoor-core/src/keys/change.rs
@@ -10,7 +10,7 @@
     context::{Context, Effect},
     record::{self, KeptAnswer, Stamp, Standing, is_orphaned},
 };
-use crate::verdict::{Doubt, Refusal, Verdict};
+use crate::verdict::{MayHaveRunReason, Refusal, Verdict};
 
 /// An intent that is to be written.
 #[derive(Debug)]
@@ -127,15 +127,15 @@
         // A lapsed lease is only a hint, so the intent is not taken over: a wrong guess tells "may have run" early,
         // and the holder's outcome is replayed to the next resend.
         Standing::Intended(holder) if orphaned || cx.lapsed.contains(&holder) => {
-            doubt(arrival, Doubt::IntentWithoutOutcome)
+            doubt(arrival, MayHaveRunReason::IntentWithoutOutcome)
         }
-        Standing::Intended(_) => doubt(arrival, Doubt::StillRunning),
+        Standing::Intended(_) => doubt(arrival, MayHaveRunReason::StillRunning),
         Standing::OtherRequest => reused(arrival),
-        Standing::Free | Standing::Own => doubt(arrival, Doubt::StoreAnswerLost),
+        Standing::Free | Standing::Own => doubt(arrival, MayHaveRunReason::StoreAnswerLost),
     }
 }
 
-fn doubt(arrival: Arrival, reason: Doubt) -> Effect {
+fn doubt(arrival: Arrival, reason: MayHaveRunReason) -> Effect {
     Effect::Refuse { arrival, verdict: Verdict::MayHaveRun { reason } }
 }
 
--- a/crates/samphiredoor-core/src/keys/messages.rs
+++ b/crates/samphiredoor-core/src/keys/messages.rs
@@ -6,7 +6,7 @@
     dispatch::RequestId,
     ledger::CallId,
     store::{StoreAnswer, StoreOp},
-    verdict::{Doubt, Refusal, Verdict},
+    verdict::{MayHaveRunReason, Refusal, Verdict},
 };
 
 /// How a run ended.
@@ -22,7 +22,7 @@
         reason: Refusal,
     },
     /// It may have run, and is never run again.
-    MayHaveRun(Doubt),
+    MayHaveRun(MayHaveRunReason),
 }
 
 /// What happened.
--- a/crates/samphiredoor-core/src/keys/mod.rs
+++ b/crates/samphiredoor-core/src/keys/mod.rs
@@ -35,7 +35,7 @@
     ledger::CallId,
     store::{Kind, Labels, ObjectKey, StoreAnswer, StoreOp, Value},
     time::Now,
-    verdict::{Doubt, Refusal, Verdict},
+    verdict::{MayHaveRunReason, Refusal, Verdict},
 };
 use arrival::shard_of;
 use change::Outcome;
@@ -247,7 +247,7 @@
         let number = shard_of(&arrival.key, self.config.shards);
         match self.runs.get_mut(&arrival.key) {
             Some(run) if run.arrival.request == request => {
-                let outcome = KeyOutcome::MayHaveRun(Doubt::ConnectionLost);
+                let outcome = KeyOutcome::MayHaveRun(MayHaveRunReason::ConnectionLost);
                 return self.ended(now, request, outcome, out);
             }
             Some(run) => run.joined.retain(|it| *it != request),
@@ -402,10 +402,10 @@
                     let answer = KeptAnswer { body: Some(body), ..kept };
                     return self.replay(arrival.request, answer, out);
                 }
-                Doubt::AnswerNotKept
+                MayHaveRunReason::AnswerNotKept
             }
-            StoreAnswer::Absent => Doubt::AnswerNotKept,
-            _ => Doubt::StoreAnswerLost,
+            StoreAnswer::Absent => MayHaveRunReason::AnswerNotKept,
+            _ => MayHaveRunReason::StoreAnswerLost,
         };
         self.finish(arrival.request, Verdict::MayHaveRun { reason }, out);
     }
--- a/crates/samphiredoor-core/src/keys/record.rs
+++ b/crates/samphiredoor-core/src/keys/record.rs
@@ -5,7 +5,7 @@
 use samphiredoor_schema::objects::{KeptBody, KeyRecord, KeyState};
 
 use super::{arrival::Arrival, config::KeysConfig};
-use crate::{Name, time::Now, verdict::Doubt};
+use crate::{Name, time::Now, verdict::MayHaveRunReason};
 
 /// Longest difference between the wall clocks of two doors that expiry allows for.
 pub const CLOCK_MARGIN_MS: u64 = 60_000;
@@ -37,7 +37,7 @@
     /// The answer, with its body in an object of its own.
     AnsweredApart(KeptAnswer, Name),
     /// The request may have run.
-    MayHaveRun(Doubt),
+    MayHaveRun(MayHaveRunReason),
     /// The key stands for another request.
     OtherRequest,
 }
@@ -61,8 +61,8 @@
             KeyState::Intended if *record.holder == *config.holder => Standing::Own,
             KeyState::Intended => Standing::Intended(record.holder.as_str().into()),
             KeyState::MayHaveRun => {
-                let doubt = Doubt::from_label(&record.doubt);
-                Standing::MayHaveRun(doubt.unwrap_or(Doubt::IntentWithoutOutcome))
+                let doubt = MayHaveRunReason::from_label(&record.doubt);
+                Standing::MayHaveRun(doubt.unwrap_or(MayHaveRunReason::IntentWithoutOutcome))
             }
             KeyState::Answered => answered(record),
         }
--- a/crates/samphiredoor-core/src/lib.rs
+++ b/crates/samphiredoor-core/src/lib.rs
@@ -8,13 +8,13 @@
 //! heartbeats, load) is a hint that makes things fast and never makes them right.
 
 pub mod dispatch;
+pub mod hints;
 pub mod keys;
 pub mod lease;
 pub mod ledger;
 pub mod manifest;
 pub mod manifest_log;
 pub mod membership;
-pub mod news;
 pub mod ordered;
 pub mod orders;
 pub mod placement;
--- a/crates/samphiredoor-core/src/renewal.rs
+++ b/crates/samphiredoor-core/src/renewal.rs
@@ -24,7 +24,7 @@
 
 /// A process's place among those of the fleet that are heard.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct FleetPlace {
+pub struct FleetPosition {
     /// Number of processes before this one.
     pub position: usize,
     /// Number of all processes.
@@ -50,7 +50,7 @@
 
     /// How long a watch waits. After changes all processes ask at once, and the position spreads the ends of their watches;
     /// from then on they stay spread.
-    pub fn wait(&self, place: FleetPlace, last: LastAnswer) -> Duration {
+    pub fn wait(&self, place: FleetPosition, last: LastAnswer) -> Duration {
         let turns = match last {
             LastAnswer::Changes => place.position + 1,
             LastAnswer::Nothing => place.processes,
--- a/crates/samphiredoor-core/src/routes.rs
+++ b/crates/samphiredoor-core/src/routes.rs
@@ -1,6 +1,6 @@
 //! Which service answers a request: routes by host and path prefix, with weighted splits.
 //!
-//! A [`RouteTable`] is one version of the operators' routes. A process keeps the newest it has seen in a [`RouteLog`],
+//! A [`RouteTable`] is one version of the operators' routes. A process keeps the newest it has seen in a [`LatestRoutes`],
 //! which takes only higher versions: an older one that arrives late, from a slow read or a peer, would take effect
 //! again after callers have seen its successor.
 
@@ -23,7 +23,7 @@
         resumable: bool,
     },
     /// Jobs of many items that run later.
-    Batch(BatchRule),
+    Batch(BatchTimes),
 }
 
 impl RouteKind {
@@ -35,7 +35,7 @@
 
 /// Times of a batch route.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct BatchRule {
+pub struct BatchTimes {
     /// From submission to the time when all results are due.
     pub due_ms: u64,
     /// From submission to the time from which items may be given up.
@@ -158,13 +158,13 @@
 
 /// The newest table that a process has seen.
 #[derive(Debug, Clone, Default)]
-pub struct RouteLog {
+pub struct LatestRoutes {
     current: Arc<RouteTable>,
 }
 
-impl RouteLog {
+impl LatestRoutes {
     /// Puts a table in force if its version is above the current one; says whether it did.
-    pub fn offer(&mut self, table: RouteTable) -> bool {
+    pub fn update_if_newer(&mut self, table: RouteTable) -> bool {
         if table.version <= self.current.version {
             return false;
         }
--- a/crates/samphiredoor-core/src/verdict.rs
+++ b/crates/samphiredoor-core/src/verdict.rs
@@ -18,7 +18,7 @@
     /// The request may have run; only an idempotent one can be sent again.
     MayHaveRun {
         /// Why.
-        reason: Doubt,
+        reason: MayHaveRunReason,
     },
     /// The request ran and its whole answer was delivered.
     Done,
@@ -101,7 +101,7 @@
 
 /// Why it is not known whether a request ran.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum Doubt {
+pub enum MayHaveRunReason {
     /// The connection failed after the request was sent.
     ConnectionLost,
     /// The answer was cut before its framing ended.
@@ -120,47 +120,47 @@
     TargetsDied,
 }
 
-impl Doubt {
+impl MayHaveRunReason {
     /// All reasons, for counters that stand at zero.
-    pub const ALL: [Doubt; 8] = [
-        Doubt::ConnectionLost,
-        Doubt::AnswerCut,
-        Doubt::DeadlinePassed,
-        Doubt::IntentWithoutOutcome,
-        Doubt::StoreAnswerLost,
-        Doubt::StillRunning,
-        Doubt::AnswerNotKept,
-        Doubt::TargetsDied,
+    pub const ALL: [MayHaveRunReason; 8] = [
+        MayHaveRunReason::ConnectionLost,
+        MayHaveRunReason::AnswerCut,
+        MayHaveRunReason::DeadlinePassed,
+        MayHaveRunReason::IntentWithoutOutcome,
+        MayHaveRunReason::StoreAnswerLost,
+        MayHaveRunReason::StillRunning,
+        MayHaveRunReason::AnswerNotKept,
+        MayHaveRunReason::TargetsDied,
     ];
 
     /// Label of the reason in answers, counters and logs.
     pub fn label(self) -> &'static str {
         match self {
-            Doubt::ConnectionLost => "connection_lost",
-            Doubt::AnswerCut => "answer_cut",
-            Doubt::DeadlinePassed => "deadline_passed",
-            Doubt::IntentWithoutOutcome => "intent_without_outcome",
-            Doubt::StoreAnswerLost => "store_answer_lost",
-            Doubt::StillRunning => "still_running",
-            Doubt::AnswerNotKept => "answer_not_kept",
-            Doubt::TargetsDied => "targets_died",
+            MayHaveRunReason::ConnectionLost => "connection_lost",
+            MayHaveRunReason::AnswerCut => "answer_cut",
+            MayHaveRunReason::DeadlinePassed => "deadline_passed",
+            MayHaveRunReason::IntentWithoutOutcome => "intent_without_outcome",
+            MayHaveRunReason::StoreAnswerLost => "store_answer_lost",
+            MayHaveRunReason::StillRunning => "still_running",
+            MayHaveRunReason::AnswerNotKept => "answer_not_kept",
+            MayHaveRunReason::TargetsDied => "targets_died",
         }
     }
 }
 
-impl Doubt {
+impl MayHaveRunReason {
     /// Whether a connection was lost, as by a target's death.
     pub fn is_loss(self) -> bool {
-        matches!(self, Doubt::ConnectionLost | Doubt::AnswerCut)
+        matches!(self, MayHaveRunReason::ConnectionLost | MayHaveRunReason::AnswerCut)
     }
 
     /// Reason by its label.
-    pub fn from_label(label: &str) -> Option<Doubt> {
-        Doubt::ALL.into_iter().find(|it| it.label() == label)
+    pub fn from_label(label: &str) -> Option<MayHaveRunReason> {
+        MayHaveRunReason::ALL.into_iter().find(|it| it.label() == label)
     }
 }
 
-impl fmt::Display for Doubt {
+impl fmt::Display for MayHaveRunReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(self.label())
     }
--- a/crates/samphiredoor-core/tests/dispatch/limits.rs
+++ b/crates/samphiredoor-core/tests/dispatch/limits.rs
@@ -6,7 +6,7 @@
     Name,
     dispatch::{Action, AttemptEnd, Class, Input, Policy, RequestId, RetryReason},
     manifest::Target,
-    verdict::{Doubt, Refusal, Verdict},
+    verdict::{MayHaveRunReason, Refusal, Verdict},
 };
 
 use crate::harness::{Harness, refused, sent_to, target};
@@ -232,13 +232,14 @@
     for repeatable in [true, false] {
         let mut harness = Harness::new(targets(2, 10));
         let (request, _) = harness.ask(|it| it.repeatable = repeatable);
-        let actions = harness.end(request, AttemptEnd::AnswerLost(Doubt::ConnectionLost));
+        let actions =
+            harness.end(request, AttemptEnd::AnswerLost(MayHaveRunReason::ConnectionLost));
         assert_eq!(sent_to(&actions, request).is_some(), repeatable);
         let verdict = match repeatable {
             true => refused(&harness.end(request, AttemptEnd::NotSent), request),
             false => refused(&actions, request),
         };
-        let reason = Doubt::ConnectionLost;
+        let reason = MayHaveRunReason::ConnectionLost;
         assert_eq!(verdict, Some(Verdict::MayHaveRun { reason }), "the doubt stays");
     }
 }
@@ -254,7 +255,7 @@
         let (request, mut sent) = harness.online();
         while sent.take().is_some() {
             attempts += 1;
-            let actions = harness.end(request, AttemptEnd::AnswerLost(Doubt::AnswerCut));
+            let actions = harness.end(request, AttemptEnd::AnswerLost(MayHaveRunReason::AnswerCut));
             sent = sent_to(&actions, request);
         }
     }
@@ -309,7 +310,7 @@
         let mut harness = full(10);
         harness.now_ms += elapsed_ms;
         for request in 21..31 {
-            let end = AttemptEnd::AnswerLost(Doubt::DeadlinePassed);
+            let end = AttemptEnd::AnswerLost(MayHaveRunReason::DeadlinePassed);
             harness.end(RequestId(request), end);
         }
         (0..10).filter(|_| harness.online().1.is_some()).count()
@@ -357,7 +358,7 @@
             *beside += 1;
             number += 1;
             let is_lost = lost(*beside, number);
-            let lost_end = AttemptEnd::AnswerLost(Doubt::ConnectionLost);
+            let lost_end = AttemptEnd::AnswerLost(MayHaveRunReason::ConnectionLost);
             ends.push((request, if is_lost { lost_end } else { AttemptEnd::Completed }));
         }
         placed = ends.len();
--- a/crates/samphiredoor-core/tests/dispatch/promises.rs
+++ b/crates/samphiredoor-core/tests/dispatch/promises.rs
@@ -14,7 +14,7 @@
     dispatch::{Action, AttemptEnd, Class, Dispatcher, Input, RequestId},
     manifest::{Manifest, Target},
     time::Now,
-    verdict::{Doubt, Verdict},
+    verdict::{MayHaveRunReason, Verdict},
 };
 
 use crate::harness::{SEED, ask, location, manifest, target};
@@ -42,9 +42,9 @@
         1 => Just(AttemptEnd::Failed),
         2 => Just(AttemptEnd::NotSent),
         2 => Just(AttemptEnd::Pushback { retry_after_ms: 200 }),
-        2 => Just(AttemptEnd::AnswerLost(Doubt::ConnectionLost)),
-        1 => Just(AttemptEnd::AnswerLost(Doubt::DeadlinePassed)),
-        1 => Just(AttemptEnd::AnswerTruncated(Doubt::AnswerCut)),
+        2 => Just(AttemptEnd::AnswerLost(MayHaveRunReason::ConnectionLost)),
+        1 => Just(AttemptEnd::AnswerLost(MayHaveRunReason::DeadlinePassed)),
+        1 => Just(AttemptEnd::AnswerTruncated(MayHaveRunReason::AnswerCut)),
         1 => Just(AttemptEnd::Aborted),
     ]
 }
--- a/crates/samphiredoor-core/tests/dispatch/routing.rs
+++ b/crates/samphiredoor-core/tests/dispatch/routing.rs
@@ -7,7 +7,7 @@
     dispatch::{AttemptEnd, Dispatcher, Ejection, Input, RequestId},
     manifest::Target,
     time::Now,
-    verdict::Doubt,
+    verdict::MayHaveRunReason,
 };
 
 use crate::harness::{Harness, location, manifest, sent_to, target};
@@ -123,7 +123,7 @@
         let (request, target) = harness.ask(|it| it.repeatable = false);
         if sent_to(&target, request).as_ref() == Some(&bad) {
             sent += 1;
-            harness.end(request, AttemptEnd::AnswerLost(Doubt::ConnectionLost));
+            harness.end(request, AttemptEnd::AnswerLost(MayHaveRunReason::ConnectionLost));
         } else {
             harness.end(request, AttemptEnd::Completed);
         }
@@ -268,9 +268,11 @@
     let mut harness = Harness::new(targets(1, 1));
     let (request, _) = harness.online();
     harness.end(request, AttemptEnd::Completed);
-    for end in
-        [AttemptEnd::Completed, AttemptEnd::NotSent, AttemptEnd::AnswerLost(Doubt::AnswerCut)]
-    {
+    for end in [
+        AttemptEnd::Completed,
+        AttemptEnd::NotSent,
+        AttemptEnd::AnswerLost(MayHaveRunReason::AnswerCut),
+    ] {
         assert!(harness.end(request, end).is_empty());
         assert!(harness.end(RequestId(99), end).is_empty());
         assert!(harness.handle(Input::Cancelled { request }).is_empty());
--- a/crates/samphiredoor-core/tests/keys.rs
+++ b/crates/samphiredoor-core/tests/keys.rs
@@ -16,7 +16,7 @@
     ledger::CallId,
     store::{Kind, ObjectKey, StoreAnswer, StoreOp, Stored, Value, Version},
     time::Now,
-    verdict::{Doubt, Refusal, Verdict},
+    verdict::{MayHaveRunReason, Refusal, Verdict},
 };
 
 const DOORS: usize = 3;
@@ -285,7 +285,7 @@
                 self.ran.remove(&arrival.key);
                 KeyOutcome::NotRun { retry_after_ms, reason }
             }
-            End::MayHaveRun => KeyOutcome::MayHaveRun(Doubt::AnswerCut),
+            End::MayHaveRun => KeyOutcome::MayHaveRun(MayHaveRunReason::AnswerCut),
         };
         if let KeyOutcome::Answered(answer) = &outcome {
             let answered = (arrival.digest.clone(), answer.clone());
@@ -495,7 +495,7 @@
                 }
                 KeysAction::Run { request } => {
                     ran = true;
-                    let outcome = KeyOutcome::MayHaveRun(Doubt::AnswerCut);
+                    let outcome = KeyOutcome::MayHaveRun(MayHaveRunReason::AnswerCut);
                     keys.handle(now, KeysInput::Ended { request, outcome }, &mut calls);
                 }
                 KeysAction::Refuse { verdict, .. } => verdicts.push(verdict),
--- a/crates/samphiredoor-core/tests/renewal.rs
+++ b/crates/samphiredoor-core/tests/renewal.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use proptest::{prelude::*, test_runner::RngSeed};
-use samphiredoor_core::renewal::{FleetPlace, LastAnswer, Renewal};
+use samphiredoor_core::renewal::{FleetPosition, LastAnswer, Renewal};
 
 const WITHIN: Duration = Duration::from_millis(2_500);
 
@@ -11,7 +11,7 @@
 fn ends(renewal: Renewal, processes: usize, longest: Duration, until: Duration) -> Vec<Duration> {
     let mut ends = Vec::new();
     for position in 0..processes {
-        let place = FleetPlace { position, processes };
+        let place = FleetPosition { position, processes };
         let mut end = renewal.wait(place, LastAnswer::Changes).min(longest);
         while end < until {
             ends.push(end);
--- a/crates/samphiredoor-core/tests/routes.rs
+++ b/crates/samphiredoor-core/tests/routes.rs
@@ -1,7 +1,7 @@
 //! Tests of routes: which one serves a request, how splits share, and that versions never go back.
 
 use samphiredoor_core::routes::{
-    BatchRule, CallerLimits, Route, RouteKind, RouteLog, RouteTable, Split,
+    BatchTimes, CallerLimits, LatestRoutes, Route, RouteKind, RouteTable, Split,
 };
 
 fn route(name: &str, host: &str, prefix: &str, splits: &[(&str, u32)]) -> Route {
@@ -62,18 +62,18 @@
 
 #[test]
 fn versions_never_go_back() {
-    let mut log = RouteLog::default();
+    let mut log = LatestRoutes::default();
     assert!(log.current().is_none());
-    assert!(log.offer(table(7)));
-    assert!(!log.offer(table(7)));
-    assert!(!log.offer(table(3)));
+    assert!(log.update_if_newer(table(7)));
+    assert!(!log.update_if_newer(table(7)));
+    assert!(!log.update_if_newer(table(3)));
     assert_eq!(log.current().map(|it| it.version), Some(7));
-    assert!(log.offer(table(20)));
+    assert!(log.update_if_newer(table(20)));
 }
 
 #[test]
 fn only_what_may_run_again_is_repeatable() {
-    let batch = RouteKind::Batch(BatchRule { due_ms: 1, give_up_ms: 1 });
+    let batch = RouteKind::Batch(BatchTimes { due_ms: 1, give_up_ms: 1 });
     assert!(RouteKind::Repeatable.is_repeatable());
     assert!(RouteKind::Stream { resumable: true }.is_repeatable());
     assert!(
--- a/crates/samphiredoor-gateway/src/discovery.rs
+++ b/crates/samphiredoor-gateway/src/discovery.rs
@@ -67,7 +67,7 @@
         match self.platform.dialect.routes(&stored) {
             Ok(Some(table)) => {
                 let (version, before, count) = (table.version, self.routes.version(), table.len());
-                if self.routes.offer(table, &stored) {
+                if self.routes.update_if_newer(table, &stored) {
                     self.metrics.routes_version(version);
                     log::info!(version, before, routes = count; "routes: in force");
                 }
--- a/crates/samphiredoor-gateway/src/front/answers.rs
+++ b/crates/samphiredoor-gateway/src/front/answers.rs
@@ -4,7 +4,7 @@
     Response, StatusCode,
     header::{self, HeaderValue},
 };
-use samphiredoor_core::verdict::{Doubt, Refusal};
+use samphiredoor_core::verdict::{MayHaveRunReason, Refusal};
 use samphiredoor_net::{Body, answers};
 use serde_json::json;
 
@@ -25,9 +25,9 @@
 }
 
 /// Answer to a request that may have run.
-pub fn in_doubt(reason: Doubt) -> Response<Body> {
+pub fn in_doubt(reason: MayHaveRunReason) -> Response<Body> {
     let status = match reason {
-        Doubt::DeadlinePassed => StatusCode::GATEWAY_TIMEOUT,
+        MayHaveRunReason::DeadlinePassed => StatusCode::GATEWAY_TIMEOUT,
         _ => StatusCode::BAD_GATEWAY,
     };
     plain(status, reason.label())
--- a/crates/samphiredoor-gateway/src/front/attempt.rs
+++ b/crates/samphiredoor-gateway/src/front/attempt.rs
@@ -6,7 +6,7 @@
 };
 
 use hyper::{Response, http::response};
-use samphiredoor_core::{Name, placement::AttemptEnd, verdict::Doubt};
+use samphiredoor_core::{Name, placement::AttemptEnd, verdict::MayHaveRunReason};
 use samphiredoor_net::{
     Call,
     body::{self, PieceError, read_whole},
@@ -39,7 +39,7 @@
     /// It is certain that the target did not run it.
     NotRun(AttemptEnd),
     /// The target may have run it.
-    Doubt(AttemptEnd, Doubt),
+    Doubt(AttemptEnd, MayHaveRunReason),
 }
 
 /// How long an attempt may take.
@@ -58,10 +58,10 @@
     }
 
     /// What a wait that was too long means.
-    pub fn over(&self) -> (AttemptEnd, Doubt) {
+    pub fn over(&self) -> (AttemptEnd, MayHaveRunReason) {
         match self.left().is_zero() {
-            true => (AttemptEnd::Cut, Doubt::DeadlinePassed),
-            false => (AttemptEnd::Silent, Doubt::ConnectionLost),
+            true => (AttemptEnd::Cut, MayHaveRunReason::DeadlinePassed),
+            false => (AttemptEnd::Silent, MayHaveRunReason::ConnectionLost),
         }
     }
 
@@ -88,7 +88,7 @@
         }
         Some(Err(SendError::MayHaveRun(err))) => {
             log::info!(target = &**target, problem:% = err; "target: answer lost");
-            return Attempt::Doubt(AttemptEnd::Lost, Doubt::ConnectionLost);
+            return Attempt::Doubt(AttemptEnd::Lost, MayHaveRunReason::ConnectionLost);
         }
         None => {
             let (end, doubt) = patience.over();
@@ -109,8 +109,8 @@
     let whole = read_whole(body, MAX_WHOLE_BYTES);
     match within(patience.left(), whole).await {
         Some(Ok(body)) => Attempt::Whole(Box::new(parts), body),
-        Some(Err(_)) => Attempt::Doubt(AttemptEnd::Lost, Doubt::AnswerCut),
-        None => Attempt::Doubt(AttemptEnd::Cut, Doubt::DeadlinePassed),
+        Some(Err(_)) => Attempt::Doubt(AttemptEnd::Lost, MayHaveRunReason::AnswerCut),
+        None => Attempt::Doubt(AttemptEnd::Cut, MayHaveRunReason::DeadlinePassed),
     }
 }
 
@@ -136,9 +136,9 @@
 pub async fn next_piece(
     answer: &mut Answer,
     patience: Patience,
-) -> Result<Option<bytes::Bytes>, (AttemptEnd, Doubt)> {
+) -> Result<Option<bytes::Bytes>, (AttemptEnd, MayHaveRunReason)> {
     body::next_piece(answer, patience.wait()).await.map_err(|err| match err {
-        PieceError::Cut => (AttemptEnd::Lost, Doubt::AnswerCut),
+        PieceError::Cut => (AttemptEnd::Lost, MayHaveRunReason::AnswerCut),
         PieceError::Late => patience.over(),
     })
 }
--- a/crates/samphiredoor-gateway/src/front/mod.rs
+++ b/crates/samphiredoor-gateway/src/front/mod.rs
@@ -15,7 +15,7 @@
 };
 use samphiredoor_core::{
     ordered::JobName,
-    routes::{BatchRule, Route, RouteKind, RouteTable},
+    routes::{BatchTimes, Route, RouteKind, RouteTable},
     verdict::Refusal,
 };
 use samphiredoor_net::{
@@ -136,7 +136,7 @@
 
 fn submission(
     table: &RouteTable,
-    (route, rule): (&Route, BatchRule),
+    (route, rule): (&Route, BatchTimes),
     job: JobName,
     (host, path): (String, String),
     body: Bytes,
--- a/crates/samphiredoor-gateway/src/front/online.rs
+++ b/crates/samphiredoor-gateway/src/front/online.rs
@@ -18,7 +18,7 @@
     dispatch::Class,
     placement::{AttemptEnd, RequestSpec},
     routes::Route,
-    verdict::{Doubt, Refusal},
+    verdict::{MayHaveRunReason, Refusal},
 };
 use samphiredoor_net::{Body, Call};
 use smallvec::SmallVec;
@@ -68,7 +68,7 @@
     deadline: Instant,
     sends: u32,
     tried: SmallVec<[Name; 2]>,
-    doubt: Option<Doubt>,
+    doubt: Option<MayHaveRunReason>,
     /// What a target answered that ran it and failed.
     failed: Option<(Box<response::Parts>, Bytes)>,
     _open: Open,
@@ -108,7 +108,7 @@
 #[derive(Debug, Clone, Copy)]
 pub(super) enum Over {
     Refused { reason: Refusal, retry_after_ms: u64 },
-    Doubt(Doubt),
+    Doubt(MayHaveRunReason),
 }
 
 impl Online {
@@ -201,7 +201,11 @@
     }
 
     /// Continues a stream that was cut after an event at another target.
-    pub(super) async fn resume(&mut self, after: u64, doubt: Doubt) -> Result<Streaming, Over> {
+    pub(super) async fn resume(
+        &mut self,
+        after: u64,
+        doubt: MayHaveRunReason,
+    ) -> Result<Streaming, Over> {
         self.doubt = Some(doubt);
         if !self.may_run_again() {
             return Err(Over::Doubt(doubt));
--- a/crates/samphiredoor-gateway/src/front/passing.rs
+++ b/crates/samphiredoor-gateway/src/front/passing.rs
@@ -2,7 +2,7 @@
 
 use bytes::{Bytes, BytesMut};
 use futures_util::Stream;
-use samphiredoor_core::{placement::AttemptEnd, routes::RouteKind, verdict::Doubt};
+use samphiredoor_core::{placement::AttemptEnd, routes::RouteKind, verdict::MayHaveRunReason};
 use samphiredoor_net::BoxError;
 
 use super::{
@@ -63,7 +63,7 @@
     }
 
     /// Goes on at another target; the error that cuts the answer if that cannot be.
-    async fn cut(&mut self, end: AttemptEnd, doubt: Doubt) -> Option<BoxError> {
+    async fn cut(&mut self, end: AttemptEnd, doubt: MayHaveRunReason) -> Option<BoxError> {
         let mut streaming = self.streaming.take()?;
         streaming.ticket.ended(end);
         log::info!(
--- a/crates/samphiredoor-gateway/src/jobs/submit.rs
+++ b/crates/samphiredoor-gateway/src/jobs/submit.rs
@@ -14,9 +14,9 @@
 use hyper::{Response, StatusCode};
 use samphiredoor_core::{
     ordered::{Item, Items, JobHeader, JobName, ResultLog, header_key, part_key, split_into_parts},
-    routes::BatchRule,
+    routes::BatchTimes,
     store::{Labels, StoreAnswer, StoreOp, Version},
-    verdict::{Doubt, Refusal},
+    verdict::{MayHaveRunReason, Refusal},
 };
 use samphiredoor_net::{Body, pool::within};
 
@@ -47,7 +47,7 @@
     /// Path that the caller named.
     pub path: String,
     /// Times of its route.
-    pub rule: BatchRule,
+    pub rule: BatchTimes,
     /// Failures at targets that its route allows for an item.
     pub attempts: u32,
     /// Version of the routes by which it was read.
@@ -135,7 +135,7 @@
         SubmissionEnd::Refused => refuse(env, &submitted.job, Refusal::StoreUnavailable),
         SubmissionEnd::Perhaps => {
             log::warn!(job = &*submitted.job; "job: acceptance in doubt");
-            plain(StatusCode::GATEWAY_TIMEOUT, Doubt::StoreAnswerLost.label())
+            plain(StatusCode::GATEWAY_TIMEOUT, MayHaveRunReason::StoreAnswerLost.label())
         }
     }
 }
--- a/crates/samphiredoor-gateway/src/peers/roster.rs
+++ b/crates/samphiredoor-gateway/src/peers/roster.rs
@@ -13,7 +13,7 @@
     Name,
     dispatch::Location,
     placement::{CellId, Cells, Distance, TargetEntry, name_hash},
-    renewal::FleetPlace,
+    renewal::FleetPosition,
 };
 
 use super::{LocalGateway, status::Status, summary::Member};
@@ -377,11 +377,11 @@
 
     /// Place of this process among those that follow the store: all that are heard, or, in a fleet of several cells, one of
     /// each.
-    pub fn fleet_position(&self) -> FleetPlace {
+    pub fn fleet_position(&self) -> FleetPosition {
         let cells = self.cells();
         if let Some(own) = self.own_cell().filter(|_| cells.len() > 1) {
             let position = cells.ids().take_while(|it| *it != own).count();
-            return FleetPlace { position, processes: cells.len() };
+            return FleetPosition { position, processes: cells.len() };
         }
         let peers = self.peers.borrow();
         let heard = peers.iter().filter(|(_, it)| it.is_heard());
@@ -390,7 +390,7 @@
             processes += 1;
             position += usize::from(*name < self.local.name);
         }
-        FleetPlace { position, processes }
+        FleetPosition { position, processes }
     }
 
     /// Address of a process, in one start of it, if it is heard, whatever it can do now.
--- a/crates/samphiredoor-gateway/src/routes.rs
+++ b/crates/samphiredoor-gateway/src/routes.rs
@@ -3,14 +3,14 @@
 use std::{cell::RefCell, rc::Rc, sync::Arc};
 
 use samphiredoor_core::{
-    routes::{RouteLog, RouteTable},
+    routes::{LatestRoutes, RouteTable},
     store::Stored,
 };
 
 /// Handle to the routes in force; written by discovery alone.
 #[derive(Clone, Default)]
 pub struct Routes {
-    log: Rc<RefCell<RouteLog>>,
+    log: Rc<RefCell<LatestRoutes>>,
     source: Rc<RefCell<Option<Stored>>>,
 }
 
@@ -26,8 +26,8 @@
     }
 
     /// Puts a table in force if it is newer; says whether it did. `source` is the object that it was read from.
-    pub fn offer(&self, table: RouteTable, source: &Stored) -> bool {
-        let taken = self.log.borrow_mut().offer(table);
+    pub fn update_if_newer(&self, table: RouteTable, source: &Stored) -> bool {
+        let taken = self.log.borrow_mut().update_if_newer(table);
         if taken {
             *self.source.borrow_mut() = Some(source.clone());
         }
--- a/crates/samphiredoor/src/answers.rs
+++ b/crates/samphiredoor/src/answers.rs
@@ -1,7 +1,7 @@
 //! Answers of the doors themselves, as opposed to those of targets.
 
 use hyper::{Response, StatusCode, header};
-use samphiredoor_core::verdict::{Doubt, Refusal, Verdict};
+use samphiredoor_core::verdict::{MayHaveRunReason, Refusal, Verdict};
 use samphiredoor_net::{Body, answers};
 use serde::Serialize;
 use serde_json::json;
@@ -77,19 +77,19 @@
     response
 }
 
-fn may_have_run(reason: Doubt) -> Response<Body> {
+fn may_have_run(reason: MayHaveRunReason) -> Response<Body> {
     let status = match reason {
-        Doubt::StillRunning => StatusCode::CONFLICT,
-        Doubt::TargetsDied => StatusCode::UNPROCESSABLE_ENTITY,
-        Doubt::DeadlinePassed => StatusCode::GATEWAY_TIMEOUT,
-        Doubt::StoreAnswerLost => StatusCode::SERVICE_UNAVAILABLE,
-        Doubt::ConnectionLost
-        | Doubt::AnswerCut
-        | Doubt::IntentWithoutOutcome
-        | Doubt::AnswerNotKept => StatusCode::BAD_GATEWAY,
+        MayHaveRunReason::StillRunning => StatusCode::CONFLICT,
+        MayHaveRunReason::TargetsDied => StatusCode::UNPROCESSABLE_ENTITY,
+        MayHaveRunReason::DeadlinePassed => StatusCode::GATEWAY_TIMEOUT,
+        MayHaveRunReason::StoreAnswerLost => StatusCode::SERVICE_UNAVAILABLE,
+        MayHaveRunReason::ConnectionLost
+        | MayHaveRunReason::AnswerCut
+        | MayHaveRunReason::IntentWithoutOutcome
+        | MayHaveRunReason::AnswerNotKept => StatusCode::BAD_GATEWAY,
     };
     let mut response = json_answer(status, &verdict_json(Verdict::MayHaveRun { reason }));
-    if matches!(reason, Doubt::StillRunning | Doubt::StoreAnswerLost) {
+    if matches!(reason, MayHaveRunReason::StillRunning | MayHaveRunReason::StoreAnswerLost) {
         let soon = header::HeaderValue::from_static("1");
         response.headers_mut().insert(header::RETRY_AFTER, soon);
     }
@@ -134,15 +134,17 @@
     }
 }
 
-fn doubt_message(reason: Doubt) -> &'static str {
+fn doubt_message(reason: MayHaveRunReason) -> &'static str {
     match reason {
-        Doubt::ConnectionLost => "the target was lost before it answered",
-        Doubt::AnswerCut => "the target's answer was cut",
-        Doubt::DeadlinePassed => "the deadline passed before the answer came",
-        Doubt::IntentWithoutOutcome => "an earlier run of this request left no outcome",
-        Doubt::StoreAnswerLost => "the object store did not answer; sending again is safe",
-        Doubt::StillRunning => "the same request is running; send again for its answer",
-        Doubt::AnswerNotKept => "the request ran; its answer was too large to be kept",
-        Doubt::TargetsDied => "targets died while the request ran; do not send it again",
+        MayHaveRunReason::ConnectionLost => "the target was lost before it answered",
+        MayHaveRunReason::AnswerCut => "the target's answer was cut",
+        MayHaveRunReason::DeadlinePassed => "the deadline passed before the answer came",
+        MayHaveRunReason::IntentWithoutOutcome => "an earlier run of this request left no outcome",
+        MayHaveRunReason::StoreAnswerLost => {
+            "the object store did not answer; sending again is safe"
+        }
+        MayHaveRunReason::StillRunning => "the same request is running; send again for its answer",
+        MayHaveRunReason::AnswerNotKept => "the request ran; its answer was too large to be kept",
+        MayHaveRunReason::TargetsDied => "targets died while the request ran; do not send it again",
     }
 }
--- a/crates/samphiredoor/src/dispatch_task.rs
+++ b/crates/samphiredoor/src/dispatch_task.rs
@@ -15,8 +15,8 @@
         Action, AttemptEnd, Dispatcher, Input, Location, RequestId, RequestSpec, TargetView,
         slot_allocator::SlotGrant,
     },
+    hints::Hint,
     manifest::Manifest,
-    news::News,
     verdict::{Refusal, Verdict},
 };
 use samphiredoor_net::{
@@ -77,7 +77,7 @@
         location: Location,
         seed: u64,
         metrics: Rc<Metrics>,
-        news: flume::Sender<(Name, News)>,
+        news: flume::Sender<(Name, Hint)>,
     ) -> Dispatch {
         let (messages, inbox) = flume::unbounded();
         let dispatcher = Dispatcher::new(location, seed);
@@ -200,7 +200,7 @@
     dispatcher: Dispatcher,
     waiting: HashMap<RequestId, flume::Sender<Placement>>,
     recalled: HashMap<RequestId, Instant>,
-    news: flume::Sender<(Name, News)>,
+    news: flume::Sender<(Name, Hint)>,
     metrics: Rc<Metrics>,
     ticks: u64,
 }
@@ -269,7 +269,7 @@
         }
     }
 
-    fn tell(&self, door: Name, news: News) {
+    fn tell(&self, door: Name, news: Hint) {
         let _ = self.news.send((door, news));
     }
 
@@ -283,10 +283,10 @@
             Action::Refuse { request, verdict } => (request, Placement::Refused(verdict)),
             Action::SlotGrant { target, grant } => {
                 let SlotGrant { gateway, slots, epoch } = grant;
-                let news = News::Recall { target, batch_slots: slots, epoch };
+                let news = Hint::Recall { target, batch_slots: slots, epoch };
                 return self.tell(gateway, news);
             }
-            Action::Demand { allocator, load } => return self.tell(allocator, News::Need(load)),
+            Action::Demand { allocator, load } => return self.tell(allocator, Hint::Need(load)),
         };
         let last = matches!(placement, Placement::Refused(_));
         if let Some(reply) = self.waiting.get(&request) {
--- a/crates/samphiredoor/src/hosts_task.rs
+++ b/crates/samphiredoor/src/hosts_task.rs
@@ -8,8 +8,8 @@
 
 use samphiredoor_core::{
     Name,
+    hints::Hint,
     membership::preferred,
-    news::News,
     store::{Kind, Labels, StoreAnswer, StoreOp, Stored, Version},
 };
 use samphiredoor_net::pool::within;
@@ -96,6 +96,6 @@
     let manifest = door.manifest.current();
     for target in manifest.targets.values().filter(|it| leaving.contains(&it.address.ip())) {
         door.dispatch.leaving(Name::clone(&target.name));
-        door.peers.tell_all(News::Leaving(Name::clone(&target.name)));
+        door.peers.tell_all(Hint::Leaving(Name::clone(&target.name)));
     }
 }
--- a/crates/samphiredoor/src/item_call.rs
+++ b/crates/samphiredoor/src/item_call.rs
@@ -8,7 +8,7 @@
 
 use bytes::Bytes;
 use http_body_util::BodyExt;
-use samphiredoor_core::{dispatch::AttemptEnd, ledger::ItemEnd, verdict::Doubt};
+use samphiredoor_core::{dispatch::AttemptEnd, ledger::ItemEnd, verdict::MayHaveRunReason};
 use samphiredoor_net::{
     body::read_whole,
     pool::{Answer, SendError, within},
@@ -119,7 +119,9 @@
             let sent = door.targets.send(address, &self.next_call()).await;
             let response = sent.map_err(|err| match err {
                 SendError::NotSent(_) => AttemptEnd::NotSent,
-                SendError::MayHaveRun(_) => AttemptEnd::AnswerLost(Doubt::ConnectionLost),
+                SendError::MayHaveRun(_) => {
+                    AttemptEnd::AnswerLost(MayHaveRunReason::ConnectionLost)
+                }
             })?;
             if let Some(pushback) = pushback(is_engine, &response) {
                 return Err(pushback);
@@ -133,7 +135,7 @@
                 _ => read_answer(status, response.into_body()).await,
             }
         });
-        exchange.await.unwrap_or(Err(AttemptEnd::AnswerLost(Doubt::DeadlinePassed)))
+        exchange.await.unwrap_or(Err(AttemptEnd::AnswerLost(MayHaveRunReason::DeadlinePassed)))
     }
 
     /// An attempt that was cut between its last token and the end of its framing has nothing left to ask for.
@@ -184,14 +186,14 @@
 
 async fn read_answer(status: u16, body: Answer) -> Result<ItemEnd, AttemptEnd> {
     let body = read_whole(body, MAX_RESULT_BYTES).await;
-    let body = body.map_err(|_| AttemptEnd::AnswerLost(Doubt::AnswerCut))?;
+    let body = body.map_err(|_| AttemptEnd::AnswerLost(MayHaveRunReason::AnswerCut))?;
     let text = || Value::String(String::from_utf8_lossy(&body).into_owned());
     let body = serde_json::from_slice(&body).unwrap_or_else(|_| text());
     Ok(ItemEnd::Answered { status, body })
 }
 
 async fn read_events(partial: &RefCell<Partial>, mut body: Answer) -> Result<(), AttemptEnd> {
-    let cut = AttemptEnd::AnswerLost(Doubt::AnswerCut);
+    let cut = AttemptEnd::AnswerLost(MayHaveRunReason::AnswerCut);
     let mut unread = Vec::new();
     while let Some(frame) = body.frame().await {
         let Ok(data) = frame.map_err(|_| cut)?.into_data() else { continue };
--- a/crates/samphiredoor/src/job_control.rs
+++ b/crates/samphiredoor/src/job_control.rs
@@ -5,10 +5,10 @@
 use hyper::{Response, StatusCode};
 use samphiredoor_core::{
     Name,
+    hints::Hint,
     ledger::{CancelStep, Cancellation, JobId, chunk_key, header_key, results_key},
-    news::News,
     store::{Kind, ObjectKey, StoreAnswer, StoreOp},
-    verdict::{Doubt, Verdict},
+    verdict::{MayHaveRunReason, Verdict},
 };
 use samphiredoor_net::Body;
 use samphiredoor_schema::objects::{JobHeader, JobState};
@@ -33,7 +33,7 @@
                 log::info!("jobs: {job} is cancelled");
                 door.jobs.cancel_hint(job.clone());
                 let owner: Name = header.owner.process.as_str().into();
-                door.peers.tell(owner, News::Cancelled(job.clone()));
+                door.peers.tell(owner, Hint::Cancelled(job.clone()));
                 return json_answer(StatusCode::OK, &header_json(&job, &header));
             }
             CancelStep::Finished { header } => {
@@ -45,7 +45,7 @@
             CancelStep::Unreadable => return unreadable(),
             CancelStep::NotCancelled => return store_refusal(),
             CancelStep::MayBeCancelled => {
-                let reason = Doubt::StoreAnswerLost;
+                let reason = MayHaveRunReason::StoreAnswerLost;
                 return verdict_answer(Verdict::MayHaveRun { reason });
             }
         }
--- a/crates/samphiredoor/src/jobs.rs
+++ b/crates/samphiredoor/src/jobs.rs
@@ -7,7 +7,7 @@
 use samphiredoor_core::{
     ledger::{Acceptance, Accepting, BadLine, Submission, SubmissionStep, chunk_key},
     store::{StoreAnswer, StoreOp},
-    verdict::{Doubt, Refusal, Verdict},
+    verdict::{MayHaveRunReason, Refusal, Verdict},
 };
 use samphiredoor_net::Body;
 use samphiredoor_schema::objects::Chunk;
@@ -174,7 +174,7 @@
             }
             // The header may stand, and then needs its chunks.
             SubmissionStep::MayBeAccepted => {
-                let reason = Doubt::StoreAnswerLost;
+                let reason = MayHaveRunReason::StoreAnswerLost;
                 return verdict_answer(Verdict::MayHaveRun { reason });
             }
         }
--- a/crates/samphiredoor/src/keyed.rs
+++ b/crates/samphiredoor/src/keyed.rs
@@ -12,7 +12,7 @@
     Name,
     dispatch::{Class, RequestSpec},
     keys::{Arrival, KeptAnswer, KeyOutcome, MAX_BODY_BYTES, key_id},
-    verdict::{Doubt, Refusal, Verdict},
+    verdict::{MayHaveRunReason, Refusal, Verdict},
 };
 use samphiredoor_net::{Body, BoxError, pool::within};
 
@@ -66,7 +66,7 @@
             Some(KeyDecision::Replay(answer)) => return replay(&online, answer),
             Some(KeyDecision::Refused(verdict)) => return online.refused(verdict),
             None if joined => {
-                let reason = Doubt::StillRunning;
+                let reason = MayHaveRunReason::StillRunning;
                 return online.refused(Verdict::MayHaveRun { reason });
             }
             None => {
@@ -99,7 +99,7 @@
     .detach();
     match receiver.await {
         Ok(response) => response,
-        Err(_) => verdict_answer(Verdict::MayHaveRun { reason: Doubt::ConnectionLost }),
+        Err(_) => verdict_answer(Verdict::MayHaveRun { reason: MayHaveRunReason::ConnectionLost }),
     }
 }
 
@@ -179,7 +179,7 @@
                 self.ticket.ended(KeyOutcome::MayHaveRun(reason));
             }
             Some(Verdict::NotRun { .. }) | None => {
-                self.ticket.ended(KeyOutcome::MayHaveRun(Doubt::AnswerCut));
+                self.ticket.ended(KeyOutcome::MayHaveRun(MayHaveRunReason::AnswerCut));
             }
         }
     }
@@ -187,7 +187,7 @@
 
 fn replay(online: &Online, answer: KeptAnswer) -> Response<Body> {
     let Some(body) = answer.body else {
-        return online.refused(Verdict::MayHaveRun { reason: Doubt::AnswerNotKept });
+        return online.refused(Verdict::MayHaveRun { reason: MayHaveRunReason::AnswerNotKept });
     };
     let elapsed_s = online.started.elapsed().as_secs_f64();
     online.door.metrics.ended(Class::Online, Verdict::Done, elapsed_s);
--- a/crates/samphiredoor/src/lending_task.rs
+++ b/crates/samphiredoor/src/lending_task.rs
@@ -5,7 +5,7 @@
 use samphiredoor_core::{
     Name,
     dispatch::{Input, slot_allocator::LiveGateway},
-    news::News,
+    hints::Hint,
 };
 use samphiredoor_net::pool::within;
 
@@ -14,7 +14,7 @@
 const PERIOD: Duration = Duration::from_millis(250);
 
 /// Runs until the process ends.
-pub async fn run(door: Rc<Door>, news: flume::Receiver<(Name, News)>) {
+pub async fn run(door: Rc<Door>, news: flume::Receiver<(Name, Hint)>) {
     loop {
         tell_live_doors(&door);
         let telling = async {
--- a/crates/samphiredoor/src/links/codec.rs
+++ b/crates/samphiredoor/src/links/codec.rs
@@ -3,8 +3,8 @@
 use capnp::{Error, NotInSchema, struct_list};
 use samphiredoor_core::{
     Name,
+    hints::{Hint, Origin, TargetLoad},
     membership::{Beat, Member, MemberState},
-    news::{News, Origin, TargetLoad},
 };
 use samphiredoor_schema::peer_capnp::{self as wire, heartbeat, member, news, target_load};
 
@@ -88,24 +88,24 @@
         builder.set_number(origin.number);
     }
     match &told.news {
-        News::Cancelled(job) => builder.set_cancelled(&**job),
-        News::Suspect { fingerprint, deaths, lifted } => {
+        Hint::Cancelled(job) => builder.set_cancelled(&**job),
+        Hint::Suspect { fingerprint, deaths, lifted } => {
             let mut suspect = builder.init_suspect();
             suspect.set_fingerprint(*fingerprint);
             suspect.set_deaths(*deaths);
             suspect.set_lifted(*lifted);
         }
-        News::Leaving(target) => builder.set_leaving(&**target),
-        News::Recall { target, batch_slots, epoch } => {
+        Hint::Leaving(target) => builder.set_leaving(&**target),
+        Hint::Recall { target, batch_slots, epoch } => {
             let mut recall = builder.init_recall();
             recall.set_target(&**target);
             recall.set_batch_slots(*batch_slots);
             recall.set_epoch(*epoch);
         }
-        News::Need(load) => write_load(load, builder.init_need()),
-        News::Revision(revision) => builder.set_revision(*revision),
-        News::HandedOver(job) => builder.set_handed_over(&**job),
-        News::Lapsed { process, incarnation } => {
+        Hint::Need(load) => write_load(load, builder.init_need()),
+        Hint::Revision(revision) => builder.set_revision(*revision),
+        Hint::HandedOver(job) => builder.set_handed_over(&**job),
+        Hint::Lapsed { process, incarnation } => {
             let mut lapse = builder.init_lapsed();
             lapse.set_process(&**process);
             lapse.set_incarnation(*incarnation);
@@ -116,30 +116,30 @@
 /// News as told; `None` for a kind that a newer version has added.
 pub(super) fn read_news(reader: news::Reader<'_>) -> Result<Option<Told>, Error> {
     let news = match reader.which() {
-        Ok(news::Cancelled(job)) => News::Cancelled(name(job?)?),
+        Ok(news::Cancelled(job)) => Hint::Cancelled(name(job?)?),
         Ok(news::Suspect(suspect)) => {
             let suspect = suspect?;
-            News::Suspect {
+            Hint::Suspect {
                 fingerprint: suspect.get_fingerprint(),
                 deaths: suspect.get_deaths(),
                 lifted: suspect.get_lifted(),
             }
         }
-        Ok(news::Leaving(target)) => News::Leaving(name(target?)?),
+        Ok(news::Leaving(target)) => Hint::Leaving(name(target?)?),
         Ok(news::Recall(recall)) => {
             let recall = recall?;
-            News::Recall {
+            Hint::Recall {
                 target: name(recall.get_target()?)?,
                 batch_slots: recall.get_batch_slots(),
                 epoch: recall.get_epoch(),
             }
         }
-        Ok(news::Need(load)) => News::Need(read_load(load?)?),
-        Ok(news::Revision(revision)) => News::Revision(revision),
-        Ok(news::HandedOver(job)) => News::HandedOver(name(job?)?),
+        Ok(news::Need(load)) => Hint::Need(read_load(load?)?),
+        Ok(news::Revision(revision)) => Hint::Revision(revision),
+        Ok(news::HandedOver(job)) => Hint::HandedOver(name(job?)?),
         Ok(news::Lapsed(lapse)) => {
             let lapse = lapse?;
-            News::Lapsed {
+            Hint::Lapsed {
                 process: name(lapse.get_process()?)?,
                 incarnation: lapse.get_incarnation(),
             }
--- a/crates/samphiredoor/src/members_task.rs
+++ b/crates/samphiredoor/src/members_task.rs
@@ -4,12 +4,12 @@
 
 use samphiredoor_core::{
     Name,
+    hints::{Hint, Origin, SeenHints, origin_name},
     ledger::sweepers,
     manifest_log::Holders,
     membership::{
         Member, MemberState, Membership, MembershipAction, MembershipConfig, MembershipInput,
     },
-    news::{News, Origin, Seen, origin_name},
     store::{Kind, Labels, ObjectKey, StoreAnswer, StoreOp, Stored},
 };
 use samphiredoor_net::pool::within;
@@ -38,8 +38,8 @@
     membership: Membership,
     links: HashMap<Name, Vec<Link>>,
     // News for members that a link is being opened to.
-    pending: HashMap<Name, Vec<News>>,
-    seen: Seen,
+    pending: HashMap<Name, Vec<Hint>>,
+    seen: SeenHints,
     origin: Name,
     next_number: u64,
     revision: u64,
@@ -59,7 +59,7 @@
         membership: Membership::new(config),
         links: HashMap::new(),
         pending: HashMap::new(),
-        seen: Seen::default(),
+        seen: SeenHints::default(),
         origin: origin_name(&door.config.name, door.incarnation),
         next_number: 1,
         revision: 0,
@@ -184,7 +184,7 @@
     }
 
     fn news(&mut self, from: &Name, told: Told) {
-        if let News::Revision(revision) = told.news {
+        if let Hint::Revision(revision) = told.news {
             return self.pull_manifest(from, revision);
         }
         if let Some(origin) = &told.origin {
@@ -196,7 +196,7 @@
         news::deliver(&self.door, from, told.news);
     }
 
-    fn tell_all(&mut self, news: News) {
+    fn tell_all(&mut self, news: Hint) {
         let origin = Origin { door: Name::clone(&self.origin), number: self.next_number };
         self.next_number += 1;
         self.seen.insert(&origin);
@@ -209,7 +209,7 @@
         }
     }
 
-    fn tell(&mut self, to: Name, news: News) {
+    fn tell(&mut self, to: Name, news: Hint) {
         if to == self.door.config.name {
             return news::deliver(&self.door, &to, news);
         }
@@ -231,7 +231,7 @@
     // The revision itself is told to neighbours only, and each tells its own once it holds it.
     fn in_force(&mut self, revision: u64) {
         self.revision = self.revision.max(revision);
-        self.spread(&Told { origin: None, news: News::Revision(revision) }, None);
+        self.spread(&Told { origin: None, news: Hint::Revision(revision) }, None);
     }
 
     fn pull_manifest(&mut self, from: &Name, revision: u64) {
@@ -271,7 +271,7 @@
         log::info!("peers: the lease of {process} has lapsed");
         for sweeper in sweepers(process, &self.working()) {
             let process = Name::clone(process);
-            self.tell(sweeper, News::Lapsed { process, incarnation });
+            self.tell(sweeper, Hint::Lapsed { process, incarnation });
         }
         self.door.jobs.lapsed(Name::clone(process), incarnation);
         self.door.orders.lapsed(Name::clone(process), incarnation);
--- a/crates/samphiredoor/src/metrics.rs
+++ b/crates/samphiredoor/src/metrics.rs
@@ -15,7 +15,7 @@
 use samphiredoor_core::{
     dispatch::{Class, Counters, Gauges},
     ledger::Unreadable,
-    verdict::{Doubt, Refusal, Verdict},
+    verdict::{MayHaveRunReason, Refusal, Verdict},
 };
 use samphiredoor_net::metrics::{self, ReasonCounters, counter, gauge};
 
@@ -144,7 +144,7 @@
         };
         let refusals = Refusal::ALL.map(Refusal::label);
         let refusals = counters("refusals", "Requests refused before they ran", &refusals);
-        let doubts = Doubt::ALL.map(Doubt::label);
+        let doubts = MayHaveRunReason::ALL.map(MayHaveRunReason::label);
         let doubts = counters("doubts", "Requests that may have run", &doubts);
         let job_events = counters("job_events", "What became of jobs", &JOB_EVENTS);
         let item_ends = counters("item_ends", "Ends of runs of items", &ITEM_ENDS);
--- a/crates/samphiredoor/src/news.rs
+++ b/crates/samphiredoor/src/news.rs
@@ -1,30 +1,30 @@
 //! Passes a peer's news on to the tasks that it concerns.
 
-use samphiredoor_core::{Name, dispatch::Input, news::News, quarantine::Suspect};
+use samphiredoor_core::{Name, dispatch::Input, hints::Hint, quarantine::Suspect};
 
 use crate::door::Door;
 
 /// Passes one piece of news on.
-pub fn deliver(door: &Door, from: &Name, news: News) {
+pub fn deliver(door: &Door, from: &Name, news: Hint) {
     match news {
-        News::Cancelled(job) => door.jobs.cancel_hint(job),
-        News::HandedOver(job) => door.jobs.offered(job),
-        News::Lapsed { process, incarnation } => {
+        Hint::Cancelled(job) => door.jobs.cancel_hint(job),
+        Hint::HandedOver(job) => door.jobs.offered(job),
+        Hint::Lapsed { process, incarnation } => {
             door.jobs.lapsed(Name::clone(&process), incarnation);
             door.keys.lapsed(&process, incarnation);
             door.orders.lapsed(process, incarnation);
         }
-        News::Leaving(target) => door.dispatch.leaving(target),
+        Hint::Leaving(target) => door.dispatch.leaving(target),
         // The members task handles revisions itself.
-        News::Revision(_) => {}
-        News::Recall { target, batch_slots, epoch } => {
+        Hint::Revision(_) => {}
+        Hint::Recall { target, batch_slots, epoch } => {
             let allocator = Name::clone(from);
             door.dispatch.input(Input::SlotGrant { target, allocator, slots: batch_slots, epoch });
         }
-        News::Need(load) => {
+        Hint::Need(load) => {
             door.dispatch.input(Input::Demand { gateway: Name::clone(from), load });
         }
-        News::Suspect { fingerprint, deaths, lifted } => {
+        Hint::Suspect { fingerprint, deaths, lifted } => {
             door.quarantine.told(Suspect { fingerprint, deaths, lifted });
         }
     }
--- a/crates/samphiredoor/src/online.rs
+++ b/crates/samphiredoor/src/online.rs
@@ -16,7 +16,7 @@
 use samphiredoor_core::{
     dispatch::{AttemptEnd, Class, RequestSpec},
     ledger::service_in_path,
-    verdict::{Doubt, Refusal, Verdict},
+    verdict::{MayHaveRunReason, Refusal, Verdict},
 };
 use samphiredoor_net::{
     Body,
@@ -151,9 +151,11 @@
             Some(Ok(response)) => response,
             Some(Err(SendError::NotSent(_))) => return Outcome::Nothing(AttemptEnd::NotSent),
             Some(Err(SendError::MayHaveRun(_))) => {
-                return Outcome::Nothing(AttemptEnd::AnswerLost(Doubt::ConnectionLost));
+                return Outcome::Nothing(AttemptEnd::AnswerLost(MayHaveRunReason::ConnectionLost));
+            }
+            None => {
+                return Outcome::Nothing(AttemptEnd::AnswerLost(MayHaveRunReason::DeadlinePassed));
             }
-            None => return Outcome::Nothing(AttemptEnd::AnswerLost(Doubt::DeadlinePassed)),
         };
         let status = response.status();
         if let Some(pushback) = pushback(self.is_engine, &response) {
@@ -176,7 +178,7 @@
         match next_piece(&mut body, self.deadline).await {
             Ok(Some(first)) => Outcome::Begun(Box::new(parts), body, first),
             Ok(None) if self.is_engine => {
-                Outcome::Nothing(AttemptEnd::AnswerLost(Doubt::AnswerCut))
+                Outcome::Nothing(AttemptEnd::AnswerLost(MayHaveRunReason::AnswerCut))
             }
             Ok(None) => {
                 Outcome::Whole(Response::from_parts(parts, Body::empty()), AttemptEnd::Completed)
@@ -200,7 +202,10 @@
         verdict_answer(verdict)
     }
 
-    async fn read_answer(&self, response: Response<Answer>) -> Result<Response<Body>, Doubt> {
+    async fn read_answer(
+        &self,
+        response: Response<Answer>,
+    ) -> Result<Response<Body>, MayHaveRunReason> {
         let (mut parts, body) = response.into_parts();
         let read = read_whole(body, MAX_WHOLE_ANSWER_BYTES);
         match within(self.time_left(), read).await {
@@ -208,8 +213,8 @@
                 strip_framing(&mut parts.headers);
                 Ok(Response::from_parts(parts, Body::full(body)))
             }
-            Some(Err(_)) => Err(Doubt::AnswerCut),
-            None => Err(Doubt::DeadlinePassed),
+            Some(Err(_)) => Err(MayHaveRunReason::AnswerCut),
+            None => Err(MayHaveRunReason::DeadlinePassed),
         }
     }
 
@@ -242,7 +247,7 @@
 }
 
 /// Verdict when the deadline passes while no target has the request: an earlier attempt may have run.
-fn out_of_time(doubt: Option<Doubt>) -> Verdict {
+fn out_of_time(doubt: Option<MayHaveRunReason>) -> Verdict {
     match doubt {
         Some(reason) => Verdict::MayHaveRun { reason },
         None => Verdict::NotRun { retry_after_ms: 0, reason: Refusal::DeadlineTooShort },
@@ -250,9 +255,9 @@
 }
 
 /// Verdict on a request that is blamed for the death of targets; final in either case.
-fn quarantined(doubt: Option<Doubt>) -> Verdict {
+fn quarantined(doubt: Option<MayHaveRunReason>) -> Verdict {
     match doubt {
-        Some(_) => Verdict::MayHaveRun { reason: Doubt::TargetsDied },
+        Some(_) => Verdict::MayHaveRun { reason: MayHaveRunReason::TargetsDied },
         None => Verdict::NotRun { retry_after_ms: 0, reason: Refusal::Quarantined },
     }
 }
--- a/crates/samphiredoor/src/parts.rs
+++ b/crates/samphiredoor/src/parts.rs
@@ -10,8 +10,8 @@
 use samphiredoor_core::{
     Name,
     dispatch::Location,
+    hints::Hint,
     keys::{KeysConfig, holder_name},
-    news::News,
     quarantine::QuarantineConfig,
 };
 use samphiredoor_net::clock::Clock;
@@ -42,7 +42,7 @@
     manifest: ManifestInbox,
     peers: PeersInbox,
     orders: OrdersInbox,
-    lending: flume::Receiver<(Name, News)>,
+    lending: flume::Receiver<(Name, Hint)>,
 }
 
 /// Starts all tasks of a door that listens for peers on `peer_address`.
--- a/crates/samphiredoor/src/passing.rs
+++ b/crates/samphiredoor/src/passing.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use samphiredoor_core::{
     dispatch::{AttemptEnd, Class},
-    verdict::{Doubt, Verdict},
+    verdict::{MayHaveRunReason, Verdict},
 };
 use samphiredoor_net::{
     BoxError,
@@ -73,7 +73,7 @@
                 None
             }
             cut => {
-                let reason = cut.err().unwrap_or(Doubt::AnswerCut);
+                let reason = cut.err().unwrap_or(MayHaveRunReason::AnswerCut);
                 if let Some(pass) = this.pass.take_if(|_| reason.is_loss()) {
                     pass.lost_at_the_end();
                 }
@@ -94,10 +94,13 @@
 }
 
 /// Next piece of an answer; `None` at the end of its framing.
-pub async fn next_piece(answer: &mut Answer, deadline: Instant) -> Result<Option<Bytes>, Doubt> {
+pub async fn next_piece(
+    answer: &mut Answer,
+    deadline: Instant,
+) -> Result<Option<Bytes>, MayHaveRunReason> {
     let left = deadline.saturating_duration_since(Instant::now());
     body::next_piece(answer, left).await.map_err(|err| match err {
-        PieceError::Cut => Doubt::AnswerCut,
-        PieceError::Late => Doubt::DeadlinePassed,
+        PieceError::Cut => MayHaveRunReason::AnswerCut,
+        PieceError::Late => MayHaveRunReason::DeadlinePassed,
     })
 }
--- a/crates/samphiredoor/src/peers.rs
+++ b/crates/samphiredoor/src/peers.rs
@@ -7,9 +7,9 @@
 
 use samphiredoor_core::{
     Name,
+    hints::{Hint, Origin},
     manifest_log::Holders,
     membership::{Beat, Member, MemberState, MembershipInput, preferred},
-    news::{News, Origin},
 };
 
 /// Longest wait for a peer's answer to one call.
@@ -27,7 +27,7 @@
     /// Who spread it, and as which of its own; `None` for news meant for the receiver alone.
     pub origin: Option<Origin>,
     /// What is told.
-    pub news: News,
+    pub news: Hint,
 }
 
 /// What the members task wants of a link.
@@ -101,13 +101,13 @@
         told: Vec<Told>,
     },
     /// Spread news to all doors.
-    TellAll(News),
+    TellAll(Hint),
     /// Tell one door.
     Tell {
         /// Which.
         to: Name,
         /// What.
-        news: News,
+        news: Hint,
     },
     /// Have another door hold a manifest's record.
     Hold {
@@ -157,7 +157,7 @@
     }
 
     /// Spreads news to all doors; it may be lost.
-    pub fn tell_all(&self, news: News) {
+    pub fn tell_all(&self, news: Hint) {
         self.send(PeerMessage::TellAll(news));
     }
 
@@ -166,12 +166,12 @@
         let live = self.live();
         let working = live.iter().filter(|it| it.state == MemberState::Live).map(|it| &it.name);
         for taker in preferred(&job, working, 1) {
-            self.tell(taker, News::HandedOver(Name::clone(&job)));
+            self.tell(taker, Hint::HandedOver(Name::clone(&job)));
         }
     }
 
     /// Tells one door; it may be lost.
-    pub fn tell(&self, to: Name, news: News) {
+    pub fn tell(&self, to: Name, news: Hint) {
         self.send(PeerMessage::Tell { to, news });
     }
 
--- a/crates/samphiredoor/src/quarantine_task.rs
+++ b/crates/samphiredoor/src/quarantine_task.rs
@@ -8,7 +8,7 @@
 use compio::net::TcpStream;
 use samphiredoor_core::{
     dispatch::RequestId,
-    news::News,
+    hints::Hint,
     quarantine::{Left, Quarantine, QuarantineAction, QuarantineConfig, QuarantineInput, Suspect},
 };
 use samphiredoor_net::{
@@ -223,7 +223,7 @@
                 }
             }
             QuarantineAction::Tell(Suspect { fingerprint, deaths, lifted }) => {
-                self.env.peers.tell_all(News::Suspect { fingerprint, deaths, lifted });
+                self.env.peers.tell_all(Hint::Suspect { fingerprint, deaths, lifted });
             }
             QuarantineAction::Blamed { fingerprint } => {
                 self.env.metrics.quarantine().blamed();
