--- a/crates/samphiredoor-gateway/src/discovery.rs
+++ b/crates/samphiredoor-gateway/src/discovery.rs
@@ -11,10 +11,10 @@
 use samphiredoor_net::pool::within;
 
 use crate::{
-    edge::{Change, Dialect, Platform},
     metrics::Metrics,
     peers::Roster,
     placement::Placer,
+    platform_api::{Change, Dialect, Platform},
     routes::Routes,
     store_health::StoreHealth,
     target_client::TargetClient,
--- a/crates/samphiredoor-gateway/src/fleet.rs
+++ b/crates/samphiredoor-gateway/src/fleet.rs
@@ -9,7 +9,7 @@
     store::{Stored, Version},
 };
 
-use crate::{edge::Change, peers::Roster, sightings::Sighting};
+use crate::{peers::Roster, platform_api::Change, sightings::Sighting};
 
 /// The fleet, as the follower of one kind meets it.
 pub struct Fleet {
--- a/crates/samphiredoor-gateway/src/front/attempt.rs
+++ b/crates/samphiredoor-gateway/src/front/attempt.rs
@@ -14,8 +14,8 @@
 };
 
 use crate::{
-    edge::HeaderNames,
     events::{EventBuffer, is_event_stream},
+    platform_api::HeaderNames,
     target_client::{self, TargetClient},
 };
 
--- a/crates/samphiredoor-gateway/src/front/mod.rs
+++ b/crates/samphiredoor-gateway/src/front/mod.rs
@@ -28,10 +28,10 @@
 pub use answers::{plain, refused};
 
 use crate::{
-    edge::Dialect,
     jobs::{Acceptors, Jobs, Submitted, pass_on},
     metrics::Metrics,
     placement::Placer,
+    platform_api::Dialect,
     routes::Routes,
     target_client::TargetClient,
 };
--- a/crates/samphiredoor-gateway/src/jobs/job_task/mod.rs
+++ b/crates/samphiredoor-gateway/src/jobs/job_task/mod.rs
@@ -29,7 +29,7 @@
     JobEnv, clearance::Clearance, directory::Directory, item_run::SharedOutput, stored::Unread,
     submit::until,
 };
-use crate::edge::ResultsPage;
+use crate::platform_api::ResultsPage;
 
 /// How often a working job looks whether its process still reaches the store.
 const LOOK_PAUSE: Duration = Duration::from_millis(500);
--- a/crates/samphiredoor-gateway/src/jobs/job_task/results.rs
+++ b/crates/samphiredoor-gateway/src/jobs/job_task/results.rs
@@ -11,7 +11,7 @@
 };
 
 use super::{JobMessage, JobTask, Phase, ReadReply, Reader};
-use crate::{edge::ResultsPage, jobs::STORE_PAUSE};
+use crate::{jobs::STORE_PAUSE, platform_api::ResultsPage};
 
 /// Shortest time between two looks for segments of other processes; callers ask twice a second.
 const CHECK_PAUSE: Duration = Duration::from_millis(300);
--- a/crates/samphiredoor-gateway/src/jobs/mod.rs
+++ b/crates/samphiredoor-gateway/src/jobs/mod.rs
@@ -31,10 +31,10 @@
 pub use submit::{Acceptors, Submitted};
 
 use crate::{
-    edge::Platform,
     metrics::Metrics,
     peers::{JobOwners, OwnedJob, Roster, STORE_LOST_AFTER},
     placement::Placer,
+    platform_api::Platform,
     routes::Routes,
     store_health::StoreHealth,
     target_client::TargetClient,
--- a/crates/samphiredoor-gateway/src/jobs/reads.rs
+++ b/crates/samphiredoor-gateway/src/jobs/reads.rs
@@ -29,9 +29,9 @@
     sweep,
 };
 use crate::{
-    edge::{JobCall, ResultsPage},
     front::{plain, refused},
     peers::{Liveness, Owner, STORE_LOST_AFTER, registered_address},
+    platform_api::{JobCall, ResultsPage},
 };
 
 /// Longest wait for a result, whatever the caller asks for.
--- a/crates/samphiredoor-gateway/src/jobs/stored.rs
+++ b/crates/samphiredoor-gateway/src/jobs/stored.rs
@@ -15,7 +15,7 @@
 };
 
 use super::{JobEnv, job_task::page_of};
-use crate::edge::ResultsPage;
+use crate::platform_api::ResultsPage;
 
 /// Bytes of results that are kept for readers; beyond it the jobs that were read first are forgotten.
 const CACHE_BYTES: usize = 1_500_000;
--- a/crates/samphiredoor-gateway/src/jobs/sweep.rs
+++ b/crates/samphiredoor-gateway/src/jobs/sweep.rs
@@ -25,8 +25,8 @@
     stored::{StoredJobs, Unread},
 };
 use crate::{
-    edge::Freshness,
     peers::{Liveness, registered_address},
+    platform_api::Freshness,
     watch::list_all,
 };
 
--- a/crates/samphiredoor-gateway/src/lib.rs
+++ b/crates/samphiredoor-gateway/src/lib.rs
@@ -11,12 +11,12 @@
 //! - **other gateways** are met in `peers`;
 //! - what a process needs to start while the store is lost comes from `mirror`, which `storage` runs.
 //!
-//! `edge` holds the traits by which the platform is met; no name of the platform stands in this package. `process` puts
+//! `platform_api` holds the traits by which the platform is met; no name of the platform stands in this package. `process` puts
 //! all parts together from a [`config::GatewayConfig`]. `settings` reads settings files of any process.
 
 pub mod config;
-pub mod edge;
 pub mod logging;
+pub mod platform_api;
 pub mod process;
 pub mod settings;
 pub mod storage;
--- a/crates/samphiredoor-gateway/src/mirror.rs
+++ b/crates/samphiredoor-gateway/src/mirror.rs
@@ -28,8 +28,8 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    edge::{Freshness, ObjectStore},
     front::plain,
+    platform_api::{Freshness, ObjectStore},
     watch::list_all,
 };
 
--- a/crates/samphiredoor-gateway/src/peers/registration.rs
+++ b/crates/samphiredoor-gateway/src/peers/registration.rs
@@ -11,8 +11,8 @@
 
 use super::{LocalGateway, Roster};
 use crate::{
-    edge::{Change, ObjectStore},
     placement::Placer,
+    platform_api::{Change, ObjectStore},
     watch::{Follower, Seen},
 };
 
--- a/crates/samphiredoor-gateway/src/peers/routes_relay.rs
+++ b/crates/samphiredoor-gateway/src/peers/routes_relay.rs
@@ -23,7 +23,7 @@
 use samphiredoor_net::{Body, Pool, fetch::FetchLimits};
 
 use super::{Roster, roster::RoutesHolder};
-use crate::{edge::ObjectStore, front::plain, routes::Routes, watch::was_heard};
+use crate::{front::plain, platform_api::ObjectStore, routes::Routes, watch::was_heard};
 
 /// Path of the call.
 pub const PATH: &str = "/routes";
--- a/crates/samphiredoor-gateway/src/peers/watch_relay.rs
+++ b/crates/samphiredoor-gateway/src/peers/watch_relay.rs
@@ -23,7 +23,7 @@
 use samphiredoor_schema::peer_capnp::followed_news;
 
 use super::Roster;
-use crate::{edge::Change, front::plain};
+use crate::{front::plain, platform_api::Change};
 
 /// Beginning of the paths of the calls.
 pub const PATH_PREFIX: &str = "/followed/";
--- a/crates/samphiredoor-gateway/src/process.rs
+++ b/crates/samphiredoor-gateway/src/process.rs
@@ -18,7 +18,6 @@
 use crate::{
     config::{CommonConfig, GatewayConfig},
     discovery::{RoutesTask, TargetsTask},
-    edge::{Dialect, Platform},
     fleet::Fleet,
     front::{self, Front, plain},
     jobs::{self, Gaps, JobEnv, Jobs},
@@ -29,6 +28,7 @@
         WatchRelay, routes_relay::RoutesRelay,
     },
     placement::{PlacementTask, Placer},
+    platform_api::{Dialect, Platform},
     routes::Routes,
     sightings::Sighting,
     store_health::StoreHealth,
--- a/crates/samphiredoor-gateway/src/storage.rs
+++ b/crates/samphiredoor-gateway/src/storage.rs
@@ -16,8 +16,8 @@
 
 use crate::{
     config::{CommonConfig, StorageConfig},
-    edge::{Change, Platform},
     mirror::Mirror,
+    platform_api::{Change, Platform},
     process::{SIGHUP, bind, side_limits, wait_for, wait_for_stop},
     watch::{Follower, Seen},
 };
--- a/crates/samphiredoor-gateway/src/target_client.rs
+++ b/crates/samphiredoor-gateway/src/target_client.rs
@@ -20,7 +20,7 @@
     pool::{Answer, CloseMeans, SendError},
 };
 
-use crate::edge::HeaderNames;
+use crate::platform_api::HeaderNames;
 
 /// Longest wait for a connection. A round trip between regions takes 24 ms; a target that does not answer in this time
 /// has lost its power or its link, and another one can still answer within the caller's objective.
--- a/crates/samphiredoor-gateway/src/watch.rs
+++ b/crates/samphiredoor-gateway/src/watch.rs
@@ -24,7 +24,6 @@
 use samphiredoor_net::pool::within;
 
 use crate::{
-    edge::{Change, Freshness, ObjectStore, WatchAnswer},
     fleet::Fleet,
     metrics::Metrics,
     mirror::Mirrors,
@@ -32,6 +31,7 @@
         WatchRelay,
         watch_relay::{self, RelayedChanges},
     },
+    platform_api::{Change, Freshness, ObjectStore, WatchAnswer},
     store_health::StoreHealth,
 };
 
--- a/crates/samphiredoor/src/main.rs
+++ b/crates/samphiredoor/src/main.rs
@@ -52,8 +52,9 @@
 use log::LevelFilter;
 use samphiredoor_gateway::{
     config::{CommonConfig, GatewayConfig},
-    edge::Platform,
-    logging, process as gateway_process, storage,
+    logging,
+    platform_api::Platform,
+    process as gateway_process, storage,
 };
 
 use config::{Config, Mode};
