--- a/crates/samphiredoor-gateway/src/platform_api.rs
+++ b/crates/samphiredoor-gateway/src/platform_api.rs
@@ -169,7 +169,7 @@
     fn headers(&self) -> &HeaderNames;
 
     /// Whether a request asks for readiness.
-    fn is_readiness(&self, method: &Method, path: &str) -> bool;
+    fn is_readiness_check(&self, method: &Method, path: &str) -> bool;
 
     /// The job call that a request makes, if it is one.
     fn job_call(&self, method: &Method, uri: &Uri) -> Option<JobCall>;
@@ -212,5 +212,5 @@
     fn target(&self, stored: &Stored) -> Result<TargetEntry, String>;
 
     /// What is said of a storage host that keeps nothing any more.
-    fn emptied(&self) -> Value;
+    fn drained_status(&self) -> Value;
 }
--- a/crates/samphiredoor-gateway/src/process.rs
+++ b/crates/samphiredoor-gateway/src/process.rs
@@ -322,7 +322,7 @@
 
 impl Ready {
     fn answer(&self, request: &Request<Incoming>) -> Response<Body> {
-        if !self.dialect.is_readiness(request.method(), request.uri().path()) {
+        if !self.dialect.is_readiness_check(request.method(), request.uri().path()) {
             return plain(StatusCode::NOT_FOUND, "only readiness is asked for here");
         }
         match self.problem() {
--- a/crates/samphiredoor-gateway/src/storage.rs
+++ b/crates/samphiredoor-gateway/src/storage.rs
@@ -117,7 +117,7 @@
 async fn say_emptied(platform: &Platform, name: &Name) -> bool {
     for _ in 0..WRITE_TRIES {
         let key = ObjectKey::new(Kind::Retirement, Name::clone(name));
-        match platform.store.set_status(key, platform.dialect.emptied()).await {
+        match platform.store.set_status(key, platform.dialect.drained_status()).await {
             StoreAnswer::Object(_) | StoreAnswer::Absent => {
                 log::info!(host = &**name; "storage: host is empty");
                 return true;
