--- a/crates/samphiredoor-gateway/src/peers/routes_relay.rs
+++ b/crates/samphiredoor-gateway/src/peers/routes_relay.rs
@@ -23,7 +23,7 @@
 use samphiredoor_net::{Body, Pool, fetch::FetchLimits};
 
 use super::{Roster, roster::RoutesHolder};
-use crate::{front::plain, platform_api::ObjectStore, routes::Routes, watch::was_heard};
+use crate::{front::plain, platform_api::ObjectStore, routes::Routes, watch::received_within};
 
 /// Path of the call.
 pub const PATH: &str = "/routes";
@@ -67,7 +67,7 @@
 /// the line, and of the others about one at each look.
 fn may_ask_beyond(roster: &Roster, store: &dyn ObjectStore) -> bool {
     let chance = 1.0 / roster.heard_in_region() as f64;
-    !was_heard(store, LOOK_PAUSE) && rand::random_bool(chance)
+    !received_within(store, LOOK_PAUSE) && rand::random_bool(chance)
 }
 
 async fn ask(holder: &RoutesHolder, relayed: &flume::Sender<Stored>) {
--- a/crates/samphiredoor-gateway/src/platform_api.rs
+++ b/crates/samphiredoor-gateway/src/platform_api.rs
@@ -102,7 +102,7 @@
     ) -> LocalBoxFuture<'_, Option<Page>>;
 
     /// When something of an answer last came that was no refusal; a large one comes for a while.
-    fn heard(&self) -> Option<Instant>;
+    fn last_received_at(&self) -> Option<Instant>;
 
     /// Waits at most `wait` for changes of a kind after a version.
     fn watch(&self, kind: Kind, since: Version, wait: Duration) -> LocalBoxFuture<'_, WatchAnswer>;
--- a/crates/samphiredoor-gateway/src/watch.rs
+++ b/crates/samphiredoor-gateway/src/watch.rs
@@ -280,7 +280,7 @@
         loop {
             match within(FIRST_LIST_PATIENCE, &mut list).await {
                 Some(listed) => return listed,
-                None if was_heard(&*store, FIRST_LIST_PATIENCE) => {}
+                None if received_within(&*store, FIRST_LIST_PATIENCE) => {}
                 None => return None,
             }
         }
@@ -528,8 +528,8 @@
 }
 
 /// Whether something of an answer of the store has come lately.
-pub fn was_heard(store: &dyn ObjectStore, lately: Duration) -> bool {
-    store.heard().is_some_and(|it| it.elapsed() < lately)
+pub fn received_within(store: &dyn ObjectStore, lately: Duration) -> bool {
+    store.last_received_at().is_some_and(|it| it.elapsed() < lately)
 }
 
 /// Reads all pages of a kind, and the version from which a watch goes on; `None` if a page could not be read.
