--- a/crates/samphiredoor-gateway/src/discovery.rs
+++ b/crates/samphiredoor-gateway/src/discovery.rs
@@ -18,7 +18,7 @@
     routes::Routes,
     store_health::StoreHealth,
     target_client::TargetClient,
-    watch::{Follower, Seen},
+    watch::{StoreEvent, Watcher},
 };
 
 /// How long an entry that is missing after an outage of the store still counts. Entries lapse while the store is away,
@@ -47,18 +47,18 @@
     }
 
     /// Follows the routes for as long as the process runs.
-    pub async fn run(self: Rc<Self>, mut follower: Follower) {
+    pub async fn run(self: Rc<Self>, mut watcher: Watcher) {
         loop {
-            match follower.next().await {
-                Seen::All(all) => all.into_iter().for_each(|it| self.offer(it)),
-                Seen::Changes(changes) => changes.into_iter().for_each(|it| match it {
+            match watcher.next().await {
+                StoreEvent::Snapshot(all) => all.into_iter().for_each(|it| self.offer(it)),
+                StoreEvent::Changes(changes) => changes.into_iter().for_each(|it| match it {
                     Change::Written(stored) => self.offer(stored),
                     Change::Deleted(name) => {
                         log::warn!(object = &*name; "routes: object deleted, keeping what is in force");
                     }
                 }),
-                Seen::Lost => self.health.lost(),
-                Seen::Regained => self.health.regained(),
+                StoreEvent::Lost => self.health.lost(),
+                StoreEvent::Recovered => self.health.regained(),
             }
         }
     }
@@ -99,17 +99,17 @@
 
 impl TargetsTask {
     /// Follows the targets for as long as the process runs.
-    pub async fn run(self, mut follower: Follower) {
+    pub async fn run(self, mut watcher: Watcher) {
         let mut table = TargetTable::default();
         loop {
             let left = table
                 .next_lapse()
                 .map_or(FOREVER, |it| it.saturating_duration_since(Instant::now()));
-            match within(left, follower.next()).await {
-                Some(Seen::All(all)) => table.replace(self.read_all(all)),
-                Some(Seen::Changes(changes)) => self.change(&mut table, changes),
-                Some(Seen::Lost) => continue,
-                Some(Seen::Regained) => {
+            match within(left, watcher.next()).await {
+                Some(StoreEvent::Snapshot(all)) => table.replace(self.read_all(all)),
+                Some(StoreEvent::Changes(changes)) => self.change(&mut table, changes),
+                Some(StoreEvent::Lost) => continue,
+                Some(StoreEvent::Recovered) => {
                     table.regained();
                     continue;
                 }
--- a/crates/samphiredoor-gateway/src/peers/registration.rs
+++ b/crates/samphiredoor-gateway/src/peers/registration.rs
@@ -13,7 +13,7 @@
 use crate::{
     placement::Placer,
     platform_api::{Change, ObjectStore},
-    watch::{Follower, Seen},
+    watch::{StoreEvent, Watcher},
 };
 
 /// Wait of a process that was not registered before it looks for the others: those that start together have registered by
@@ -88,16 +88,11 @@
 
 /// Registers this process if it is not registered yet, and follows the entries of all gateways: at once after a restart, when
 /// the others are registered already.
-pub async fn run(
-    roster: Roster,
-    placer: Placer,
-    store: Rc<dyn ObjectStore>,
-    mut follower: Follower,
-) {
+pub async fn run(roster: Roster, placer: Placer, store: Rc<dyn ObjectStore>, mut watcher: Watcher) {
     let mut registering = false;
     loop {
-        match follower.next().await {
-            Seen::All(all) => {
+        match watcher.next().await {
+            StoreEvent::Snapshot(all) => {
                 all.iter().for_each(|it| take_entry(&roster, it));
                 let found = find(roster.local(), &all);
                 if !std::mem::replace(&mut registering, true) && found != Found::Same {
@@ -107,11 +102,11 @@
                     continue;
                 }
             }
-            Seen::Changes(changes) => changes.iter().for_each(|it| match it {
+            StoreEvent::Changes(changes) => changes.iter().for_each(|it| match it {
                 Change::Written(stored) => take_entry(&roster, stored),
                 Change::Deleted(name) => roster.remove(name),
             }),
-            Seen::Lost | Seen::Regained => continue,
+            StoreEvent::Lost | StoreEvent::Recovered => continue,
         }
         roster.listed();
         let own_targets = roster.own_cell_targets();
--- a/crates/samphiredoor-gateway/src/process.rs
+++ b/crates/samphiredoor-gateway/src/process.rs
@@ -33,7 +33,7 @@
     sightings::Sighting,
     store_health::StoreHealth,
     target_client::TargetClient,
-    watch::Follower,
+    watch::Watcher,
 };
 
 /// Connections of callers held at once; with two sockets a request this stays below common descriptor limits.
@@ -149,7 +149,7 @@
     let watch_relay = WatchRelay::new(roster.clone());
     let follow = |kind, within, sighting: &Sighting| {
         let fleet = Fleet::new(roster.clone(), within, sighting.clone());
-        Follower::new(Rc::clone(&platform.store), kind, common.watch)
+        Watcher::new(Rc::clone(&platform.store), kind, common.watch)
             .with_metrics(Rc::clone(&metrics))
             .with_mirrors(mirrors.clone())
             .with_health(health.clone())
--- a/crates/samphiredoor-gateway/src/storage.rs
+++ b/crates/samphiredoor-gateway/src/storage.rs
@@ -19,7 +19,7 @@
     mirror::Mirror,
     platform_api::{Change, Platform},
     process::{SIGHUP, bind, side_limits, wait_for, wait_for_stop},
-    watch::{Follower, Seen},
+    watch::{StoreEvent, Watcher},
 };
 
 /// Longest wait of a watch for requests to empty hosts. A watch that the store has swallowed hides them for as long, and the
@@ -49,8 +49,8 @@
         log::info!(name = &*config.common.name, mirror; "storage: started, keeps nothing");
         compio::runtime::spawn(ignore_reloads()).detach();
         let watch = config.common.watch.min(RETIREMENT_WATCH);
-        let follower = Follower::new(Rc::clone(&platform.store), Kind::Retirement, watch);
-        let following = std::pin::pin!(follow(platform, follower));
+        let watcher = Watcher::new(Rc::clone(&platform.store), Kind::Retirement, watch);
+        let following = std::pin::pin!(follow(platform, watcher));
         if let Either::Left(_) = select(following, std::pin::pin!(wait_for_stop())).await {
             log::error!("storage: no longer follows requests to empty hosts");
         }
@@ -81,20 +81,20 @@
     }
 }
 
-async fn follow(platform: Platform, mut follower: Follower) {
+async fn follow(platform: Platform, mut watcher: Watcher) {
     // Requests that were answered; the answer itself is seen as a change of the request.
     let answered: Rc<RefCell<HashSet<Name>>> = Rc::default();
     loop {
-        match follower.next().await {
-            Seen::All(all) => all.iter().for_each(|it| answer(&platform, &answered, it)),
-            Seen::Changes(changes) => changes.iter().for_each(|it| match it {
+        match watcher.next().await {
+            StoreEvent::Snapshot(all) => all.iter().for_each(|it| answer(&platform, &answered, it)),
+            StoreEvent::Changes(changes) => changes.iter().for_each(|it| match it {
                 Change::Written(stored) => answer(&platform, &answered, stored),
                 Change::Deleted(name) => {
                     answered.borrow_mut().remove(name);
                 }
             }),
-            Seen::Lost => log::warn!("storage: store lost"),
-            Seen::Regained => log::info!("storage: store regained"),
+            StoreEvent::Lost => log::warn!("storage: store lost"),
+            StoreEvent::Recovered => log::info!("storage: store regained"),
         }
     }
 }
--- a/crates/samphiredoor-gateway/src/watch.rs
+++ b/crates/samphiredoor-gateway/src/watch.rs
@@ -67,15 +67,15 @@
 
 /// What a follower learns.
 #[derive(Debug, Clone)]
-pub enum Seen {
+pub enum StoreEvent {
     /// All objects of the kind, as they stood at one moment.
-    All(Vec<Stored>),
+    Snapshot(Vec<Stored>),
     /// Changes since, in order.
     Changes(Vec<Change>),
     /// The store gives no usable answers from now on.
     Lost,
-    /// The store answers again; [`Seen::All`] or [`Seen::Changes`] may follow.
-    Regained,
+    /// The store answers again; [`StoreEvent::Snapshot`] or [`StoreEvent::Changes`] may follow.
+    Recovered,
 }
 
 /// Why a watch that waits may be deaf.
@@ -90,7 +90,7 @@
 /// What became of a watch through another process.
 enum Relayed {
     /// It told this.
-    Seen(Seen),
+    Seen(StoreEvent),
     /// It may be deaf.
     Doubted(Doubt),
     /// There is none, or it did not answer, or the store has to be asked.
@@ -98,7 +98,7 @@
 }
 
 /// Follows one kind of objects.
-pub struct Follower {
+pub struct Watcher {
     store: Rc<dyn ObjectStore>,
     kind: Kind,
     wait: Duration,
@@ -106,7 +106,7 @@
     /// How current the first list has to be; later ones are read because history was missed.
     first_list: Freshness,
     failures: u32,
-    queued: Option<Seen>,
+    queued: Option<StoreEvent>,
     changed: bool,
     rest: Duration,
     gate: Option<StoreHealth>,
@@ -133,10 +133,10 @@
     heard: Instant,
 }
 
-impl Follower {
-    /// Follower that has seen nothing. A watch waits for events at most for `wait`.
-    pub fn new(store: Rc<dyn ObjectStore>, kind: Kind, wait: Duration) -> Follower {
-        Follower {
+impl Watcher {
+    /// Watcher that has seen nothing. A watch waits for events at most for `wait`.
+    pub fn new(store: Rc<dyn ObjectStore>, kind: Kind, wait: Duration) -> Watcher {
+        Watcher {
             store,
             kind,
             wait,
@@ -163,26 +163,26 @@
     }
 
     /// Has the follower count what it hears of the store.
-    pub fn with_metrics(mut self, metrics: Rc<Metrics>) -> Follower {
+    pub fn with_metrics(mut self, metrics: Rc<Metrics>) -> Watcher {
         self.metrics = Some(metrics);
         self
     }
 
     /// Has the first list be one that may be stale, and costs little. The watch from its version on tells what has changed
     /// since.
-    pub fn with_stale_start(mut self) -> Follower {
+    pub fn with_stale_start(mut self) -> Watcher {
         self.first_list = Freshness::MayBeStale;
         self
     }
 
     /// Has a watch that waits be asked anew when another call of the process got no answer.
-    pub fn with_health(mut self, health: StoreHealth) -> Follower {
+    pub fn with_health(mut self, health: StoreHealth) -> Watcher {
         self.health = Some(health);
         self
     }
 
     /// Has the first list come from a mirror if the store does not answer.
-    pub fn with_mirrors(mut self, mirrors: Mirrors) -> Follower {
+    pub fn with_mirrors(mut self, mirrors: Mirrors) -> Watcher {
         self.mirrors = Some(mirrors).filter(|it| !it.is_empty());
         self
     }
@@ -190,33 +190,33 @@
     /// Has the follower take turns with the other processes that follow the kind, and ask anew when one of them has seen
     /// more. Without it a watch that the store has swallowed hides all changes for as long as it may wait, from every process
     /// at once: callers are served by routes that were replaced, and targets that leave get new requests.
-    pub fn with_fleet(mut self, fleet: Fleet) -> Follower {
+    pub fn with_fleet(mut self, fleet: Fleet) -> Watcher {
         self.fleet = Some(fleet);
         self
     }
 
     /// Has the follower watch through the process that follows the store for its cell, and keep what it sees for others. A
     /// change has to be in force `within` some time.
-    pub fn with_watch_relay(mut self, watch_relay: WatchRelay, within: Duration) -> Follower {
+    pub fn with_watch_relay(mut self, watch_relay: WatchRelay, within: Duration) -> Watcher {
         self.watch_relay = Some(watch_relay);
         self.relayed_wait = within.mul_f64(RELAYED_PART);
         self
     }
 
     /// Has the follower rest after changes, for a part of the time within which a change has to be in force.
-    pub fn with_rest_after_changes(mut self, within: Duration) -> Follower {
+    pub fn with_rest_after_changes(mut self, within: Duration) -> Watcher {
         self.rest = within.mul_f64(REST_PART);
         self
     }
 
     /// Has the follower wait while the store is known to be lost: one follower that tries is enough.
-    pub fn with_gate(mut self, gate: StoreHealth) -> Follower {
+    pub fn with_gate(mut self, gate: StoreHealth) -> Watcher {
         self.gate = Some(gate);
         self
     }
 
     /// Waits for the next thing to learn.
-    pub async fn next(&mut self) -> Seen {
+    pub async fn next(&mut self) -> StoreEvent {
         if let Some(seen) = self.queued.take() {
             return seen;
         }
@@ -238,23 +238,23 @@
                         return seen;
                     }
                     self.queued = Some(seen);
-                    return Seen::Lost;
+                    return StoreEvent::Lost;
                 }
                 compio::time::sleep(self.pause()).await;
                 self.wait_at_gate().await;
                 if self.failures == 1 {
-                    return Seen::Lost;
+                    return StoreEvent::Lost;
                 }
                 continue;
             };
-            let news = !matches!(&seen, Seen::Changes(changes) if changes.is_empty());
-            self.changed = news && matches!(seen, Seen::Changes(_));
+            let news = !matches!(&seen, StoreEvent::Changes(changes) if changes.is_empty());
+            self.changed = news && matches!(seen, StoreEvent::Changes(_));
             // News that only others told of had been missed: entries may have lapsed with the store, as after a failure.
             let was_deaf = std::mem::take(&mut self.behind) && news;
             let relay_regained = std::mem::take(&mut self.relay_regained);
             if std::mem::take(&mut self.failures) > 0 || was_deaf || relay_regained {
                 self.queued = news.then_some(seen);
-                return Seen::Regained;
+                return StoreEvent::Recovered;
             }
             if news {
                 return seen;
@@ -263,18 +263,18 @@
     }
 
     /// What a mirror tells in the place of the first list; the store tells what has changed since.
-    async fn mirrored(&mut self) -> Option<Seen> {
+    async fn mirrored(&mut self) -> Option<StoreEvent> {
         let list = self.mirrors.as_ref()?.list(self.kind).await?;
         self.mirrors = None;
         self.since = Some(list.version);
         self.first_list = Freshness::Current;
         self.note_listed(&list.objects, list.version);
-        Some(Seen::All(list.objects))
+        Some(StoreEvent::Snapshot(list.objects))
     }
 
     /// The first list, given up as soon as nothing of it comes, so that a mirror is asked. A large one comes for a while, and a
     /// mirror's would only share the line with it.
-    async fn list_while_it_comes(&mut self) -> Option<Seen> {
+    async fn list_while_it_comes(&mut self) -> Option<StoreEvent> {
         let store = Rc::clone(&self.store);
         let mut list = pin!(self.list());
         loop {
@@ -298,7 +298,7 @@
         FIRST_PAUSE.saturating_mul(1 << self.failures.min(4)).min(LONGEST_PAUSE)
     }
 
-    async fn list(&mut self) -> Option<Seen> {
+    async fn list(&mut self) -> Option<StoreEvent> {
         let asked = Instant::now();
         let listed = list_all(&*self.store, self.kind, self.first_list).await;
         if let (None, Some(health)) = (&listed, &self.health) {
@@ -310,7 +310,7 @@
         self.mirrors = None;
         self.note_listed(&all, version);
         self.heard();
-        Some(Seen::All(all))
+        Some(StoreEvent::Snapshot(all))
     }
 
     /// Notes that the store has answered. A store that falls silent cuts no connection, and nothing else shows a follower
@@ -366,7 +366,7 @@
         );
     }
 
-    async fn watch(&mut self, since: Version) -> Option<Seen> {
+    async fn watch(&mut self, since: Version) -> Option<StoreEvent> {
         let mut asked = match self.watch_relayed(since).await {
             Relayed::Seen(seen) => return Some(seen),
             Relayed::Doubted(doubt) => Err(doubt),
@@ -380,11 +380,11 @@
         match answer {
             WatchAnswer::Changes { changes, version } => {
                 self.note_changes(&changes, version);
-                Some(Seen::Changes(changes))
+                Some(StoreEvent::Changes(changes))
             }
             WatchAnswer::HistoryGone => {
                 self.since = None;
-                Some(Seen::Changes(Vec::new()))
+                Some(StoreEvent::Changes(Vec::new()))
             }
             WatchAnswer::Refused | WatchAnswer::NoAnswer => None,
         }
@@ -417,11 +417,11 @@
     }
 
     /// Takes what another process has seen. One that has missed the store meanwhile may tell of entries that have lapsed.
-    fn take_told(&mut self, told: RelayedChanges) -> Seen {
+    fn take_told(&mut self, told: RelayedChanges) -> StoreEvent {
         let before = self.told_by.replace(told.epoch);
         self.relay_regained = before.is_some_and(|it| it != told.epoch);
         match told.delta {
-            Delta::None => Seen::Changes(Vec::new()),
+            Delta::None => StoreEvent::Changes(Vec::new()),
             Delta::Changed { objects, version } => {
                 let changes = objects.into_iter().map(|(name, stored)| match stored {
                     Some(stored) => Change::Written(stored),
@@ -429,12 +429,12 @@
                 });
                 let changes: Vec<Change> = changes.collect();
                 self.note_changes(&changes, version);
-                Seen::Changes(changes)
+                StoreEvent::Changes(changes)
             }
             Delta::Snapshot { objects, version } => {
                 self.note_listed(&objects, version);
                 self.since = Some(version);
-                Seen::All(objects)
+                StoreEvent::Snapshot(objects)
             }
         }
     }
