--- a/crates/samphiredoor-gateway/src/discovery.rs
+++ b/crates/samphiredoor-gateway/src/discovery.rs
@@ -13,7 +13,7 @@
 use crate::{
     metrics::Metrics,
     peers::Roster,
-    placement::Placer,
+    placement::PlacementHandle,
     platform_api::{Change, Dialect, Platform},
     routes::Routes,
     store_health::StoreHealth,
@@ -86,7 +86,7 @@
     /// The platform.
     pub platform: Platform,
     /// Where the targets are told.
-    pub placer: Placer,
+    pub placement: PlacementHandle,
     /// Other gateways, which share the targets out.
     pub roster: Roster,
     /// Connections to targets.
@@ -146,8 +146,8 @@
         let names: HashSet<Name> = table.entries.keys().cloned().collect();
         self.client.keep_only(&names);
         self.roster.set_targets(targets.iter());
-        self.placer.targets(targets);
-        self.placer.own_targets(self.roster.own_cell_targets());
+        self.placement.set_targets(targets);
+        self.placement.set_cell_targets(self.roster.own_cell_targets());
     }
 }
 
--- a/crates/samphiredoor-gateway/src/front/mod.rs
+++ b/crates/samphiredoor-gateway/src/front/mod.rs
@@ -30,7 +30,7 @@
 use crate::{
     jobs::{Acceptors, Jobs, Submitted, pass_on},
     metrics::Metrics,
-    placement::Placer,
+    placement::PlacementHandle,
     platform_api::Dialect,
     routes::Routes,
     target_client::TargetClient,
@@ -49,7 +49,7 @@
     /// Routes in force.
     pub routes: Routes,
     /// Places at targets.
-    pub placer: Placer,
+    pub placement: PlacementHandle,
     /// Connections to targets.
     pub targets: TargetClient,
     /// Batch jobs.
--- a/crates/samphiredoor-gateway/src/front/online.rs
+++ b/crates/samphiredoor-gateway/src/front/online.rs
@@ -30,7 +30,7 @@
     header_number,
     passing::Passing,
 };
-use crate::placement::{Placed, Ticket};
+use crate::placement::{Decision, Ticket};
 
 /// Deadline of a caller that names none.
 const DEFAULT_DEADLINE_MS: u64 = 60_000;
@@ -232,10 +232,10 @@
                 let over = self.no_more(Refusal::DeadlineTooShort);
                 return self.over(over);
             }
-            let mut ticket = self.front.placer.ask(self.ask());
-            let (target, address) = match ticket.placed().await {
-                Placed::Go { target, address } => (target, address),
-                Placed::Refused { reason, retry_after_ms } => {
+            let mut ticket = self.front.placement.request(self.ask());
+            let (target, address) = match ticket.next_decision().await {
+                Decision::Dispatch { target, address } => (target, address),
+                Decision::Refused { reason, retry_after_ms } => {
                     let over = match self.doubt {
                         Some(doubt) => Over::Doubt(doubt),
                         None => Over::Refused { reason, retry_after_ms },
@@ -243,7 +243,7 @@
                     return self.over(over);
                 }
                 // Only items of jobs are recalled.
-                Placed::Recalled => continue,
+                Decision::Preempted => continue,
             };
             self.sends += 1;
             let names = self.front.dialect.headers();
@@ -267,7 +267,7 @@
             }
             Attempt::Whole(parts, body) => {
                 self.runs += 1;
-                ticket.ended(AttemptEnd::Answered);
+                ticket.report_end(AttemptEnd::Answered);
                 self.report_load(&target, &parts.headers);
                 if parts.status.is_server_error() && self.may_run_again() {
                     self.front.metrics.retried("target_failed");
@@ -278,14 +278,14 @@
                 Some(Next::Whole(parts, body))
             }
             Attempt::NotRun(end) => {
-                ticket.ended(end);
+                ticket.report_end(end);
                 self.log_retry(&target, end);
                 self.tried.push(target);
                 None
             }
             Attempt::Doubt(end, doubt) => {
                 self.runs += 1;
-                ticket.ended(end);
+                ticket.report_end(end);
                 self.doubt = Some(doubt);
                 self.log_retry(&target, end);
                 self.tried.push(target);
@@ -313,7 +313,7 @@
 
     fn report_load(&self, target: &Name, headers: &HeaderMap) {
         if let Some(load) = self.front.dialect.reported_load(headers) {
-            self.front.placer.reported(target, load);
+            self.front.placement.report_load(target, load);
         }
     }
 
@@ -336,7 +336,7 @@
     fn ask(&self) -> RequestSpec {
         let queue_ms = self.route.objective_ms / QUEUE_PART;
         RequestSpec {
-            request: self.front.placer.next_request(),
+            request: self.front.placement.next_request(),
             class: Class::Online,
             service: self.service.clone().unwrap_or_else(|| Name::from("")),
             priority: self.route.priority,
--- a/crates/samphiredoor-gateway/src/front/passing.rs
+++ b/crates/samphiredoor-gateway/src/front/passing.rs
@@ -55,7 +55,7 @@
 
     fn end(&mut self) -> Option<Piece> {
         let mut streaming = self.streaming.take()?;
-        streaming.ticket.ended(AttemptEnd::Answered);
+        streaming.ticket.report_end(AttemptEnd::Answered);
         self.request.front.metrics.whole(self.request.started.elapsed());
         self.request.log_end("streamed", 200);
         let rest = streaming.begun.events.take_rest();
@@ -65,7 +65,7 @@
     /// Goes on at another target; the error that cuts the answer if that cannot be.
     async fn cut(&mut self, end: AttemptEnd, doubt: MayHaveRunReason) -> Option<BoxError> {
         let mut streaming = self.streaming.take()?;
-        streaming.ticket.ended(end);
+        streaming.ticket.report_end(end);
         log::info!(
             request = self.request.id, target = &*streaming.target, after = self.last.unwrap_or(0),
             reason = doubt.label();
--- a/crates/samphiredoor-gateway/src/jobs/item_run.rs
+++ b/crates/samphiredoor-gateway/src/jobs/item_run.rs
@@ -30,7 +30,7 @@
 use super::{JobEnv, clearance::Clearance};
 use crate::{
     events::{EventBuffer, is_event_stream},
-    placement::{Placed, Ticket},
+    placement::{Decision, Ticket},
     target_client,
 };
 
@@ -169,11 +169,11 @@
 
     async fn send(&self, route: &Route, call: &mut Call) -> Sent {
         let Some(service) = route.service(rand::random()) else { return Sent::Later };
-        let mut ticket = self.env.placer.ask(self.ask(service, &call.headers));
-        let (target, address) = match ticket.placed().await {
-            Placed::Go { target, address } => (target, address),
-            Placed::Refused { .. } => return Sent::Later,
-            Placed::Recalled => return Sent::GoOn,
+        let mut ticket = self.env.placement.request(self.ask(service, &call.headers));
+        let (target, address) = match ticket.next_decision().await {
+            Decision::Dispatch { target, address } => (target, address),
+            Decision::Refused { .. } => return Sent::Later,
+            Decision::Preempted => return Sent::GoOn,
         };
         if !self.clearance.holds() {
             return Sent::GoOn;
@@ -185,7 +185,7 @@
             None => (Sent::GoOn, AttemptEnd::Cut),
             Some(Some(Ok(response))) => {
                 if let Some(load) = self.env.platform.dialect.reported_load(response.headers()) {
-                    self.env.placer.reported(&target, load);
+                    self.env.placement.report_load(&target, load);
                 }
                 self.read(response, &mut ticket).await
             }
@@ -204,13 +204,13 @@
             let ran_ms = self.env.clock.now().mono_ms - began_ms;
             self.output.borrow_mut().ran_ms += ran_ms;
         }
-        ticket.ended(end);
+        ticket.report_end(end);
         sent
     }
 
     fn ask(&self, service: &Name, headers: &HeaderMap) -> RequestSpec {
         RequestSpec {
-            request: self.env.placer.next_request(),
+            request: self.env.placement.next_request(),
             class: Class::Batch,
             service: Name::clone(service),
             priority: 0,
@@ -322,7 +322,7 @@
 /// Waits for something, or for the recall of the place; `None` after a recall.
 async fn or_recall<F: Future>(ticket: &mut Ticket, future: F) -> Option<F::Output> {
     let future = std::pin::pin!(future);
-    let recall = std::pin::pin!(ticket.placed());
+    let recall = std::pin::pin!(ticket.next_decision());
     match select(future, recall).await {
         Either::Left((output, _)) => Some(output),
         Either::Right(_) => None,
--- a/crates/samphiredoor-gateway/src/jobs/mod.rs
+++ b/crates/samphiredoor-gateway/src/jobs/mod.rs
@@ -33,7 +33,7 @@
 use crate::{
     metrics::Metrics,
     peers::{JobOwners, OwnedJob, Roster, STORE_LOST_AFTER},
-    placement::Placer,
+    placement::PlacementHandle,
     platform_api::Platform,
     routes::Routes,
     store_health::StoreHealth,
@@ -60,7 +60,7 @@
     /// Routes in force.
     pub routes: Routes,
     /// Places at targets.
-    pub placer: Placer,
+    pub placement: PlacementHandle,
     /// Connections to targets.
     pub targets: TargetClient,
     /// Other gateways.
--- a/crates/samphiredoor-gateway/src/peers/listener.rs
+++ b/crates/samphiredoor-gateway/src/peers/listener.rs
@@ -15,7 +15,7 @@
     status::Status,
     summary::Summary,
 };
-use crate::{metrics::Metrics, placement::Placer, store_health::StoreHealth};
+use crate::{metrics::Metrics, placement::PlacementHandle, store_health::StoreHealth};
 
 /// Takes the datagrams of other gateways.
 pub struct Listener {
@@ -26,7 +26,7 @@
     /// What the own cell's gateways told.
     pub cell_statuses: CellStatuses,
     /// Where the loads of others are told.
-    pub placer: Placer,
+    pub placement: PlacementHandle,
     /// Where the owners of jobs are told.
     pub owners: JobOwners,
     /// Whether the store answers.
@@ -74,7 +74,7 @@
         }
         // Also of gateways whose entries were not read yet: a process that has just started would take their places for
         // free and fill targets that are full.
-        self.placer.peer(name, status.requests);
+        self.placement.set_peer_load(name, status.requests);
     }
 
     async fn take_summary(&self, mut summary: Summary) {
@@ -100,7 +100,7 @@
                 self.owners.learn(&job.name, owner);
             }
         }
-        self.placer.peer(summary.cell.into(), summary.requests);
+        self.placement.set_peer_load(summary.cell.into(), summary.requests);
     }
 
     fn others_reach_store(&self, silent_ms: u32) {
--- a/crates/samphiredoor-gateway/src/peers/registration.rs
+++ b/crates/samphiredoor-gateway/src/peers/registration.rs
@@ -11,7 +11,7 @@
 
 use super::{LocalGateway, Roster};
 use crate::{
-    placement::Placer,
+    placement::PlacementHandle,
     platform_api::{Change, ObjectStore},
     watch::{StoreEvent, Watcher},
 };
@@ -88,7 +88,12 @@
 
 /// Registers this process if it is not registered yet, and follows the entries of all gateways: at once after a restart, when
 /// the others are registered already.
-pub async fn run(roster: Roster, placer: Placer, store: Rc<dyn ObjectStore>, mut watcher: Watcher) {
+pub async fn run(
+    roster: Roster,
+    placement: PlacementHandle,
+    store: Rc<dyn ObjectStore>,
+    mut watcher: Watcher,
+) {
     let mut registering = false;
     loop {
         match watcher.next().await {
@@ -113,7 +118,7 @@
         let (cells, mates, targets) =
             (roster.cells().len(), roster.mates().len(), own_targets.len());
         log::info!(cells, mates, targets; "peers: cells worked out");
-        placer.own_targets(own_targets);
+        placement.set_cell_targets(own_targets);
     }
 }
 
--- a/crates/samphiredoor-gateway/src/peers/status_sender.rs
+++ b/crates/samphiredoor-gateway/src/peers/status_sender.rs
@@ -21,7 +21,7 @@
     listener::send_to_all,
     status::{OwnedJob, Status},
 };
-use crate::{placement::Told, routes::Routes, store_health::StoreHealth};
+use crate::{placement::OwnLoad, routes::Routes, store_health::StoreHealth};
 
 /// Shortest time between two datagrams to gateways of the own region, whose targets are used when the own ones are full.
 const REGION_PAUSE: Duration = Duration::from_millis(100);
@@ -109,7 +109,7 @@
 
 impl StatusSender {
     /// Sends a status for each change of the own loads, and for each job that this process comes to own.
-    pub async fn run(self, told: flume::Receiver<Told>, owned: flume::Receiver<OwnedJob>) {
+    pub async fn run(self, told: flume::Receiver<OwnLoad>, owned: flume::Receiver<OwnedJob>) {
         let mut audiences = [
             Audience::new(Distance::Zone, Duration::ZERO),
             Audience::new(Distance::Region, REGION_PAUSE),
--- a/crates/samphiredoor-gateway/src/placement.rs
+++ b/crates/samphiredoor-gateway/src/placement.rs
@@ -30,9 +30,9 @@
 
 /// What the placement decided for a request.
 #[derive(Debug, Clone)]
-pub enum Placed {
+pub enum Decision {
     /// Send it there.
-    Go {
+    Dispatch {
         /// Which target.
         target: Name,
         /// Where it listens.
@@ -46,24 +46,24 @@
         retry_after_ms: u64,
     },
     /// Cut the attempt in hand: online requests need its room.
-    Recalled,
+    Preempted,
 }
 
 enum Message {
-    Ask(RequestSpec, flume::Sender<Placed>),
+    Ask(RequestSpec, flume::Sender<Decision>),
     Input(Input),
 }
 
 /// Handle to the placement's task.
 #[derive(Clone)]
-pub struct Placer {
+pub struct PlacementHandle {
     messages: flume::Sender<Message>,
     next_request: Rc<Cell<u64>>,
 }
 
 /// The own requests, as other gateways are told.
 #[derive(Debug, Clone, Default)]
-pub struct Told {
+pub struct OwnLoad {
     /// Requests at targets, and items that wait.
     pub state: GatewayState,
     /// Whether others hold places that online requests of this gateway wait for.
@@ -79,17 +79,17 @@
     /// Counters.
     pub metrics: Rc<Metrics>,
     /// Where changes of the own loads go, for other gateways.
-    pub told: flume::Sender<Told>,
+    pub told: flume::Sender<OwnLoad>,
 }
 
-impl Placer {
+impl PlacementHandle {
     /// Starts the task.
-    pub fn start(task: PlacementTask) -> Placer {
+    pub fn start(task: PlacementTask) -> PlacementHandle {
         let (messages, inbox) = flume::unbounded();
         let running =
             Running { task, waiting: HashMap::new(), told_at: Instant::now(), told: false };
         compio::runtime::spawn(running.run(inbox)).detach();
-        Placer { messages, next_request: Rc::new(Cell::new(1)) }
+        PlacementHandle { messages, next_request: Rc::new(Cell::new(1)) }
     }
 
     /// New identity for a request.
@@ -100,7 +100,7 @@
     }
 
     /// Asks for a target.
-    pub fn ask(&self, ask: RequestSpec) -> Ticket {
+    pub fn request(&self, ask: RequestSpec) -> Ticket {
         let (sender, placements) = flume::unbounded();
         let ticket = Ticket {
             request: ask.request,
@@ -113,22 +113,22 @@
     }
 
     /// Tells all targets that are known now.
-    pub fn targets(&self, targets: Vec<TargetEntry>) {
+    pub fn set_targets(&self, targets: Vec<TargetEntry>) {
         self.send(Message::Input(Input::Targets(targets)));
     }
 
     /// Tells which targets the own cell shares.
-    pub fn own_targets(&self, targets: HashSet<u64>) {
+    pub fn set_cell_targets(&self, targets: HashSet<u64>) {
         self.send(Message::Input(Input::CellTargets(targets)));
     }
 
     /// Tells the load that a target reported.
-    pub fn reported(&self, target: &Name, load: ReportedLoad) {
+    pub fn report_load(&self, target: &Name, load: ReportedLoad) {
         self.send(Message::Input(Input::LoadReport { target: Name::clone(target), load }));
     }
 
     /// Tells the requests of another gateway, or of a cell.
-    pub fn peer(&self, door: Name, state: GatewayState) {
+    pub fn set_peer_load(&self, door: Name, state: GatewayState) {
         self.send(Message::Input(Input::Peer { peer: door, state }));
     }
 
@@ -148,28 +148,28 @@
 /// A request as the placement knows it. Dropping it says that its attempt was cut, or that nobody waits any more.
 pub struct Ticket {
     request: RequestId,
-    placements: flume::Receiver<Placed>,
+    placements: flume::Receiver<Decision>,
     messages: flume::Sender<Message>,
     stage: Stage,
 }
 
 impl Ticket {
-    /// Waits for the decision; after [`Placed::Go`] for the recall.
-    pub async fn placed(&mut self) -> Placed {
+    /// Waits for the decision; after [`Decision::Dispatch`] for the recall.
+    pub async fn next_decision(&mut self) -> Decision {
         let Ok(placed) = self.placements.recv_async().await else {
             self.stage = Stage::Over;
-            return Placed::Refused { reason: Refusal::Stopping, retry_after_ms: 0 };
+            return Decision::Refused { reason: Refusal::Stopping, retry_after_ms: 0 };
         };
         match placed {
-            Placed::Go { .. } => self.stage = Stage::AtTarget,
-            Placed::Refused { .. } => self.stage = Stage::Over,
-            Placed::Recalled => {}
+            Decision::Dispatch { .. } => self.stage = Stage::AtTarget,
+            Decision::Refused { .. } => self.stage = Stage::Over,
+            Decision::Preempted => {}
         }
         placed
     }
 
     /// Says how the attempt ended.
-    pub fn ended(&mut self, end: AttemptEnd) {
+    pub fn report_end(&mut self, end: AttemptEnd) {
         if std::mem::replace(&mut self.stage, Stage::Over) == Stage::AtTarget {
             let _ = self.messages.send(Message::Input(Input::Ended { request: self.request, end }));
         }
@@ -179,7 +179,7 @@
 impl Drop for Ticket {
     fn drop(&mut self) {
         match self.stage {
-            Stage::AtTarget => self.ended(AttemptEnd::Cut),
+            Stage::AtTarget => self.report_end(AttemptEnd::Cut),
             Stage::Waiting => {
                 let input = Input::Cancelled { request: self.request };
                 let _ = self.messages.send(Message::Input(input));
@@ -191,7 +191,7 @@
 
 struct Running {
     task: PlacementTask,
-    waiting: HashMap<RequestId, flume::Sender<Placed>>,
+    waiting: HashMap<RequestId, flume::Sender<Decision>>,
     told_at: Instant,
     told: bool,
 }
@@ -234,14 +234,14 @@
     fn act(&mut self, action: Action) {
         let (request, placed) = match action {
             Action::Dispatch { request, target, address } => {
-                (request, Placed::Go { target, address })
+                (request, Decision::Dispatch { target, address })
             }
-            Action::Preempt { request } => (request, Placed::Recalled),
+            Action::Preempt { request } => (request, Decision::Preempted),
             Action::Refuse { request, reason, retry_after_ms } => {
-                (request, Placed::Refused { reason, retry_after_ms })
+                (request, Decision::Refused { reason, retry_after_ms })
             }
         };
-        let is_last = matches!(placed, Placed::Refused { .. });
+        let is_last = matches!(placed, Decision::Refused { .. });
         if let Some(reply) = self.waiting.get(&request) {
             // A reply to a ticket that was just dropped finds nobody; its end is on the way here.
             let _ = reply.send(placed);
@@ -263,7 +263,7 @@
         if let Some(state) = state {
             self.told_at = Instant::now();
             let urgent = self.task.placement.take_needs_peer_preemption();
-            let _ = self.task.told.send(Told { state, urgent });
+            let _ = self.task.told.send(OwnLoad { state, urgent });
             let (online, batch) = self.task.placement.waiting();
             self.task.metrics.placement(self.task.placement.counters(), online, batch);
         }
--- a/crates/samphiredoor-gateway/src/process.rs
+++ b/crates/samphiredoor-gateway/src/process.rs
@@ -27,7 +27,7 @@
         self, CellStatuses, JobOwners, LocalGateway, Roster, StatusSender, SummarySender,
         WatchRelay, routes_relay::RoutesRelay,
     },
-    placement::{PlacementTask, Placer},
+    placement::{PlacementHandle, PlacementTask},
     platform_api::{Dialect, Platform},
     routes::Routes,
     sightings::Sighting,
@@ -142,7 +142,8 @@
     let seed = rand::random();
     let placement = Placement::new(own.name.clone(), own.location.clone(), seed);
     let metrics_of_task = Rc::clone(&metrics);
-    let placer = Placer::start(PlacementTask { clock, placement, metrics: metrics_of_task, told });
+    let placement =
+        PlacementHandle::start(PlacementTask { clock, placement, metrics: metrics_of_task, told });
     let client = TargetClient::new(platform.dialect.headers().request_id.clone());
     let targets_known = Rc::new(Cell::new(None));
     let mirrors = Mirrors::new(&common.mirrors);
@@ -179,7 +180,7 @@
     compio::runtime::spawn(asking).detach();
     let targets_task = TargetsTask {
         platform: platform.clone(),
-        placer: placer.clone(),
+        placement: placement.clone(),
         roster: roster.clone(),
         client: client.clone(),
         known: Rc::clone(&targets_known),
@@ -196,7 +197,7 @@
         .with_gate(health.clone());
     let registration = peers::registration::run(
         roster.clone(),
-        placer.clone(),
+        placement.clone(),
         Rc::clone(&platform.store),
         follow_gateways,
     );
@@ -206,7 +207,7 @@
         socket: Rc::clone(&socket),
         roster: roster.clone(),
         cell_statuses: cell_statuses.clone(),
-        placer: placer.clone(),
+        placement: placement.clone(),
         owners: owners.clone(),
         health: health.clone(),
         metrics: Rc::clone(&metrics),
@@ -236,7 +237,7 @@
         incarnation: own.incarnation,
         platform: platform.clone(),
         routes: routes.clone(),
-        placer: placer.clone(),
+        placement: placement.clone(),
         targets: client.clone(),
         roster,
         owners,
@@ -252,7 +253,7 @@
     let front = Front {
         dialect: Rc::clone(&platform.dialect),
         routes: routes.clone(),
-        placer,
+        placement,
         targets: client,
         jobs: jobs.clone(),
         metrics: Rc::clone(&metrics),
