--- a/crates/samphiredoor-gateway/src/discovery.rs
+++ b/crates/samphiredoor-gateway/src/discovery.rs
@@ -57,8 +57,8 @@
                         log::warn!(object = &*name; "routes: object deleted, keeping what is in force");
                     }
                 }),
-                StoreEvent::Lost => self.health.lost(),
-                StoreEvent::Recovered => self.health.regained(),
+                StoreEvent::Lost => self.health.mark_lost(),
+                StoreEvent::Recovered => self.health.mark_recovered(),
             }
         }
     }
--- a/crates/samphiredoor-gateway/src/jobs/gaps.rs
+++ b/crates/samphiredoor-gateway/src/jobs/gaps.rs
@@ -65,7 +65,7 @@
     /// Number of gaps so far.
     pub fn count(&self) -> u64 {
         self.look_at_clocks();
-        self.state.noted.get() + self.state.health.regains()
+        self.state.noted.get() + self.state.health.recoveries()
     }
 
     /// Looks for gaps for as long as the process runs.
@@ -91,7 +91,7 @@
     }
 
     fn look_at_store(&self) {
-        let regains = self.state.health.regains();
+        let regains = self.state.health.recoveries();
         if self.state.regains.replace(regains) != regains {
             self.state.settled_at.set(Some(Instant::now() + SETTLED));
         }
--- a/crates/samphiredoor-gateway/src/jobs/mod.rs
+++ b/crates/samphiredoor-gateway/src/jobs/mod.rs
@@ -94,7 +94,7 @@
 
     /// Whether the store answers others, and not this process, so that they take its jobs.
     fn is_displaced(&self) -> bool {
-        self.health.is_lost_for(STORE_LOST_AFTER) && self.health.is_alone()
+        self.health.is_lost_for(STORE_LOST_AFTER) && self.health.is_lost_only_here()
     }
 
     /// Tells others that this process owns a job.
@@ -149,7 +149,7 @@
     async fn call(&self, op: StoreOp) -> StoreAnswer {
         let answer = self.platform.store.call(op).await;
         if !matches!(answer, StoreAnswer::Unavailable | StoreAnswer::Unknown) {
-            self.health.heard();
+            self.health.record_answer();
         }
         answer
     }
--- a/crates/samphiredoor-gateway/src/jobs/sweep.rs
+++ b/crates/samphiredoor-gateway/src/jobs/sweep.rs
@@ -65,10 +65,10 @@
     let store = &*env.platform.store;
     let listed = list_all(store, Kind::OrderedJob, Freshness::MayBeStale).await;
     let Some((objects, _)) = listed else {
-        env.health.doubt();
+        env.health.raise_suspicion();
         return;
     };
-    env.health.heard();
+    env.health.record_answer();
     for object in &objects {
         match read_header(object) {
             // One that another process has finished may still be worked on here.
--- a/crates/samphiredoor-gateway/src/peers/listener.rs
+++ b/crates/samphiredoor-gateway/src/peers/listener.rs
@@ -106,7 +106,7 @@
     fn others_reach_store(&self, silent_ms: u32) {
         let silent = Duration::from_millis(silent_ms.into());
         if let Some(answered) = Instant::now().checked_sub(silent) {
-            self.health.others_heard(answered);
+            self.health.record_peer_answer(answered);
         }
     }
 }
--- a/crates/samphiredoor-gateway/src/peers/status_sender.rs
+++ b/crates/samphiredoor-gateway/src/peers/status_sender.rs
@@ -182,7 +182,7 @@
             seen: self.roster.sightings().own(),
             store_silent_ms: self
                 .health
-                .silent()
+                .time_since_answer()
                 .map_or(u32::MAX, |it| it.as_millis().try_into().unwrap_or(u32::MAX)),
         }
     }
--- a/crates/samphiredoor-gateway/src/store_health.rs
+++ b/crates/samphiredoor-gateway/src/store_health.rs
@@ -41,22 +41,22 @@
     }
 
     /// Whether the store answers others while it does not answer this process.
-    pub fn is_alone(&self) -> bool {
+    pub fn is_lost_only_here(&self) -> bool {
         self.state.alone.get()
     }
 
     /// Time since the store last answered a call; `None` before the first answer.
-    pub fn silent(&self) -> Option<Duration> {
+    pub fn time_since_answer(&self) -> Option<Duration> {
         Some(self.state.heard.get()?.elapsed())
     }
 
     /// Notes that the store has answered a call.
-    pub fn heard(&self) {
+    pub fn record_answer(&self) {
         self.state.heard.set(Some(Instant::now()));
     }
 
     /// Notes that the store has answered another process at some moment.
-    pub fn others_heard(&self, at: Instant) {
+    pub fn record_peer_answer(&self, at: Instant) {
         let since_loss = self.state.lost_since.get().is_some_and(|it| at > it);
         if since_loss && self.state.others_heard.get().is_none() {
             self.state.others_heard.set(Some(at));
@@ -64,29 +64,29 @@
     }
 
     /// Notes that a call got no usable answer that was made at some moment.
-    pub fn failed(&self, asked: Instant) {
+    pub fn record_failure(&self, asked: Instant) {
         if self.state.others_heard.get().is_some_and(|it| asked > it) {
             self.state.alone.set(true);
         }
     }
 
     /// Notes a reason to doubt that the store answers.
-    pub fn doubt(&self) {
+    pub fn raise_suspicion(&self) {
         self.state.doubts.set(self.state.doubts.get() + 1);
     }
 
     /// Number of doubts so far.
-    pub fn doubts(&self) -> u64 {
+    pub fn suspicions(&self) -> u64 {
         self.state.doubts.get()
     }
 
     /// Number of times that the store was lost and answered again.
-    pub fn regains(&self) -> u64 {
+    pub fn recoveries(&self) -> u64 {
         self.state.regains.get()
     }
 
     /// Notes that the store does not answer.
-    pub fn lost(&self) {
+    pub fn mark_lost(&self) {
         if self.state.lost_since.get().is_none() {
             log::warn!("store: lost");
             self.state.lost_since.set(Some(Instant::now()));
@@ -94,7 +94,7 @@
     }
 
     /// Notes that the store answers again.
-    pub fn regained(&self) {
+    pub fn mark_recovered(&self) {
         if let Some(since) = self.state.lost_since.take() {
             let alone = self.state.alone.take();
             self.state.regains.set(self.state.regains.get() + 1);
--- a/crates/samphiredoor-gateway/src/watch.rs
+++ b/crates/samphiredoor-gateway/src/watch.rs
@@ -302,7 +302,7 @@
         let asked = Instant::now();
         let listed = list_all(&*self.store, self.kind, self.first_list).await;
         if let (None, Some(health)) = (&listed, &self.health) {
-            health.failed(asked);
+            health.record_failure(asked);
         }
         let (all, version) = listed?;
         self.since = Some(version);
@@ -325,7 +325,7 @@
             metrics.store_heard(self.kind);
         }
         if let Some(health) = &self.health {
-            health.heard();
+            health.record_answer();
         }
     }
 
@@ -340,10 +340,10 @@
             }
             WatchAnswer::Refused | WatchAnswer::NoAnswer => {
                 if let Some(health) = &self.health {
-                    health.failed(asked);
+                    health.record_failure(asked);
                     // What swallowed this watch may have swallowed the others of the process.
                     if self.failures == 0 && matches!(answer, WatchAnswer::NoAnswer) {
-                        health.doubt();
+                        health.raise_suspicion();
                     }
                 }
                 self.watch_failed(asked, answer.label());
@@ -485,14 +485,14 @@
         since: Version,
         watch: impl Future<Output = T>,
     ) -> Result<T, Doubt> {
-        let doubts = self.health.as_ref().map(StoreHealth::doubts);
+        let doubts = self.health.as_ref().map(StoreHealth::suspicions);
         let mut watch = pin!(watch);
         let mut looks_behind = 0;
         loop {
             if let Some(answer) = within(DOUBT_PAUSE, &mut watch).await {
                 return Ok(answer);
             }
-            if self.health.as_ref().map(StoreHealth::doubts) != doubts {
+            if self.health.as_ref().map(StoreHealth::suspicions) != doubts {
                 return Err(Doubt::CallLost);
             }
             let behind = self.fleet.as_ref().is_some_and(|it| it.is_ahead_of(since));
