--- a/crates/samphiredoor-gateway/src/fleet.rs
+++ b/crates/samphiredoor-gateway/src/fleet.rs
@@ -9,13 +9,13 @@
     store::{Stored, Version},
 };
 
-use crate::{peers::Roster, platform_api::Change, sightings::Sighting};
+use crate::{peers::Roster, platform_api::Change, seen_versions::SeenVersion};
 
 /// The fleet, as the follower of one kind meets it.
 pub struct Fleet {
     roster: Roster,
     renewal: Renewal,
-    sighting: Sighting,
+    seen_version: SeenVersion,
     last: Cell<LastAnswer>,
     /// The newest change of others that was asked for; each is asked for once.
     asked_for: Cell<Version>,
@@ -23,11 +23,11 @@
 
 impl Fleet {
     /// The fleet, for changes that have to be in force `within` some time.
-    pub fn new(roster: Roster, within: Duration, sighting: Sighting) -> Fleet {
+    pub fn new(roster: Roster, within: Duration, seen_version: SeenVersion) -> Fleet {
         Fleet {
             roster,
             renewal: Renewal::new(within),
-            sighting,
+            seen_version,
             last: Cell::new(LastAnswer::Nothing),
             asked_for: Cell::default(),
         }
@@ -41,7 +41,7 @@
     /// Notes what a list told.
     pub fn listed(&self, all: &[Stored]) {
         self.last.set(LastAnswer::Changes);
-        all.iter().for_each(|it| self.sighting.saw(it.version));
+        all.iter().for_each(|it| self.seen_version.record_own(it.version));
     }
 
     /// Notes what a watch told, up to a version of the store.
@@ -51,7 +51,7 @@
             _ => LastAnswer::Changes,
         });
         for change in changes {
-            self.sighting.saw(match change {
+            self.seen_version.record_own(match change {
                 Change::Written(stored) => stored.version,
                 // The store does not tell at which version an object was deleted: at this one at the latest.
                 Change::Deleted(_) => version,
@@ -61,11 +61,11 @@
 
     /// Whether others have seen a change after a version that was not asked for yet.
     pub fn is_ahead_of(&self, since: Version) -> bool {
-        self.sighting.others() > since.max(self.asked_for.get())
+        self.seen_version.newest_of_peers() > since.max(self.asked_for.get())
     }
 
     /// Notes that the others' newest change is asked for.
     pub fn ask(&self) {
-        self.asked_for.set(self.sighting.others());
+        self.asked_for.set(self.seen_version.newest_of_peers());
     }
 }
--- a/crates/samphiredoor-gateway/src/lib.rs
+++ b/crates/samphiredoor-gateway/src/lib.rs
@@ -31,7 +31,7 @@
 mod peers;
 mod placement;
 mod routes;
-mod sightings;
+mod seen_versions;
 mod store_health;
 mod target_client;
 mod watch;
--- a/crates/samphiredoor-gateway/src/peers/cell_statuses.rs
+++ b/crates/samphiredoor-gateway/src/peers/cell_statuses.rs
@@ -19,7 +19,7 @@
     status::Status,
     summary::{Member, MemberJob, Summary},
 };
-use crate::sightings::SeenChanges;
+use crate::seen_versions::SeenChanges;
 
 /// How long a job that a gateway has come to own is told; some summaries are sent in that time, and some are lost.
 const JOB_TOLD_FOR: Duration = Duration::from_millis(1_800);
--- a/crates/samphiredoor-gateway/src/peers/listener.rs
+++ b/crates/samphiredoor-gateway/src/peers/listener.rs
@@ -88,7 +88,7 @@
         let members: Vec<Option<Name>> =
             summary.members.iter().map(|it| self.roster.heard_of(it)).collect();
         self.metrics.peers(self.roster.live_count());
-        self.roster.sightings().told(&summary.seen);
+        self.roster.seen_versions().record_peers(&summary.seen);
         self.others_reach_store(summary.store_silent_ms);
         for job in &summary.jobs {
             let place = usize::from(job.member);
--- a/crates/samphiredoor-gateway/src/peers/roster.rs
+++ b/crates/samphiredoor-gateway/src/peers/roster.rs
@@ -17,7 +17,7 @@
 };
 
 use super::{LocalGateway, status::Status, summary::Member};
-use crate::sightings::Sightings;
+use crate::seen_versions::SeenVersions;
 
 /// Silence after which a gateway counts as gone. Statuses come at least twice a second and some are lost; jobs of a
 /// gateway that was taken for gone too early are run twice.
@@ -105,7 +105,7 @@
     targets: Rc<RefCell<BTreeMap<u64, Location>>>,
     /// Worked out anew after a change of peers or targets.
     cells: Rc<RefCell<Option<Rc<Cells>>>>,
-    sightings: Sightings,
+    seen_versions: SeenVersions,
 }
 
 /// Whether another gateway works on its jobs.
@@ -130,7 +130,7 @@
             names: Rc::default(),
             targets: Rc::default(),
             cells: Rc::default(),
-            sightings: Sightings::default(),
+            seen_versions: SeenVersions::default(),
         }
     }
 
@@ -140,8 +140,8 @@
     }
 
     /// Newest changes of the store that this process and others have seen.
-    pub fn sightings(&self) -> &Sightings {
-        &self.sightings
+    pub fn seen_versions(&self) -> &SeenVersions {
+        &self.seen_versions
     }
 
     /// Notes that all gateways are registered here that were when this process began to follow them.
@@ -317,7 +317,7 @@
         peer.store_reached = status.store_reached;
         peer.stopping = status.stopping;
         peer.routes_version = status.routes_version;
-        self.sightings.told(&status.seen);
+        self.seen_versions.record_peers(&status.seen);
         true
     }
 
--- a/crates/samphiredoor-gateway/src/peers/status.rs
+++ b/crates/samphiredoor-gateway/src/peers/status.rs
@@ -9,7 +9,7 @@
     gateway_status, requests_at_target, seen_changes, waiting_items,
 };
 
-use crate::sightings::SeenChanges;
+use crate::seen_versions::SeenChanges;
 
 /// Targets in one datagram: eight to ten bytes each, packed.
 const MAX_LOADS: usize = 100;
--- a/crates/samphiredoor-gateway/src/peers/status_sender.rs
+++ b/crates/samphiredoor-gateway/src/peers/status_sender.rs
@@ -179,7 +179,7 @@
             stopping: self.stopping.get(),
             requests,
             jobs,
-            seen: self.roster.sightings().own(),
+            seen: self.roster.seen_versions().own(),
             store_silent_ms: self
                 .health
                 .time_since_answer()
--- a/crates/samphiredoor-gateway/src/peers/summary.rs
+++ b/crates/samphiredoor-gateway/src/peers/summary.rs
@@ -4,7 +4,7 @@
 use samphiredoor_schema::peer_capnp::cell_summary;
 
 use super::status::{read_requests, read_seen, write_loads, write_seen, write_waiting};
-use crate::sightings::SeenChanges;
+use crate::seen_versions::SeenChanges;
 
 /// Targets in one datagram; a cell has a dozen, and some requests at those of others.
 const MAX_LOADS: usize = 50;
--- a/crates/samphiredoor-gateway/src/process.rs
+++ b/crates/samphiredoor-gateway/src/process.rs
@@ -30,7 +30,7 @@
     placement::{PlacementHandle, PlacementTask},
     platform_api::{Dialect, Platform},
     routes::Routes,
-    sightings::Sighting,
+    seen_versions::SeenVersion,
     store_health::StoreHealth,
     target_client::TargetClient,
     watch::Watcher,
@@ -148,8 +148,8 @@
     let targets_known = Rc::new(Cell::new(None));
     let mirrors = Mirrors::new(&common.mirrors);
     let watch_relay = WatchRelay::new(roster.clone());
-    let follow = |kind, within, sighting: &Sighting| {
-        let fleet = Fleet::new(roster.clone(), within, sighting.clone());
+    let follow = |kind, within, seen_version: &SeenVersion| {
+        let fleet = Fleet::new(roster.clone(), within, seen_version.clone());
         Watcher::new(Rc::clone(&platform.store), kind, common.watch)
             .with_metrics(Rc::clone(&metrics))
             .with_mirrors(mirrors.clone())
@@ -157,7 +157,7 @@
             .with_fleet(fleet)
             .with_watch_relay(watch_relay.clone(), within)
     };
-    let sightings = roster.sightings();
+    let seen_versions = roster.seen_versions();
 
     let routes_task = Rc::new(RoutesTask {
         platform: platform.clone(),
@@ -165,7 +165,7 @@
         health: health.clone(),
         metrics: Rc::clone(&metrics),
     });
-    let follow_routes = follow(Kind::Routes, common.routes_within, &sightings.routes)
+    let follow_routes = follow(Kind::Routes, common.routes_within, &seen_versions.routes)
         .with_stale_start()
         .with_rest_after_changes(common.routes_within);
     let (relayed, relay) = flume::unbounded();
@@ -186,13 +186,13 @@
         known: Rc::clone(&targets_known),
         metrics: Rc::clone(&metrics),
     };
-    let follow_targets = follow(Kind::Targets, common.targets_within, &sightings.targets)
+    let follow_targets = follow(Kind::Targets, common.targets_within, &seen_versions.targets)
         .with_stale_start()
         .with_gate(health.clone())
         .with_rest_after_changes(common.targets_within);
     compio::runtime::spawn(targets_task.run(follow_targets)).detach();
 
-    let follow_gateways = follow(Kind::Door, GATEWAYS_WITHIN, &sightings.gateways)
+    let follow_gateways = follow(Kind::Door, GATEWAYS_WITHIN, &seen_versions.gateways)
         .with_stale_start()
         .with_gate(health.clone());
     let registration = peers::registration::run(
--- a/crates/samphiredoor-gateway/src/sightings.rs
+++ b/crates/samphiredoor-gateway/src/seen_versions.rs
@@ -20,19 +20,19 @@
 
 /// Newest changes of one kind.
 #[derive(Debug, Clone, Default)]
-pub struct Sighting {
+pub struct SeenVersion {
     own: Rc<Cell<Version>>,
     others: Rc<Cell<Version>>,
 }
 
-impl Sighting {
+impl SeenVersion {
     /// Notes a change that this process has seen.
-    pub fn saw(&self, version: Version) {
+    pub fn record_own(&self, version: Version) {
         self.own.set(self.own.get().max(version));
     }
 
     /// Notes a change that another process says it has seen.
-    pub fn told(&self, version: Version) {
+    pub fn record_peers(&self, version: Version) {
         self.others.set(self.others.get().max(version));
     }
 
@@ -42,23 +42,23 @@
     }
 
     /// The newest change that others have seen.
-    pub fn others(&self) -> Version {
+    pub fn newest_of_peers(&self) -> Version {
         self.others.get()
     }
 }
 
 /// Newest changes of all kinds that every gateway follows.
 #[derive(Debug, Clone, Default)]
-pub struct Sightings {
+pub struct SeenVersions {
     /// The operators' routes.
-    pub routes: Sighting,
+    pub routes: SeenVersion,
     /// Targets.
-    pub targets: Sighting,
+    pub targets: SeenVersion,
     /// Gateways.
-    pub gateways: Sighting,
+    pub gateways: SeenVersion,
 }
 
-impl Sightings {
+impl SeenVersions {
     /// What this process has seen.
     pub fn own(&self) -> SeenChanges {
         SeenChanges {
@@ -69,9 +69,9 @@
     }
 
     /// Notes what another process says it has seen.
-    pub fn told(&self, seen: &SeenChanges) {
-        self.routes.told(seen.routes);
-        self.targets.told(seen.targets);
-        self.gateways.told(seen.gateways);
+    pub fn record_peers(&self, seen: &SeenChanges) {
+        self.routes.record_peers(seen.routes);
+        self.targets.record_peers(seen.targets);
+        self.gateways.record_peers(seen.gateways);
     }
 }
