--- a/crates/samphiredoor-gateway/src/front/answers.rs
+++ b/crates/samphiredoor-gateway/src/front/answers.rs
@@ -9,14 +9,14 @@
 use serde_json::json;
 
 /// Answer with a short text.
-pub fn plain(status: StatusCode, message: &str) -> Response<Body> {
+pub fn json_message(status: StatusCode, message: &str) -> Response<Body> {
     let text = json!({ "error": message }).to_string();
     answers::json(status, text)
 }
 
 /// Answer that promises that the request has not run, with the time to come back, in milliseconds.
-pub fn refused(reason: Refusal, retry_after_ms: u64) -> Response<Body> {
-    let mut response = plain(StatusCode::SERVICE_UNAVAILABLE, reason.label());
+pub fn refusal_response(reason: Refusal, retry_after_ms: u64) -> Response<Body> {
+    let mut response = json_message(StatusCode::SERVICE_UNAVAILABLE, reason.label());
     let seconds = format!("{}.{:03}", retry_after_ms / 1_000, retry_after_ms % 1_000);
     if let Ok(seconds) = HeaderValue::from_str(&seconds) {
         response.headers_mut().insert(header::RETRY_AFTER, seconds);
@@ -30,5 +30,5 @@
         MayHaveRunReason::DeadlinePassed => StatusCode::GATEWAY_TIMEOUT,
         _ => StatusCode::BAD_GATEWAY,
     };
-    plain(status, reason.label())
+    json_message(status, reason.label())
 }
--- a/crates/samphiredoor-gateway/src/front/mod.rs
+++ b/crates/samphiredoor-gateway/src/front/mod.rs
@@ -25,7 +25,7 @@
     pool::within,
 };
 
-pub use answers::{plain, refused};
+pub use answers::{json_message, refusal_response};
 
 use crate::{
     jobs::{Acceptors, Jobs, Submitted, pass_on},
@@ -79,12 +79,12 @@
     }
     let Some(table) = front.routes.current() else {
         front.metrics.refused(Refusal::NotReady);
-        return refused(Refusal::NotReady, NOT_READY_RETRY_MS);
+        return refusal_response(Refusal::NotReady, NOT_READY_RETRY_MS);
     };
     let host = host_of(&request).unwrap_or_default().to_owned();
     let Some(route) = table.find(&host, request.uri().path()).cloned() else {
         log::info!(host, path = request.uri().path(), routes_version = table.version; "front: no route");
-        return plain(StatusCode::NOT_FOUND, "no route serves this host and path");
+        return json_message(StatusCode::NOT_FOUND, "no route serves this host and path");
     };
     let (parts, body) = request.into_parts();
     let body = match read_body(&table, body).await {
@@ -105,16 +105,16 @@
 }
 
 /// Answers a submission that another gateway passes on, as the store does not answer that one.
-pub async fn passed_on(front: Rc<Front>, request: Request<Incoming>) -> Response<Body> {
+pub async fn answer_forwarded(front: Rc<Front>, request: Request<Incoming>) -> Response<Body> {
     let host = host_of(&request).unwrap_or_default().to_owned();
     let path = request.uri().path().strip_prefix(pass_on::ROOT).unwrap_or_default().to_owned();
     let table = front.routes.current();
     let found = table.as_ref().and_then(|it| Some((it, it.find(&host, &path)?)));
     let Some((table, route)) = found else {
-        return plain(StatusCode::NOT_FOUND, "no route serves this host and path");
+        return json_message(StatusCode::NOT_FOUND, "no route serves this host and path");
     };
     let RouteKind::Batch(rule) = route.kind else {
-        return plain(StatusCode::NOT_FOUND, "no batch route serves this host and path");
+        return json_message(StatusCode::NOT_FOUND, "no batch route serves this host and path");
     };
     let Some(job) = job_of(&front, request.headers()) else { return without_id() };
     match read_body(table, request.into_body()).await {
@@ -131,7 +131,7 @@
 }
 
 fn without_id() -> Response<Body> {
-    plain(StatusCode::BAD_REQUEST, "a submission needs an id")
+    json_message(StatusCode::BAD_REQUEST, "a submission needs an id")
 }
 
 fn submission(
@@ -148,14 +148,17 @@
 async fn read_body(table: &RouteTable, body: Incoming) -> Result<Bytes, Box<Response<Body>>> {
     match within(BODY_TIMEOUT, read_whole(body, table.limits.body_bytes)).await {
         Some(Ok(body)) => Ok(body),
-        Some(Err(ReadError::TooLarge)) => {
-            Err(Box::new(plain(StatusCode::PAYLOAD_TOO_LARGE, "the body is above the limit")))
-        }
+        Some(Err(ReadError::TooLarge)) => Err(Box::new(json_message(
+            StatusCode::PAYLOAD_TOO_LARGE,
+            "the body is above the limit",
+        ))),
         Some(Err(ReadError::Cut(err))) => {
             log::info!(problem:% = err; "front: body cut");
-            Err(Box::new(plain(StatusCode::BAD_REQUEST, "the body was cut")))
+            Err(Box::new(json_message(StatusCode::BAD_REQUEST, "the body was cut")))
+        }
+        None => {
+            Err(Box::new(json_message(StatusCode::REQUEST_TIMEOUT, "the body came too slowly")))
         }
-        None => Err(Box::new(plain(StatusCode::REQUEST_TIMEOUT, "the body came too slowly"))),
     }
 }
 
--- a/crates/samphiredoor-gateway/src/front/online.rs
+++ b/crates/samphiredoor-gateway/src/front/online.rs
@@ -25,7 +25,7 @@
 
 use super::{
     Front,
-    answers::{in_doubt, refused},
+    answers::{in_doubt, refusal_response},
     attempt::{Attempt, Begun, Patience, attempt},
     header_number,
     passing::Passing,
@@ -171,7 +171,7 @@
         let response = match over {
             Over::Refused { reason, retry_after_ms } => {
                 self.front.metrics.refused(reason);
-                refused(reason, retry_after_ms)
+                refusal_response(reason, retry_after_ms)
             }
             Over::Doubt(doubt) => in_doubt(doubt),
         };
--- a/crates/samphiredoor-gateway/src/jobs/reads.rs
+++ b/crates/samphiredoor-gateway/src/jobs/reads.rs
@@ -29,7 +29,7 @@
     sweep,
 };
 use crate::{
-    front::{plain, refused},
+    front::{json_message, refusal_response},
     peers::{Liveness, Owner, STORE_LOST_AFTER, registered_address},
     platform_api::{JobCall, ResultsPage},
 };
@@ -96,7 +96,7 @@
     /// Answers another gateway: from what is here, or from the store.
     pub async fn answer_peer(&self, method: &Method, uri: &Uri) -> Response<Body> {
         let Some(call) = PeerCall::parse(method, uri) else {
-            return plain(StatusCode::NOT_FOUND, "no such call");
+            return json_message(StatusCode::NOT_FOUND, "no such call");
         };
         match call {
             PeerCall::Read { job, after, wait_ms } => {
@@ -118,14 +118,14 @@
                     sweep::take_if_free(&env, &directory, &stored, &job).await;
                 })
                 .detach();
-                plain(StatusCode::OK, "heard")
+                json_message(StatusCode::OK, "heard")
             }
             PeerCall::Works { incarnation } => {
                 match incarnation == self.env.incarnation
                     && !self.env.health.is_lost_for(STORE_LOST_AFTER)
                 {
-                    true => plain(StatusCode::OK, "works"),
-                    false => plain(StatusCode::NOT_FOUND, "does not work"),
+                    true => json_message(StatusCode::OK, "works"),
+                    false => json_message(StatusCode::NOT_FOUND, "does not work"),
                 }
             }
         }
@@ -220,7 +220,7 @@
         let item = answer.recv_async().await.ok()?;
         Some(match item {
             Some(item) => self.item_answer(&item),
-            None => plain(StatusCode::NOT_FOUND, "no such item, or its result stands"),
+            None => json_message(StatusCode::NOT_FOUND, "no such item, or its result stands"),
         })
     }
 
@@ -234,7 +234,7 @@
     fn item_answer(&self, item: &samphiredoor_core::ordered::Item) -> Response<Body> {
         match self.env.platform.dialect.item_body(item) {
             Ok(body) => Response::new(Body::full(body)),
-            Err(problem) => plain(StatusCode::INTERNAL_SERVER_ERROR, &problem),
+            Err(problem) => json_message(StatusCode::INTERNAL_SERVER_ERROR, &problem),
         }
     }
 
@@ -244,14 +244,20 @@
         }
         if !self.write_end(job).await {
             log::warn!(job = &**job; "job: its end could not be written");
-            return plain(StatusCode::GATEWAY_TIMEOUT, "the end may not stand; send it again");
+            return json_message(
+                StatusCode::GATEWAY_TIMEOUT,
+                "the end may not stand; send it again",
+            );
         }
         let Some(by) = self.tell_end(job).await else {
             log::warn!(job = &**job; "job: its end stands, but its owner could not be told");
-            return plain(StatusCode::GATEWAY_TIMEOUT, "the job may still run; send the end again");
+            return json_message(
+                StatusCode::GATEWAY_TIMEOUT,
+                "the job may still run; send the end again",
+            );
         };
         log::info!(job = &**job, by:? = by; "job: ended by its caller");
-        plain(StatusCode::OK, "ended")
+        json_message(StatusCode::OK, "ended")
     }
 
     /// Tells the owner of a job that it is ended; `None` if somebody may still run the job.
@@ -315,11 +321,11 @@
     /// Answers a gateway that takes one start of this process for the owner of a job that is ended.
     async fn answer_ended(&self, job: &str, incarnation: u64) -> Response<Body> {
         match self.end_here(job).await {
-            true => plain(StatusCode::OK, "ended"),
+            true => json_message(StatusCode::OK, "ended"),
             false if incarnation != self.env.incarnation => {
-                plain(StatusCode::GONE, "that start is over")
+                json_message(StatusCode::GONE, "that start is over")
             }
-            false => plain(StatusCode::NOT_FOUND, "not here"),
+            false => json_message(StatusCode::NOT_FOUND, "not here"),
         }
     }
 
@@ -386,7 +392,7 @@
 
 fn unread_answer(unread: Unread) -> Response<Body> {
     match unread {
-        Unread::Absent => plain(StatusCode::NOT_FOUND, "no such job or item"),
-        Unread::Unavailable => refused(Refusal::StoreUnavailable, RETRY_AFTER_MS),
+        Unread::Absent => json_message(StatusCode::NOT_FOUND, "no such job or item"),
+        Unread::Unavailable => refusal_response(Refusal::StoreUnavailable, RETRY_AFTER_MS),
     }
 }
--- a/crates/samphiredoor-gateway/src/jobs/submit.rs
+++ b/crates/samphiredoor-gateway/src/jobs/submit.rs
@@ -26,7 +26,7 @@
     job_task::{JobTask, OwnedJob},
     pass_on::pass_on,
 };
-use crate::front::{plain, refused};
+use crate::front::{json_message, refusal_response};
 
 /// Jobs that one process works on at once; beyond it submissions are refused, as their items would not run in time.
 const MAX_OPEN_JOBS: usize = 400;
@@ -117,7 +117,7 @@
         Ok(items) => items,
         Err(problem) => {
             log::info!(job = &*submitted.job, problem; "job: submission cannot be read");
-            return plain(StatusCode::BAD_REQUEST, &problem);
+            return json_message(StatusCode::BAD_REQUEST, &problem);
         }
     };
     if env.stopping.get() || directory.len() >= MAX_OPEN_JOBS {
@@ -131,11 +131,11 @@
     };
     match end {
         SubmissionEnd::Accepted => accepted(),
-        SubmissionEnd::Conflict => plain(StatusCode::CONFLICT, "another job has this id"),
+        SubmissionEnd::Conflict => json_message(StatusCode::CONFLICT, "another job has this id"),
         SubmissionEnd::Refused => refuse(env, &submitted.job, Refusal::StoreUnavailable),
         SubmissionEnd::Perhaps => {
             log::warn!(job = &*submitted.job; "job: acceptance in doubt");
-            plain(StatusCode::GATEWAY_TIMEOUT, MayHaveRunReason::StoreAnswerLost.label())
+            json_message(StatusCode::GATEWAY_TIMEOUT, MayHaveRunReason::StoreAnswerLost.label())
         }
     }
 }
@@ -203,13 +203,13 @@
 }
 
 fn accepted() -> Response<Body> {
-    plain(StatusCode::ACCEPTED, "accepted")
+    json_message(StatusCode::ACCEPTED, "accepted")
 }
 
 fn refuse(env: &JobEnv, job: &str, reason: Refusal) -> Response<Body> {
     log::info!(job, reason:% = reason; "job: refused");
     env.metrics.refused(reason);
-    refused(reason, RETRY_AFTER_MS)
+    refusal_response(reason, RETRY_AFTER_MS)
 }
 
 fn new_header(env: &JobEnv, submitted: &Submitted, items: usize) -> JobHeader {
--- a/crates/samphiredoor-gateway/src/mirror.rs
+++ b/crates/samphiredoor-gateway/src/mirror.rs
@@ -28,7 +28,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    front::plain,
+    front::json_message,
     platform_api::{Freshness, ObjectStore},
     watch::list_all,
 };
@@ -98,7 +98,7 @@
         let kinds = self.kinds.borrow();
         let kind = uri.path().strip_prefix(ROOT).and_then(|it| kinds.get(it));
         let Some(list) = kind else {
-            return plain(StatusCode::NOT_FOUND, "nothing is known of this kind");
+            return json_message(StatusCode::NOT_FOUND, "nothing is known of this kind");
         };
         let told = list.objects.iter().map(|it| Told {
             name: Name::clone(&it.name),
--- a/crates/samphiredoor-gateway/src/peers/routes_relay.rs
+++ b/crates/samphiredoor-gateway/src/peers/routes_relay.rs
@@ -23,7 +23,9 @@
 use samphiredoor_net::{Body, Pool, fetch::FetchLimits};
 
 use super::{Roster, roster::RoutesHolder};
-use crate::{front::plain, platform_api::ObjectStore, routes::Routes, watch::received_within};
+use crate::{
+    front::json_message, platform_api::ObjectStore, routes::Routes, watch::received_within,
+};
 
 /// Path of the call.
 pub const PATH: &str = "/routes";
@@ -118,10 +120,10 @@
     /// Answer to the call: the object that the routes in force were read from, and its name.
     pub fn answer(&self) -> Response<Body> {
         let Some(source) = self.routes.source() else {
-            return plain(StatusCode::NOT_FOUND, "no routes yet");
+            return json_message(StatusCode::NOT_FOUND, "no routes yet");
         };
         if !self.may_tell() {
-            return plain(StatusCode::SERVICE_UNAVAILABLE, "others are being told");
+            return json_message(StatusCode::SERVICE_UNAVAILABLE, "others are being told");
         }
         let mut response = Response::new(Body::full(Bytes::copy_from_slice(&source.value)));
         if let Ok(name) = header::HeaderValue::from_str(&source.name) {
--- a/crates/samphiredoor-gateway/src/peers/watch_relay.rs
+++ b/crates/samphiredoor-gateway/src/peers/watch_relay.rs
@@ -23,7 +23,7 @@
 use samphiredoor_schema::peer_capnp::followed_news;
 
 use super::Roster;
-use crate::{front::plain, platform_api::Change};
+use crate::{front::json_message, platform_api::Change};
 
 /// Beginning of the paths of the calls.
 pub const PATH_PREFIX: &str = "/followed/";
@@ -112,12 +112,12 @@
     /// Answers another gateway.
     pub async fn answer(&self, uri: &Uri) -> Response<Body> {
         let Some(call) = Call::parse(uri) else {
-            return plain(StatusCode::NOT_FOUND, "no such call");
+            return json_message(StatusCode::NOT_FOUND, "no such call");
         };
         let until = Instant::now() + call.wait;
         loop {
             let Some((told, changed)) = self.told(&call) else {
-                return plain(StatusCode::NOT_FOUND, "this kind is not followed here");
+                return json_message(StatusCode::NOT_FOUND, "this kind is not followed here");
             };
             let left = until.saturating_duration_since(Instant::now());
             if told.delta != Delta::None || left.is_zero() {
--- a/crates/samphiredoor-gateway/src/process.rs
+++ b/crates/samphiredoor-gateway/src/process.rs
@@ -19,7 +19,7 @@
     config::{CommonConfig, GatewayConfig},
     discovery::{RoutesTask, TargetsTask},
     fleet::Fleet,
-    front::{self, Front, plain},
+    front::{self, Front, json_message},
     jobs::{self, Gaps, JobEnv, Jobs},
     metrics::Metrics,
     mirror::Mirrors,
@@ -294,7 +294,7 @@
                     watch_relay.answer(request.uri()).await
                 }
                 path if path.starts_with(jobs::pass_on::ROOT) => {
-                    front::passed_on(Rc::clone(&front), request).await
+                    front::answer_forwarded(Rc::clone(&front), request).await
                 }
                 _ => jobs.answer_peer(request.method(), request.uri()).await,
             }
@@ -324,11 +324,11 @@
 impl Ready {
     fn answer(&self, request: &Request<Incoming>) -> Response<Body> {
         if !self.dialect.is_readiness_check(request.method(), request.uri().path()) {
-            return plain(StatusCode::NOT_FOUND, "only readiness is asked for here");
+            return json_message(StatusCode::NOT_FOUND, "only readiness is asked for here");
         }
         match self.problem() {
-            None => plain(StatusCode::OK, "ready"),
-            Some(problem) => plain(StatusCode::SERVICE_UNAVAILABLE, problem),
+            None => json_message(StatusCode::OK, "ready"),
+            Some(problem) => json_message(StatusCode::SERVICE_UNAVAILABLE, problem),
         }
     }
 
