--- a/crates/samphiredoor-gateway/src/discovery.rs
+++ b/crates/samphiredoor-gateway/src/discovery.rs
@@ -74,7 +74,7 @@
             }
             Ok(None) => {}
             Err(problem) => {
-                self.metrics.foreign("routes");
+                self.metrics.invalid_entry("routes");
                 log::warn!(object = &*stored.name, problem; "routes: cannot be read, ignored");
             }
         }
@@ -155,7 +155,7 @@
     match dialect.target(stored) {
         Ok(entry) => Some(entry),
         Err(problem) => {
-            metrics.foreign("target");
+            metrics.invalid_entry("target");
             log::warn!(target = &*stored.name, problem; "targets: entry ignored");
             None
         }
--- a/crates/samphiredoor-gateway/src/front/attempt.rs
+++ b/crates/samphiredoor-gateway/src/front/attempt.rs
@@ -79,7 +79,7 @@
     call: &mut Call,
     patience: Patience,
 ) -> Attempt {
-    target_client::address(call, names, target, patience.left());
+    target_client::set_target_headers(call, names, target, patience.left());
     let response = match within(patience.wait(), client.send(target, address, call)).await {
         Some(Ok(response)) => response,
         Some(Err(SendError::NotSent(err))) => {
@@ -95,7 +95,7 @@
             return Attempt::Doubt(end, doubt);
         }
     };
-    if let Some(end) = target_client::not_run(names, &response) {
+    if let Some(end) = target_client::not_run_reason(names, &response) {
         return Attempt::NotRun(end);
     }
     read(response, patience).await
--- a/crates/samphiredoor-gateway/src/jobs/item_run.rs
+++ b/crates/samphiredoor-gateway/src/jobs/item_run.rs
@@ -224,7 +224,7 @@
     fn set_headers(&self, call: &mut Call, target: &Name) {
         let names = self.env.platform.dialect.headers();
         let left = self.give_up_at.saturating_duration_since(Instant::now()).min(LONGEST_SEND);
-        target_client::address(call, names, target, left);
+        target_client::set_target_headers(call, names, target, left);
         if let Some(last) = self.last() {
             call.headers.insert(names.last_event_id.clone(), HeaderValue::from(last));
         }
@@ -235,7 +235,9 @@
         response: hyper::Response<Answer>,
         ticket: &mut Ticket,
     ) -> (Sent, AttemptEnd) {
-        if let Some(end) = target_client::not_run(self.env.platform.dialect.headers(), &response) {
+        if let Some(end) =
+            target_client::not_run_reason(self.env.platform.dialect.headers(), &response)
+        {
             return (Sent::Later, end);
         }
         let (parts, body) = response.into_parts();
--- a/crates/samphiredoor-gateway/src/jobs/job_task/ending.rs
+++ b/crates/samphiredoor-gateway/src/jobs/job_task/ending.rs
@@ -29,7 +29,7 @@
 
     pub(super) fn lost(&mut self) {
         log::info!(job = &*self.owned.job; "job: another process owns it");
-        self.env.metrics.job("lost");
+        self.env.metrics.job_event("lost");
         self.stop_runs();
         self.phase = Phase::Over;
     }
@@ -42,7 +42,7 @@
     /// Marks the job as one that nobody needs to take.
     pub(super) fn close(&mut self, how: &'static str) {
         log::info!(job = &*self.owned.job, how, results = self.log.committed().len(); "job: closed");
-        self.env.metrics.job(how);
+        self.env.metrics.job_event(how);
         self.phase = Phase::Closing;
         self.owned.header.finished = true;
         self.write_header();
@@ -70,7 +70,7 @@
             return;
         }
         log::info!(job = &*self.owned.job, outputs = self.outputs.len(); "job: handed over");
-        self.env.metrics.job("handed_over");
+        self.env.metrics.job_event("handed_over");
         self.phase = Phase::Closing;
         self.owned.header.owner.process.clear();
         self.write_header();
--- a/crates/samphiredoor-gateway/src/jobs/submit.rs
+++ b/crates/samphiredoor-gateway/src/jobs/submit.rs
@@ -288,7 +288,7 @@
 
 fn start(env: &Rc<JobEnv>, directory: &Directory, owned: OwnedJob, items: Vec<Item>) {
     let Some((messages, inbox)) = directory.open(&owned.job) else { return };
-    env.metrics.job("accepted");
+    env.metrics.job_event("accepted");
     env.tell_owned(&owned.job, owned.header.items);
     let log = ResultLog::new(JobName::clone(&owned.job));
     let items = Items::new(items, owned.header.attempts);
--- a/crates/samphiredoor-gateway/src/jobs/sweep.rs
+++ b/crates/samphiredoor-gateway/src/jobs/sweep.rs
@@ -78,7 +78,7 @@
             Ok(header) if is_forgotten(env, &header) => old.push((object.name.clone(), header)),
             Ok(_) => {}
             Err(fault) => {
-                env.metrics.foreign("job");
+                env.metrics.invalid_entry("job");
                 log::warn!(job = &*object.name, fault:% = fault; "job: header ignored");
             }
         }
@@ -116,7 +116,7 @@
     }
     if delete(env, header_key(job)).await {
         log::info!(job = &**job; "job: removed, its time is over");
-        env.metrics.job("removed");
+        env.metrics.job_event("removed");
     }
 }
 
@@ -246,7 +246,7 @@
         job = &**job, from = before.process, from_incarnation = before.incarnation, ended;
         "job: taken"
     );
-    env.metrics.job("taken");
+    env.metrics.job_event("taken");
     Some(OwnedJob { job: JobName::clone(job), header, version, gaps, is_new: false })
 }
 
--- a/crates/samphiredoor-gateway/src/metrics.rs
+++ b/crates/samphiredoor-gateway/src/metrics.rs
@@ -137,12 +137,12 @@
     }
 
     /// Counts what became of a job.
-    pub fn job(&self, event: &'static str) {
+    pub fn job_event(&self, event: &'static str) {
         self.job_events.count(event);
     }
 
     /// Counts a stored object that names nothing to use.
-    pub fn foreign(&self, kind: &'static str) {
+    pub fn invalid_entry(&self, kind: &'static str) {
         self.foreign.count(kind);
     }
 
--- a/crates/samphiredoor-gateway/src/peers/listener.rs
+++ b/crates/samphiredoor-gateway/src/peers/listener.rs
@@ -53,7 +53,7 @@
             Ok(Datagram::Status(status)) => self.take_status(status),
             Ok(Datagram::Summary(summary)) => self.take_summary(summary).await,
             Err(err) => {
-                self.metrics.foreign("datagram");
+                self.metrics.invalid_entry("datagram");
                 log::warn!(problem:% = err; "peers: datagram ignored");
             }
         }
--- a/crates/samphiredoor-gateway/src/target_client.rs
+++ b/crates/samphiredoor-gateway/src/target_client.rs
@@ -30,7 +30,7 @@
 const IDLE_LIMIT: Duration = Duration::from_millis(700);
 
 /// Addresses a call to one target: which one is meant, and how long it may work.
-pub fn address(call: &mut Call, names: &HeaderNames, target: &Name, left: Duration) {
+pub fn set_target_headers(call: &mut Call, names: &HeaderNames, target: &Name, left: Duration) {
     let left_ms = left.as_millis() as u64;
     call.headers.insert(names.deadline_ms.clone(), HeaderValue::from(left_ms));
     match HeaderValue::from_str(target) {
@@ -43,7 +43,7 @@
 }
 
 /// Whether a target says that it did not run the request, and why.
-pub fn not_run(names: &HeaderNames, response: &Response<Answer>) -> Option<AttemptEnd> {
+pub fn not_run_reason(names: &HeaderNames, response: &Response<Answer>) -> Option<AttemptEnd> {
     if response.status() == StatusCode::MISDIRECTED_REQUEST {
         return Some(AttemptEnd::WrongTarget);
     }
