--- a/crates/samphiredoor-gateway/src/front/mod.rs
+++ b/crates/samphiredoor-gateway/src/front/mod.rs
@@ -28,7 +28,7 @@
 pub use answers::{json_message, refusal_response};
 
 use crate::{
-    jobs::{Acceptors, Jobs, Submitted, pass_on},
+    jobs::{Forwarding, Jobs, SubmittedJob, forward},
     metrics::Metrics,
     placement::PlacementHandle,
     platform_api::Dialect,
@@ -75,7 +75,7 @@
 async fn dispatch(front: &Rc<Front>, request: Request<Incoming>) -> Response<Body> {
     if let Some(call) = front.dialect.job_call(request.method(), request.uri()) {
         let wait = wait_of(&*front.dialect, request.headers());
-        return front.jobs.answer(call, wait).await;
+        return front.jobs.handle(call, wait).await;
     }
     let Some(table) = front.routes.current() else {
         front.metrics.refused(Refusal::NotReady);
@@ -96,7 +96,7 @@
             let path = parts.uri.path().to_owned();
             let Some(job) = job_of(front, &parts.headers) else { return without_id() };
             let submitted = submission(&table, (&route, rule), job, (host, path), body);
-            front.jobs.submit(submitted, Acceptors::Any).await
+            front.jobs.submit(submitted, Forwarding::Allowed).await
         }
         RouteKind::Repeatable | RouteKind::Once | RouteKind::Stream { .. } => {
             Online::new(Rc::clone(front), route, parts, body).answer().await
@@ -107,7 +107,8 @@
 /// Answers a submission that another gateway passes on, as the store does not answer that one.
 pub async fn answer_forwarded(front: Rc<Front>, request: Request<Incoming>) -> Response<Body> {
     let host = host_of(&request).unwrap_or_default().to_owned();
-    let path = request.uri().path().strip_prefix(pass_on::ROOT).unwrap_or_default().to_owned();
+    let path =
+        request.uri().path().strip_prefix(forward::PATH_PREFIX).unwrap_or_default().to_owned();
     let table = front.routes.current();
     let found = table.as_ref().and_then(|it| Some((it, it.find(&host, &path)?)));
     let Some((table, route)) = found else {
@@ -120,7 +121,7 @@
     match read_body(table, request.into_body()).await {
         Ok(body) => {
             let submitted = submission(table, (route, rule), job, (host, path), body);
-            front.jobs.submit(submitted, Acceptors::ThisOne).await
+            front.jobs.submit(submitted, Forwarding::Forbidden).await
         }
         Err(answer) => *answer,
     }
@@ -140,9 +141,9 @@
     job: JobName,
     (host, path): (String, String),
     body: Bytes,
-) -> Submitted {
+) -> SubmittedJob {
     let (attempts, routes_version) = (route.attempts, table.version);
-    Submitted { job, host, path, rule, attempts, routes_version, body }
+    SubmittedJob { job, host, path, rule, attempts, routes_version, body }
 }
 
 async fn read_body(table: &RouteTable, body: Incoming) -> Result<Bytes, Box<Response<Body>>> {
--- a/crates/samphiredoor-gateway/src/jobs/clearance.rs
+++ b/crates/samphiredoor-gateway/src/jobs/clearance.rs
@@ -5,7 +5,7 @@
 
 use std::{cell::Cell, time::Duration};
 
-use super::{gaps::Gaps, job_task::JobMessage};
+use super::{job_task::JobMessage, liveness_gaps::LivenessGaps};
 use crate::store_health::StoreHealth;
 
 /// Pause of an item that is held before it asks again.
@@ -13,7 +13,7 @@
 
 /// Clearance of one job, shared by its task and the runs of its items.
 pub struct Clearance {
-    gaps: Gaps,
+    gaps: LivenessGaps,
     health: StoreHealth,
     messages: flume::Sender<JobMessage>,
     /// Gaps of the process before the job was last looked for; `None` before the first time.
@@ -24,7 +24,7 @@
 impl Clearance {
     /// Clearance that is given as of some gaps, or has to be given first; `messages` is the inbox of the job's task.
     pub fn new(
-        gaps: Gaps,
+        gaps: LivenessGaps,
         health: StoreHealth,
         messages: flume::Sender<JobMessage>,
         given: Option<u64>,
--- a/crates/samphiredoor-gateway/src/jobs/pass_on.rs
+++ b/crates/samphiredoor-gateway/src/jobs/forward.rs
@@ -16,11 +16,11 @@
 
 use super::{
     JobEnv,
-    submit::{SubmissionEnd, Submitted},
+    submit::{SubmissionEnd, SubmittedJob},
 };
 
 /// Beginning of the paths below which submissions are passed on.
-pub const ROOT: &str = "/submissions";
+pub const PATH_PREFIX: &str = "/submissions";
 /// Gateways that are tried until one is reached.
 const TRIES: usize = 3;
 /// Longest wait for a connection; a round trip between regions takes 24 ms.
@@ -30,7 +30,7 @@
 const MAX_ANSWER_BYTES: usize = 64 * 1024;
 
 /// Has another gateway accept a submission.
-pub async fn pass_on(env: &JobEnv, submitted: &Submitted) -> SubmissionEnd {
+pub async fn forward(env: &JobEnv, submitted: &SubmittedJob) -> SubmissionEnd {
     let takers = env.roster.takeover_candidates();
     for address in takers.into_iter().take(TRIES) {
         let pool = Pool::new(address).with_connect_timeout(CONNECT_TIMEOUT);
@@ -53,9 +53,13 @@
     SubmissionEnd::Refused
 }
 
-async fn send(env: &JobEnv, pool: &Pool, submitted: &Submitted) -> Result<StatusCode, SendError> {
+async fn send(
+    env: &JobEnv,
+    pool: &Pool,
+    submitted: &SubmittedJob,
+) -> Result<StatusCode, SendError> {
     let names = env.platform.dialect.headers();
-    let request = Request::post(format!("{ROOT}{}", submitted.path))
+    let request = Request::post(format!("{PATH_PREFIX}{}", submitted.path))
         .header(header::HOST, &submitted.host)
         .header(&names.request_id, &*submitted.job)
         .body(Body::full(Bytes::clone(&submitted.body)))
--- a/crates/samphiredoor-gateway/src/jobs/job_task/mod.rs
+++ b/crates/samphiredoor-gateway/src/jobs/job_task/mod.rs
@@ -186,7 +186,7 @@
         let due_in = until(&env, owned.header.due_unix_ms).as_millis() as u64;
         let due_at_ms = env.clock.now().mono_ms + due_in;
         let given = owned.is_new.then_some(owned.gaps);
-        let (gaps, health) = (env.gaps.clone(), env.health.clone());
+        let (gaps, health) = (env.liveness_gaps.clone(), env.health.clone());
         let clearance = Rc::new(Clearance::new(gaps, health, messages.clone(), given));
         JobTask {
             clearance,
--- a/crates/samphiredoor-gateway/src/jobs/job_task/runs.rs
+++ b/crates/samphiredoor-gateway/src/jobs/job_task/runs.rs
@@ -48,7 +48,7 @@
     fn look(&mut self) {
         self.looking = true;
         let (env, messages) = (Rc::clone(&self.env), self.messages.clone());
-        let (job, gaps) = (JobName::clone(&self.owned.job), self.env.gaps.count());
+        let (job, gaps) = (JobName::clone(&self.owned.job), self.env.liveness_gaps.count());
         let is_known = gaps == self.owned.gaps;
         compio::runtime::spawn(async move {
             let header = async {
--- a/crates/samphiredoor-gateway/src/jobs/gaps.rs
+++ b/crates/samphiredoor-gateway/src/jobs/liveness_gaps.rs
@@ -29,7 +29,7 @@
 
 /// Handle to the gaps of this process.
 #[derive(Clone)]
-pub struct Gaps {
+pub struct LivenessGaps {
     state: Rc<State>,
 }
 
@@ -45,9 +45,9 @@
     cut_off: Cell<Option<Instant>>,
 }
 
-impl Gaps {
+impl LivenessGaps {
     /// No gaps yet.
-    pub fn new(clock: Clock, roster: Roster, health: StoreHealth) -> Gaps {
+    pub fn new(clock: Clock, roster: Roster, health: StoreHealth) -> LivenessGaps {
         let state = State {
             looked: Cell::new(clock.now()),
             clock,
@@ -59,7 +59,7 @@
             has_heard_most: Cell::default(),
             cut_off: Cell::default(),
         };
-        Gaps { state: Rc::new(state) }
+        LivenessGaps { state: Rc::new(state) }
     }
 
     /// Number of gaps so far.
--- a/crates/samphiredoor-gateway/src/jobs/mod.rs
+++ b/crates/samphiredoor-gateway/src/jobs/mod.rs
@@ -1,16 +1,16 @@
 //! Batch jobs: taken once, run by one gateway, readable at all.
 //!
-//! `submit` makes a job durable, `pass_on` has another gateway do that, `job_task` owns it, `item_run` runs one item,
+//! `submit` makes a job durable, `forward` has another gateway do that, `job_task` owns it, `item_run` runs one item,
 //! `reads` answers callers about it, `peer_call` is what gateways ask each other about it, `stored` reads what the store has
 //! of it, and `sweep` takes jobs whose owner is gone.
-//! `clearance` holds items back after `gaps` in which others may have ended or taken the job.
+//! `clearance` holds items back after `liveness_gaps` in which others may have ended or taken the job.
 
 mod clearance;
 mod directory;
-mod gaps;
+pub mod forward;
 mod item_run;
 mod job_task;
-pub mod pass_on;
+mod liveness_gaps;
 mod peer_call;
 mod reads;
 mod stored;
@@ -26,9 +26,9 @@
 };
 use samphiredoor_net::clock::Clock;
 
-pub use gaps::Gaps;
+pub use liveness_gaps::LivenessGaps;
 pub use reads::Jobs;
-pub use submit::{Acceptors, Submitted};
+pub use submit::{Forwarding, SubmittedJob};
 
 use crate::{
     metrics::Metrics,
@@ -70,15 +70,15 @@
     /// Whether the store answers this process.
     pub health: StoreHealth,
     /// Times in which others may have taken this process for gone.
-    pub gaps: Gaps,
+    pub liveness_gaps: LivenessGaps,
     /// Where the jobs that this process comes to own are told, for others.
-    pub owned: flume::Sender<OwnedJob>,
+    pub announcements: flume::Sender<OwnedJob>,
     /// Counters.
     pub metrics: Rc<Metrics>,
     /// Clock of the process.
     pub clock: Clock,
     /// How long a job is kept after its submission.
-    pub keep: Duration,
+    pub retention: Duration,
     /// Whether a planned stop is under way.
     pub stopping: Rc<Cell<bool>>,
 }
@@ -100,7 +100,7 @@
     /// Tells others that this process owns a job.
     fn tell_owned(&self, job: &JobName, items: u32) {
         // Fails only when the process ends.
-        let _ = self.owned.send(OwnedJob { name: JobName::clone(job), items });
+        let _ = self.announcements.send(OwnedJob { name: JobName::clone(job), items });
     }
 
     /// Creates an object whose name tells its content, so that one that stands is as good; says whether it stands.
@@ -160,7 +160,7 @@
     let env = Rc::new(env);
     let directory = Directory::default();
     let stored = StoredJobs::new(Rc::clone(&env));
-    compio::runtime::spawn(env.gaps.clone().run()).detach();
+    compio::runtime::spawn(env.liveness_gaps.clone().run()).detach();
     compio::runtime::spawn(sweep::run(Rc::clone(&env), directory.clone(), stored.clone())).detach();
     Jobs::new(env, directory, stored)
 }
--- a/crates/samphiredoor-gateway/src/jobs/reads.rs
+++ b/crates/samphiredoor-gateway/src/jobs/reads.rs
@@ -25,7 +25,7 @@
     job_task::{JobMessage, ReadReply},
     peer_call::{PeerCall, exchange},
     stored::{StoredJobs, Unread},
-    submit::{self, Acceptors, Submitted},
+    submit::{self, Forwarding, SubmittedJob},
     sweep,
 };
 use crate::{
@@ -78,23 +78,23 @@
     }
 
     /// Accepts a submission.
-    pub async fn submit(&self, submitted: Submitted, acceptors: Acceptors) -> Response<Body> {
+    pub async fn submit(&self, submitted: SubmittedJob, acceptors: Forwarding) -> Response<Body> {
         submit::submit(&self.env, &self.directory, submitted, acceptors).await
     }
 
     /// Answers a caller.
-    pub async fn answer(&self, call: JobCall, wait: Duration) -> Response<Body> {
+    pub async fn handle(&self, call: JobCall, wait: Duration) -> Response<Body> {
         let wait = wait.min(LONGEST_WAIT);
         let until = Instant::now() + wait;
         match call {
             JobCall::Read { job, after } => self.read(&job, after, until).await,
             JobCall::Body { job, item } => self.body(&job, &item).await,
-            JobCall::End { job } => self.end(&job).await,
+            JobCall::Cancel { job } => self.end(&job).await,
         }
     }
 
     /// Answers another gateway: from what is here, or from the store.
-    pub async fn answer_peer(&self, method: &Method, uri: &Uri) -> Response<Body> {
+    pub async fn handle_peer(&self, method: &Method, uri: &Uri) -> Response<Body> {
         let Some(call) = PeerCall::parse(method, uri) else {
             return json_message(StatusCode::NOT_FOUND, "no such call");
         };
@@ -132,7 +132,7 @@
     }
 
     /// Hands all jobs over, and waits until that is done or `limit` is over.
-    pub async fn release(&self, limit: Duration) {
+    pub async fn hand_over_all(&self, limit: Duration) {
         self.directory.release_all();
         let until = Instant::now() + limit;
         while self.directory.len() > 0 && Instant::now() < until {
--- a/crates/samphiredoor-gateway/src/jobs/submit.rs
+++ b/crates/samphiredoor-gateway/src/jobs/submit.rs
@@ -23,8 +23,8 @@
 use super::{
     JobEnv, STORE_PAUSE, STORE_TRIES,
     directory::Directory,
+    forward::forward,
     job_task::{JobTask, OwnedJob},
-    pass_on::pass_on,
 };
 use crate::front::{json_message, refusal_response};
 
@@ -39,7 +39,7 @@
 const DIGEST_CHARS: usize = 16;
 
 /// A submission as it was read.
-pub struct Submitted {
+pub struct SubmittedJob {
     /// Name of the job.
     pub job: JobName,
     /// Host that the caller named.
@@ -70,11 +70,11 @@
 
 /// Which gateways may accept a submission.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Acceptors {
+pub enum Forwarding {
     /// Another one, if the store does not answer this process.
-    Any,
+    Allowed,
     /// Only this one: the submission was passed on to it.
-    ThisOne,
+    Forbidden,
 }
 
 /// How a submission ended.
@@ -107,8 +107,8 @@
 pub async fn submit(
     env: &Rc<JobEnv>,
     directory: &Directory,
-    submitted: Submitted,
-    acceptors: Acceptors,
+    submitted: SubmittedJob,
+    acceptors: Forwarding,
 ) -> Response<Body> {
     if directory.has(&submitted.job) {
         return accepted();
@@ -126,8 +126,8 @@
     }
     let submitted = Rc::new(submitted);
     let end = match acceptors {
-        Acceptors::ThisOne => accept_here(env, directory, &submitted, items).await,
-        Acceptors::Any => accept_anywhere(env, directory, &submitted, items).await,
+        Forwarding::Forbidden => accept_here(env, directory, &submitted, items).await,
+        Forwarding::Allowed => accept_anywhere(env, directory, &submitted, items).await,
     };
     match end {
         SubmissionEnd::Accepted => accepted(),
@@ -144,11 +144,11 @@
 async fn accept_anywhere(
     env: &Rc<JobEnv>,
     directory: &Directory,
-    submitted: &Rc<Submitted>,
+    submitted: &Rc<SubmittedJob>,
     items: Vec<Item>,
 ) -> SubmissionEnd {
     if env.health.is_lost() {
-        match pass_on(env, submitted).await {
+        match forward(env, submitted).await {
             SubmissionEnd::Refused => {}
             end => return end,
         }
@@ -157,7 +157,7 @@
     if let Some(end) = within(STORE_PATIENCE, &mut here).await {
         return end;
     }
-    let elsewhere = pin!(pass_on(env, submitted));
+    let elsewhere = pin!(forward(env, submitted));
     match select(here, elsewhere).await {
         Either::Left((SubmissionEnd::Accepted, _))
         | Either::Right((SubmissionEnd::Accepted, _)) => SubmissionEnd::Accepted,
@@ -171,14 +171,14 @@
 async fn accept_here(
     env: &Rc<JobEnv>,
     directory: &Directory,
-    submitted: &Rc<Submitted>,
+    submitted: &Rc<SubmittedJob>,
     items: Vec<Item>,
 ) -> SubmissionEnd {
     let (sender, ended) = flume::bounded(1);
     let (env, directory) = (Rc::clone(env), directory.clone());
     let submitted = Rc::clone(submitted);
     compio::runtime::spawn(async move {
-        let (began, gaps) = (Instant::now(), env.gaps.count());
+        let (began, gaps) = (Instant::now(), env.liveness_gaps.count());
         let header = new_header(&env, &submitted, items.len());
         let end = match accept(&env, &submitted, &header).await {
             Accepted::New(version) => {
@@ -212,7 +212,7 @@
     refusal_response(reason, RETRY_AFTER_MS)
 }
 
-fn new_header(env: &JobEnv, submitted: &Submitted, items: usize) -> JobHeader {
+fn new_header(env: &JobEnv, submitted: &SubmittedJob, items: usize) -> JobHeader {
     let now_ms = env.clock.now().unix_ms;
     let mut digest = blake3::hash(&submitted.body).to_hex().to_string();
     digest.truncate(DIGEST_CHARS);
@@ -237,7 +237,7 @@
 
 /// Writes parts and header at once: the job is accepted when all of them stand. A header without its parts is in doubt, as
 /// the parts may come with the next sending.
-async fn accept(env: &JobEnv, submitted: &Submitted, header: &JobHeader) -> Accepted {
+async fn accept(env: &JobEnv, submitted: &SubmittedJob, header: &JobHeader) -> Accepted {
     let parts = create_parts(env, submitted, header);
     match join(create_header(env, &submitted.job, header), parts).await {
         (Accepted::No, _) => Accepted::No,
@@ -247,7 +247,7 @@
 }
 
 /// Writes the parts; says whether all of them stand.
-async fn create_parts(env: &JobEnv, submitted: &Submitted, header: &JobHeader) -> bool {
+async fn create_parts(env: &JobEnv, submitted: &SubmittedJob, header: &JobHeader) -> bool {
     // Read as JSON before, so it is text.
     let text = String::from_utf8_lossy(&submitted.body);
     for (part, value) in split_into_parts(&text).into_iter().enumerate() {
--- a/crates/samphiredoor-gateway/src/jobs/sweep.rs
+++ b/crates/samphiredoor-gateway/src/jobs/sweep.rs
@@ -94,7 +94,7 @@
 
 /// Whether a finished job is so old that nobody may read it any more.
 fn is_forgotten(env: &JobEnv, header: &JobHeader) -> bool {
-    let kept = env.keep + REMOVE_MARGIN;
+    let kept = env.retention + REMOVE_MARGIN;
     env.clock.now().unix_ms > header.accepted_unix_ms + kept.as_millis() as u64
 }
 
@@ -225,7 +225,7 @@
     version: Version,
     ended: bool,
 ) -> Option<OwnedJob> {
-    let (before, gaps) = (header.owner.clone(), env.gaps.count());
+    let (before, gaps) = (header.owner.clone(), env.liveness_gaps.count());
     let former = match before.process.as_str() {
         "" => header.former.clone(),
         _ => Some(before.clone()),
--- a/crates/samphiredoor-gateway/src/platform_api.rs
+++ b/crates/samphiredoor-gateway/src/platform_api.rs
@@ -146,7 +146,7 @@
         item: String,
     },
     /// End the job.
-    End {
+    Cancel {
         /// Which job.
         job: JobName,
     },
--- a/crates/samphiredoor-gateway/src/process.rs
+++ b/crates/samphiredoor-gateway/src/process.rs
@@ -20,7 +20,7 @@
     discovery::{RoutesTask, TargetsTask},
     fleet::Fleet,
     front::{self, Front, json_message},
-    jobs::{self, Gaps, JobEnv, Jobs},
+    jobs::{self, JobEnv, Jobs, LivenessGaps},
     metrics::Metrics,
     mirror::Mirrors,
     peers::{
@@ -219,7 +219,7 @@
         cell_statuses: cell_statuses.clone(),
     };
     compio::runtime::spawn(summary_sender.run()).detach();
-    let (owned, tell_owned) = flume::unbounded();
+    let (announcements, announced) = flume::unbounded();
     let status_sender = StatusSender {
         local: own.clone(),
         socket,
@@ -229,9 +229,9 @@
         health: health.clone(),
         stopping: Rc::clone(&stopping),
     };
-    compio::runtime::spawn(status_sender.run(tell, tell_owned)).detach();
+    compio::runtime::spawn(status_sender.run(tell, announced)).detach();
 
-    let gaps = Gaps::new(clock, roster.clone(), health.clone());
+    let liveness_gaps = LivenessGaps::new(clock, roster.clone(), health.clone());
     let env = JobEnv {
         name: own.name.clone(),
         incarnation: own.incarnation,
@@ -242,11 +242,11 @@
         roster,
         owners,
         health,
-        gaps,
-        owned,
+        liveness_gaps,
+        announcements,
         metrics: Rc::clone(&metrics),
         clock,
-        keep: config.keep_jobs,
+        retention: config.keep_jobs,
         stopping: Rc::clone(&stopping),
     };
     let jobs = jobs::start(env);
@@ -293,10 +293,10 @@
                 path if path.starts_with(peers::watch_relay::PATH_PREFIX) => {
                     watch_relay.answer(request.uri()).await
                 }
-                path if path.starts_with(jobs::pass_on::ROOT) => {
+                path if path.starts_with(jobs::forward::PATH_PREFIX) => {
                     front::answer_forwarded(Rc::clone(&front), request).await
                 }
-                _ => jobs.answer_peer(request.method(), request.uri()).await,
+                _ => jobs.handle_peer(request.method(), request.uri()).await,
             }
         }
     };
@@ -373,7 +373,7 @@
         callers.drain();
     }
     let (jobs, limit) = (parts.jobs.clone(), config.unready + config.finish);
-    let releasing = compio::runtime::spawn(async move { jobs.release(limit).await });
+    let releasing = compio::runtime::spawn(async move { jobs.hand_over_all(limit).await });
     compio::time::sleep(config.unready).await;
     drop(callers);
     let all = async {
--- a/crates/samphiredoor-standin/src/fleet.rs
+++ b/crates/samphiredoor-standin/src/fleet.rs
@@ -430,7 +430,7 @@
     }
 
     /// Ends a job.
-    pub fn end(&self, gateway: usize, job: &str) -> Answer {
+    pub fn cancel(&self, gateway: usize, job: &str) -> Answer {
         let path = format!("/samphiredoor/lots/{job}");
         call(Method::DELETE, self.gateways[gateway].callers, &path, &[("host", HOST)], "")
     }
--- a/crates/samphiredoor/tests/it/platform/ends.rs
+++ b/crates/samphiredoor/tests/it/platform/cancellations.rs
@@ -46,7 +46,7 @@
 }
 
 fn wait_ended(platform: &Platform, at: usize) {
-    wait_until("the end is acknowledged", || platform.end(at, "job-1").status == 200);
+    wait_until("the end is acknowledged", || platform.cancel(at, "job-1").status == 200);
 }
 
 /// Waits until the owner is done with the job, and checks that it did not run on to its last item.
@@ -164,7 +164,7 @@
     let before = updates();
     platform.store.set_fault(StoreFault::HeaderUpdatesHeld);
     wait_until("the job is being taken", || updates() > before);
-    assert_eq!(platform.end(1, "job-1").status, 200);
+    assert_eq!(platform.cancel(1, "job-1").status, 200);
     target.fail_next(0, TargetFault::None);
     platform.store.set_fault(StoreFault::None);
     wait_until("the job is closed", || {
--- a/crates/samphiredoor/tests/it/platform/jobs.rs
+++ b/crates/samphiredoor/tests/it/platform/jobs.rs
@@ -55,7 +55,7 @@
 fn an_unknown_job_is_not_found() {
     let (platform, _target) = two_gateways(FAST);
     assert_eq!(platform.results(0, "job-9", 0).status, 404);
-    assert_eq!(platform.end(0, "job-9").status, 404);
+    assert_eq!(platform.cancel(0, "job-9").status, 404);
     assert_eq!(platform.item(0, "job-9", "item-a").status, 404);
 }
 
@@ -102,8 +102,8 @@
     let (platform, target) = two_gateways(SLOW);
     target.fail_next(1_000, TargetFault::Full);
     assert_eq!(platform.submit(0, "job-1", &ITEMS).status, 202);
-    assert_eq!(platform.end(1, "job-1").status, 200);
-    assert_eq!(platform.end(0, "job-1").status, 200);
+    assert_eq!(platform.cancel(1, "job-1").status, 200);
+    assert_eq!(platform.cancel(0, "job-1").status, 200);
     wait_until("the job is closed", || {
         platform.store.spec("orderedjobs", "job-1").is_some_and(|it| it["finished"] == true)
     });
@@ -147,7 +147,7 @@
     assert_eq!(platform.submit_many(0, "job-1", 40).status, 202);
     wait_until("items run", || !target.runs().is_empty());
     let started = platform.start_gateway();
-    wait_until("the end is acknowledged", || platform.end(started, "job-1").status == 200);
+    wait_until("the end is acknowledged", || platform.cancel(started, "job-1").status == 200);
     std::thread::sleep(SLOW);
     let runs = target.runs().len();
     std::thread::sleep(SLOW * 10);
@@ -167,7 +167,7 @@
     // The owner counts as gone where it was not heard for so long.
     std::thread::sleep(Duration::from_secs(4));
     assert_eq!(platform.submit_many(0, "job-1", 200).status, 202);
-    wait_until("the end is acknowledged", || platform.end(1, "job-1").status == 200);
+    wait_until("the end is acknowledged", || platform.cancel(1, "job-1").status == 200);
     platform.set_way_fault(0, StoreFault::None);
     platform.wait_logged(1, "peers: heard peer=gateway-0");
     std::thread::sleep(Duration::from_secs(6));
@@ -365,7 +365,7 @@
     std::thread::scope(|scope| {
         let submission = scope.spawn(|| platform.submit(0, "job-1", &ITEMS).status);
         wait_until("the header stands", || platform.store.spec("orderedjobs", "job-1").is_some());
-        assert_eq!(platform.end(1, "job-1").status, 504);
+        assert_eq!(platform.cancel(1, "job-1").status, 504);
         // Nobody tells a caller that a job stands within the time that the store alone is waited for.
         std::thread::sleep(Duration::from_millis(300));
         platform.store.set_fault(StoreFault::None);
--- a/crates/samphiredoor/tests/it/platform/soak.rs
+++ b/crates/samphiredoor/tests/it/platform/soak.rs
@@ -164,7 +164,7 @@
         else {
             return;
         };
-        self.platform.end(gateway, &name);
+        self.platform.cancel(gateway, &name);
         self.jobs.get_mut(&name).expect("a job").ended = true;
     }
 
--- a/crates/samphiredoor/tests/it/platform/stops.rs
+++ b/crates/samphiredoor/tests/it/platform/stops.rs
@@ -76,7 +76,7 @@
     wait_until("the job has its next owner", || {
         platform.store.spec("orderedjobs", "job-1").is_some_and(owner)
     });
-    wait_until("the end is acknowledged", || platform.end(0, "job-1").status == 200);
+    wait_until("the end is acknowledged", || platform.cancel(0, "job-1").status == 200);
     wait_until("the job is closed", || {
         platform.store.spec("orderedjobs", "job-1").is_some_and(|it| it["finished"] == true)
     });
