--- a/crates/samphiredoor-gateway/src/jobs/item_run.rs
+++ b/crates/samphiredoor-gateway/src/jobs/item_run.rs
@@ -17,7 +17,7 @@
     Name,
     dispatch::Class,
     ordered::{Item, ItemEnd, JobName, OutputPart, PartialOutput},
-    placement::{Ask, AttemptEnd},
+    placement::{AttemptEnd, RequestSpec},
     routes::{Route, RouteKind, RouteTable},
 };
 use samphiredoor_net::{
@@ -30,7 +30,7 @@
 use super::{JobEnv, clearance::Clearance};
 use crate::{
     events::{EventBuffer, is_event_stream},
-    placement::{Placed, Ticket},
+    placement::{Decision, Ticket},
     target_client,
 };
 
@@ -169,11 +169,11 @@
 
     async fn send(&self, route: &Route, call: &mut Call) -> Sent {
         let Some(service) = route.service(rand::random()) else { return Sent::Later };
-        let mut ticket = self.env.placer.ask(self.ask(service, &call.headers));
-        let (target, address) = match ticket.placed().await {
-            Placed::Go { target, address } => (target, address),
-            Placed::Refused { .. } => return Sent::Later,
-            Placed::Recalled => return Sent::GoOn,
+        let mut ticket = self.env.placement.request(self.ask(service, &call.headers));
+        let (target, address) = match ticket.next_decision().await {
+            Decision::Dispatch { target, address } => (target, address),
+            Decision::Refused { .. } => return Sent::Later,
+            Decision::Preempted => return Sent::GoOn,
         };
         if !self.clearance.holds() {
             return Sent::GoOn;
@@ -185,7 +185,7 @@
             None => (Sent::GoOn, AttemptEnd::Cut),
             Some(Some(Ok(response))) => {
                 if let Some(load) = self.env.platform.dialect.reported_load(response.headers()) {
-                    self.env.placer.reported(&target, load);
+                    self.env.placement.report_load(&target, load);
                 }
                 self.read(response, &mut ticket).await
             }
@@ -204,27 +204,27 @@
             let ran_ms = self.env.clock.now().mono_ms - began_ms;
             self.output.borrow_mut().ran_ms += ran_ms;
         }
-        ticket.ended(end);
+        ticket.report_end(end);
         sent
     }
 
-    fn ask(&self, service: &Name, headers: &HeaderMap) -> Ask {
-        Ask {
-            request: self.env.placer.next_request(),
+    fn ask(&self, service: &Name, headers: &HeaderMap) -> RequestSpec {
+        RequestSpec {
+            request: self.env.placement.next_request(),
             class: Class::Batch,
             service: Name::clone(service),
             priority: 0,
             affinity: self.env.platform.dialect.affinity(headers),
-            tried: SmallVec::new(),
-            until_ms: self.due_at_ms,
-            ran_ms: self.output.borrow().ran_ms,
+            tried_targets: SmallVec::new(),
+            deadline_ms: self.due_at_ms,
+            prior_run_ms: self.output.borrow().ran_ms,
         }
     }
 
     fn set_headers(&self, call: &mut Call, target: &Name) {
         let names = self.env.platform.dialect.headers();
         let left = self.give_up_at.saturating_duration_since(Instant::now()).min(LONGEST_SEND);
-        target_client::address(call, names, target, left);
+        target_client::set_target_headers(call, names, target, left);
         if let Some(last) = self.last() {
             call.headers.insert(names.last_event_id.clone(), HeaderValue::from(last));
         }
@@ -235,7 +235,9 @@
         response: hyper::Response<Answer>,
         ticket: &mut Ticket,
     ) -> (Sent, AttemptEnd) {
-        if let Some(end) = target_client::not_run(self.env.platform.dialect.headers(), &response) {
+        if let Some(end) =
+            target_client::not_run_reason(self.env.platform.dialect.headers(), &response)
+        {
             return (Sent::Later, end);
         }
         let (parts, body) = response.into_parts();
@@ -322,7 +324,7 @@
 /// Waits for something, or for the recall of the place; `None` after a recall.
 async fn or_recall<F: Future>(ticket: &mut Ticket, future: F) -> Option<F::Output> {
     let future = std::pin::pin!(future);
-    let recall = std::pin::pin!(ticket.placed());
+    let recall = std::pin::pin!(ticket.next_decision());
     match select(future, recall).await {
         Either::Left((output, _)) => Some(output),
         Either::Right(_) => None,
--- a/crates/samphiredoor-gateway/src/jobs/gaps.rs
+++ b/crates/samphiredoor-gateway/src/jobs/liveness_gaps.rs
@@ -29,7 +29,7 @@
 
 /// Handle to the gaps of this process.
 #[derive(Clone)]
-pub struct Gaps {
+pub struct LivenessGaps {
     state: Rc<State>,
 }
 
@@ -45,9 +45,9 @@
     cut_off: Cell<Option<Instant>>,
 }
 
-impl Gaps {
+impl LivenessGaps {
     /// No gaps yet.
-    pub fn new(clock: Clock, roster: Roster, health: StoreHealth) -> Gaps {
+    pub fn new(clock: Clock, roster: Roster, health: StoreHealth) -> LivenessGaps {
         let state = State {
             looked: Cell::new(clock.now()),
             clock,
@@ -59,13 +59,13 @@
             has_heard_most: Cell::default(),
             cut_off: Cell::default(),
         };
-        Gaps { state: Rc::new(state) }
+        LivenessGaps { state: Rc::new(state) }
     }
 
     /// Number of gaps so far.
     pub fn count(&self) -> u64 {
         self.look_at_clocks();
-        self.state.noted.get() + self.state.health.regains()
+        self.state.noted.get() + self.state.health.recoveries()
     }
 
     /// Looks for gaps for as long as the process runs.
@@ -91,7 +91,7 @@
     }
 
     fn look_at_store(&self) {
-        let regains = self.state.health.regains();
+        let regains = self.state.health.recoveries();
         if self.state.regains.replace(regains) != regains {
             self.state.settled_at.set(Some(Instant::now() + SETTLED));
         }
@@ -100,7 +100,7 @@
     fn look_at_peers(&self) {
         let state = &self.state;
         let is_over = |at: Instant| at.elapsed() >= CUT_OFF_PAUSE;
-        match (state.roster.is_cut_off(), state.cut_off.get()) {
+        match (state.roster.is_isolated(), state.cut_off.get()) {
             (true, None) if state.has_heard_most.get() => self.note_cut_off(Some(Instant::now())),
             (true, Some(at)) if is_over(at) => self.note_cut_off(Some(Instant::now())),
             (true, _) => {}
--- a/crates/samphiredoor-gateway/src/metrics.rs
+++ b/crates/samphiredoor-gateway/src/metrics.rs
@@ -137,19 +137,19 @@
     }
 
     /// Counts what became of a job.
-    pub fn job(&self, event: &'static str) {
+    pub fn job_event(&self, event: &'static str) {
         self.job_events.count(event);
     }
 
     /// Counts a stored object that names nothing to use.
-    pub fn foreign(&self, kind: &'static str) {
+    pub fn invalid_entry(&self, kind: &'static str) {
         self.foreign.count(kind);
     }
 
     /// Takes what the placement counts.
     pub fn placement(&self, counters: Counters, waiting_online: usize, waiting_batch: usize) {
         self.dispatched.set(counters.dispatched as i64);
-        self.recalled.set(counters.recalled as i64);
+        self.recalled.set(counters.preempted as i64);
         self.waiting_online.set(waiting_online as i64);
         self.waiting_batch.set(waiting_batch as i64);
     }
--- a/crates/samphiredoor-gateway/src/peers/roster.rs
+++ b/crates/samphiredoor-gateway/src/peers/roster.rs
@@ -11,13 +11,13 @@
 use rand::seq::{IndexedRandom, SliceRandom};
 use samphiredoor_core::{
     Name,
-    dispatch::Place,
-    placement::{CellId, Cells, Distance, TargetEntry, key_of},
-    renewal::FleetPlace,
+    dispatch::Location,
+    placement::{CellId, Cells, Distance, TargetEntry, name_hash},
+    renewal::FleetPosition,
 };
 
-use super::{Own, status::Status, summary::Member};
-use crate::sightings::Sightings;
+use super::{LocalGateway, status::Status, summary::Member};
+use crate::seen_versions::SeenVersions;
 
 /// Silence after which a gateway counts as gone. Statuses come at least twice a second and some are lost; jobs of a
 /// gateway that was taken for gone too early are run twice.
@@ -44,7 +44,7 @@
 #[derive(Debug, Clone)]
 struct Peer {
     address: SocketAddr,
-    place: Place,
+    location: Location,
     heard: Option<Instant>,
     /// Silence after which it counts as gone.
     gone_after: Duration,
@@ -95,53 +95,53 @@
 /// Handle to what is known of other gateways.
 #[derive(Clone)]
 pub struct Roster {
-    own: Rc<Own>,
+    local: Rc<LocalGateway>,
     started: Instant,
     /// When all gateways were first listed.
     listed: Rc<Cell<Option<Instant>>>,
     peers: Rc<RefCell<BTreeMap<Name, Peer>>>,
     /// Names of the peers by their keys.
     names: Rc<RefCell<BTreeMap<u64, Name>>>,
-    targets: Rc<RefCell<BTreeMap<u64, Place>>>,
+    targets: Rc<RefCell<BTreeMap<u64, Location>>>,
     /// Worked out anew after a change of peers or targets.
     cells: Rc<RefCell<Option<Rc<Cells>>>>,
-    sightings: Sightings,
+    seen_versions: SeenVersions,
 }
 
 /// Whether another gateway works on its jobs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Liveness {
     /// It is heard, and reaches the store; one that stops hands its jobs over itself.
-    Works,
+    Alive,
     /// It is gone, has started anew, or does not reach the store.
-    Gone,
+    Dead,
     /// This process cannot tell yet.
     Unknown,
 }
 
 impl Roster {
     /// Roster without peers.
-    pub fn new(own: Own) -> Roster {
+    pub fn new(local: LocalGateway) -> Roster {
         Roster {
-            own: Rc::new(own),
+            local: Rc::new(local),
             started: Instant::now(),
             listed: Rc::default(),
             peers: Rc::default(),
             names: Rc::default(),
             targets: Rc::default(),
             cells: Rc::default(),
-            sightings: Sightings::default(),
+            seen_versions: SeenVersions::default(),
         }
     }
 
     /// This process.
-    pub fn own(&self) -> &Own {
-        &self.own
+    pub fn local(&self) -> &LocalGateway {
+        &self.local
     }
 
     /// Newest changes of the store that this process and others have seen.
-    pub fn sightings(&self) -> &Sightings {
-        &self.sightings
+    pub fn seen_versions(&self) -> &SeenVersions {
+        &self.seen_versions
     }
 
     /// Notes that all gateways are registered here that were when this process began to follow them.
@@ -150,16 +150,16 @@
     }
 
     /// Takes a gateway's registered address.
-    pub fn register(&self, name: Name, address: SocketAddr, place: Place) {
-        if name == self.own.name {
+    pub fn register(&self, name: Name, address: SocketAddr, location: Location) {
+        if name == self.local.name {
             return;
         }
         self.cells.take();
-        self.names.borrow_mut().insert(key_of(&name), Name::clone(&name));
+        self.names.borrow_mut().insert(name_hash(&name), Name::clone(&name));
         let mut peers = self.peers.borrow_mut();
         let peer = peers.entry(name).or_insert_with(|| Peer {
             address,
-            place: place.clone(),
+            location: location.clone(),
             heard: None,
             gone_after: GONE,
             incarnation: 0,
@@ -168,23 +168,23 @@
             routes_version: 0,
         });
         peer.address = address;
-        peer.place = place;
+        peer.location = location;
     }
 
     /// Forgets a gateway that is no longer registered.
     pub fn remove(&self, name: &Name) {
         self.cells.take();
-        self.names.borrow_mut().remove(&key_of(name));
+        self.names.borrow_mut().remove(&name_hash(name));
         self.peers.borrow_mut().remove(name);
     }
 
     /// Takes all targets as discovery knows them now.
-    pub fn targets<'a>(&self, targets: impl Iterator<Item = &'a TargetEntry>) {
-        let places: BTreeMap<u64, Place> =
-            targets.map(|it| (key_of(&it.name), it.place.clone())).collect();
-        if *self.targets.borrow() != places {
+    pub fn set_targets<'a>(&self, targets: impl Iterator<Item = &'a TargetEntry>) {
+        let locations: BTreeMap<u64, Location> =
+            targets.map(|it| (name_hash(&it.name), it.location.clone())).collect();
+        if *self.targets.borrow() != locations {
             self.cells.take();
-            self.targets.replace(places);
+            self.targets.replace(locations);
         }
     }
 
@@ -193,8 +193,8 @@
         let mut cells = self.cells.borrow_mut();
         let cells = cells.get_or_insert_with(|| {
             let peers = self.peers.borrow();
-            let others = peers.iter().map(|(name, it)| (Name::clone(name), it.place.clone()));
-            let own = (Name::clone(&self.own.name), self.own.place.clone());
+            let others = peers.iter().map(|(name, it)| (Name::clone(name), it.location.clone()));
+            let own = (Name::clone(&self.local.name), self.local.location.clone());
             let doors = others.chain([own]).collect();
             Rc::new(Cells::new(&doors, &self.targets.borrow()))
         });
@@ -203,7 +203,7 @@
 
     /// Cell of this process.
     pub fn own_cell(&self) -> Option<CellId> {
-        self.cells().of_door(&self.own.name)
+        self.cells().cell_of_gateway(&self.local.name)
     }
 
     /// Whether a cell of this name is that of this process.
@@ -213,7 +213,7 @@
     }
 
     /// Targets that the own cell shares.
-    pub fn own_targets(&self) -> HashSet<u64> {
+    pub fn own_cell_targets(&self) -> HashSet<u64> {
         let cells = self.cells();
         self.own_cell().map(|it| cells.targets(it).collect()).unwrap_or_default()
     }
@@ -221,7 +221,7 @@
     /// Whether another gateway is of the own cell.
     pub fn is_mate(&self, name: &str) -> bool {
         let own = self.own_cell();
-        own.is_some() && self.cells().of_door(name) == own
+        own.is_some() && self.cells().cell_of_gateway(name) == own
     }
 
     /// Addresses of the other gateways of the own cell.
@@ -233,22 +233,24 @@
     pub fn mates_at(&self, distance: Distance) -> Vec<SocketAddr> {
         let Some(own) = self.own_cell() else { return Vec::new() };
         let (cells, peers) = (self.cells(), self.peers.borrow());
-        let mates = cells.doors(own).iter().filter_map(|it| peers.get(it));
-        let at = mates.filter(|it| Distance::between(&self.own.place, &it.place) == distance);
+        let mates = cells.gateways(own).iter().filter_map(|it| peers.get(it));
+        let at =
+            mates.filter(|it| Distance::between(&self.local.location, &it.location) == distance);
         at.map(|it| it.address).collect()
     }
 
     /// Addresses of the other gateways of a cell.
     pub fn addresses_in(&self, cell: CellId) -> Vec<SocketAddr> {
         let (cells, peers) = (self.cells(), self.peers.borrow());
-        let doors = cells.doors(cell).iter().filter_map(|it| peers.get(it));
+        let doors = cells.gateways(cell).iter().filter_map(|it| peers.get(it));
         doors.map(|it| it.address).collect()
     }
 
     /// Address of any gateway of a cell, if there is one of one that is heard.
     pub fn any_in(&self, cell: CellId) -> Option<SocketAddr> {
         let (cells, peers) = (self.cells(), self.peers.borrow());
-        let doors: Vec<&Peer> = cells.doors(cell).iter().filter_map(|it| peers.get(it)).collect();
+        let doors: Vec<&Peer> =
+            cells.gateways(cell).iter().filter_map(|it| peers.get(it)).collect();
         let heard: Vec<&Peer> = doors.iter().copied().filter(|it| it.is_heard()).collect();
         let among = if heard.is_empty() { &doors } else { &heard };
         among.choose(&mut rand::rng()).map(|it| it.address)
@@ -264,7 +266,7 @@
     /// Address of the gateway that follows the store for the own cell, if it is another one: the first one does that is
     /// heard and reaches the store. A process that has just started takes for heard whom it has not heard yet. `None` where
     /// the whole fleet is one cell.
-    pub fn follower(&self) -> Option<SocketAddr> {
+    pub fn watch_relay_address(&self) -> Option<SocketAddr> {
         if self.cells().len() < 2 {
             return None;
         }
@@ -277,7 +279,7 @@
     fn before(&self, suits: impl Fn(&Peer) -> bool) -> Option<Vec<SocketAddr>> {
         let own = self.own_cell()?;
         let (cells, peers) = (self.cells(), self.peers.borrow());
-        let before = cells.doors(own).iter().filter(|it| **it < self.own.name);
+        let before = cells.gateways(own).iter().filter(|it| **it < self.local.name);
         let suiting = before.filter_map(|it| peers.get(it)).filter(|it| suits(it));
         Some(suiting.map(|it| it.address).collect())
     }
@@ -315,7 +317,7 @@
         peer.store_reached = status.store_reached;
         peer.stopping = status.stopping;
         peer.routes_version = status.routes_version;
-        self.sightings.told(&status.seen);
+        self.seen_versions.record_peers(&status.seen);
         true
     }
 
@@ -325,12 +327,12 @@
         let unheard_for = if is_near { GONE } else { UNHEARD_ELSEWHERE };
         let peers = self.peers.borrow();
         match peers.get(name).filter(|it| it.is_heard()) {
-            Some(peer) if peer.incarnation == incarnation && peer.has_jobs() => Liveness::Works,
+            Some(peer) if peer.incarnation == incarnation && peer.has_jobs() => Liveness::Alive,
             // It has started anew and was not heard since; what is heard may be its former start's last word.
             Some(peer) if peer.incarnation < incarnation => Liveness::Unknown,
-            Some(_) => Liveness::Gone,
+            Some(_) => Liveness::Dead,
             _ if self.listed.get().is_none_or(|it| it.elapsed() < unheard_for) => Liveness::Unknown,
-            _ => Liveness::Gone,
+            _ => Liveness::Dead,
         }
     }
 
@@ -341,7 +343,7 @@
     }
 
     /// Whether a process was heard in this start or a later one.
-    pub fn was_heard(&self, name: &str, incarnation: u64) -> bool {
+    pub fn has_been_seen(&self, name: &str, incarnation: u64) -> bool {
         let peers = self.peers.borrow();
         peers.get(name).is_some_and(|it| it.heard.is_some() && it.incarnation >= incarnation)
     }
@@ -349,12 +351,12 @@
     /// Whether this process hears at least half of the gateways that there should be. One that hears fewer is cut off
     /// itself: it would take the jobs of all others, and they would take them back. One that does not know yet which there
     /// are hears nobody.
-    pub fn hears_most(&self) -> bool {
-        self.listed.get().is_some() && self.heard_count() * 2 >= self.expected_count()
+    pub fn at_least_half_live(&self) -> bool {
+        self.listed.get().is_some() && self.live_count() * 2 >= self.expected_count()
     }
 
     /// Whether this process is about to hear less than half of the gateways that there should be.
-    pub fn is_cut_off(&self) -> bool {
+    pub fn is_isolated(&self) -> bool {
         let heard = self.peers.borrow().values().filter(|it| it.is_heard_with_margin()).count();
         self.listed.get().is_none() || heard * 2 < self.expected_count()
     }
@@ -368,31 +370,31 @@
     }
 
     /// Number of gateways that are heard.
-    pub fn heard_count(&self) -> usize {
+    pub fn live_count(&self) -> usize {
         let peers = self.peers.borrow();
         peers.values().filter(|it| it.is_heard()).count()
     }
 
     /// Place of this process among those that follow the store: all that are heard, or, in a fleet of several cells, one of
     /// each.
-    pub fn place(&self) -> FleetPlace {
+    pub fn fleet_position(&self) -> FleetPosition {
         let cells = self.cells();
         if let Some(own) = self.own_cell().filter(|_| cells.len() > 1) {
             let position = cells.ids().take_while(|it| *it != own).count();
-            return FleetPlace { position, processes: cells.len() };
+            return FleetPosition { position, processes: cells.len() };
         }
         let peers = self.peers.borrow();
         let heard = peers.iter().filter(|(_, it)| it.is_heard());
         let (mut position, mut processes) = (0, 1);
         for (name, _) in heard {
             processes += 1;
-            position += usize::from(*name < self.own.name);
+            position += usize::from(*name < self.local.name);
         }
-        FleetPlace { position, processes }
+        FleetPosition { position, processes }
     }
 
     /// Address of a process, in one start of it, if it is heard, whatever it can do now.
-    pub fn heard_address(&self, name: &str, incarnation: u64) -> Option<SocketAddr> {
+    pub fn live_address(&self, name: &str, incarnation: u64) -> Option<SocketAddr> {
         let peers = self.peers.borrow();
         let peer = peers.get(name).filter(|it| it.incarnation == incarnation)?;
         peer.is_heard().then_some(peer.address)
@@ -411,20 +413,20 @@
         let version = heard.iter().map(|it| it.routes_version).max()?;
         let holders = heard.into_iter().filter(|it| it.routes_version == version).collect();
         let nearest = *self.nearest_first(holders).first()?;
-        let distance = Distance::between(&self.own.place, &nearest.place);
+        let distance = Distance::between(&self.local.location, &nearest.location);
         Some(RoutesHolder { version, address: nearest.address, distance })
     }
 
     /// Number of gateways of the own region that are heard, this one included.
     pub fn heard_in_region(&self) -> usize {
         let peers = self.peers.borrow();
-        let near = |it: &&Peer| it.is_heard() && it.place.region == self.own.place.region;
+        let near = |it: &&Peer| it.is_heard() && it.location.region == self.local.location.region;
         1 + peers.values().filter(near).count()
     }
 
     /// Gateways that could take a job over: heard, reaching the store and not stopping; nearest first, and those at one
     /// distance in any order, so that jobs are spread over them.
-    pub fn takers(&self) -> Vec<SocketAddr> {
+    pub fn takeover_candidates(&self) -> Vec<SocketAddr> {
         let peers = self.peers.borrow();
         let takers = peers.values().filter(|it| it.takes_jobs()).collect();
         self.nearest_first(takers).into_iter().map(|it| it.address).collect()
@@ -433,7 +435,7 @@
     /// Peers by their distance, those at one distance in any order.
     fn nearest_first<'a>(&self, mut peers: Vec<&'a Peer>) -> Vec<&'a Peer> {
         peers.shuffle(&mut rand::rng());
-        peers.sort_by_key(|it| Distance::between(&self.own.place, &it.place));
+        peers.sort_by_key(|it| Distance::between(&self.local.location, &it.location));
         peers
     }
 }
--- a/crates/samphiredoor-gateway/src/peers/speaker.rs
+++ b/crates/samphiredoor-gateway/src/peers/summary_sender.rs
@@ -9,24 +9,24 @@
 };
 
 use compio::net::UdpSocket;
-use samphiredoor_core::placement::{CellId, Distance, summary_pause_ms};
+use samphiredoor_core::placement::{CellId, Distance, summary_interval_ms};
 
-use super::{Mates, Roster, datagram::Datagram, listener::send_to_all};
+use super::{CellStatuses, Roster, datagram::Datagram, listener::send_to_all};
 
 /// How often a process whose fleet is one cell looks whether there are others by now.
 const ALONE_PAUSE: Duration = Duration::from_millis(800);
 
 /// Speaks for the own cell while that is this process's part.
-pub struct Speaker {
+pub struct SummarySender {
     /// Socket to send from.
     pub socket: Rc<UdpSocket>,
     /// Other gateways.
     pub roster: Roster,
     /// What the own cell's gateways told.
-    pub mates: Mates,
+    pub cell_statuses: CellStatuses,
 }
 
-impl Speaker {
+impl SummarySender {
     /// Speaks for as long as the process runs.
     pub async fn run(self) {
         let mut far_told = Instant::now();
@@ -43,7 +43,7 @@
             for cell in near {
                 self.tell(cell).await;
             }
-            if far_told.elapsed() >= pause(Distance::Far, &far) {
+            if far_told.elapsed() >= pause(Distance::OtherRegion, &far) {
                 far_told = Instant::now();
                 for cell in far {
                     self.tell(cell).await;
@@ -57,19 +57,21 @@
         let (cells, own) = (self.roster.cells(), self.roster.own_cell());
         let others = cells.ids().filter(|it| Some(*it) != own);
         others.partition(|it| {
-            let place = cells.place(*it);
-            place.is_some_and(|it| Distance::between(&self.roster.own().place, it) != Distance::Far)
+            let location = cells.location(*it);
+            location.is_some_and(|it| {
+                Distance::between(&self.roster.local().location, it) != Distance::OtherRegion
+            })
         })
     }
 
     async fn tell(&self, cell: CellId) {
         let Some(address) = self.roster.any_in(cell) else { return };
-        let Some(summary) = self.mates.summary(&self.roster, cell) else { return };
+        let Some(summary) = self.cell_statuses.summary(&self.roster, cell) else { return };
         let bytes = Datagram::Summary(summary).encode();
         send_to_all(&self.socket, bytes, vec![address]).await;
     }
 }
 
 fn pause(distance: Distance, cells: &[CellId]) -> Duration {
-    Duration::from_millis(summary_pause_ms(distance, cells.len()))
+    Duration::from_millis(summary_interval_ms(distance, cells.len()))
 }
--- a/crates/samphiredoor-gateway/src/placement.rs
+++ b/crates/samphiredoor-gateway/src/placement.rs
@@ -11,7 +11,9 @@
 use samphiredoor_core::{
     Name,
     dispatch::RequestId,
-    placement::{Action, Ask, AttemptEnd, DoorState, Input, Placement, ReportedLoad, TargetEntry},
+    placement::{
+        Action, AttemptEnd, GatewayState, Input, Placement, ReportedLoad, RequestSpec, TargetEntry,
+    },
     verdict::Refusal,
 };
 use samphiredoor_net::{clock::Clock, pool::within};
@@ -28,9 +30,9 @@
 
 /// What the placement decided for a request.
 #[derive(Debug, Clone)]
-pub enum Placed {
+pub enum Decision {
     /// Send it there.
-    Go {
+    Dispatch {
         /// Which target.
         target: Name,
         /// Where it listens.
@@ -44,26 +46,26 @@
         retry_after_ms: u64,
     },
     /// Cut the attempt in hand: online requests need its room.
-    Recalled,
+    Preempted,
 }
 
 enum Message {
-    Ask(Ask, flume::Sender<Placed>),
+    Ask(RequestSpec, flume::Sender<Decision>),
     Input(Input),
 }
 
 /// Handle to the placement's task.
 #[derive(Clone)]
-pub struct Placer {
+pub struct PlacementHandle {
     messages: flume::Sender<Message>,
     next_request: Rc<Cell<u64>>,
 }
 
 /// The own requests, as other gateways are told.
 #[derive(Debug, Clone, Default)]
-pub struct Told {
+pub struct OwnLoad {
     /// Requests at targets, and items that wait.
-    pub state: DoorState,
+    pub state: GatewayState,
     /// Whether others hold places that online requests of this gateway wait for.
     pub urgent: bool,
 }
@@ -77,17 +79,17 @@
     /// Counters.
     pub metrics: Rc<Metrics>,
     /// Where changes of the own loads go, for other gateways.
-    pub told: flume::Sender<Told>,
+    pub told: flume::Sender<OwnLoad>,
 }
 
-impl Placer {
+impl PlacementHandle {
     /// Starts the task.
-    pub fn start(task: PlacementTask) -> Placer {
+    pub fn start(task: PlacementTask) -> PlacementHandle {
         let (messages, inbox) = flume::unbounded();
         let running =
             Running { task, waiting: HashMap::new(), told_at: Instant::now(), told: false };
         compio::runtime::spawn(running.run(inbox)).detach();
-        Placer { messages, next_request: Rc::new(Cell::new(1)) }
+        PlacementHandle { messages, next_request: Rc::new(Cell::new(1)) }
     }
 
     /// New identity for a request.
@@ -98,7 +100,7 @@
     }
 
     /// Asks for a target.
-    pub fn ask(&self, ask: Ask) -> Ticket {
+    pub fn request(&self, ask: RequestSpec) -> Ticket {
         let (sender, placements) = flume::unbounded();
         let ticket = Ticket {
             request: ask.request,
@@ -111,23 +113,23 @@
     }
 
     /// Tells all targets that are known now.
-    pub fn targets(&self, targets: Vec<TargetEntry>) {
+    pub fn set_targets(&self, targets: Vec<TargetEntry>) {
         self.send(Message::Input(Input::Targets(targets)));
     }
 
     /// Tells which targets the own cell shares.
-    pub fn own_targets(&self, targets: HashSet<u64>) {
-        self.send(Message::Input(Input::OwnTargets(targets)));
+    pub fn set_cell_targets(&self, targets: HashSet<u64>) {
+        self.send(Message::Input(Input::CellTargets(targets)));
     }
 
     /// Tells the load that a target reported.
-    pub fn reported(&self, target: &Name, load: ReportedLoad) {
-        self.send(Message::Input(Input::Load { target: Name::clone(target), load }));
+    pub fn report_load(&self, target: &Name, load: ReportedLoad) {
+        self.send(Message::Input(Input::LoadReport { target: Name::clone(target), load }));
     }
 
     /// Tells the requests of another gateway, or of a cell.
-    pub fn peer(&self, door: Name, state: DoorState) {
-        self.send(Message::Input(Input::Peer { door, state }));
+    pub fn set_peer_load(&self, door: Name, state: GatewayState) {
+        self.send(Message::Input(Input::Peer { peer: door, state }));
     }
 
     // The task ends only with the process.
@@ -146,28 +148,28 @@
 /// A request as the placement knows it. Dropping it says that its attempt was cut, or that nobody waits any more.
 pub struct Ticket {
     request: RequestId,
-    placements: flume::Receiver<Placed>,
+    placements: flume::Receiver<Decision>,
     messages: flume::Sender<Message>,
     stage: Stage,
 }
 
 impl Ticket {
-    /// Waits for the decision; after [`Placed::Go`] for the recall.
-    pub async fn placed(&mut self) -> Placed {
+    /// Waits for the decision; after [`Decision::Dispatch`] for the recall.
+    pub async fn next_decision(&mut self) -> Decision {
         let Ok(placed) = self.placements.recv_async().await else {
             self.stage = Stage::Over;
-            return Placed::Refused { reason: Refusal::Stopping, retry_after_ms: 0 };
+            return Decision::Refused { reason: Refusal::Stopping, retry_after_ms: 0 };
         };
         match placed {
-            Placed::Go { .. } => self.stage = Stage::AtTarget,
-            Placed::Refused { .. } => self.stage = Stage::Over,
-            Placed::Recalled => {}
+            Decision::Dispatch { .. } => self.stage = Stage::AtTarget,
+            Decision::Refused { .. } => self.stage = Stage::Over,
+            Decision::Preempted => {}
         }
         placed
     }
 
     /// Says how the attempt ended.
-    pub fn ended(&mut self, end: AttemptEnd) {
+    pub fn report_end(&mut self, end: AttemptEnd) {
         if std::mem::replace(&mut self.stage, Stage::Over) == Stage::AtTarget {
             let _ = self.messages.send(Message::Input(Input::Ended { request: self.request, end }));
         }
@@ -177,9 +179,9 @@
 impl Drop for Ticket {
     fn drop(&mut self) {
         match self.stage {
-            Stage::AtTarget => self.ended(AttemptEnd::Cut),
+            Stage::AtTarget => self.report_end(AttemptEnd::Cut),
             Stage::Waiting => {
-                let input = Input::Gone { request: self.request };
+                let input = Input::Cancelled { request: self.request };
                 let _ = self.messages.send(Message::Input(input));
             }
             Stage::Over => {}
@@ -189,7 +191,7 @@
 
 struct Running {
     task: PlacementTask,
-    waiting: HashMap<RequestId, flume::Sender<Placed>>,
+    waiting: HashMap<RequestId, flume::Sender<Decision>>,
     told_at: Instant,
     told: bool,
 }
@@ -202,7 +204,7 @@
             let input = match within(tick, inbox.recv_async()).await {
                 Some(Ok(Message::Ask(ask, reply))) => {
                     self.waiting.insert(ask.request, reply);
-                    Input::Ask(ask)
+                    Input::Request(ask)
                 }
                 Some(Ok(Message::Input(input))) => input,
                 Some(Err(_)) => return,
@@ -224,7 +226,7 @@
     }
 
     fn forget(&mut self, input: &Input) {
-        if let Input::Gone { request } | Input::Ended { request, .. } = input {
+        if let Input::Cancelled { request } | Input::Ended { request, .. } = input {
             self.waiting.remove(request);
         }
     }
@@ -232,14 +234,14 @@
     fn act(&mut self, action: Action) {
         let (request, placed) = match action {
             Action::Dispatch { request, target, address } => {
-                (request, Placed::Go { target, address })
+                (request, Decision::Dispatch { target, address })
             }
-            Action::Recall { request } => (request, Placed::Recalled),
+            Action::Preempt { request } => (request, Decision::Preempted),
             Action::Refuse { request, reason, retry_after_ms } => {
-                (request, Placed::Refused { reason, retry_after_ms })
+                (request, Decision::Refused { reason, retry_after_ms })
             }
         };
-        let is_last = matches!(placed, Placed::Refused { .. });
+        let is_last = matches!(placed, Decision::Refused { .. });
         if let Some(reply) = self.waiting.get(&request) {
             // A reply to a ticket that was just dropped finds nobody; its end is on the way here.
             let _ = reply.send(placed);
@@ -260,8 +262,8 @@
         let state = changed.or_else(|| heartbeat.then(|| self.task.placement.state()));
         if let Some(state) = state {
             self.told_at = Instant::now();
-            let urgent = self.task.placement.take_needs_others();
-            let _ = self.task.told.send(Told { state, urgent });
+            let urgent = self.task.placement.take_needs_peer_preemption();
+            let _ = self.task.told.send(OwnLoad { state, urgent });
             let (online, batch) = self.task.placement.waiting();
             self.task.metrics.placement(self.task.placement.counters(), online, batch);
         }
