--- a/crates/samphiredoor-core/src/placement/items.rs
+++ b/crates/samphiredoor-core/src/placement/items.rs
@@ -1,65 +1,67 @@
-//! Items that wait for room: which of them goes next.
+//! Batch items that wait for a slot, and which of them starts next.
 //!
-//! Items go by due time as long as the first of them can end in time. While more work arrives than the places can carry,
-//! that order alone makes every item late: each begins when it is too late already. So those that can still end in time go
-//! before those that cannot: first those that have begun, then the others, each by due time. The late ones get some turns
-//! all the same, so that none waits for as long as the overload lasts.
+//! Items start in order of due time as long as the first one can still finish in time. Under overload that order alone
+//! would make every item late, because each would start only when it is already too late. Therefore items that can
+//! still finish in time start before those that cannot: first those with earlier runs, then new ones, each by due time.
+//! A late item still starts after every few others, so none waits for as long as the overload lasts.
 
 use std::collections::{BTreeMap, HashMap};
 
 use super::Ask;
 use crate::dispatch::RequestId;
 
-/// Turns of items that can end in time after which the first one goes, even if it cannot.
-const TURNS_BEFORE_LATE: u32 = 9;
-/// Time that an item needs to end, in hundredths of what is left of its run: it may lose its place meanwhile.
-const TIME_TO_END_PERCENT: u64 = 150;
-/// Weight of the newest run in the mean run time, as a divisor.
-const NEWEST_WEIGHT: u64 = 8;
+/// Consecutive starts of items that can finish in time after which the first item starts even if it cannot.
+const MAX_IN_TIME_STREAK: u32 = 9;
+/// Time that an item needs to finish, in percent of its remaining run time, as it may be preempted meanwhile.
+const TIME_TO_FINISH_PERCENT: u64 = 150;
+/// The mean run time is a moving average in which the newest run has a weight of one over this.
+const MEAN_RUN_DIVISOR: u64 = 8;
 
-/// Order of waiting: when the item is due, then arrival.
+/// Queue order: due time, then arrival.
 type Rank = (u64, u64);
 
 /// Waiting items of one service.
 #[derive(Debug, Default)]
 pub struct ItemQueue {
-    begun: BTreeMap<Rank, Ask>,
-    fresh: BTreeMap<Rank, Ask>,
+    /// Items that an earlier run has partly done.
+    started: BTreeMap<Rank, Ask>,
+    unstarted: BTreeMap<Rank, Ask>,
     ranks: HashMap<RequestId, Rank>,
     arrivals: u64,
-    turns: u32,
-    /// Mean run time of a whole item; 0 before the first has ended.
-    run_ms: u64,
+    /// Consecutive starts of items that could finish in time.
+    in_time_streak: u32,
+    /// Moving average of the run time of a whole item; 0 before the first has finished.
+    mean_run_ms: u64,
 }
 
 impl ItemQueue {
-    /// Adds an item.
+    /// Adds an item behind those that are due at the same time.
     pub fn push(&mut self, ask: Ask) {
         let rank = (ask.until_ms, self.arrivals);
         self.arrivals += 1;
         self.ranks.insert(ask.request, rank);
-        let queue = if ask.ran_ms > 0 { &mut self.begun } else { &mut self.fresh };
+        let queue = if ask.ran_ms > 0 { &mut self.started } else { &mut self.unstarted };
         queue.insert(rank, ask);
     }
 
-    /// Removes an item, if it waits.
+    /// Removes an item, if it waits here.
     pub fn remove(&mut self, request: RequestId) -> Option<Ask> {
         let rank = self.ranks.remove(&request)?;
-        self.begun.remove(&rank).or_else(|| self.fresh.remove(&rank))
+        self.started.remove(&rank).or_else(|| self.unstarted.remove(&rank))
     }
 
-    /// Learns how long an item ran from its beginning to its end.
-    pub fn learn(&mut self, run_ms: u64) {
-        self.run_ms = match self.run_ms {
+    /// Adds the total run time of a finished item to the mean.
+    pub fn record_run(&mut self, run_ms: u64) {
+        self.mean_run_ms = match self.mean_run_ms {
             0 => run_ms,
-            mean => (mean * (NEWEST_WEIGHT - 1) + run_ms) / NEWEST_WEIGHT,
+            mean => (mean * (MEAN_RUN_DIVISOR - 1) + run_ms) / MEAN_RUN_DIVISOR,
         };
     }
 
-    /// The item whose turn it is.
+    /// The item to start next.
     pub fn next(&self, now_ms: u64) -> Option<&Ask> {
         let first = self.first()?;
-        if self.turns >= TURNS_BEFORE_LATE || self.is_in_time(now_ms, first) {
+        if self.in_time_streak >= MAX_IN_TIME_STREAK || self.is_in_time(now_ms, first) {
             return Some(first);
         }
         self.first_in_time(now_ms).or(Some(first))
@@ -68,7 +70,8 @@
     /// Takes an item that [`ItemQueue::next`] returned.
     pub fn take(&mut self, now_ms: u64, request: RequestId) -> Option<Ask> {
         let ask = self.remove(request)?;
-        self.turns = if self.is_in_time(now_ms, &ask) { self.turns.saturating_add(1) } else { 0 };
+        self.in_time_streak =
+            if self.is_in_time(now_ms, &ask) { self.in_time_streak.saturating_add(1) } else { 0 };
         Some(ask)
     }
 
@@ -77,24 +80,26 @@
         self.ranks.len()
     }
 
-    /// Whether none waits.
+    /// Whether no item waits.
     pub fn is_empty(&self) -> bool {
         self.ranks.is_empty()
     }
 
+    /// First item that can finish in time; started ones come first.
     fn first_in_time(&self, now_ms: u64) -> Option<&Ask> {
-        let due_later = (now_ms, 0)..;
-        let all = self.begun.range(due_later.clone()).chain(self.fresh.range(due_later));
+        let not_overdue = (now_ms, 0)..;
+        let all = self.started.range(not_overdue.clone()).chain(self.unstarted.range(not_overdue));
         all.map(|(_, ask)| ask).find(|it| self.is_in_time(now_ms, it))
     }
 
+    /// Item with the earliest due time.
     fn first(&self) -> Option<&Ask> {
-        let firsts = [self.begun.first_key_value(), self.fresh.first_key_value()];
+        let firsts = [self.started.first_key_value(), self.unstarted.first_key_value()];
         firsts.into_iter().flatten().min_by_key(|(rank, _)| **rank).map(|(_, ask)| ask)
     }
 
     fn is_in_time(&self, now_ms: u64, ask: &Ask) -> bool {
-        let left_ms = self.run_ms.saturating_sub(ask.ran_ms);
-        now_ms + left_ms * TIME_TO_END_PERCENT / 100 <= ask.until_ms
+        let left_ms = self.mean_run_ms.saturating_sub(ask.ran_ms);
+        now_ms + left_ms * TIME_TO_FINISH_PERCENT / 100 <= ask.until_ms
     }
 }
--- a/crates/samphiredoor-core/src/placement/mod.rs
+++ b/crates/samphiredoor-core/src/placement/mod.rs
@@ -1,16 +1,16 @@
-//! Which target gets a request, now or a little later, and what is refused at once.
+//! Load balancing and admission: which target gets a request, when it waits in a queue, and when it is refused.
 //!
-//! Engines admit requests in order of arrival and know no priorities, so a request that is sent to a full target waits
-//! behind whatever is there. What matters is to know where places are free. Each door counts its own requests exactly
-//! and tells all of them to the other doors of its neighbourhood whenever they change; a target's own word, in the
-//! headers of its answers, shows what no door accounts for. Stale knowledge costs a short wait at a target, never a
-//! wrong answer.
+//! Targets admit requests in order of arrival and have no priorities, so a request that is sent to a full target waits
+//! behind whatever is there. Placement therefore depends on where slots are free. Each gateway counts its own requests
+//! exactly and sends the counts to its peers whenever they change. The load that a target reports in the headers of its
+//! answers reveals requests that no gateway accounts for. Outdated loads cost a short wait at a target, never a wrong
+//! answer.
 //!
-//! In a large fleet the neighbourhood is a cell: doors of one zone that share some of its targets and prefer them. Of other
-//! cells a door knows sums that are a little older.
+//! In a large fleet these peers are the gateways of one cell: gateways of one availability zone that share some of its
+//! targets and prefer them. Of other cells a gateway has only summaries that are a little older.
 //!
-//! Online requests go to the nearest free place, then to a place that an item of a job holds, whose door then recalls
-//! the item. Items of jobs start only where some places stay free for online requests.
+//! An online request goes to the nearest target with a free slot, then to one where a batch item holds a slot; the
+//! gateway of that item then preempts it. Batch items start only where some slots stay free for online requests.
 
 mod cells;
 mod health;
@@ -41,113 +41,115 @@
 use shares::Demand;
 use target::Target;
 
-/// Requests that may wait at a target beyond its places. With eight places and streams of 0.7 s one ends each 90 ms, so
-/// two waiting requests begin well within an objective of 300 ms.
+/// Requests that may wait at a target beyond its slots. With eight slots and streams of 0.7 s one ends every 90 ms, so
+/// two waiting requests start well within a latency objective of 300 ms.
 const WAITING_AT_TARGET: u32 = 2;
-/// Places of a target that items of jobs leave free, so that the first requests of a burst need no recall. In the heaviest
-/// bursts online requests take every place for two of six seconds, so each place that is kept free between them costs
-/// items.
-const FREE_FOR_ONLINE: u32 = 1;
-/// Places of another cell's target that items of jobs leave free. What is known of it is older, and an item that its cell
-/// needs the place of leaves it later.
-const FREE_FOR_OTHER_CELL: u32 = 3;
-/// Places of another cell's target that have to seem free before an online request is sent there: what is known of it is
-/// older, and others may have sent theirs meanwhile.
-const FREE_AT_OTHER_CELL: u32 = 2;
-/// How much more loaded than the least loaded target one may be that probably has the prompt's beginning cached.
+/// Slots of a target that batch items leave free, so that the first requests of a burst need no preemption. More are not
+/// reserved: in the heaviest bursts online requests take every slot for two of six seconds, and each slot that is kept
+/// free between bursts costs item throughput.
+const RESERVED_FOR_ONLINE: u32 = 1;
+/// Slots that batch items leave free at a target of another cell. Its known load is older, and an item whose slot that
+/// cell needs is preempted later.
+const RESERVED_IN_OTHER_CELL: u32 = 3;
+/// Slots beyond the one needed that have to seem free at a target of another cell before an online request is sent there:
+/// its known load is older, and other gateways may have sent requests meanwhile.
+const SPARE_IN_OTHER_CELL: u32 = 2;
+/// How many more requests than the least loaded target one may have that probably has the prompt's prefix cached.
 const AFFINITY_SLACK: u32 = 2;
-/// Silence of a door after which its requests count as ended; doors speak at least each 500 ms.
-const PEER_SILENT_MS: u64 = 1_600;
-/// Shortest time to come back after a refusal; below it a caller meets the same full targets.
+/// Time without a message from a peer after which its requests count as ended; peers send at least every 500 ms.
+const PEER_TIMEOUT_MS: u64 = 1_600;
+/// Shortest retry-after of a refusal; a caller that retries sooner meets the same full targets.
 const MIN_RETRY_AFTER_MS: u64 = 120;
-/// Longest time to come back after a refusal; paused targets are tried again within it.
+/// Longest retry-after of a refusal, so that targets in backoff are tried again within it.
 const MAX_RETRY_AFTER_MS: u64 = 1_000;
 
-/// Key by which doors name a target or a service to each other.
+/// Hash that identifies a target or a service in messages between gateways.
 pub fn key_of(name: &str) -> u64 {
     rapidhash::v3::rapidhash_v3(name.as_bytes())
 }
 
 #[derive(Debug)]
-struct Running {
+struct RunningRequest {
     class: Class,
     service: Name,
     target: u64,
-    recalled: bool,
-    began_ms: u64,
-    /// How long earlier runs of the item took.
+    preempted: bool,
+    started_ms: u64,
+    /// Total time of earlier runs of the item.
     ran_ms: u64,
 }
 
 #[derive(Debug)]
 struct Peer {
-    heard_ms: u64,
+    received_ms: u64,
+    /// Targets at which the peer has requests.
     targets: Vec<u64>,
     waiting: Vec<WaitingItems>,
 }
 
-/// Requests of one service that wait for room.
+/// Requests of one service that wait for capacity.
 #[derive(Debug, Default)]
 struct ServiceQueues {
     online: Queue,
     batch: ItemQueue,
 }
 
-/// How well a target would take an online request.
+/// Capacity of a target for one more online request, best first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Room {
-    /// A place is free.
-    Free,
-    /// An item of a job holds a place that can be taken back.
-    Recallable,
-    /// The request would wait for another online one.
+enum Capacity {
+    /// A slot is free.
+    FreeSlot,
+    /// A batch item holds a slot and can be preempted.
+    Preemptible,
+    /// Online requests hold all slots; the request would wait at the target.
     Waiting,
 }
 
-/// What placing keeps back at a target, and gives beyond its places. Tools that compare variants set it.
+/// Slots that are reserved at a target, and requests that may wait beyond its slots. Simulations vary these values.
 #[derive(Debug, Clone, Copy)]
 pub struct Margins {
-    /// Requests that may wait at a target beyond its places.
+    /// Requests that may wait at a target beyond its slots.
     pub waiting_at_target: u32,
-    /// Places of a target that items of jobs leave free.
+    /// Slots of a target that batch items leave free.
     pub free_for_online: u32,
 }
 
 impl Default for Margins {
     fn default() -> Margins {
-        Margins { waiting_at_target: WAITING_AT_TARGET, free_for_online: FREE_FOR_ONLINE }
+        Margins { waiting_at_target: WAITING_AT_TARGET, free_for_online: RESERVED_FOR_ONLINE }
     }
 }
 
-/// Counts since the start.
+/// Totals since the process started.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Counters {
     /// Requests sent to a target.
     pub dispatched: u64,
-    /// Items recalled for online requests.
+    /// Items preempted for online requests.
     pub recalled: u64,
 }
 
-/// State of all placing in one process.
+/// Placement state of one gateway.
 #[derive(Debug)]
 pub struct Placement {
     own_name: Name,
     place: Place,
     targets: BTreeMap<u64, Target>,
-    /// Targets of the own cell; `None` while all targets are.
+    /// Targets assigned to the own cell; `None` while the whole fleet counts as one cell.
     own_targets: Option<HashSet<u64>>,
     peers: HashMap<Name, Peer>,
-    running: HashMap<RequestId, Running>,
+    running: HashMap<RequestId, RunningRequest>,
     queues: BTreeMap<Name, ServiceQueues>,
     counters: Counters,
-    changed: bool,
-    needs_others: bool,
+    /// Whether the own state has changed since it was last taken.
+    state_changed: bool,
+    needs_peer_preemption: bool,
     margins: Margins,
     rng: SmallRng,
 }
 
 impl Placement {
-    /// Placement without targets: requests wait for the first [`Input::Targets`] and are refused if it is late.
+    /// Creates a placement without targets. Until the first [`Input::Targets`], items wait and online requests are refused.
     pub fn new(own_name: Name, place: Place, seed: u64) -> Placement {
         Placement {
             own_name,
@@ -158,19 +160,19 @@
             running: HashMap::new(),
             queues: BTreeMap::new(),
             counters: Counters::default(),
-            changed: false,
-            needs_others: false,
+            state_changed: false,
+            needs_peer_preemption: false,
             margins: Margins::default(),
             rng: SmallRng::seed_from_u64(seed),
         }
     }
 
-    /// The same with other margins.
+    /// Replaces the default margins.
     pub fn with_margins(self, margins: Margins) -> Placement {
         Placement { margins, ..self }
     }
 
-    /// Takes one event; appends what to do to `out`.
+    /// Processes one event and appends the resulting actions to `out`.
     pub fn handle(&mut self, now_ms: u64, input: Input, out: &mut Vec<Action>) {
         match input {
             Input::Targets(entries) => self.targets(entries),
@@ -182,33 +184,33 @@
                     queues.online.remove(request);
                     queues.batch.remove(request);
                 }
-                self.changed = true;
+                self.state_changed = true;
             }
             Input::Load { target, load } => {
                 if let Some(target) = self.targets.get_mut(&key_of(&target)) {
-                    target.reported(now_ms, load);
+                    target.record_report(now_ms, load);
                 }
             }
             Input::Peer { door, state } => self.peer(now_ms, door, state),
-            Input::Tick => self.forget_silent_peers(now_ms),
+            Input::Tick => self.expire_peers(now_ms),
         }
-        self.recall(out);
-        self.settle(now_ms, out);
+        self.preempt(out);
+        self.dispatch_waiting(now_ms, out);
     }
 
-    /// Own requests, if they have changed since the last call.
+    /// State to send to peers, if it has changed since the last call.
     pub fn take_changed_state(&mut self) -> Option<DoorState> {
-        std::mem::take(&mut self.changed).then(|| self.state())
+        std::mem::take(&mut self.state_changed).then(|| self.state())
     }
 
-    /// Whether, since the last call, an online request was sent to a place that only another door can give back.
+    /// Whether, since the last call, an online request was sent to a target where only a peer can free a slot.
     pub fn take_needs_others(&mut self) -> bool {
-        std::mem::take(&mut self.needs_others)
+        std::mem::take(&mut self.needs_peer_preemption)
     }
 
-    /// Own requests, as other doors are told.
+    /// This gateway's requests at targets and its waiting items, as sent to peers.
     pub fn state(&self) -> DoorState {
-        let loads = self.targets.iter().filter_map(|(key, it)| it.told(*key)).collect();
+        let loads = self.targets.iter().filter_map(|(key, it)| it.own_load(*key)).collect();
         let waiting = self.queues.iter().filter(|(_, it)| !it.batch.is_empty());
         let waiting = waiting.map(|(service, it)| WaitingItems {
             service: key_of(service),
@@ -217,22 +219,22 @@
         DoorState { loads, waiting: waiting.collect() }
     }
 
-    /// Counts since the start.
+    /// Totals since the process started.
     pub fn counters(&self) -> Counters {
         self.counters
     }
 
-    /// Requests that wait for room: online, batch.
+    /// Numbers of waiting requests: online requests, batch items.
     pub fn waiting(&self) -> (usize, usize) {
         let queues = self.queues.values();
         queues.fold((0, 0), |sum, it| (sum.0 + it.online.len(), sum.1 + it.batch.len()))
     }
 
     fn targets(&mut self, entries: Vec<TargetEntry>) {
-        let mut gone = std::mem::take(&mut self.targets);
+        let mut former = std::mem::take(&mut self.targets);
         for entry in entries {
             let key = key_of(&entry.name);
-            let target = match gone.remove(&key) {
+            let target = match former.remove(&key) {
                 Some(mut known) => {
                     known.update(entry);
                     known
@@ -241,22 +243,22 @@
             };
             self.targets.insert(key, target);
         }
-        self.changed = true;
+        self.state_changed = true;
     }
 
     fn own_targets(&mut self, own: HashSet<u64>) {
         for (key, target) in &mut self.targets {
-            target.is_own = own.contains(key);
+            target.in_own_cell = own.contains(key);
         }
         self.own_targets = Some(own);
     }
 
-    // A target whose entry was away for a moment still runs what it had.
+    // A target whose entry was missing for a moment still runs its earlier requests, so they are counted again.
     fn new_target(&self, key: u64, entry: TargetEntry) -> Target {
-        let is_own = self.own_targets.as_ref().is_none_or(|it| it.contains(&key));
-        let mut target = Target::new(entry, &self.place, is_own);
+        let in_own_cell = self.own_targets.as_ref().is_none_or(|it| it.contains(&key));
+        let mut target = Target::new(entry, &self.place, in_own_cell);
         for (request, running) in self.running.iter().filter(|(_, it)| it.target == key) {
-            target.begin(*request, running.class, running.recalled);
+            target.add_request(*request, running.class, running.preempted);
         }
         target
     }
@@ -265,7 +267,7 @@
         match ask.class {
             Class::Batch => {
                 self.queues_of(&ask).batch.push(ask);
-                self.changed = true;
+                self.state_changed = true;
             }
             Class::Online => match self.best_online(now_ms, &ask) {
                 Some(key) => self.dispatch(now_ms, key, &ask, out),
@@ -282,13 +284,13 @@
     fn ended(&mut self, now_ms: u64, request: RequestId, end: AttemptEnd) {
         let Some(running) = self.running.remove(&request) else { return };
         if let Some(target) = self.targets.get_mut(&running.target) {
-            target.end(now_ms, request, running.class, end);
+            target.remove_request(now_ms, request, running.class, end);
         }
         if running.class == Class::Batch && end == AttemptEnd::Answered {
-            let run_ms = running.ran_ms + now_ms.saturating_sub(running.began_ms);
-            self.queues.entry(running.service).or_default().batch.learn(run_ms);
+            let run_ms = running.ran_ms + now_ms.saturating_sub(running.started_ms);
+            self.queues.entry(running.service).or_default().batch.record_run(run_ms);
         }
-        self.changed = true;
+        self.state_changed = true;
     }
 
     fn peer(&mut self, now_ms: u64, door: Name, state: DoorState) {
@@ -297,58 +299,58 @@
         }
         let DoorState { loads, waiting } = state;
         let targets = loads.iter().map(|it| it.target).collect();
-        let peer = Peer { heard_ms: now_ms, targets, waiting };
+        let peer = Peer { received_ms: now_ms, targets, waiting };
         let before = self.peers.insert(Name::clone(&door), peer);
         for key in before.into_iter().flat_map(|it| it.targets) {
             if let Some(target) = self.targets.get_mut(&key) {
-                target.set_other(&door, Load::default());
+                target.set_peer_load(&door, Load::default());
             }
         }
         for load in &loads {
             if let Some(target) = self.targets.get_mut(&load.target) {
-                target.set_other(&door, Load { online: load.online, batch: load.batch });
+                target.set_peer_load(&door, Load { online: load.online, batch: load.batch });
             }
         }
     }
 
-    fn forget_silent_peers(&mut self, now_ms: u64) {
+    fn expire_peers(&mut self, now_ms: u64) {
         let targets = &mut self.targets;
-        self.peers.retain(|door, peer| {
-            let silent = now_ms >= peer.heard_ms + PEER_SILENT_MS;
-            for key in peer.targets.iter().filter(|_| silent) {
+        self.peers.retain(|name, peer| {
+            let timed_out = now_ms >= peer.received_ms + PEER_TIMEOUT_MS;
+            for key in peer.targets.iter().filter(|_| timed_out) {
                 if let Some(target) = targets.get_mut(key) {
-                    target.set_other(door, Load::default());
+                    target.set_peer_load(name, Load::default());
                 }
             }
-            !silent
+            !timed_out
         });
     }
 
-    fn recall(&mut self, out: &mut Vec<Action>) {
+    fn preempt(&mut self, out: &mut Vec<Action>) {
         for target in self.targets.values_mut().filter(|it| it.own().batch > 0) {
-            for request in target.recall(&self.own_name) {
+            for request in target.preempt(&self.own_name) {
                 self.counters.recalled += 1;
                 if let Some(running) = self.running.get_mut(&request) {
-                    running.recalled = true;
+                    running.preempted = true;
                 }
                 out.push(Action::Recall { request });
             }
         }
     }
 
-    /// Gives room to those who wait for it: online requests first.
-    fn settle(&mut self, now_ms: u64, out: &mut Vec<Action>) {
+    /// Dispatches or refuses waiting requests; of each service, items are dispatched only when no online request waits.
+    fn dispatch_waiting(&mut self, now_ms: u64, out: &mut Vec<Action>) {
         let mut queues = std::mem::take(&mut self.queues);
         for (service, waiting) in &mut queues {
-            self.settle_online(now_ms, &mut waiting.online, out);
+            self.dispatch_online(now_ms, &mut waiting.online, out);
             if waiting.online.is_empty() && !waiting.batch.is_empty() {
-                self.settle_batch(now_ms, service, &mut waiting.batch, out);
+                self.dispatch_batch(now_ms, service, &mut waiting.batch, out);
             }
         }
         self.queues = queues;
     }
 
-    fn settle_online(&mut self, now_ms: u64, queue: &mut Queue, out: &mut Vec<Action>) {
+    fn dispatch_online(&mut self, now_ms: u64, queue: &mut Queue, out: &mut Vec<Action>) {
         for ask in queue.take_all() {
             if let Some(key) = self.best_online(now_ms, &ask) {
                 self.dispatch(now_ms, key, &ask, out);
@@ -360,16 +362,16 @@
         }
     }
 
-    // Items have no targets that they must avoid: where the first finds no room, none does.
-    fn settle_batch(
+    // All items may go to the same targets: if the first one finds no free slot, none does.
+    fn dispatch_batch(
         &mut self,
         now_ms: u64,
         service: &Name,
         queue: &mut ItemQueue,
         out: &mut Vec<Action>,
     ) {
-        let more = self.own_share(now_ms, service, queue.len() as u32);
-        for _ in 0..more {
+        let startable = self.startable_items(now_ms, service, queue.len() as u32);
+        for _ in 0..startable {
             let Some(next) = queue.next(now_ms) else { return };
             let Some(key) = self.best_batch(now_ms, next) else { return };
             let request = next.request;
@@ -378,9 +380,9 @@
         }
     }
 
-    /// How many more items of a service this door may start now.
-    fn own_share(&self, now_ms: u64, service: &Name, waiting: u32) -> u32 {
-        let targets = self.ready(service).filter(|(_, it)| !it.health.is_paused(now_ms));
+    /// How many more items of a service this gateway may start now without exceeding its share.
+    fn startable_items(&self, now_ms: u64, service: &Name, waiting: u32) -> u32 {
+        let targets = self.ready(service).filter(|(_, it)| !it.health.in_backoff(now_ms));
         let key = key_of(service);
         let of_service = self.peers.values().flat_map(|it| &it.waiting);
         let of_service = of_service.filter(|it| it.service == key).map(|it| it.items);
@@ -389,47 +391,49 @@
             let (own, all) = (target.own(), target.load());
             demand.running += own.batch;
             demand.others += all.batch.saturating_sub(own.batch);
-            demand.places +=
-                target.entry.slots.saturating_sub(kept_free(self.margins, target) + all.online);
+            demand.slots += target
+                .entry
+                .slots
+                .saturating_sub(reserved_slots(self.margins, target) + all.online);
         }
-        demand.more()
+        demand.startable()
     }
 
     fn dispatch(&mut self, now_ms: u64, key: u64, ask: &Ask, out: &mut Vec<Action>) {
         let Some(target) = self.targets.get_mut(&key) else { return };
-        target.begin(ask.request, ask.class, false);
-        let running = Running {
+        target.add_request(ask.request, ask.class, false);
+        let running = RunningRequest {
             class: ask.class,
             service: Name::clone(&ask.service),
             target: key,
-            recalled: false,
-            began_ms: now_ms,
+            preempted: false,
+            started_ms: now_ms,
             ran_ms: ask.ran_ms,
         };
         self.running.insert(ask.request, running);
         self.counters.dispatched += 1;
-        self.changed = true;
-        self.needs_others |= ask.class == Class::Online && target.lacks_places();
+        self.state_changed = true;
+        self.needs_peer_preemption |= ask.class == Class::Online && target.needs_peer_preemption();
         let (target, address) = (Name::clone(&target.entry.name), target.entry.address);
         out.push(Action::Dispatch { request: ask.request, target, address });
     }
 
-    /// Targets of the service that take work: of those that are not paused the ones that were not tried, as long as
-    /// there are any. Where all are paused or were tried, a guess is better than a refusal.
+    /// Ready targets of the service: of those not in backoff the ones that the request was not tried on, as long as there
+    /// are any. If all are in backoff or were tried, another attempt is better than a refusal.
     fn usable<'a>(
         &'a self,
         now_ms: u64,
         ask: &'a Ask,
     ) -> impl Iterator<Item = (u64, &'a Target)> + 'a {
-        let doubts = move |target: &Target| {
-            (target.health.is_paused(now_ms), ask.tried.contains(&target.entry.name))
+        let penalty = move |target: &Target| {
+            (target.health.in_backoff(now_ms), ask.tried.contains(&target.entry.name))
         };
         let ready = self.ready(&ask.service);
-        let least = ready.clone().map(|(_, it)| doubts(it)).min();
-        ready.filter(move |(_, it)| Some(doubts(it)) == least)
+        let least = ready.clone().map(|(_, it)| penalty(it)).min();
+        ready.filter(move |(_, it)| Some(penalty(it)) == least)
     }
 
-    /// Targets of a service that take work as far as discovery knows.
+    /// Targets of a service that accept work according to discovery.
     fn ready<'a>(
         &'a self,
         service: &'a Name,
@@ -449,14 +453,14 @@
             .usable(now_ms, ask)
             .filter(|(_, it)| !it.health.is_full(now_ms))
             .filter_map(|(key, it)| {
-                let (room, load) = online_room(self.margins, now_ms, it)?;
-                Some(((room, it.distance()), load, key))
+                let (capacity, load) = online_capacity(self.margins, now_ms, it)?;
+                Some(((capacity, it.distance()), load, key))
             })
             .collect();
         let best = ranked.iter().map(|(rank, ..)| *rank).min()?;
         let group = ranked.into_iter().filter(|(rank, ..)| *rank == best);
         let group: Vec<(u32, u64)> = group.map(|(_, load, key)| (load, key)).collect();
-        self.among(ask.affinity, &group)
+        self.pick(ask.affinity, &group)
     }
 
     fn best_batch(&mut self, now_ms: u64, ask: &Ask) -> Option<u64> {
@@ -464,76 +468,82 @@
             .usable(now_ms, ask)
             .filter(|(_, it)| !it.health.is_full(now_ms))
             .filter_map(|(key, it)| {
-                let total = it.total(now_ms);
-                let kept = kept_free(self.margins, it);
-                let is_free = total + kept < it.entry.slots.max(kept + 1);
+                let total = it.estimated_total(now_ms);
+                let reserved = reserved_slots(self.margins, it);
+                // A target with no more slots than are reserved still runs one item when it is idle.
+                let is_free = total + reserved < it.entry.slots.max(reserved + 1);
                 is_free.then_some((it.distance(), total, key))
             })
             .collect();
         let nearest = free.iter().map(|(distance, ..)| *distance).min()?;
         let group = free.into_iter().filter(|(distance, ..)| *distance == nearest);
         let group: Vec<(u32, u64)> = group.map(|(_, total, key)| (total, key)).collect();
-        self.among(ask.affinity, &group)
+        self.pick(ask.affinity, &group)
     }
 
-    /// One of the least loaded; with an affinity the one among them that all doors prefer for it. Among targets of other
-    /// cells any one: all that have heard of the least loaded would choose it at once.
-    fn among(&mut self, affinity: u64, group: &[(u32, u64)]) -> Option<u64> {
+    /// Picks one of the least loaded targets at random, or with an affinity by rendezvous hashing, so that all gateways
+    /// choose the same one. If targets of other cells are among them, loads are ignored: all gateways with the same
+    /// summary would choose the least loaded target at once.
+    fn pick(&mut self, affinity: u64, group: &[(u32, u64)]) -> Option<u64> {
         let least = group.iter().map(|(load, _)| *load).min()?;
-        let is_own = |key: &u64| self.targets.get(key).is_some_and(|it| it.is_own);
+        let in_own_cell = |key: &u64| self.targets.get(key).is_some_and(|it| it.in_own_cell);
         let slack = match affinity {
-            _ if !group.iter().all(|(_, key)| is_own(key)) => u32::MAX,
+            _ if !group.iter().all(|(_, key)| in_own_cell(key)) => u32::MAX,
             0 => 0,
             _ => AFFINITY_SLACK,
         };
-        let near = group.iter().filter(|(load, _)| load - least <= slack);
+        let candidates = group.iter().filter(|(load, _)| load - least <= slack);
         if affinity != 0 {
-            return near.map(|(_, key)| *key).max_by_key(|key| preference(affinity, *key));
+            return candidates
+                .map(|(_, key)| *key)
+                .max_by_key(|key| rendezvous_weight(affinity, *key));
         }
-        let near: Vec<u64> = near.map(|(_, key)| *key).collect();
-        Some(near[self.rng.random_range(0..near.len())])
+        let candidates: Vec<u64> = candidates.map(|(_, key)| *key).collect();
+        Some(candidates[self.rng.random_range(0..candidates.len())])
     }
 
     fn refuse_full(&mut self, ask: &Ask, out: &mut Vec<Action>) {
-        // Spread, so that those refused together do not come back together.
+        // Jitter, so that callers refused together do not retry together.
         let retry_after_ms = self.rng.random_range(MIN_RETRY_AFTER_MS..=2 * MIN_RETRY_AFTER_MS);
         let (request, reason) = (ask.request, Refusal::Overloaded);
         out.push(Action::Refuse { request, reason, retry_after_ms });
     }
 
     fn refuse_no_target(&mut self, now_ms: u64, ask: &Ask, out: &mut Vec<Action>) {
-        let paused = self.ready(&ask.service).filter(|(_, it)| it.health.is_paused(now_ms));
-        let first_back = paused.map(|(_, it)| it.health.paused_until_ms()).min();
-        let retry_after_ms = first_back.map_or(MAX_RETRY_AFTER_MS, |it| it.saturating_sub(now_ms));
+        let in_backoff = self.ready(&ask.service).filter(|(_, it)| it.health.in_backoff(now_ms));
+        let first_end_ms = in_backoff.map(|(_, it)| it.health.backoff_until_ms()).min();
+        let retry_after_ms =
+            first_end_ms.map_or(MAX_RETRY_AFTER_MS, |it| it.saturating_sub(now_ms));
         let retry_after_ms = retry_after_ms.clamp(MIN_RETRY_AFTER_MS, MAX_RETRY_AFTER_MS);
         let (request, reason) = (ask.request, Refusal::NoTarget);
         out.push(Action::Refuse { request, reason, retry_after_ms });
     }
 }
 
-/// Places of a target that items leave free.
-fn kept_free(margins: Margins, target: &Target) -> u32 {
-    if target.is_own { margins.free_for_online } else { FREE_FOR_OTHER_CELL }
+/// Slots of a target that batch items leave free.
+fn reserved_slots(margins: Margins, target: &Target) -> u32 {
+    if target.in_own_cell { margins.free_for_online } else { RESERVED_IN_OTHER_CELL }
 }
 
-/// Room for one more online request, and the load that decides among equals.
-fn online_room(margins: Margins, now_ms: u64, target: &Target) -> Option<(Room, u32)> {
+/// Capacity for one more online request, and the load by which targets of equal capacity and distance are compared.
+fn online_capacity(margins: Margins, now_ms: u64, target: &Target) -> Option<(Capacity, u32)> {
     let slots = target.entry.slots;
-    let total = target.total(now_ms);
+    let total = target.estimated_total(now_ms);
     let load = target.load();
-    let kept = if target.is_own { 0 } else { FREE_AT_OTHER_CELL };
-    if total + kept < slots {
-        Some((Room::Free, total))
+    let spare = if target.in_own_cell { 0 } else { SPARE_IN_OTHER_CELL };
+    if total + spare < slots {
+        Some((Capacity::FreeSlot, total))
     } else if load.batch > 0 && load.online < slots {
-        Some((Room::Recallable, load.online))
+        Some((Capacity::Preemptible, load.online))
     } else if total < slots + margins.waiting_at_target {
-        Some((Room::Waiting, total))
+        Some((Capacity::Waiting, total))
     } else {
         None
     }
 }
 
-fn preference(affinity: u64, key: u64) -> u64 {
+/// Weight of a target for an affinity; the target with the highest one is preferred by all gateways.
+fn rendezvous_weight(affinity: u64, key: u64) -> u64 {
     let mut bytes = [0; 16];
     bytes[..8].copy_from_slice(&affinity.to_le_bytes());
     bytes[8..].copy_from_slice(&key.to_le_bytes());
--- a/crates/samphiredoor-core/src/placement/queue.rs
+++ b/crates/samphiredoor-core/src/placement/queue.rs
@@ -1,14 +1,14 @@
-//! Requests that wait for room, the most urgent first.
+//! Online requests that wait for capacity, most urgent first.
 
 use std::collections::{BTreeMap, HashMap};
 
 use super::Ask;
 use crate::dispatch::RequestId;
 
-/// Order of waiting: urgency, then how soon the request is of no use or due, then arrival.
+/// Queue order: priority, then deadline, then arrival.
 type Rank = (u32, u64, u64);
 
-/// Waiting requests.
+/// Waiting online requests of one service.
 #[derive(Debug, Default)]
 pub struct Queue {
     waiting: BTreeMap<Rank, Ask>,
@@ -17,7 +17,7 @@
 }
 
 impl Queue {
-    /// Adds a request.
+    /// Adds a request behind those of the same priority and deadline.
     pub fn push(&mut self, ask: Ask) {
         let rank = (ask.priority, ask.until_ms, self.arrivals);
         self.arrivals += 1;
@@ -25,14 +25,14 @@
         self.waiting.insert(rank, ask);
     }
 
-    /// Removes a request, if it waits.
+    /// Removes a request, if it waits here.
     pub fn remove(&mut self, request: RequestId) {
         if let Some(rank) = self.ranks.remove(&request) {
             self.waiting.remove(&rank);
         }
     }
 
-    /// Takes all requests, the most urgent first.
+    /// Empties the queue; the most urgent request comes first.
     pub fn take_all(&mut self) -> impl Iterator<Item = Ask> + use<> {
         self.ranks.clear();
         std::mem::take(&mut self.waiting).into_values()
@@ -43,7 +43,7 @@
         self.waiting.len()
     }
 
-    /// Whether nobody waits.
+    /// Whether no request waits.
     pub fn is_empty(&self) -> bool {
         self.waiting.is_empty()
     }
--- a/crates/samphiredoor-core/src/placement/shares.rs
+++ b/crates/samphiredoor-core/src/placement/shares.rs
@@ -1,34 +1,35 @@
-//! How doors share the places that items of jobs may use.
+//! How gateways share the slots that batch items may use.
 //!
-//! Each door fills free places as it sees them. Without more, a door with forty items gets as many places as one with
-//! four, so that the jobs of one are late while those of the other are done long before they are due. So doors tell each
-//! other how many items wait, and each starts only its part by the number of its items.
+//! Each gateway fills the slots that it sees free. Without a limit, a gateway with forty waiting items would get as many
+//! slots as one with four, so jobs of one would be late while jobs of the other were done long before they are due.
+//! Therefore gateways send each other the number of their waiting items, and each starts only its proportional share.
 //!
-//! Gain: fewer sends that targets reject, and fewer runs that are cut, the more so the more gateways there are.
+//! This reduces the sends that targets reject and the runs that are preempted, and does so more the more gateways there
+//! are.
 
-/// Places of a service, and the items that want them.
+/// Slots of a service, and the items that compete for them.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Demand {
-    /// Places that online requests leave to items.
-    pub places: u32,
-    /// Own items at targets.
+    /// Slots that are left to items beside online requests.
+    pub slots: u32,
+    /// Items of this gateway at targets.
     pub running: u32,
-    /// Own items that wait.
+    /// Items of this gateway that wait.
     pub waiting: u32,
-    /// Items of other doors, at targets and waiting.
+    /// Items of other gateways, at targets and waiting.
     pub others: u32,
 }
 
 impl Demand {
-    /// How many more of the own items may start.
-    pub fn more(self) -> u32 {
+    /// How many more items this gateway may start.
+    pub fn startable(self) -> u32 {
         let own = self.running + self.waiting;
         let all = own + self.others;
-        if all <= self.places {
+        if all <= self.slots {
             return self.waiting;
         }
-        // Rounded up: a place that nobody takes is worse than one that two reach for.
-        let share = (u64::from(self.places) * u64::from(own)).div_ceil(u64::from(all)) as u32;
+        // Rounded up: an idle slot is worse than one for which two gateways compete.
+        let share = (u64::from(self.slots) * u64::from(own)).div_ceil(u64::from(all)) as u32;
         share.saturating_sub(self.running).min(self.waiting)
     }
 }
--- a/crates/samphiredoor-core/src/placement/target.rs
+++ b/crates/samphiredoor-core/src/placement/target.rs
@@ -1,4 +1,4 @@
-//! One target as this process sees it: its own requests there, those of other doors, and its health.
+//! One target as this gateway sees it: its own requests there, those of its peers, and the target's health.
 
 use std::collections::BTreeMap;
 
@@ -8,25 +8,26 @@
     dispatch::{Class, Place, RequestId},
 };
 
-/// How long a load that no door accounts for is believed. Doors tell theirs within 50 ms, so what stays unexplained
-/// belongs to requests of a door that died, and these end when their connections close.
-const SURPLUS_MS: u64 = 500;
+/// How long load that a target reported and that no gateway accounts for is counted. Gateways send their loads within
+/// 50 ms, so what stays unaccounted for belongs to requests of a gateway that died, and these end when their connections
+/// close.
+const UNACCOUNTED_LOAD_MS: u64 = 500;
 
-/// How far a target is from this process; nearer ones come first.
+/// Network distance of a target from this gateway, nearest first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Distance {
-    /// Same availability zone, and a target of the own cell.
+    /// Same availability zone and same cell.
     Cell,
     /// Same availability zone.
     Zone,
     /// Same region.
     Region,
-    /// Beyond the link between regions.
+    /// Another region.
     Far,
 }
 
 impl Distance {
-    /// Distance between two places, whatever their cells.
+    /// Distance by region and availability zone; cells are ignored.
     pub fn between(own: &Place, other: &Place) -> Distance {
         if own.region != other.region {
             Distance::Far
@@ -38,17 +39,17 @@
     }
 }
 
-/// Requests by class.
+/// Number of requests at a target, by class.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Load {
     /// Online requests.
     pub online: u32,
-    /// Items of jobs.
+    /// Batch items.
     pub batch: u32,
 }
 
 impl Load {
-    /// Both classes.
+    /// Sum over both classes.
     pub fn total(self) -> u32 {
         self.online + self.batch
     }
@@ -57,96 +58,104 @@
 /// A target and its load.
 #[derive(Debug)]
 pub struct Target {
-    /// As discovery knows it.
+    /// Latest entry from discovery.
     pub entry: TargetEntry,
-    /// Whether the own cell shares it.
-    pub is_own: bool,
+    /// Whether the target is assigned to this gateway's cell.
+    pub in_own_cell: bool,
     distance: Distance,
-    /// What this process has seen of it.
+    /// Backoff state from the outcomes of this gateway's attempts.
     pub health: Health,
     own: Load,
-    // Items of this process, oldest first, and which of them are being recalled.
+    // Items of this gateway, oldest first, and whether each is being preempted.
     items: Vec<(RequestId, bool)>,
-    others: BTreeMap<Name, Load>,
-    surplus: u32,
-    surplus_at_ms: u64,
+    /// Loads of peers, by peer.
+    peers: BTreeMap<Name, Load>,
+    /// Load beyond all known requests when the target last reported.
+    unaccounted: u32,
+    reported_at_ms: u64,
 }
 
 impl Target {
-    /// Target without load.
-    pub fn new(entry: TargetEntry, own_place: &Place, is_own: bool) -> Target {
+    /// Creates a target without load.
+    pub fn new(entry: TargetEntry, own_place: &Place, in_own_cell: bool) -> Target {
         let distance = Distance::between(own_place, &entry.place);
         Target {
             entry,
-            is_own,
+            in_own_cell,
             distance,
             health: Health::default(),
             own: Load::default(),
             items: Vec::new(),
-            others: BTreeMap::new(),
-            surplus: 0,
-            surplus_at_ms: 0,
+            peers: BTreeMap::new(),
+            unaccounted: 0,
+            reported_at_ms: 0,
         }
     }
 
-    /// How far it is.
+    /// Distance from this gateway, with the cell taken into account.
     pub fn distance(&self) -> Distance {
         match self.distance {
-            Distance::Zone if self.is_own => Distance::Cell,
+            Distance::Zone if self.in_own_cell => Distance::Cell,
             distance => distance,
         }
     }
 
-    /// Takes what discovery says now; a restart forgets what was seen before.
+    /// Replaces the entry; after a restart of the target, health and unaccounted load are reset.
     pub fn update(&mut self, entry: TargetEntry) {
         if entry.started_unix_ms != self.entry.started_unix_ms {
             self.health = Health::default();
-            self.surplus = 0;
+            self.unaccounted = 0;
         }
         self.entry = entry;
     }
 
-    /// Requests of this process.
+    /// Requests of this gateway at the target.
     pub fn own(&self) -> Load {
         self.own
     }
 
-    /// Requests of all doors, without items that are being recalled.
+    /// Requests of all gateways at the target, without this gateway's items that are being preempted.
     pub fn load(&self) -> Load {
-        let recalled = self.items.iter().filter(|(_, recalled)| *recalled).count() as u32;
-        let others = self.others.values();
-        others.fold(Load { batch: self.own.batch - recalled, ..self.own }, |sum, it| Load {
+        let preempted = self.items.iter().filter(|(_, preempted)| *preempted).count() as u32;
+        let peers = self.peers.values();
+        peers.fold(Load { batch: self.own.batch - preempted, ..self.own }, |sum, it| Load {
             online: sum.online + it.online,
             batch: sum.batch + it.batch,
         })
     }
 
-    /// Requests at the target as far as can be known, those that no door accounts for among them.
-    pub fn total(&self, now_ms: u64) -> u32 {
-        let fresh = now_ms < self.surplus_at_ms + SURPLUS_MS;
-        self.load().total() + if fresh { self.surplus } else { 0 }
+    /// Estimated number of requests at the target: those of all gateways, and reported ones that no gateway accounts for.
+    pub fn estimated_total(&self, now_ms: u64) -> u32 {
+        let is_recent = now_ms < self.reported_at_ms + UNACCOUNTED_LOAD_MS;
+        self.load().total() + if is_recent { self.unaccounted } else { 0 }
     }
 
-    /// Takes the target's own word on its load.
-    pub fn reported(&mut self, now_ms: u64, report: ReportedLoad) {
+    /// Records the load that the target reported.
+    pub fn record_report(&mut self, now_ms: u64, report: ReportedLoad) {
         let accounted = self.load().total();
-        self.surplus = (report.running + report.waiting).saturating_sub(accounted);
-        self.surplus_at_ms = now_ms;
+        self.unaccounted = (report.running + report.waiting).saturating_sub(accounted);
+        self.reported_at_ms = now_ms;
     }
 
-    /// Counts a request that is sent there, or that runs there already and may be recalled.
-    pub fn begin(&mut self, request: RequestId, class: Class, recalled: bool) {
+    /// Adds a request that is sent to the target, or that already runs there and may be being preempted.
+    pub fn add_request(&mut self, request: RequestId, class: Class, preempted: bool) {
         match class {
             Class::Online => self.own.online += 1,
             Class::Batch => {
                 self.own.batch += 1;
-                self.items.push((request, recalled));
+                self.items.push((request, preempted));
             }
         }
     }
 
-    /// Counts a request that has ended there.
-    pub fn end(&mut self, now_ms: u64, request: RequestId, class: Class, end: AttemptEnd) {
+    /// Removes a request that has ended, and updates the target's health with its outcome.
+    pub fn remove_request(
+        &mut self,
+        now_ms: u64,
+        request: RequestId,
+        class: Class,
+        end: AttemptEnd,
+    ) {
         match class {
             Class::Online => self.own.online = self.own.online.saturating_sub(1),
             Class::Batch => {
@@ -154,43 +163,44 @@
                 self.items.retain(|(it, _)| *it != request);
             }
         }
-        self.health.learn(now_ms, end);
+        self.health.record(now_ms, end);
     }
 
-    /// Sets the requests of another door.
-    pub fn set_other(&mut self, door: &Name, load: Load) {
+    /// Sets the load of a peer at the target.
+    pub fn set_peer_load(&mut self, peer: &Name, load: Load) {
         if load.total() == 0 {
-            self.others.remove(door);
+            self.peers.remove(peer);
         } else {
-            self.others.insert(Name::clone(door), load);
+            self.peers.insert(Name::clone(peer), load);
         }
     }
 
-    /// Whether online requests have fewer places than they need even if all own items leave.
-    pub fn lacks_places(&self) -> bool {
+    /// Whether the target has more requests than slots even if all of this gateway's items are preempted, so that only a
+    /// peer can make room by preempting its own.
+    pub fn needs_peer_preemption(&self) -> bool {
         let load = self.load();
-        let kept = self.items.iter().filter(|(_, recalled)| !*recalled).count() as u32;
-        load.total() > self.entry.slots + kept && load.batch > kept
+        let preemptible = self.items.iter().filter(|(_, preempted)| !*preempted).count() as u32;
+        load.total() > self.entry.slots + preemptible && load.batch > preemptible
     }
 
-    /// The items to recall so that online requests have room, youngest first.
+    /// Marks and returns the items to preempt so that online requests get slots, youngest first.
     ///
-    /// Every door with items at the target sees the same excess and would recall for all of it. So doors stand in an
-    /// order by name, and each recalls only what the items of those before it do not cover.
-    pub fn recall(&mut self, own_name: &Name) -> Vec<RequestId> {
+    /// Every gateway with items at the target sees the same excess and would preempt items for all of it. Therefore
+    /// gateways are ordered by name, and each preempts only what the items of those before it do not cover.
+    pub fn preempt(&mut self, own_name: &Name) -> Vec<RequestId> {
         let excess = self.load().total().saturating_sub(self.entry.slots);
-        let before: u32 = self.others.range(..Name::clone(own_name)).map(|(_, it)| it.batch).sum();
+        let before: u32 = self.peers.range(..Name::clone(own_name)).map(|(_, it)| it.batch).sum();
         let wanted = excess.saturating_sub(before) as usize;
-        let youngest = self.items.iter_mut().rev().filter(|(_, recalled)| !*recalled);
-        let recalled = youngest.take(wanted).map(|(request, recalled)| {
-            *recalled = true;
+        let youngest = self.items.iter_mut().rev().filter(|(_, preempted)| !*preempted);
+        let preempted = youngest.take(wanted).map(|(request, preempted)| {
+            *preempted = true;
             *request
         });
-        recalled.collect()
+        preempted.collect()
     }
 
-    /// Requests of this process, as other doors are told.
-    pub fn told(&self, target: u64) -> Option<DoorLoad> {
+    /// Load of this gateway as sent to peers; `None` if it has no requests at the target.
+    pub fn own_load(&self, target: u64) -> Option<DoorLoad> {
         let Load { online, batch } = self.own;
         (self.own.total() > 0).then_some(DoorLoad { target, online, batch })
     }
