--- a/crates/samphiredoor-core/src/placement/cells.rs
+++ b/crates/samphiredoor-core/src/placement/cells.rs
@@ -1,12 +1,13 @@
-//! Which doors tell each other all their requests, and which targets they share.
+//! Partition of the fleet into cells: groups of gateways that send each other all their loads, and their targets.
 //!
-//! If every door told every other one, messages would grow with the square of the fleet, and a door would know least
-//! where there are most. So a large fleet falls into cells: some doors of one availability zone and a part of that zone's
-//! targets. The doors of a cell tell each other every change at once, and prefer their own targets. Whoever uses a target
-//! of another cell tells that cell's doors. Of all else a door learns sums, cell by cell, a little later.
+//! If every gateway sent its loads to every other one, the number of messages would grow with the square of the fleet
+//! size, and load information would be worst in the largest fleets. So a large fleet is divided into cells: some gateways
+//! of one availability zone and a part of that zone's targets. The gateways of a cell send each other every change at
+//! once, and prefer the targets of their cell. A gateway that uses a target of another cell sends its load there to that
+//! cell's gateways. Everything else a gateway receives as summaries, one for each cell, a little later.
 //!
-//! Everybody works the cells out from the lists of doors and targets. Where two lists differ for a moment, some word goes
-//! to the wrong door, and the next one to the right one.
+//! Each gateway computes the cells from its lists of gateways and targets. While two lists differ, some messages go to the
+//! wrong gateway; once the lists agree, the next ones go to the right one.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -16,54 +17,55 @@
 use super::{Distance, DoorLoad, DoorState, WaitingItems};
 use crate::{Name, dispatch::Place};
 
-/// Doors that a cell has at most. More would know a larger part of the targets at once, and send as many messages more.
-const MOST_DOORS: usize = 12;
-
-/// Time between two summaries for each cell of the own region.
-const REGION_PAUSE_PER_CELL_MS: u64 = 40;
-/// Time between two summaries for each cell beyond the region.
-const FAR_PAUSE_PER_CELL_MS: u64 = 65;
-/// Shortest time between two summaries to cells of the own region.
-const SHORTEST_REGION_PAUSE_MS: u64 = 100;
-/// Shortest time between two summaries beyond the region, where bytes are dear.
-const SHORTEST_FAR_PAUSE_MS: u64 = 450;
-/// Longest time between two summaries: doors that are not heard count as gone, and their requests as ended.
-const LONGEST_PAUSE_MS: u64 = 800;
-
-/// A cell, as long as the lists that it was worked out from stay the same.
+/// Maximum number of gateways in a cell. A larger cell would have current loads of more targets, and send proportionally
+/// more messages.
+const MAX_GATEWAYS: usize = 12;
+
+/// Interval between two summaries, for each receiving cell of the own region.
+const REGION_INTERVAL_PER_CELL_MS: u64 = 40;
+/// Interval between two summaries, for each receiving cell of other regions.
+const OTHER_REGION_INTERVAL_PER_CELL_MS: u64 = 65;
+/// Shortest interval between two summaries to cells of the own region.
+const MIN_REGION_INTERVAL_MS: u64 = 100;
+/// Shortest interval between two summaries to other regions, where bandwidth is expensive.
+const MIN_OTHER_REGION_INTERVAL_MS: u64 = 450;
+/// Longest interval between two summaries: without messages a cell times out, and its requests count as ended.
+const MAX_INTERVAL_MS: u64 = 800;
+
+/// Index of a cell; valid for the [`Cells`] that it was taken from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CellId(usize);
 
 #[derive(Debug, Clone)]
 struct Cell {
     place: Place,
-    /// Number among the cells of its availability zone.
+    /// Index among the cells of its availability zone.
     number: usize,
-    doors: Vec<Name>,
+    gateways: Vec<Name>,
 }
 
-/// All cells of a fleet.
+/// All cells of a fleet, with the gateways and targets assigned to them.
 #[derive(Debug, Clone, Default)]
 pub struct Cells {
     cells: Vec<Cell>,
-    doors: HashMap<Name, CellId>,
+    gateways: HashMap<Name, CellId>,
     targets: HashMap<u64, CellId>,
 }
 
 impl Cells {
-    /// Cells of these doors, and of these targets by [`super::key_of`]. A fleet that is small enough is one cell.
-    pub fn new(doors: &BTreeMap<Name, Place>, targets: &BTreeMap<u64, Place>) -> Cells {
+    /// Divides these gateways and these targets, by [`super::key_of`], into cells. A small fleet is one cell.
+    pub fn new(gateways: &BTreeMap<Name, Place>, targets: &BTreeMap<u64, Place>) -> Cells {
         let mut cells = Cells::default();
-        if doors.len() <= MOST_DOORS {
-            cells.add_cells(doors.iter().collect(), 1);
+        if gateways.len() <= MAX_GATEWAYS {
+            cells.add_cells(gateways.iter().collect(), 1);
         } else {
-            for in_zone in by_zone(doors).into_values() {
-                let count = in_zone.len().div_ceil(MOST_DOORS);
+            for in_zone in by_zone(gateways).into_values() {
+                let count = in_zone.len().div_ceil(MAX_GATEWAYS);
                 cells.add_cells(in_zone, count);
             }
         }
         for in_zone in by_zone(targets).into_values() {
-            cells.share_out(&in_zone);
+            cells.assign_targets(&in_zone);
         }
         cells
     }
@@ -73,37 +75,37 @@
         self.cells.len()
     }
 
-    /// Whether there is no door.
+    /// Whether the fleet has no gateway.
     pub fn is_empty(&self) -> bool {
         self.cells.is_empty()
     }
 
-    /// All cells.
+    /// IDs of all cells, in ascending order.
     pub fn ids(&self) -> impl Iterator<Item = CellId> + use<> {
         (0..self.cells.len()).map(CellId)
     }
 
-    /// Cell of a door.
+    /// Cell of a gateway; `None` if the gateway is not listed.
     pub fn of_door(&self, door: &str) -> Option<CellId> {
-        self.doors.get(door).copied()
+        self.gateways.get(door).copied()
     }
 
-    /// Cell whose doors share a target.
+    /// Cell that a target is assigned to.
     pub fn of_target(&self, target: u64) -> Option<CellId> {
         self.targets.get(&target).copied()
     }
 
-    /// Doors of a cell, in order of their names.
+    /// Gateways of a cell, in order of their names.
     pub fn doors(&self, cell: CellId) -> &[Name] {
-        self.cells.get(cell.0).map_or(&[], |it| &it.doors)
+        self.cells.get(cell.0).map_or(&[], |it| &it.gateways)
     }
 
-    /// Targets that the doors of a cell share.
+    /// Targets that are assigned to a cell.
     pub fn targets(&self, cell: CellId) -> impl Iterator<Item = u64> {
         self.targets.iter().filter(move |(_, it)| **it == cell).map(|(target, _)| *target)
     }
 
-    /// Requests at targets of other cells than the own one, by cell.
+    /// The loads at targets of other cells than the own one, grouped by cell.
     pub fn loads_elsewhere(
         &self,
         own: Option<CellId>,
@@ -119,39 +121,40 @@
         elsewhere
     }
 
-    /// Where a cell's first door stands; the doors of a cell stand in one zone unless the whole fleet is one cell.
+    /// Location of a cell's first gateway; all gateways of a cell are in one zone unless the whole fleet is one cell.
     pub fn place(&self, cell: CellId) -> Option<&Place> {
         self.cells.get(cell.0).map(|it| &it.place)
     }
 
-    /// Name of a cell that doors with the same lists give it, too.
+    /// Name of a cell; the same at every gateway that has the same lists.
     pub fn name(&self, cell: CellId) -> Option<Name> {
         let cell = self.cells.get(cell.0)?;
         Some(format!("cell {} {}", cell.place.availability_zone, cell.number).into())
     }
 
-    fn add_cells(&mut self, doors: Vec<(&Name, &Place)>, count: usize) {
+    /// Divides gateways of one zone, or of the whole fleet, into this many cells.
+    fn add_cells(&mut self, gateways: Vec<(&Name, &Place)>, count: usize) {
         for number in 0..count {
-            let doors = &doors[part(doors.len(), number, count)];
-            let Some((_, place)) = doors.first() else { continue };
+            let gateways = &gateways[part(gateways.len(), number, count)];
+            let Some((_, place)) = gateways.first() else { continue };
             let id = CellId(self.cells.len());
-            let doors: Vec<Name> = doors.iter().map(|(name, _)| Name::clone(name)).collect();
-            self.doors.extend(doors.iter().map(|it| (Name::clone(it), id)));
-            self.cells.push(Cell { place: (*place).clone(), number, doors });
+            let gateways: Vec<Name> = gateways.iter().map(|(name, _)| Name::clone(name)).collect();
+            self.gateways.extend(gateways.iter().map(|it| (Name::clone(it), id)));
+            self.cells.push(Cell { place: (*place).clone(), number, gateways });
         }
     }
 
-    /// Gives each cell near these targets, which stand in one zone, its part of them.
-    fn share_out(&mut self, targets: &[(&u64, &Place)]) {
+    /// Divides targets of one zone evenly among the nearest cells.
+    fn assign_targets(&mut self, targets: &[(&u64, &Place)]) {
         let Some((_, place)) = targets.first() else { return };
-        let near = self.nearest(place);
-        for (index, cell) in near.iter().enumerate() {
-            let part = &targets[part(targets.len(), index, near.len())];
-            self.targets.extend(part.iter().map(|(target, _)| (**target, *cell)));
+        let nearest = self.nearest(place);
+        for (index, cell) in nearest.iter().enumerate() {
+            let assigned = &targets[part(targets.len(), index, nearest.len())];
+            self.targets.extend(assigned.iter().map(|(target, _)| (**target, *cell)));
         }
     }
 
-    /// Cells in a zone; where it has none, those of its region, or all.
+    /// Cells in a zone; if it has none, those of its region; if that has none, all cells.
     fn nearest(&self, place: &Place) -> Vec<CellId> {
         if self.cells.len() == 1 {
             return vec![CellId(0)];
@@ -180,22 +183,22 @@
     zones
 }
 
-/// The part with a number, of so many parts of nearly the same size.
+/// Range of the part with this index when `len` elements are divided into `count` parts of nearly equal size.
 fn part(len: usize, number: usize, count: usize) -> Range<usize> {
     len * number / count..len * (number + 1) / count
 }
 
-/// Time between two summaries of a cell to so many others at a distance. It grows with their number, so that what a door
-/// hears and passes on does not.
+/// Interval between two summaries of a cell to this many other cells at a distance. It grows with their number, so that
+/// the message rate of a gateway does not.
 pub fn summary_pause_ms(distance: Distance, cells: usize) -> u64 {
-    let (per_cell_ms, shortest_ms) = match distance {
-        Distance::Far => (FAR_PAUSE_PER_CELL_MS, SHORTEST_FAR_PAUSE_MS),
-        _ => (REGION_PAUSE_PER_CELL_MS, SHORTEST_REGION_PAUSE_MS),
+    let (per_cell_ms, min_ms) = match distance {
+        Distance::Far => (OTHER_REGION_INTERVAL_PER_CELL_MS, MIN_OTHER_REGION_INTERVAL_MS),
+        _ => (REGION_INTERVAL_PER_CELL_MS, MIN_REGION_INTERVAL_MS),
     };
-    (per_cell_ms * cells as u64).clamp(shortest_ms, LONGEST_PAUSE_MS)
+    (per_cell_ms * cells as u64).clamp(min_ms, MAX_INTERVAL_MS)
 }
 
-/// Requests of several doors in one sum, without those at targets that are left out.
+/// Sums the requests of several gateways, without requests at targets for which `left_out` returns true.
 pub fn sum_of<'a>(
     states: impl IntoIterator<Item = &'a DoorState>,
     left_out: impl Fn(u64) -> bool,
--- a/crates/samphiredoor-core/src/placement/messages.rs
+++ b/crates/samphiredoor-core/src/placement/messages.rs
@@ -1,4 +1,4 @@
-//! What goes into the placement and what comes out.
+//! Input events and output actions of the placement.
 
 use std::{collections::HashSet, net::SocketAddr};
 
@@ -10,177 +10,177 @@
     verdict::Refusal,
 };
 
-/// What a target says of itself, or what is said of it.
+/// Whether a target accepts work, as reported by discovery.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TargetState {
-    /// Takes work.
+    /// Accepts work.
     Ready,
-    /// Finishes what it has and takes nothing new.
+    /// Draining: finishes its requests and accepts no new ones.
     Leaving,
 }
 
-/// A target as discovery knows it.
+/// Entry of a target in discovery.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TargetEntry {
-    /// Identity; a target that starts anew mostly has another one.
+    /// Unique name; a target usually gets another one when it restarts.
     pub name: Name,
     /// Service that it serves.
     pub service: Name,
-    /// Where it listens.
+    /// Address on which it accepts connections.
     pub address: SocketAddr,
-    /// Where it stands.
+    /// Region and availability zone.
     pub place: Place,
-    /// Requests that it runs at once.
+    /// Maximum number of requests that it runs at once.
     pub slots: u32,
-    /// Whether it takes work.
+    /// Whether it accepts work.
     pub state: TargetState,
-    /// Wall-clock start, in milliseconds since 1970; tells a restart under the same name.
+    /// Wall-clock start time, in milliseconds since 1970; a change means a restart under the same name.
     pub started_unix_ms: u64,
 }
 
-/// A request that wants a target.
+/// A request that needs a target.
 #[derive(Debug, Clone)]
 pub struct Ask {
-    /// Identity; not used again by this process.
+    /// Unique within this process; not reused for another request.
     pub request: RequestId,
     /// Online or batch.
     pub class: Class,
-    /// Service asked for.
+    /// Requested service.
     pub service: Name,
-    /// Urgency among online requests; 0 is the highest.
+    /// Priority among online requests; 0 is the highest.
     pub priority: u32,
-    /// Hash of the prompt's shared beginning, for routing to a target that may have it cached; 0 for none.
+    /// Hash of the prompt's shared prefix, for routing to a target that may have it cached; 0 for none.
     pub affinity: u64,
-    /// Targets on which it was tried before; others come first.
+    /// Targets of earlier attempts; other targets are preferred.
     pub tried: SmallVec<[Name; 2]>,
-    /// Monotonic time: until when an online request may wait for room, or when an item is due.
+    /// Monotonic time until which an online request may wait for capacity, or at which an item is due.
     pub until_ms: u64,
-    /// How long earlier runs of an item took, after whose last event it goes on.
+    /// Total time of earlier runs of an item; the next run resumes after their last event.
     pub ran_ms: u64,
 }
 
-/// How an attempt ended.
+/// Outcome of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// The target answered, be it with a failure of its own.
+    /// The target answered, possibly with an error.
     Answered,
-    /// The target said that it did not run the request.
+    /// The target reported that it did not run the request.
     Refused,
-    /// Another target has the address by now.
+    /// Another target now has the address.
     WrongTarget,
-    /// The connection could not be made.
+    /// The connection could not be established.
     Unreachable,
-    /// The request was sent and its answer was lost or cut.
+    /// The request was sent, and its answer was lost or truncated.
     Lost,
-    /// The request was sent, and nothing came for too long.
+    /// The request was sent, and its answer timed out.
     Silent,
-    /// Cut on this side: recalled, or its caller has gone.
+    /// Cancelled by this gateway: preempted, or its caller disconnected.
     Cut,
 }
 
-/// Load that a target tells of itself.
+/// Load that a target reports in its answers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReportedLoad {
-    /// Requests that it runs.
+    /// Requests that it is running.
     pub running: u32,
-    /// Requests that wait at it.
+    /// Requests that wait at the target for a slot.
     pub waiting: u32,
-    /// Requests that it runs at once.
+    /// Maximum number of requests that it runs at once.
     pub slots: u32,
 }
 
-/// Requests of one door at one target.
+/// Number of requests that one gateway has at one target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct DoorLoad {
-    /// Target, by [`super::key_of`].
+    /// Hash of the target's name, from [`super::key_of`].
     pub target: u64,
     /// Online requests.
     pub online: u32,
-    /// Items of jobs.
+    /// Batch items.
     pub batch: u32,
 }
 
-/// Items of one service that wait for room at one door.
+/// Number of items of one service that wait for a slot at one gateway.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct WaitingItems {
-    /// Service, by [`super::key_of`].
+    /// Hash of the service's name, from [`super::key_of`].
     pub service: u64,
-    /// How many wait.
+    /// Number of waiting items.
     pub items: u32,
 }
 
-/// What a door tells others of its requests.
+/// Requests of one gateway, as sent to its peers, or of all gateways of a cell.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct DoorState {
-    /// Requests at targets; targets without any are left out.
+    /// Requests at targets; targets without any are omitted.
     pub loads: Vec<DoorLoad>,
-    /// Items that wait; services without any are left out.
+    /// Waiting items; services without any are omitted.
     pub waiting: Vec<WaitingItems>,
 }
 
-/// What happened.
+/// Event that the placement processes.
 #[derive(Debug, Clone)]
 pub enum Input {
-    /// All targets as discovery knows them now.
+    /// All targets that discovery lists now.
     Targets(Vec<TargetEntry>),
-    /// Targets that the own cell shares, by [`super::key_of`]. Before the first one the fleet counts as one cell.
+    /// Targets assigned to the own cell, by [`super::key_of`]. Until the first such event the fleet counts as one cell.
     OwnTargets(HashSet<u64>),
-    /// A request wants a target.
+    /// A request needs a target.
     Ask(Ask),
-    /// The attempt in hand ended; said once for each [`Action::Dispatch`].
+    /// The attempt in progress ended; sent once for each [`Action::Dispatch`].
     Ended {
-        /// Which request.
+        /// Request of the attempt.
         request: RequestId,
-        /// How.
+        /// Outcome of the attempt.
         end: AttemptEnd,
     },
-    /// A request that waits is given up by its caller.
+    /// The caller no longer waits for a queued request.
     Gone {
-        /// Which request.
+        /// Request to remove from its queue.
         request: RequestId,
     },
-    /// A target told its load.
+    /// A target reported its load.
     Load {
-        /// Which target.
+        /// Target that reported.
         target: Name,
-        /// What it said.
+        /// Reported load.
         load: ReportedLoad,
     },
-    /// Another door tells its requests, or a cell those of all its doors.
+    /// A peer sent its requests, or a cell sent the summary of its gateways' requests.
     Peer {
-        /// Which door or cell.
+        /// Name of the peer or cell.
         door: Name,
-        /// Its requests.
+        /// Its requests; they replace those that it sent before.
         state: DoorState,
     },
-    /// Time passed.
+    /// Time has passed; peers that have timed out expire.
     Tick,
 }
 
-/// What to do.
+/// What the caller of the placement has to do.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
     /// Send the request to a target.
     Dispatch {
-        /// Which request.
+        /// Request to send.
         request: RequestId,
-        /// Which target.
+        /// Target that gets it.
         target: Name,
-        /// Where it listens.
+        /// Address of the target.
         address: SocketAddr,
     },
-    /// Cut the attempt in hand: online requests need its room.
+    /// Cancel the attempt in progress, because online requests need its slot.
     Recall {
-        /// Which request.
+        /// Item whose attempt is preempted.
         request: RequestId,
     },
-    /// The request gets no target; this is final.
+    /// Refuse the request for good; it has been removed from its queue.
     Refuse {
-        /// Which request.
+        /// Refused request.
         request: RequestId,
-        /// Why.
+        /// Reason of the refusal.
         reason: Refusal,
-        /// When to come back, in milliseconds.
+        /// Time after which the caller may retry, in milliseconds.
         retry_after_ms: u64,
     },
 }
