--- a/crates/samphiredoor-core/src/ordered/codec.rs
+++ b/crates/samphiredoor-core/src/ordered/codec.rs
@@ -1,4 +1,4 @@
-//! Reading and writing the stored objects of ordered jobs.
+//! JSON encoding and decoding of the stored objects of ordered jobs.
 
 use std::sync::Arc;
 
@@ -13,29 +13,30 @@
     store::{Stored, Value},
 };
 
-/// Bytes of a submission in one part; an object holds a megabyte, and escapes within text take some of it.
+/// Maximum bytes of a submission in one part. A stored object holds a megabyte, and JSON escapes take some of it.
 pub const PART_BYTES: usize = 600_000;
+/// Version of the layout of all stored objects of a job.
 const FORMAT: u32 = 1;
 
-/// The process that works on a job.
+/// Process that runs a job's items.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct JobOwner {
     /// Name of the process.
     pub process: String,
-    /// Which start of it.
+    /// Number that distinguishes restarts of the process.
     pub incarnation: u64,
 }
 
-/// What is kept of a job beside its items and results.
+/// Stored header of a job: everything beside its items and results.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct JobHeader {
-    /// Layout of the object.
+    /// Version of the object's layout.
     pub format: u32,
-    /// Host that the submission named, which its items are sent under.
+    /// Host of the submission, under which its items are sent.
     pub host: String,
-    /// Path of the submission; its route is looked up anew when an item runs.
+    /// Path of the submission; its route is looked up again for each run of an item.
     pub path: String,
     /// Number of items.
     pub items: u32,
@@ -43,38 +44,38 @@
     pub parts: u32,
     /// Digest of the submission.
     pub digest: String,
-    /// Version of the routes under which it was accepted; a process that has only older ones cannot tell its route.
+    /// Version of the routes under which the job was accepted; a process with only older ones cannot determine its route.
     #[serde(default)]
     pub routes_version: u64,
-    /// Failures at targets after which an item is given up.
+    /// Number of failures at targets after which an item fails for good.
     pub attempts: u32,
     /// Wall-clock time of acceptance, in milliseconds since 1970.
     pub accepted_unix_ms: u64,
-    /// When all results are due.
+    /// Wall-clock time at which all results are due.
     pub due_unix_ms: u64,
-    /// From when on items may be given up.
+    /// Wall-clock time from which unfinished items may be given up.
     pub give_up_unix_ms: u64,
-    /// Who works on it; a hint.
+    /// Process that runs its items; only a hint, the log stays correct with several.
     pub owner: JobOwner,
-    /// Whether all items are listed, so that nobody needs to take the job.
+    /// Whether no work is left: all results are in the log, or the job was ended. No process takes it over then.
     pub finished: bool,
-    /// Last owner that lost the job without handing it over; as long as it lives it may still append.
+    /// Last owner that lost the job without handing it over; it may append results as long as it runs.
     #[serde(default)]
     pub former: Option<JobOwner>,
 }
 
 impl JobHeader {
-    /// Layout that this version writes.
+    /// Layout version that this build writes.
     pub const FORMAT: u32 = FORMAT;
 
-    /// Text of the header.
+    /// Encodes the header as a stored value.
     pub fn value(&self) -> Value {
         to_value(self)
     }
 }
 
 fn to_value<T: Serialize>(content: &T) -> Value {
-    // Plain structs of text and numbers: writing them as JSON cannot fail.
+    // Structs of plain strings and numbers; serialising them to JSON cannot fail.
     serde_json::to_vec(content).unwrap_or_default().into()
 }
 
@@ -91,11 +92,11 @@
     }
 }
 
-/// Reads a job's header.
+/// Decodes a job's header.
 ///
 /// # Errors
 ///
-/// Why it cannot be read.
+/// Fails if the value is corrupt or of another layout version.
 pub fn read_header(stored: &Stored) -> Result<JobHeader, Unreadable> {
     read(&stored.value)
 }
@@ -106,7 +107,7 @@
     text: String,
 }
 
-/// Cuts the text of a submission into parts that fit into objects.
+/// Splits the text of a submission into encoded parts that fit into stored objects.
 pub fn cut_parts(text: &str) -> Vec<Value> {
     let mut parts = Vec::new();
     let mut rest = text;
@@ -118,11 +119,11 @@
     parts
 }
 
-/// Reads the text of one part.
+/// Decodes the text of one part.
 ///
 /// # Errors
 ///
-/// Why it cannot be read.
+/// Fails if the value is corrupt or of another layout version.
 pub fn read_part(stored: &Stored) -> Result<String, Unreadable> {
     read::<Part>(&stored.value).map(|it| it.text)
 }
@@ -143,16 +144,16 @@
     outputs: Vec<OutputPart>,
 }
 
-/// What one segment adds to a job.
+/// Content of one segment of a job's log.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Segment {
     /// Results, in the order of their positions.
     pub results: Vec<ItemResult>,
-    /// What items have put out that still run.
+    /// Partial outputs of items that were still running.
     pub outputs: Vec<OutputPart>,
 }
 
-/// Text of a segment.
+/// Encodes a segment as a stored value.
 pub(super) fn segment_value(results: &[ItemResult], outputs: &[OutputPart]) -> Value {
     let results = results.iter().map(|it| SegmentItem {
         item: it.item,
@@ -164,11 +165,11 @@
     to_value(&StoredSegment { format: FORMAT, results, outputs })
 }
 
-/// Reads a segment.
+/// Decodes a segment.
 ///
 /// # Errors
 ///
-/// Why it cannot be read.
+/// Fails if the value is corrupt or of another layout version.
 pub fn read_segment(stored: &Stored) -> Result<Segment, Unreadable> {
     let segment: StoredSegment = read(&stored.value)?;
     let results = segment.results.into_iter().map(|it| ItemResult {
--- a/crates/samphiredoor-core/src/ordered/items.rs
+++ b/crates/samphiredoor-core/src/ordered/items.rs
@@ -1,66 +1,69 @@
-//! Which items of a job wait, run and are over, and what a failure means.
+//! The items of a job: what follows from the outcome of each run, and when a failed item is tried again.
 
 use std::{collections::BTreeMap, sync::Arc};
 
 use super::job::{Item, ItemResult, Outcome};
 
-/// First pause before an item is tried again; doubles with each try.
-const FIRST_PAUSE_MS: u64 = 100;
-/// Longest pause between two tries: an item is due in tens of seconds.
-const LONGEST_PAUSE_MS: u64 = 2_000;
+/// First backoff before an item is tried again; it doubles with each retry.
+const FIRST_BACKOFF_MS: u64 = 100;
+/// Longest backoff between two tries; short because items are due within tens of seconds.
+const MAX_BACKOFF_MS: u64 = 2_000;
 
-/// How a run of an item ended.
+/// Outcome of a run of an item.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ItemEnd {
     /// All events arrived; their data in order, separated by line feeds.
     Completed {
-        /// The output.
+        /// Whole output of the item.
         text: Arc<str>,
     },
-    /// The target ran it and failed.
+    /// The target ran the item and failed.
     Failed,
-    /// The target says that it can never be done.
+    /// The target reported that the item can never succeed.
     Impossible,
-    /// It did not run, or its answer was lost.
+    /// The item did not run, or its answer was lost.
     NoAnswer,
-    /// No route allows it any more.
+    /// No route allows the item any more.
     NoRoute,
 }
 
 /// What follows from the end of a run.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ItemStep {
-    /// The item is over.
+    /// The item has its final result.
     Record(ItemResult),
-    /// Run it again after a pause.
+    /// Run the item again after a backoff.
     Again {
-        /// Length of the pause.
+        /// Length of the backoff.
         pause_ms: u64,
     },
 }
 
 #[derive(Debug, Default)]
 struct Tries {
+    /// Runs that failed at a target.
     failed: u32,
+    /// Runs without an answer.
     unanswered: u32,
 }
 
-/// The items of one job and their tries.
+/// The items of one job, and how often each was tried.
 #[derive(Debug)]
 pub struct Items {
     items: Vec<Arc<Item>>,
+    /// Number of failures at targets after which an item fails for good.
     attempts: u32,
     tries: BTreeMap<u32, Tries>,
 }
 
 impl Items {
-    /// Items, each of which may fail this many times at targets.
+    /// Creates the state of these items, each of which fails for good after this many failures at targets.
     pub fn new(items: Vec<Item>, attempts: u32) -> Items {
         let items = items.into_iter().map(Arc::new).collect();
         Items { items, attempts: attempts.max(1), tries: BTreeMap::new() }
     }
 
-    /// One item.
+    /// Item with an index.
     pub fn get(&self, item: u32) -> Option<&Arc<Item>> {
         self.items.get(item as usize)
     }
@@ -70,19 +73,19 @@
         self.items.len() as u32
     }
 
-    /// Whether there is none.
+    /// Whether the job has no item.
     pub fn is_empty(&self) -> bool {
         self.items.is_empty()
     }
 
-    /// Item of a name.
+    /// Index of an item by its name, and the item.
     pub fn find(&self, id: &str) -> Option<(u32, &Arc<Item>)> {
         let at = self.items.iter().position(|it| &*it.id == id)?;
         Some((at as u32, &self.items[at]))
     }
 
-    /// Takes the end of a run. Only answers of targets count as tries: what was lost on the way says nothing about the
-    /// item.
+    /// Records the outcome of a run. Only failures reported by targets count against the limit: a lost answer is no evidence
+    /// about the item.
     pub fn ended(&mut self, item: u32, end: ItemEnd) -> ItemStep {
         let tries = self.tries.entry(item).or_default();
         match end {
@@ -92,17 +95,17 @@
                 tries.failed += 1;
                 match tries.failed >= self.attempts {
                     true => self.give_up(item),
-                    false => ItemStep::Again { pause_ms: pause_ms(tries.failed) },
+                    false => ItemStep::Again { pause_ms: backoff_ms(tries.failed) },
                 }
             }
             ItemEnd::NoAnswer => {
                 tries.unanswered += 1;
-                ItemStep::Again { pause_ms: pause_ms(tries.unanswered) }
+                ItemStep::Again { pause_ms: backoff_ms(tries.unanswered) }
             }
         }
     }
 
-    /// Result of an item that is given up.
+    /// Failed result of an item that is given up, with an empty text.
     pub fn give_up(&self, item: u32) -> ItemStep {
         self.record(item, Outcome::Failed, Arc::from(""))
     }
@@ -113,6 +116,6 @@
     }
 }
 
-fn pause_ms(tries: u32) -> u64 {
-    (FIRST_PAUSE_MS << tries.saturating_sub(1).min(5)).min(LONGEST_PAUSE_MS)
+fn backoff_ms(tries: u32) -> u64 {
+    (FIRST_BACKOFF_MS << tries.saturating_sub(1).min(5)).min(MAX_BACKOFF_MS)
 }
--- a/crates/samphiredoor-core/src/ordered/job.rs
+++ b/crates/samphiredoor-core/src/ordered/job.rs
@@ -1,4 +1,4 @@
-//! What a job is made of, and the names of its objects.
+//! Items and results of a job, and the keys of its stored objects.
 
 use std::sync::Arc;
 
@@ -7,10 +7,10 @@
     store::{Kind, ObjectKey},
 };
 
-/// Name of a job, as its caller gave it.
+/// Name of a job, as given by its caller.
 pub type JobName = Name;
 
-/// One item as it was submitted.
+/// One item of a submission.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Item {
     /// Name of the item, unique within its job.
@@ -19,27 +19,27 @@
     pub path: String,
     /// Headers of its request.
     pub headers: Vec<(String, String)>,
-    /// Body, still in the text form in which it came.
+    /// Body, still in the text encoding of the submission.
     pub encoded_body: String,
 }
 
-/// How an item ended.
+/// Final outcome of an item.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// With its whole output.
+    /// The whole output is in the result.
     Completed,
-    /// Without; it will not be run again.
+    /// Failed without a whole output; the item is not run again.
     Failed,
 }
 
 /// Result of one item.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ItemResult {
-    /// Item by its place in the submission.
+    /// Index of the item in the submission.
     pub item: u32,
     /// Name of the item.
     pub id: Arc<str>,
-    /// How it ended.
+    /// Final outcome.
     pub outcome: Outcome,
     /// Data of all its events in order, separated by line feeds.
     pub text: Arc<str>,
@@ -50,7 +50,8 @@
     ObjectKey::new(Kind::OrderedJob, job)
 }
 
-/// Key of one part of a submission. The digest keeps apart two submissions under one name, of which one is accepted.
+/// Key of one part of a submission. The digest separates two submissions under the same job name, of which only one is
+/// accepted.
 pub fn part_key(job: &str, digest: &str, part: u32) -> ObjectKey {
     ObjectKey::new(Kind::JobPart, format!("{job}-{digest}-{part}"))
 }
@@ -60,7 +61,7 @@
     ObjectKey::new(Kind::JobSegment, format!("{job}-{segment:05}"))
 }
 
-/// Key of the object that ends a job.
+/// Key of the object by which a caller ends a job.
 pub fn end_key(job: &str) -> ObjectKey {
     ObjectKey::new(Kind::JobEnd, job)
 }
--- a/crates/samphiredoor-core/src/ordered/log.rs
+++ b/crates/samphiredoor-core/src/ordered/log.rs
@@ -1,107 +1,111 @@
-//! The log of a job's results, as one of its writers sees it.
+//! The log of a job's results, from the view of one writer.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::{
     codec::{self, Segment},
     job::{ItemResult, JobName, segment_key},
-    outputs::{KeptOutputs, OUTPUT_BYTES, OutputPart, PartialOutput},
+    outputs::{OUTPUT_BYTES, OutputPart, PartialOutput, PartialOutputs},
 };
 use crate::store::{Labels, StoreAnswer, StoreOp};
 
-/// Bytes of texts in one segment; an object holds a megabyte, and escapes within texts take some of it.
+/// Maximum bytes of result texts in one segment. A stored object holds a megabyte, and JSON escapes take some of it.
 const SEGMENT_BYTES: usize = 500_000;
 
-/// What a log needs next.
+/// What a log has to do next.
 #[derive(Debug, Clone, PartialEq)]
 pub enum LogStep {
-    /// Make this call and report its answer.
+    /// Make this store call and pass its answer to [`ResultLog::answered`].
     Store(StoreOp),
-    /// The store is of no help now; step again after a pause.
+    /// The store is unavailable, or a segment cannot be read; step again after a backoff.
     Pause,
-    /// Nothing to do until there is another result.
+    /// Nothing to do until there is another result or output.
     Idle,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Next {
-    /// Read the next segment, which may stand.
+    /// Read the next segment, which another writer may have created.
     Read,
-    /// All segments that stood are read; append.
+    /// All existing segments have been read; append.
     Append,
 }
 
-/// A job's results: those that stand, and those that this process wants to append.
+/// A job's results: those committed to the stored log, and those that this process has yet to append.
 ///
-/// After an answer that was lost, or a create that found the segment taken, the segment is read before anything is
-/// appended. A create that takes effect late can only put its segment where it was tried, with items that no earlier
-/// segment holds.
+/// After a lost answer, or a create that found the segment taken, the segment is read before anything is appended. A
+/// create that takes effect late can only write the segment number that it was sent with, and holds only items without a
+/// result in any earlier segment.
 #[derive(Debug)]
 pub struct ResultLog {
     job: JobName,
-    standing: Vec<ItemResult>,
-    decided: BTreeSet<u32>,
+    committed: Vec<ItemResult>,
+    /// Items that have a committed result.
+    committed_items: BTreeSet<u32>,
     pending: Vec<ItemResult>,
+    /// Number of segments read or written; the next one has this index.
     segments: u32,
     next: Next,
-    /// What the create that is in flight holds.
+    /// Content of the create in flight.
     in_flight: Segment,
-    foreign: bool,
+    other_writer_seen: bool,
+    /// Outputs of running items that are yet to be appended.
     outputs: Vec<OutputPart>,
-    kept: KeptOutputs,
+    /// Outputs of unfinished items that were read from segments.
+    partial_outputs: PartialOutputs,
 }
 
 impl ResultLog {
-    /// Log of a job that no other process can have worked on.
+    /// Creates the log of a new job, which no other process can have worked on.
     pub fn new(job: JobName) -> ResultLog {
         ResultLog {
             job,
-            standing: Vec::new(),
-            decided: BTreeSet::new(),
+            committed: Vec::new(),
+            committed_items: BTreeSet::new(),
             pending: Vec::new(),
             segments: 0,
             next: Next::Append,
             in_flight: Segment::default(),
-            foreign: false,
+            other_writer_seen: false,
             outputs: Vec::new(),
-            kept: KeptOutputs::default(),
+            partial_outputs: PartialOutputs::default(),
         }
     }
 
-    /// Log of a job that may have results.
+    /// Creates the log of a job that may have segments in the store; they are read before anything is appended.
     pub fn to_be_read(job: JobName) -> ResultLog {
         ResultLog { next: Next::Read, ..ResultLog::new(job) }
     }
 
-    /// Results that stand, in the order of their positions.
+    /// Committed results, in the order of their positions.
     pub fn standing(&self) -> &[ItemResult] {
-        &self.standing
+        &self.committed
     }
 
-    /// Whether an item's result stands.
+    /// Whether an item has a committed result.
     pub fn is_decided(&self, item: u32) -> bool {
-        self.decided.contains(&item)
+        self.committed_items.contains(&item)
     }
 
-    /// Whether every segment that stood at the first read is read.
+    /// Whether all segments that existed when the log was last read have been read.
     pub fn is_read(&self) -> bool {
         self.next == Next::Append
     }
 
-    /// Reads the next segment before anything else: another writer may have appended it. To be called while no call is in
-    /// flight.
+    /// Makes the next step read the next segment, which another writer may have appended. Must not be called while a store
+    /// call is in flight.
     pub fn reread(&mut self) {
         self.next = Next::Read;
     }
 
-    /// Whether nothing waits to be appended.
+    /// Whether no result and no output waits to be appended.
     pub fn is_settled(&self) -> bool {
         self.pending.is_empty() && self.outputs.is_empty()
     }
 
-    /// Adds what an item that still runs has put out since its last part.
+    /// Adds the output of a running item since its last part; ignored if the item has a committed result.
     pub fn push_output(&mut self, part: OutputPart) {
-        if !self.decided.contains(&part.item) {
+        if !self.committed_items.contains(&part.item) {
             self.outputs.push(part);
         }
     }
@@ -111,54 +115,54 @@
         !self.outputs.is_empty()
     }
 
-    /// Takes the outputs of items without a result that were read from segments.
+    /// Takes the partial outputs, as read from segments, of items without a committed result.
     pub fn take_kept(&mut self) -> BTreeMap<u32, PartialOutput> {
-        self.kept.take()
+        self.partial_outputs.take()
     }
 
-    /// Whether another writer was met since the last call.
+    /// Whether a segment that this log did not write has been read since the last call.
     pub fn take_foreign(&mut self) -> bool {
-        std::mem::take(&mut self.foreign)
+        std::mem::take(&mut self.other_writer_seen)
     }
 
-    /// Adds a result to append; the first one of an item counts.
+    /// Adds a result to append; ignored if the item already has one.
     pub fn push(&mut self, result: ItemResult) {
         self.outputs.retain(|it| it.item != result.item);
-        let known = self.decided.contains(&result.item);
+        let known = self.committed_items.contains(&result.item);
         if !known && self.pending.iter().all(|it| it.item != result.item) {
             self.pending.push(result);
         }
     }
 
-    /// Next call to make; one is in flight at a time.
+    /// Next step; at most one store call may be in flight at a time.
     pub fn step(&mut self) -> LogStep {
         let key = segment_key(&self.job, self.segments);
         match self.next {
             Next::Read => LogStep::Store(StoreOp::Get { key }),
             Next::Append if self.is_settled() => LogStep::Idle,
             Next::Append => {
-                self.in_flight = self.fitting();
+                self.in_flight = self.next_segment();
                 let value = codec::segment_value(&self.in_flight.results, &self.in_flight.outputs);
                 LogStep::Store(StoreOp::Create { key, labels: Labels::new(), value })
             }
         }
     }
 
-    /// Takes the answer to the call of the last [`ResultLog::step`].
+    /// Processes the answer to the store call of the last [`LogStep::Store`], and returns the next step.
     pub fn answered(&mut self, answer: &StoreAnswer) -> LogStep {
         match (self.next, answer) {
             (Next::Append, StoreAnswer::Object(_)) => {
                 let written = std::mem::take(&mut self.in_flight);
-                self.stand(written);
+                self.commit(written);
             }
             (Next::Append, StoreAnswer::Taken | StoreAnswer::Unknown) => self.next = Next::Read,
             (Next::Read, StoreAnswer::Object(stored)) => match codec::read_segment(stored) {
                 Ok(segment) => {
-                    self.foreign |= segment != self.in_flight;
+                    self.other_writer_seen |= segment != self.in_flight;
                     for part in &segment.outputs {
-                        self.kept.add(part);
+                        self.partial_outputs.add(part);
                     }
-                    self.stand(segment);
+                    self.commit(segment);
                 }
                 Err(_) => return LogStep::Pause,
             },
@@ -168,22 +172,24 @@
         self.step()
     }
 
-    fn stand(&mut self, segment: Segment) {
+    /// Adds the content of a stored segment, and removes what it makes obsolete.
+    fn commit(&mut self, segment: Segment) {
         for result in &segment.results {
-            self.decided.insert(result.item);
-            self.kept.remove(result.item);
+            self.committed_items.insert(result.item);
+            self.partial_outputs.remove(result.item);
         }
-        self.pending.retain(|it| !self.decided.contains(&it.item));
-        let stands = |it: &OutputPart| segment.outputs.contains(it);
-        self.outputs.retain(|it| !self.decided.contains(&it.item) && !stands(it));
+        self.pending.retain(|it| !self.committed_items.contains(&it.item));
+        let is_stored = |it: &OutputPart| segment.outputs.contains(it);
+        self.outputs.retain(|it| !self.committed_items.contains(&it.item) && !is_stored(it));
         self.in_flight = Segment::default();
-        self.standing.extend(segment.results);
+        self.committed.extend(segment.results);
         self.segments += 1;
     }
 
-    fn fitting(&self) -> Segment {
-        let results = fitting(self.pending.iter().map(|it| it.text.len()), SEGMENT_BYTES);
-        let outputs = fitting(self.outputs.iter().map(|it| it.text.len()), OUTPUT_BYTES);
+    /// Content of the next segment: as much of what waits as fits.
+    fn next_segment(&self) -> Segment {
+        let results = count_fitting(self.pending.iter().map(|it| it.text.len()), SEGMENT_BYTES);
+        let outputs = count_fitting(self.outputs.iter().map(|it| it.text.len()), OUTPUT_BYTES);
         Segment {
             results: self.pending[..results].to_vec(),
             outputs: self.outputs[..outputs].to_vec(),
@@ -191,8 +197,8 @@
     }
 }
 
-/// How many of these texts, by their bytes, fit into a limit; at least one if there is one.
-fn fitting(bytes: impl ExactSizeIterator<Item = usize>, limit: usize) -> usize {
+/// How many of these texts, given by their sizes in bytes, fit into a limit; at least one if there is one.
+fn count_fitting(bytes: impl ExactSizeIterator<Item = usize>, limit: usize) -> usize {
     let least = bytes.len().min(1);
     let mut sum = 0;
     let fits = bytes.take_while(|it| {
--- a/crates/samphiredoor-core/src/ordered/mod.rs
+++ b/crates/samphiredoor-core/src/ordered/mod.rs
@@ -1,15 +1,15 @@
-//! Jobs whose results come in one order that never moves.
+//! Batch jobs whose results have a stable order: a result never changes its position.
 //!
-//! A job is a small header, immutable parts that hold its submission, and a log of its results. The log is a row of
-//! immutable segments, numbered without gaps, each created by conditional create. Whoever wants to append segment `n`
-//! must have read all before it, and only one create of `n` can succeed; so however many processes believe that they
-//! own the job, no item stands twice and no position ever changes. Ownership only keeps the work from being done twice.
+//! A job is a small header, immutable parts that hold its submission, and a log of its results. The log is a sequence of
+//! immutable segments, numbered without gaps, each written by conditional create. A writer appends segment `n` only after
+//! it has read all segments before it, and only one create of `n` can succeed. So no item gets two results and no position
+//! ever changes, even if several processes act as the job's owner. Ownership only avoids duplicate work.
 //!
-//! The log also keeps what items have put out that are not done (`outputs`): an item goes on after its last event wherever
-//! it runs next. That, too, is no part of what must hold.
+//! The log also holds partial outputs of items that are still running (`outputs`), so that an item resumes after its last
+//! event wherever it runs next. Like ownership, this only saves work; correctness does not depend on it.
 //!
-//! The names of all objects begin with the job's name. A job is ended by its caller with an object of its own, so that
-//! every process can watch the few ends there are.
+//! The names of all objects begin with the job's name. A caller ends a job by a separate object, so that every process can
+//! watch these few objects alone.
 
 mod codec;
 mod items;
--- a/crates/samphiredoor-core/src/ordered/outputs.rs
+++ b/crates/samphiredoor-core/src/ordered/outputs.rs
@@ -1,26 +1,27 @@
-//! What items have put out before they are done, as the log keeps it.
+//! Partial outputs of unfinished items, as saved in the result log.
 //!
-//! A process that is killed takes with it what its runs have put out, and on a full fleet a hundred items are half done.
-//! So the log's segments carry, beside results, the events that came since the segment before. Whoever takes the job
-//! reads the log anyway, and its runs go on after the last event that stands there. Nothing depends on it: an output that
-//! is missing or does not fit to what stands costs a run from the beginning.
+//! The output of a run is in memory only, and is lost when its process is killed; on a fully loaded fleet a hundred items
+//! are half done at that time. Therefore the log's segments hold, beside results, the events received since the segment
+//! before. A process that takes over the job reads the log anyway, and its runs resume after the last saved event.
+//! Correctness does not depend on this: an output that is missing, or that does not continue the saved one, costs a run
+//! from the beginning.
 //!
-//! Gain: where all targets are full and all gateways are killed at once, a tenth of the work need not be done again.
+//! When all targets are full and all gateways are killed at once, this saves a tenth of the work from being done again.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
-/// Bytes of outputs in one segment, beside its results.
+/// Maximum bytes of partial outputs in one segment, in addition to its results.
 pub(super) const OUTPUT_BYTES: usize = 250_000;
 
-/// Events of an item that came after those of an earlier part.
+/// Events of an item that follow those of an earlier part.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct OutputPart {
-    /// Item by its place in the submission.
+    /// Index of the item in the submission.
     pub item: u32,
-    /// Number of the last event of the part before; `None` for the first part.
+    /// Number of the last event of the previous part; `None` for the first part.
     pub after: Option<u64>,
     /// Number of the last event of this part.
     pub last: u64,
@@ -28,23 +29,23 @@
     pub text: String,
 }
 
-/// Output of an item as far as it is kept.
+/// Saved output of an unfinished item.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PartialOutput {
-    /// Number of the last event.
+    /// Number of the last saved event.
     pub last: u64,
-    /// Data of the events so far, separated by line feeds.
+    /// Data of all events up to the last, separated by line feeds.
     pub text: String,
 }
 
-/// Outputs that were read from a log.
+/// Partial outputs that were read from a log, by item.
 #[derive(Debug, Default)]
-pub(super) struct KeptOutputs {
+pub(super) struct PartialOutputs {
     by_item: BTreeMap<u32, PartialOutput>,
 }
 
-impl KeptOutputs {
-    /// Adds a part that goes on where the known output ends; any other is of no use.
+impl PartialOutputs {
+    /// Adds a part that continues the known output; a first part that reaches further replaces it, others are ignored.
     pub fn add(&mut self, part: &OutputPart) {
         let (item, last, text) = (part.item, part.last, &part.text);
         match (self.by_item.get_mut(&item), part.after) {
@@ -62,12 +63,12 @@
         }
     }
 
-    /// Forgets an item whose result stands.
+    /// Drops the output of an item that has a committed result.
     pub fn remove(&mut self, item: u32) {
         self.by_item.remove(&item);
     }
 
-    /// Takes all outputs.
+    /// Takes all partial outputs.
     pub fn take(&mut self) -> BTreeMap<u32, PartialOutput> {
         std::mem::take(&mut self.by_item)
     }
