--- a/crates/samphiredoor-core/tests/ordered/items.rs
+++ b/crates/samphiredoor-core/tests/ordered/items.rs
@@ -1,4 +1,4 @@
-//! What the end of a run means for its item.
+//! What follows for an item from the outcome of a run: a result, or a retry after a backoff.
 
 use std::sync::Arc;
 
@@ -14,7 +14,7 @@
     Items::new(vec![item], attempts)
 }
 
-macro_rules! ends {
+macro_rules! outcome_tests {
     ($($name:ident: $ends:expr => $outcome:expr;)*) => {
         $(
             #[test]
@@ -22,7 +22,7 @@
                 let mut items = items(3);
                 let mut outcome = None;
                 for end in $ends {
-                    assert_eq!(outcome, None, "an item that is over is not run again");
+                    assert_eq!(outcome, None, "an item with a final result is not run again");
                     if let ItemStep::Record(result) = items.ended(0, end) {
                         outcome = Some(result.outcome);
                     }
@@ -33,25 +33,25 @@
     };
 }
 
-ends! {
-    a_whole_output_completes: [ItemEnd::Completed { text: Arc::from("text") }] => Some(Outcome::Completed);
-    failures_are_tried_again: [ItemEnd::Failed, ItemEnd::Failed] => None;
-    as_many_failures_as_attempts_are_final: [ItemEnd::Failed, ItemEnd::Failed, ItemEnd::Failed]
+outcome_tests! {
+    a_whole_output_completes_the_item: [ItemEnd::Completed { text: Arc::from("text") }] => Some(Outcome::Completed);
+    failures_below_the_limit_are_retried: [ItemEnd::Failed, ItemEnd::Failed] => None;
+    as_many_failures_as_attempts_fail_the_item: [ItemEnd::Failed, ItemEnd::Failed, ItemEnd::Failed]
         => Some(Outcome::Failed);
-    an_impossible_item_is_not_tried_again: [ItemEnd::Impossible] => Some(Outcome::Failed);
-    an_item_without_a_route_is_over: [ItemEnd::NoRoute] => Some(Outcome::Failed);
-    lost_answers_say_nothing_of_the_item: vec![ItemEnd::NoAnswer; 50] => None;
+    an_impossible_item_fails_without_a_retry: [ItemEnd::Impossible] => Some(Outcome::Failed);
+    an_item_without_a_route_fails: [ItemEnd::NoRoute] => Some(Outcome::Failed);
+    lost_answers_do_not_count_as_failures: vec![ItemEnd::NoAnswer; 50] => None;
 }
 
 #[test]
-fn pauses_grow_and_are_bounded() {
+fn backoff_grows_up_to_a_limit() {
     let mut items = items(3);
-    let mut pauses = Vec::new();
+    let mut backoffs = Vec::new();
     for _ in 0..10 {
         if let ItemStep::Again { pause_ms } = items.ended(0, ItemEnd::NoAnswer) {
-            pauses.push(pause_ms);
+            backoffs.push(pause_ms);
         }
     }
-    assert!(pauses.is_sorted());
-    assert_eq!((pauses[0], pauses[9]), (100, 2_000));
+    assert!(backoffs.is_sorted());
+    assert_eq!((backoffs[0], backoffs[9]), (100, 2_000));
 }
--- a/crates/samphiredoor-core/tests/ordered/log.rs
+++ b/crates/samphiredoor-core/tests/ordered/log.rs
@@ -1,6 +1,6 @@
-//! Several processes believe that they own one job and append to its log. The store loses answers, and calls take effect
-//! long after they were given up. Positions must never move, no item may stand twice, and an output that is read back is the
-//! beginning of what its item puts out.
+//! Several processes append to the log of one job as its owner, while the store loses answers and calls take effect long
+//! after they timed out. Positions must never change, no item may have two results, and a partial output that is read back
+//! must be a prefix of the item's output.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -18,24 +18,24 @@
 const ITEMS: u32 = 12;
 
 #[derive(Debug, Clone, Copy)]
-enum Fate {
-    /// Done and answered.
+enum CallOutcome {
+    /// Takes effect and is answered.
     Answered,
-    /// Done, and the answer is lost.
-    Unanswered,
-    /// Not answered, and done later.
-    Late,
-    /// Refused.
+    /// Takes effect, but its answer is lost.
+    AnswerLost,
+    /// Is not answered, and takes effect later.
+    Delayed,
+    /// Is refused without effect.
     Refused,
 }
 
 #[derive(Debug, Clone)]
 enum Step {
     Push(usize, u32),
-    /// The item puts out one more event, which is given to the log.
+    /// The item emits one more event, which is pushed to the log.
     Output(usize, u32),
-    Call(usize, Fate),
-    TakeEffect,
+    Call(usize, CallOutcome),
+    ApplyDelayed,
     Reread(usize),
     Restart(usize),
 }
@@ -43,7 +43,8 @@
 #[derive(Default)]
 struct Store {
     objects: BTreeMap<String, Value>,
-    late: Vec<StoreOp>,
+    /// Unanswered calls that are yet to take effect.
+    delayed: Vec<StoreOp>,
 }
 
 impl Store {
@@ -60,7 +61,7 @@
                 self.objects.insert(key.name.to_string(), value.clone());
                 StoreAnswer::Object(stored(&key.name, value))
             }
-            other => panic!("a log never makes {other:?}"),
+            other => panic!("unexpected store call: {other:?}"),
         }
     }
 }
@@ -72,8 +73,9 @@
 
 struct Writer {
     log: ResultLog,
-    /// Call in hand, as its last step gave it.
+    /// Last step that the log returned.
     step: LogStep,
+    /// Committed results at the last check.
     seen: Vec<ItemResult>,
     /// Last event of each item that this writer runs; `None` before the log is read.
     events: Option<BTreeMap<u32, u64>>,
@@ -86,23 +88,23 @@
         Writer { log, step, seen: Vec::new(), events: None }
     }
 
-    /// Runs an item for one event more, from what the log has kept of it on.
-    fn output(&mut self, item: u32) {
+    /// Runs an item for one more event, resuming from its saved output.
+    fn emit_event(&mut self, item: u32) {
         if !self.log.is_read() {
             return;
         }
         let log = &mut self.log;
-        let events = self.events.get_or_insert_with(|| last_events(log));
+        let events = self.events.get_or_insert_with(|| last_saved_events(log));
         let after = events.get(&item).copied();
         let last = after.unwrap_or(0) + 1;
         events.insert(item, last);
         log.push_output(OutputPart { item, after, last, text: event(last) });
     }
 
-    /// What a reader was told stays a beginning of what stands.
-    fn check(&mut self) {
+    /// Checks that earlier reads are a prefix of the committed results.
+    fn check_positions(&mut self) {
         let standing = self.log.standing();
-        assert!(standing.starts_with(&self.seen), "a position moved");
+        assert!(standing.starts_with(&self.seen), "a position changed");
         self.seen = standing.to_vec();
     }
 }
@@ -111,8 +113,8 @@
     format!("<{number}>")
 }
 
-/// Last events of the outputs that a log has kept, each of which has to be whole up to there.
-fn last_events(log: &mut ResultLog) -> BTreeMap<u32, u64> {
+/// Last event of each partial output that a log has read; checks that the output is complete up to it.
+fn last_saved_events(log: &mut ResultLog) -> BTreeMap<u32, u64> {
     let last = |(item, PartialOutput { last, text })| {
         assert_eq!(text, (1..=last).map(event).collect::<String>(), "item {item}");
         (item, last)
@@ -130,40 +132,40 @@
 }
 
 fn step() -> impl Strategy<Value = Step> {
-    let fate = prop::sample::select(vec![
-        Fate::Answered,
-        Fate::Answered,
-        Fate::Answered,
-        Fate::Unanswered,
-        Fate::Late,
-        Fate::Refused,
+    let outcome = prop::sample::select(vec![
+        CallOutcome::Answered,
+        CallOutcome::Answered,
+        CallOutcome::Answered,
+        CallOutcome::AnswerLost,
+        CallOutcome::Delayed,
+        CallOutcome::Refused,
     ]);
     prop_oneof![
         4 => (0..WRITERS, 0..ITEMS).prop_map(|(writer, item)| Step::Push(writer, item)),
         4 => (0..WRITERS, 0..ITEMS).prop_map(|(writer, item)| Step::Output(writer, item)),
-        8 => (0..WRITERS, fate).prop_map(|(writer, fate)| Step::Call(writer, fate)),
-        2 => Just(Step::TakeEffect),
+        8 => (0..WRITERS, outcome).prop_map(|(writer, outcome)| Step::Call(writer, outcome)),
+        2 => Just(Step::ApplyDelayed),
         1 => (0..WRITERS).prop_map(Step::Reread),
         1 => (0..WRITERS).prop_map(Step::Restart),
     ]
 }
 
-fn call(store: &mut Store, writer: &mut Writer, fate: Fate) {
+fn call(store: &mut Store, writer: &mut Writer, outcome: CallOutcome) {
     if !matches!(writer.step, LogStep::Store(_)) {
         writer.step = writer.log.step();
     }
     let LogStep::Store(op) = writer.step.clone() else { return };
-    let answer = match fate {
-        Fate::Answered => store.apply(&op),
-        Fate::Unanswered => {
+    let answer = match outcome {
+        CallOutcome::Answered => store.apply(&op),
+        CallOutcome::AnswerLost => {
             store.apply(&op);
             StoreAnswer::Unknown
         }
-        Fate::Late => {
-            store.late.push(op);
+        CallOutcome::Delayed => {
+            store.delayed.push(op);
             StoreAnswer::Unknown
         }
-        Fate::Refused => StoreAnswer::Unavailable,
+        CallOutcome::Refused => StoreAnswer::Unavailable,
     };
     writer.step = writer.log.answered(&answer);
 }
@@ -174,10 +176,10 @@
     for step in steps {
         match step {
             Step::Push(writer, item) => writers[writer].log.push(result(writer, item)),
-            Step::Output(writer, item) => writers[writer].output(item),
-            Step::Call(writer, fate) => call(&mut store, &mut writers[writer], fate),
-            Step::TakeEffect => {
-                if let Some(op) = store.late.pop() {
+            Step::Output(writer, item) => writers[writer].emit_event(item),
+            Step::Call(writer, outcome) => call(&mut store, &mut writers[writer], outcome),
+            Step::ApplyDelayed => {
+                if let Some(op) = store.delayed.pop() {
                     store.apply(&op);
                 }
             }
@@ -187,31 +189,31 @@
             Step::Reread(_) => {}
             Step::Restart(writer) => writers[writer] = Writer::new(),
         }
-        writers.iter_mut().for_each(Writer::check);
+        writers.iter_mut().for_each(Writer::check_positions);
     }
-    for op in std::mem::take(&mut store.late) {
+    for op in std::mem::take(&mut store.delayed) {
         store.apply(&op);
     }
     check_outputs(&mut store);
-    check_end(&mut store);
+    check_completion(&mut store);
 }
 
 fn check_outputs(store: &mut Store) {
     let mut reader = Writer::new();
     while !reader.log.is_read() {
-        call(store, &mut reader, Fate::Answered);
+        call(store, &mut reader, CallOutcome::Answered);
     }
-    last_events(&mut reader.log);
+    last_saved_events(&mut reader.log);
 }
 
-/// Whoever reads all at the end finds each item once, and can finish the job.
-fn check_end(store: &mut Store) {
+/// Checks that a new writer can finish the job, and that each item then has one result.
+fn check_completion(store: &mut Store) {
     let mut last = Writer::new();
     for item in 0..ITEMS {
         last.log.push(result(WRITERS, item));
     }
     for _ in 0..200 {
-        call(store, &mut last, Fate::Answered);
+        call(store, &mut last, CallOutcome::Answered);
     }
     let mut items: Vec<u32> = last.log.standing().iter().map(|it| it.item).collect();
     items.sort();
@@ -219,7 +221,7 @@
 }
 
 #[test]
-fn positions_never_move_whoever_writes() {
+fn positions_never_change_with_concurrent_writers() {
     let cases = std::env::var("SAMPHIREDOOR_CASES").ok().and_then(|it| it.parse().ok());
     let config =
         Config { cases: cases.unwrap_or(600), failure_persistence: None, ..Config::default() };
@@ -234,38 +236,38 @@
         .unwrap();
 }
 
-// A job is taken while its former owner still appends. The next owner must find that segment before it tells a reader
-// that there is no more.
+// A process takes over a job while the former owner still appends. The next owner must read that segment before it answers
+// a reader that there are no more results.
 #[test]
-fn a_reread_finds_what_a_former_owner_appended() {
+fn a_reread_finds_a_segment_of_the_former_owner() {
     let mut store = Store::default();
     let (mut former, mut next) = (Writer::new(), Writer::new());
-    call(&mut store, &mut next, Fate::Answered);
-    call(&mut store, &mut former, Fate::Answered);
+    call(&mut store, &mut next, CallOutcome::Answered);
+    call(&mut store, &mut former, CallOutcome::Answered);
     former.log.push(result(0, 4));
-    call(&mut store, &mut former, Fate::Answered);
+    call(&mut store, &mut former, CallOutcome::Answered);
     assert!(next.log.standing().is_empty());
     next.log.reread();
-    call(&mut store, &mut next, Fate::Answered);
+    call(&mut store, &mut next, CallOutcome::Answered);
     assert_eq!(next.log.standing(), former.log.standing());
     assert!(next.log.take_foreign());
 }
 
-// An owner is killed while its items are half done. What they had put out stands in the log, in several parts, and the next
-// owner goes on from there.
+// An owner is killed while its items are half done. Their outputs so far are in the log in several parts, and the next owner
+// resumes from the last committed one.
 #[test]
-fn outputs_are_read_back_as_far_as_they_stand() {
+fn partial_outputs_are_read_back_up_to_the_last_committed_part() {
     let mut store = Store::default();
     let mut owner = Writer::new();
-    call(&mut store, &mut owner, Fate::Answered);
+    call(&mut store, &mut owner, CallOutcome::Answered);
     for events in [3, 2] {
-        (0..events).for_each(|_| owner.output(7));
-        call(&mut store, &mut owner, Fate::Answered);
+        (0..events).for_each(|_| owner.emit_event(7));
+        call(&mut store, &mut owner, CallOutcome::Answered);
     }
-    owner.output(7);
+    owner.emit_event(7);
     let mut next = Writer::new();
     while !next.log.is_read() {
-        call(&mut store, &mut next, Fate::Answered);
+        call(&mut store, &mut next, CallOutcome::Answered);
     }
-    assert_eq!(last_events(&mut next.log), BTreeMap::from([(7, 5)]));
+    assert_eq!(last_saved_events(&mut next.log), BTreeMap::from([(7, 5)]));
 }
--- a/crates/samphiredoor-core/tests/ordered/main.rs
+++ b/crates/samphiredoor-core/tests/ordered/main.rs
@@ -1,4 +1,4 @@
-//! Tests of ordered jobs: several writers of one log against a store that loses answers, and what item ends mean.
+//! Tests of ordered jobs: concurrent writers of one log on a store that loses answers, and retries of items.
 
 mod items;
 mod log;
