--- a/crates/samphiredoor-core/tests/placement/cells.rs
+++ b/crates/samphiredoor-core/tests/placement/cells.rs
@@ -1,4 +1,4 @@
-//! Which doors and targets make up a cell, whatever the fleet.
+//! Partition of gateways and targets into cells, for random fleets, and the loads that cells send each other.
 
 use std::collections::{BTreeMap, HashSet};
 
@@ -17,15 +17,16 @@
 const SEED: [u8; 32] = *b"samphiredoor-placement-cells-xx-";
 const ZONES: [(&str, &str); 4] =
     [("brisbane", "north"), ("brisbane", "south"), ("cairns", "port"), ("cairns", "beaches")];
-/// A small fleet tells everybody everything; cells of a large one are no larger.
+/// Largest fleet that is one cell, in which every gateway sends all its loads to every other one; also the maximum size of
+/// a cell in a larger fleet.
 const SMALL_FLEET: usize = 12;
 
 fn zone(number: usize) -> Place {
     place(ZONES[number % ZONES.len()].0, ZONES[number % ZONES.len()].1)
 }
 
-fn doors(zones: &[usize]) -> BTreeMap<Name, Place> {
-    let named = zones.iter().enumerate().map(|(n, it)| (format!("door-{n}").into(), zone(*it)));
+fn gateways(zones: &[usize]) -> BTreeMap<Name, Place> {
+    let named = zones.iter().enumerate().map(|(n, it)| (format!("gateway-{n}").into(), zone(*it)));
     named.collect()
 }
 
@@ -34,60 +35,64 @@
     keyed.collect()
 }
 
-fn check(doors: &BTreeMap<Name, Place>, targets: &BTreeMap<u64, Place>) {
-    let cells = Cells::new(doors, targets);
+fn check_cells(gateways: &BTreeMap<Name, Place>, targets: &BTreeMap<u64, Place>) {
+    let cells = Cells::new(gateways, targets);
     let mut members = HashSet::new();
     for cell in cells.ids() {
         let in_cell = cells.doors(cell);
-        assert!((1..=SMALL_FLEET).contains(&in_cell.len()), "a cell is neither empty nor large");
-        for door in in_cell {
-            assert!(members.insert(Name::clone(door)), "a door is in one cell");
-            assert_eq!(cells.of_door(door), Some(cell));
-            let apart = cells.len() > 1 && doors[door] != *cells.place(cell).unwrap();
-            assert!(!apart, "the cells of a large fleet stand in one zone each");
+        assert!(
+            (1..=SMALL_FLEET).contains(&in_cell.len()),
+            "a cell has at least one gateway and no more than its maximum"
+        );
+        for gateway in in_cell {
+            assert!(members.insert(Name::clone(gateway)), "a gateway is in one cell");
+            assert_eq!(cells.of_door(gateway), Some(cell));
+            let in_other_zone = cells.len() > 1 && gateways[gateway] != *cells.place(cell).unwrap();
+            assert!(!in_other_zone, "each cell of a large fleet is in one zone");
         }
     }
-    assert_eq!(members.len(), doors.len(), "every door is in a cell");
+    assert_eq!(members.len(), gateways.len(), "every gateway is in a cell");
     for (target, place) in targets {
         let cell = cells.of_target(*target).expect("every target is in a cell");
         assert!(cells.targets(cell).any(|it| it == *target));
-        let zone_has_doors = doors.values().any(|it| it == place);
-        let near = cells.len() == 1 || !zone_has_doors || cells.place(cell) == Some(place);
-        assert!(near, "a target is shared by doors of its own zone");
+        let zone_has_gateways = gateways.values().any(|it| it == place);
+        let near = cells.len() == 1 || !zone_has_gateways || cells.place(cell) == Some(place);
+        assert!(near, "a target is assigned to a cell of its own zone");
     }
     for zone in ZONES {
-        check_shares(&cells, doors, targets, &place(zone.0, zone.1));
+        check_even_split(&cells, gateways, targets, &place(zone.0, zone.1));
     }
 }
 
-fn check_shares(
+/// Checks that the targets of a zone are divided evenly among its cells.
+fn check_even_split(
     cells: &Cells,
-    doors: &BTreeMap<Name, Place>,
+    gateways: &BTreeMap<Name, Place>,
     targets: &BTreeMap<u64, Place>,
     zone: &Place,
 ) {
-    if cells.len() == 1 || !doors.values().any(|it| it == zone) {
+    if cells.len() == 1 || !gateways.values().any(|it| it == zone) {
         return;
     }
     let in_zone: Vec<u64> =
         targets.iter().filter(|(_, it)| *it == zone).map(|(key, _)| *key).collect();
     let of_zone = cells.ids().filter(|it| cells.place(*it) == Some(zone));
-    let shares: Vec<usize> = of_zone
+    let counts: Vec<usize> = of_zone
         .map(|cell| in_zone.iter().filter(|it| cells.of_target(**it) == Some(cell)).count())
         .collect();
-    let spread = shares.iter().max().unwrap() - shares.iter().min().unwrap();
-    assert!(spread <= 1, "cells of a zone have the same number of targets, give or take one");
+    let spread = counts.iter().max().unwrap() - counts.iter().min().unwrap();
+    assert!(spread <= 1, "target counts of the cells of a zone differ by at most one");
 }
 
 #[test]
-fn every_door_and_target_has_its_cell() {
+fn every_gateway_and_target_is_in_one_cell() {
     let config = Config { cases: 200, failure_persistence: None, ..Config::default() };
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &SEED);
     let mut runner = TestRunner::new_with_rng(config, rng);
     let zones = |most| prop::collection::vec(0..ZONES.len(), 1..most);
     runner
-        .run(&(zones(120), zones(60)), |(of_doors, of_targets)| {
-            check(&doors(&of_doors), &targets(&of_targets));
+        .run(&(zones(120), zones(60)), |(gateway_zones, target_zones)| {
+            check_cells(&gateways(&gateway_zones), &targets(&target_zones));
             Ok(())
         })
         .unwrap();
@@ -95,16 +100,17 @@
 
 #[test]
 fn a_small_fleet_is_one_cell() {
-    let all = doors(&[0, 1, 2, 3, 0, 1, 2, 3, 0, 1, 2, 3]);
+    let all = gateways(&[0, 1, 2, 3, 0, 1, 2, 3, 0, 1, 2, 3]);
     let cells = Cells::new(&all, &targets(&[0, 3]));
     assert_eq!(cells.len(), 1);
-    assert_eq!(cells.targets(cells.of_door("door-0").unwrap()).count(), 2);
+    assert_eq!(cells.targets(cells.of_door("gateway-0").unwrap()).count(), 2);
 }
 
-// A zone has targets and no door. They would belong to nobody, and whoever uses them would tell nobody.
+// A zone has targets and no gateway. Without a fallback they would be in no cell, and a gateway that uses them would send
+// its loads there to nobody.
 #[test]
-fn targets_without_doors_nearby_belong_to_the_region() {
-    let cells = Cells::new(&doors(&[[0; 10], [2; 10]].concat()), &targets(&[1, 1, 1]));
+fn targets_in_a_zone_without_gateways_are_assigned_within_the_region() {
+    let cells = Cells::new(&gateways(&[[0; 10], [2; 10]].concat()), &targets(&[1, 1, 1]));
     for target in targets(&[1, 1, 1]).keys() {
         let cell = cells.of_target(*target).unwrap();
         assert_eq!(&*cells.place(cell).unwrap().region, "brisbane");
@@ -112,7 +118,7 @@
 }
 
 #[test]
-fn sums_leave_out_what_the_receiver_is_told_directly() {
+fn summaries_omit_targets_whose_loads_are_sent_directly() {
     let load = |target, online, batch| DoorLoad { target, online, batch };
     let waiting = vec![WaitingItems { service: 5, items: 3 }];
     let one = DoorState { loads: vec![load(1, 2, 1), load(2, 1, 0)], waiting: waiting.clone() };
@@ -123,13 +129,13 @@
 }
 
 #[test]
-fn requests_elsewhere_are_told_by_cell() {
-    let (doors, targets) = (doors(&[[0; 10], [2; 10]].concat()), targets(&[0, 2]));
-    let cells = Cells::new(&doors, &targets);
+fn loads_at_other_cells_are_grouped_by_cell() {
+    let (gateways, targets) = (gateways(&[[0; 10], [2; 10]].concat()), targets(&[0, 2]));
+    let cells = Cells::new(&gateways, &targets);
     let keys: Vec<u64> = targets.keys().copied().collect();
     let loads: Vec<DoorLoad> =
         keys.iter().map(|it| DoorLoad { target: *it, online: 1, batch: 0 }).collect();
-    let own = cells.of_door("door-0");
+    let own = cells.of_door("gateway-0");
     assert_eq!(own, cells.of_target(keys[0]));
     let elsewhere = cells.loads_elsewhere(own, &loads);
     let far: Vec<CellId> = elsewhere.keys().copied().collect();
--- a/crates/samphiredoor-core/tests/placement/harness.rs
+++ b/crates/samphiredoor-core/tests/placement/harness.rs
@@ -1,4 +1,4 @@
-//! A placement with its targets, and short names for its events.
+//! A placement under a virtual clock, and shorthands for its input events.
 
 use samphiredoor_core::{
     Name,
@@ -13,11 +13,11 @@
 pub const SLOTS: u32 = 8;
 const SEED: u64 = 11;
 
-/// A placement under a clock of its own.
-pub struct World {
+/// A placement under a virtual clock.
+pub struct Fixture {
     pub placement: Placement,
     pub now_ms: u64,
-    next: u64,
+    next_request: u64,
 }
 
 pub fn place(region: &str, zone: &str) -> Place {
@@ -36,19 +36,19 @@
     }
 }
 
-impl World {
-    /// Door `door-m` in `north`, with the given targets.
-    pub fn new(entries: Vec<TargetEntry>) -> World {
-        let placement = Placement::new("door-m".into(), place("brisbane", "north"), SEED);
-        let mut world = World { placement, now_ms: 1_000, next: 1 };
-        world.input(Input::Targets(entries));
-        world
+impl Fixture {
+    /// Creates gateway `gateway-m` in `north`, with the given targets.
+    pub fn new(entries: Vec<TargetEntry>) -> Fixture {
+        let placement = Placement::new("gateway-m".into(), place("brisbane", "north"), SEED);
+        let mut fixture = Fixture { placement, now_ms: 1_000, next_request: 1 };
+        fixture.input(Input::Targets(entries));
+        fixture
     }
 
-    /// Door with so many targets in its own zone, named `t-0` and so on.
-    pub fn with_targets(count: usize) -> World {
+    /// Creates a gateway with `count` targets in its own zone, named `t-0` and so on.
+    pub fn with_targets(count: usize) -> Fixture {
         let entries = (0..count).map(|it| entry(&format!("t-{it}"), place("brisbane", "north")));
-        World::new(entries.collect())
+        Fixture::new(entries.collect())
     }
 
     pub fn input(&mut self, input: Input) -> Vec<Action> {
@@ -57,30 +57,32 @@
         out
     }
 
+    /// Advances the clock and sends a tick.
     pub fn wait(&mut self, ms: u64) -> Vec<Action> {
         self.now_ms += ms;
         self.input(Input::Tick)
     }
 
     pub fn ask(&mut self, class: Class) -> (RequestId, Vec<Action>) {
-        self.ask_without(class, &[])
+        self.ask_with_tried(class, &[])
     }
 
-    pub fn ask_without(&mut self, class: Class, tried: &[&str]) -> (RequestId, Vec<Action>) {
+    /// Adds a request that was already tried on these targets.
+    pub fn ask_with_tried(&mut self, class: Class, tried: &[&str]) -> (RequestId, Vec<Action>) {
         let mut ask = self.new_ask(class, self.now_ms + 60);
         ask.tried = tried.iter().map(|it| Name::from(*it)).collect::<SmallVec<[Name; 2]>>();
         (ask.request, self.input(Input::Ask(ask)))
     }
 
-    /// An item that is due in so long and has run for so long.
+    /// Adds an item with this time until it is due and this time of earlier runs.
     pub fn ask_item(&mut self, due_in_ms: u64, ran_ms: u64) -> (RequestId, Vec<Action>) {
         let ask = Ask { ran_ms, ..self.new_ask(Class::Batch, self.now_ms + due_in_ms) };
         (ask.request, self.input(Input::Ask(ask)))
     }
 
     fn new_ask(&mut self, class: Class, until_ms: u64) -> Ask {
-        let request = RequestId(self.next);
-        self.next += 1;
+        let request = RequestId(self.next_request);
+        self.next_request += 1;
         Ask {
             request,
             class,
@@ -97,21 +99,22 @@
         self.input(Input::Ended { request, end })
     }
 
-    pub fn peer(&mut self, door: &str, loads: &[(&str, u32, u32)]) -> Vec<Action> {
+    /// Delivers the loads of a peer: target, online requests, items.
+    pub fn peer(&mut self, peer: &str, loads: &[(&str, u32, u32)]) -> Vec<Action> {
         let load = |&(target, online, batch): &(&str, u32, u32)| DoorLoad {
             target: key_of(target),
             online,
             batch,
         };
         let state = DoorState { loads: loads.iter().map(load).collect(), waiting: Vec::new() };
-        self.input(Input::Peer { door: door.into(), state })
+        self.input(Input::Peer { door: peer.into(), state })
     }
 
-    /// Another door tells that so many items wait at it.
-    pub fn peer_waits(&mut self, door: &str, items: u32) -> Vec<Action> {
+    /// Delivers a peer's number of waiting items.
+    pub fn peer_waiting(&mut self, peer: &str, items: u32) -> Vec<Action> {
         let waiting = vec![WaitingItems { service: key_of("reader"), items }];
         let state = DoorState { loads: Vec::new(), waiting };
-        self.input(Input::Peer { door: door.into(), state })
+        self.input(Input::Peer { door: peer.into(), state })
     }
 
     pub fn report(&mut self, target: &str, running: u32, waiting: u32) -> Vec<Action> {
@@ -120,7 +123,7 @@
     }
 }
 
-/// Target that a request was sent to, if it was.
+/// Target that a request was dispatched to, if it was.
 pub fn sent_to(request: RequestId, actions: &[Action]) -> Option<String> {
     actions.iter().find_map(|action| match action {
         Action::Dispatch { request: it, target, .. } if *it == request => Some(target.to_string()),
--- a/crates/samphiredoor-core/tests/placement/promises.rs
+++ b/crates/samphiredoor-core/tests/placement/invariants.rs
@@ -1,4 +1,4 @@
-//! What holds after every event, whatever the order of events.
+//! Invariants that hold after every event, for random sequences of events.
 //!
 //! Longer runs: `SAMPHIREDOOR_CASES=20000 cargo test -p samphiredoor-core --test placement`.
 
@@ -13,7 +13,7 @@
     placement::{Action, AttemptEnd, Input, TargetState},
 };
 
-use crate::harness::{SLOTS, World, entry, place};
+use crate::harness::{Fixture, SLOTS, entry, place};
 
 const SEED: [u8; 32] = *b"samphiredoor-placement-promises-";
 const TARGETS: usize = 4;
@@ -53,64 +53,76 @@
     ]
 }
 
-/// What callers were told, beside the placement.
+/// State of all requests as the actions of the placement imply it, for comparison.
 #[derive(Default)]
 struct Model {
     online: HashSet<RequestId>,
     waiting: Vec<RequestId>,
     running: Vec<(RequestId, String)>,
-    recalled: HashSet<RequestId>,
+    preempted: HashSet<RequestId>,
     ready: HashSet<String>,
 }
 
 impl Model {
-    fn take(&mut self, actions: Vec<Action>) {
+    fn apply(&mut self, actions: Vec<Action>) {
         for action in actions {
             match action {
                 Action::Dispatch { request, target, .. } => {
-                    assert!(self.waiting.contains(&request), "sent only what waits, once");
-                    assert!(self.ready.contains(&*target), "sent only to targets that take work");
+                    assert!(
+                        self.waiting.contains(&request),
+                        "only a waiting request is dispatched, once"
+                    );
+                    assert!(
+                        self.ready.contains(&*target),
+                        "dispatched only to targets that accept work"
+                    );
                     self.waiting.retain(|it| *it != request);
                     self.running.push((request, target.to_string()));
                 }
                 Action::Refuse { request, retry_after_ms, .. } => {
-                    assert!(self.waiting.contains(&request), "refused only what waits, once");
+                    assert!(
+                        self.waiting.contains(&request),
+                        "only a waiting request is refused, once"
+                    );
                     assert!(self.online.contains(&request), "items wait and are never refused");
-                    assert!((1..=1_000).contains(&retry_after_ms), "a true time to come back");
+                    assert!((1..=1_000).contains(&retry_after_ms), "retry-after in its range");
                     self.waiting.retain(|it| *it != request);
                 }
                 Action::Recall { request } => {
-                    assert!(!self.online.contains(&request), "only items are recalled");
-                    assert!(self.running.iter().any(|(it, _)| *it == request), "only what runs");
-                    assert!(self.recalled.insert(request), "recalled once");
+                    assert!(!self.online.contains(&request), "only items are preempted");
+                    assert!(
+                        self.running.iter().any(|(it, _)| *it == request),
+                        "only a running item is preempted"
+                    );
+                    assert!(self.preempted.insert(request), "preempted once");
                 }
             }
         }
     }
 
-    fn check_own_loads(&self, world: &World) {
-        let loads = world.placement.state().loads;
+    fn check_own_loads(&self, fixture: &Fixture) {
+        let loads = fixture.placement.state().loads;
         let total: u32 = loads.iter().map(|it| it.online + it.batch).sum();
         assert!(total as usize <= self.running.len(), "no request is counted twice");
         let mut items: HashMap<&str, u32> = HashMap::new();
-        let kept = |it: &RequestId| !self.online.contains(it) && !self.recalled.contains(it);
-        for (_, target) in self.running.iter().filter(|(request, _)| kept(request)) {
+        let is_kept = |it: &RequestId| !self.online.contains(it) && !self.preempted.contains(it);
+        for (_, target) in self.running.iter().filter(|(request, _)| is_kept(request)) {
             *items.entry(target).or_default() += 1;
         }
         let most = items.values().max().copied().unwrap_or(0);
-        assert!(most <= SLOTS, "items that are kept never fill more than the places of a target");
+        assert!(most <= SLOTS, "items that are not preempted never exceed the slots of a target");
     }
 }
 
 fn play(steps: Vec<Step>) {
-    let mut world = World::with_targets(TARGETS);
+    let mut fixture = Fixture::with_targets(TARGETS);
     let mut model =
         Model { ready: (0..TARGETS).map(|it| format!("t-{it}")).collect(), ..Model::default() };
     for step in steps {
         let actions = match step {
             Step::Ask(online) => {
                 let class = if online { Class::Online } else { Class::Batch };
-                let (request, actions) = world.ask(class);
+                let (request, actions) = fixture.ask(class);
                 model.waiting.push(request);
                 if online {
                     model.online.insert(request);
@@ -119,16 +131,16 @@
             }
             Step::End(which, end) if !model.running.is_empty() => {
                 let (request, _) = model.running.remove(which % model.running.len());
-                world.end(request, end)
+                fixture.end(request, end)
             }
             Step::Gone(which) if !model.waiting.is_empty() => {
                 let request = model.waiting.remove(which % model.waiting.len());
-                world.input(Input::Gone { request })
+                fixture.input(Input::Gone { request })
             }
             Step::End(..) | Step::Gone(_) => Vec::new(),
-            Step::Peer(door, online, batch) => world
-                .peer(["a", "p", "z"][usize::from(door)], &[("t-0", online, batch), ("t-9", 1, 1)]),
-            Step::Report(target, load) => world.report(&format!("t-{target}"), load, 0),
+            Step::Peer(peer, online, batch) => fixture
+                .peer(["a", "p", "z"][usize::from(peer)], &[("t-0", online, batch), ("t-9", 1, 1)]),
+            Step::Report(target, load) => fixture.report(&format!("t-{target}"), load, 0),
             Step::Targets(present, ready) => {
                 let present = (0..TARGETS).filter(|it| present & (1 << it) != 0);
                 let entries: Vec<_> = present
@@ -142,19 +154,22 @@
                     .collect();
                 let ready = entries.iter().filter(|it| it.state == TargetState::Ready);
                 model.ready = ready.map(|it| it.name.to_string()).collect();
-                world.input(Input::Targets(entries))
+                fixture.input(Input::Targets(entries))
             }
-            Step::Wait(ms) => world.wait(ms),
+            Step::Wait(ms) => fixture.wait(ms),
         };
-        model.take(actions);
-        model.check_own_loads(&world);
+        model.apply(actions);
+        model.check_own_loads(&fixture);
     }
-    model.take(world.wait(10_000));
-    assert!(model.waiting.iter().all(|it| !model.online.contains(it)), "no caller waits for ever");
+    model.apply(fixture.wait(10_000));
+    assert!(
+        model.waiting.iter().all(|it| !model.online.contains(it)),
+        "no online request waits for ever"
+    );
 }
 
 #[test]
-fn promises_hold_after_every_event() {
+fn invariants_hold_after_every_event() {
     let cases = std::env::var("SAMPHIREDOOR_CASES").ok().and_then(|it| it.parse().ok());
     let config =
         Config { cases: cases.unwrap_or(400), failure_persistence: None, ..Config::default() };
--- a/crates/samphiredoor-core/tests/placement/main.rs
+++ b/crates/samphiredoor-core/tests/placement/main.rs
@@ -1,8 +1,8 @@
-//! Tests of the placement: named situations, and what holds after every event whatever the order of events.
+//! Tests of the placement: single scenarios, invariants under random events, and simulated fleets.
 
 mod cells;
 mod fleet;
 mod harness;
+mod invariants;
 mod overload;
-mod promises;
-mod situations;
+mod scenarios;
