--- a/crates/samphiredoor-core/src/ordered/codec.rs
+++ b/crates/samphiredoor-core/src/ordered/codec.rs
@@ -57,7 +57,8 @@
     pub give_up_unix_ms: u64,
     /// Process that runs its items; only a hint, the log stays correct with several.
     pub owner: JobOwner,
-    /// Whether no work is left: all results are in the log, or the job was ended. No process takes it over then.
+    /// Whether no work is left: all results are in the log, or the job was cancelled or never accepted. No process takes
+    /// it over then.
     pub finished: bool,
     /// Last owner that lost the job without handing it over; it may append results as long as it runs.
     #[serde(default)]
--- a/crates/samphiredoor-core/src/ordered/job.rs
+++ b/crates/samphiredoor-core/src/ordered/job.rs
@@ -61,7 +61,7 @@
     ObjectKey::new(Kind::JobSegment, format!("{job}-{segment:05}"))
 }
 
-/// Key of the object by which a caller ends a job.
+/// Key of the object by which a caller cancels a job.
 pub fn end_key(job: &str) -> ObjectKey {
     ObjectKey::new(Kind::JobEnd, job)
 }
--- a/crates/samphiredoor-core/src/ordered/mod.rs
+++ b/crates/samphiredoor-core/src/ordered/mod.rs
@@ -8,8 +8,8 @@
 //! The log also holds partial outputs of items that are still running (`outputs`), so that an item resumes after its last
 //! event wherever it runs next. Like ownership, this only saves work; correctness does not depend on it.
 //!
-//! The names of all objects begin with the job's name. A caller ends a job by a separate object, so that every process can
-//! watch these few objects alone.
+//! The names of all objects begin with the job's name. A caller cancels a job by creating a separate object, so that every
+//! process can watch these few objects alone.
 
 mod codec;
 mod items;
--- a/crates/samphiredoor-core/src/placement/items.rs
+++ b/crates/samphiredoor-core/src/placement/items.rs
@@ -36,12 +36,12 @@
 
 impl ItemQueue {
     /// Adds an item behind those that are due at the same time.
-    pub fn push(&mut self, ask: Ask) {
-        let rank = (ask.until_ms, self.arrivals);
+    pub fn push(&mut self, spec: Ask) {
+        let rank = (spec.until_ms, self.arrivals);
         self.arrivals += 1;
-        self.ranks.insert(ask.request, rank);
-        let queue = if ask.ran_ms > 0 { &mut self.started } else { &mut self.unstarted };
-        queue.insert(rank, ask);
+        self.ranks.insert(spec.request, rank);
+        let queue = if spec.ran_ms > 0 { &mut self.started } else { &mut self.unstarted };
+        queue.insert(rank, spec);
     }
 
     /// Removes an item, if it waits here.
@@ -69,10 +69,10 @@
 
     /// Takes an item that [`ItemQueue::next`] returned.
     pub fn take(&mut self, now_ms: u64, request: RequestId) -> Option<Ask> {
-        let ask = self.remove(request)?;
+        let spec = self.remove(request)?;
         self.in_time_streak =
-            if self.is_in_time(now_ms, &ask) { self.in_time_streak.saturating_add(1) } else { 0 };
-        Some(ask)
+            if self.is_in_time(now_ms, &spec) { self.in_time_streak.saturating_add(1) } else { 0 };
+        Some(spec)
     }
 
     /// Number of waiting items.
@@ -89,17 +89,17 @@
     fn first_in_time(&self, now_ms: u64) -> Option<&Ask> {
         let not_overdue = (now_ms, 0)..;
         let all = self.started.range(not_overdue.clone()).chain(self.unstarted.range(not_overdue));
-        all.map(|(_, ask)| ask).find(|it| self.is_in_time(now_ms, it))
+        all.map(|(_, spec)| spec).find(|it| self.is_in_time(now_ms, it))
     }
 
     /// Item with the earliest due time.
     fn first(&self) -> Option<&Ask> {
         let firsts = [self.started.first_key_value(), self.unstarted.first_key_value()];
-        firsts.into_iter().flatten().min_by_key(|(rank, _)| **rank).map(|(_, ask)| ask)
+        firsts.into_iter().flatten().min_by_key(|(rank, _)| **rank).map(|(_, spec)| spec)
     }
 
-    fn is_in_time(&self, now_ms: u64, ask: &Ask) -> bool {
-        let left_ms = self.mean_run_ms.saturating_sub(ask.ran_ms);
-        now_ms + left_ms * TIME_TO_FINISH_PERCENT / 100 <= ask.until_ms
+    fn is_in_time(&self, now_ms: u64, spec: &Ask) -> bool {
+        let left_ms = self.mean_run_ms.saturating_sub(spec.ran_ms);
+        now_ms + left_ms * TIME_TO_FINISH_PERCENT / 100 <= spec.until_ms
     }
 }
--- a/crates/samphiredoor-core/src/placement/mod.rs
+++ b/crates/samphiredoor-core/src/placement/mod.rs
@@ -177,7 +177,7 @@
         match input {
             Input::Targets(entries) => self.targets(entries),
             Input::OwnTargets(targets) => self.own_targets(targets),
-            Input::Ask(ask) => self.ask(now_ms, ask, out),
+            Input::Ask(spec) => self.place_request(now_ms, spec, out),
             Input::Ended { request, end } => self.ended(now_ms, request, end),
             Input::Gone { request } => {
                 for queues in self.queues.values_mut() {
@@ -263,22 +263,24 @@
         target
     }
 
-    fn ask(&mut self, now_ms: u64, ask: Ask, out: &mut Vec<Action>) {
-        match ask.class {
+    fn place_request(&mut self, now_ms: u64, spec: Ask, out: &mut Vec<Action>) {
+        match spec.class {
             Class::Batch => {
-                self.queues_of(&ask).batch.push(ask);
+                self.queues_of(&spec).batch.push(spec);
                 self.state_changed = true;
             }
-            Class::Online => match self.best_online(now_ms, &ask) {
-                Some(key) => self.dispatch(now_ms, key, &ask, out),
-                None if !self.has_usable(now_ms, &ask) => self.refuse_no_target(now_ms, &ask, out),
-                None => self.queues_of(&ask).online.push(ask),
+            Class::Online => match self.best_online(now_ms, &spec) {
+                Some(key) => self.dispatch(now_ms, key, &spec, out),
+                None if !self.has_usable(now_ms, &spec) => {
+                    self.refuse_no_target(now_ms, &spec, out)
+                }
+                None => self.queues_of(&spec).online.push(spec),
             },
         }
     }
 
-    fn queues_of(&mut self, ask: &Ask) -> &mut ServiceQueues {
-        self.queues.entry(Name::clone(&ask.service)).or_default()
+    fn queues_of(&mut self, spec: &Ask) -> &mut ServiceQueues {
+        self.queues.entry(Name::clone(&spec.service)).or_default()
     }
 
     fn ended(&mut self, now_ms: u64, request: RequestId, end: AttemptEnd) {
@@ -293,22 +295,22 @@
         self.state_changed = true;
     }
 
-    fn peer(&mut self, now_ms: u64, door: Name, state: DoorState) {
-        if door == self.own_name {
+    fn peer(&mut self, now_ms: u64, name: Name, state: DoorState) {
+        if name == self.own_name {
             return;
         }
         let DoorState { loads, waiting } = state;
         let targets = loads.iter().map(|it| it.target).collect();
         let peer = Peer { received_ms: now_ms, targets, waiting };
-        let before = self.peers.insert(Name::clone(&door), peer);
+        let before = self.peers.insert(Name::clone(&name), peer);
         for key in before.into_iter().flat_map(|it| it.targets) {
             if let Some(target) = self.targets.get_mut(&key) {
-                target.set_peer_load(&door, Load::default());
+                target.set_peer_load(&name, Load::default());
             }
         }
         for load in &loads {
             if let Some(target) = self.targets.get_mut(&load.target) {
-                target.set_peer_load(&door, Load { online: load.online, batch: load.batch });
+                target.set_peer_load(&name, Load { online: load.online, batch: load.batch });
             }
         }
     }
@@ -351,13 +353,13 @@
     }
 
     fn dispatch_online(&mut self, now_ms: u64, queue: &mut Queue, out: &mut Vec<Action>) {
-        for ask in queue.take_all() {
-            if let Some(key) = self.best_online(now_ms, &ask) {
-                self.dispatch(now_ms, key, &ask, out);
-            } else if now_ms >= ask.until_ms {
-                self.refuse_full(&ask, out);
+        for spec in queue.take_all() {
+            if let Some(key) = self.best_online(now_ms, &spec) {
+                self.dispatch(now_ms, key, &spec, out);
+            } else if now_ms >= spec.until_ms {
+                self.refuse_full(&spec, out);
             } else {
-                queue.push(ask);
+                queue.push(spec);
             }
         }
     }
@@ -375,8 +377,8 @@
             let Some(next) = queue.next(now_ms) else { return };
             let Some(key) = self.best_batch(now_ms, next) else { return };
             let request = next.request;
-            let Some(ask) = queue.take(now_ms, request) else { return };
-            self.dispatch(now_ms, key, &ask, out);
+            let Some(spec) = queue.take(now_ms, request) else { return };
+            self.dispatch(now_ms, key, &spec, out);
         }
     }
 
@@ -399,23 +401,23 @@
         demand.startable()
     }
 
-    fn dispatch(&mut self, now_ms: u64, key: u64, ask: &Ask, out: &mut Vec<Action>) {
+    fn dispatch(&mut self, now_ms: u64, key: u64, spec: &Ask, out: &mut Vec<Action>) {
         let Some(target) = self.targets.get_mut(&key) else { return };
-        target.add_request(ask.request, ask.class, false);
+        target.add_request(spec.request, spec.class, false);
         let running = RunningRequest {
-            class: ask.class,
-            service: Name::clone(&ask.service),
+            class: spec.class,
+            service: Name::clone(&spec.service),
             target: key,
             preempted: false,
             started_ms: now_ms,
-            ran_ms: ask.ran_ms,
+            ran_ms: spec.ran_ms,
         };
-        self.running.insert(ask.request, running);
+        self.running.insert(spec.request, running);
         self.counters.dispatched += 1;
         self.state_changed = true;
-        self.needs_peer_preemption |= ask.class == Class::Online && target.needs_peer_preemption();
+        self.needs_peer_preemption |= spec.class == Class::Online && target.needs_peer_preemption();
         let (target, address) = (Name::clone(&target.entry.name), target.entry.address);
-        out.push(Action::Dispatch { request: ask.request, target, address });
+        out.push(Action::Dispatch { request: spec.request, target, address });
     }
 
     /// Ready targets of the service: of those not in backoff the ones that the request was not tried on, as long as there
@@ -423,12 +425,12 @@
     fn usable<'a>(
         &'a self,
         now_ms: u64,
-        ask: &'a Ask,
+        spec: &'a Ask,
     ) -> impl Iterator<Item = (u64, &'a Target)> + 'a {
         let penalty = move |target: &Target| {
-            (target.health.in_backoff(now_ms), ask.tried.contains(&target.entry.name))
+            (target.health.in_backoff(now_ms), spec.tried.contains(&target.entry.name))
         };
-        let ready = self.ready(&ask.service);
+        let ready = self.ready(&spec.service);
         let least = ready.clone().map(|(_, it)| penalty(it)).min();
         ready.filter(move |(_, it)| Some(penalty(it)) == least)
     }
@@ -444,13 +446,13 @@
         })
     }
 
-    fn has_usable(&self, now_ms: u64, ask: &Ask) -> bool {
-        self.usable(now_ms, ask).next().is_some()
+    fn has_usable(&self, now_ms: u64, spec: &Ask) -> bool {
+        self.usable(now_ms, spec).next().is_some()
     }
 
-    fn best_online(&mut self, now_ms: u64, ask: &Ask) -> Option<u64> {
+    fn best_online(&mut self, now_ms: u64, spec: &Ask) -> Option<u64> {
         let ranked: Vec<_> = self
-            .usable(now_ms, ask)
+            .usable(now_ms, spec)
             .filter(|(_, it)| !it.health.is_full(now_ms))
             .filter_map(|(key, it)| {
                 let (capacity, load) = online_capacity(self.margins, now_ms, it)?;
@@ -460,12 +462,12 @@
         let best = ranked.iter().map(|(rank, ..)| *rank).min()?;
         let group = ranked.into_iter().filter(|(rank, ..)| *rank == best);
         let group: Vec<(u32, u64)> = group.map(|(_, load, key)| (load, key)).collect();
-        self.pick(ask.affinity, &group)
+        self.pick(spec.affinity, &group)
     }
 
-    fn best_batch(&mut self, now_ms: u64, ask: &Ask) -> Option<u64> {
+    fn best_batch(&mut self, now_ms: u64, spec: &Ask) -> Option<u64> {
         let free: Vec<_> = self
-            .usable(now_ms, ask)
+            .usable(now_ms, spec)
             .filter(|(_, it)| !it.health.is_full(now_ms))
             .filter_map(|(key, it)| {
                 let total = it.estimated_total(now_ms);
@@ -478,7 +480,7 @@
         let nearest = free.iter().map(|(distance, ..)| *distance).min()?;
         let group = free.into_iter().filter(|(distance, ..)| *distance == nearest);
         let group: Vec<(u32, u64)> = group.map(|(_, total, key)| (total, key)).collect();
-        self.pick(ask.affinity, &group)
+        self.pick(spec.affinity, &group)
     }
 
     /// Picks one of the least loaded targets at random, or with an affinity by rendezvous hashing, so that all gateways
@@ -502,20 +504,20 @@
         Some(candidates[self.rng.random_range(0..candidates.len())])
     }
 
-    fn refuse_full(&mut self, ask: &Ask, out: &mut Vec<Action>) {
+    fn refuse_full(&mut self, spec: &Ask, out: &mut Vec<Action>) {
         // Jitter, so that callers refused together do not retry together.
         let retry_after_ms = self.rng.random_range(MIN_RETRY_AFTER_MS..=2 * MIN_RETRY_AFTER_MS);
-        let (request, reason) = (ask.request, Refusal::Overloaded);
+        let (request, reason) = (spec.request, Refusal::Overloaded);
         out.push(Action::Refuse { request, reason, retry_after_ms });
     }
 
-    fn refuse_no_target(&mut self, now_ms: u64, ask: &Ask, out: &mut Vec<Action>) {
-        let in_backoff = self.ready(&ask.service).filter(|(_, it)| it.health.in_backoff(now_ms));
+    fn refuse_no_target(&mut self, now_ms: u64, spec: &Ask, out: &mut Vec<Action>) {
+        let in_backoff = self.ready(&spec.service).filter(|(_, it)| it.health.in_backoff(now_ms));
         let first_end_ms = in_backoff.map(|(_, it)| it.health.backoff_until_ms()).min();
         let retry_after_ms =
             first_end_ms.map_or(MAX_RETRY_AFTER_MS, |it| it.saturating_sub(now_ms));
         let retry_after_ms = retry_after_ms.clamp(MIN_RETRY_AFTER_MS, MAX_RETRY_AFTER_MS);
-        let (request, reason) = (ask.request, Refusal::NoTarget);
+        let (request, reason) = (spec.request, Refusal::NoTarget);
         out.push(Action::Refuse { request, reason, retry_after_ms });
     }
 }
--- a/crates/samphiredoor-core/src/placement/queue.rs
+++ b/crates/samphiredoor-core/src/placement/queue.rs
@@ -18,11 +18,11 @@
 
 impl Queue {
     /// Adds a request behind those of the same priority and deadline.
-    pub fn push(&mut self, ask: Ask) {
-        let rank = (ask.priority, ask.until_ms, self.arrivals);
+    pub fn push(&mut self, spec: Ask) {
+        let rank = (spec.priority, spec.until_ms, self.arrivals);
         self.arrivals += 1;
-        self.ranks.insert(ask.request, rank);
-        self.waiting.insert(rank, ask);
+        self.ranks.insert(spec.request, rank);
+        self.waiting.insert(rank, spec);
     }
 
     /// Removes a request, if it waits here.
--- a/crates/samphiredoor-core/tests/ordered/log.rs
+++ b/crates/samphiredoor-core/tests/ordered/log.rs
@@ -103,9 +103,9 @@
 
     /// Checks that earlier reads are a prefix of the committed results.
     fn check_positions(&mut self) {
-        let standing = self.log.standing();
-        assert!(standing.starts_with(&self.seen), "a position changed");
-        self.seen = standing.to_vec();
+        let committed = self.log.standing();
+        assert!(committed.starts_with(&self.seen), "a position changed");
+        self.seen = committed.to_vec();
     }
 }
 
--- a/crates/samphiredoor-core/tests/placement/fleet.rs
+++ b/crates/samphiredoor-core/tests/placement/fleet.rs
@@ -78,7 +78,7 @@
 struct Request {
     gateway: usize,
     class: Class,
-    asked_ms: u64,
+    arrived_ms: u64,
     /// Remaining run time; a run resumes where the preempted one before ended.
     left_ms: u64,
 }
@@ -269,42 +269,42 @@
         for _ in 0..self.arrivals(online) {
             let gateway = self.rng.random_range(0..self.gateways.len());
             self.outcome.online += 1;
-            self.ask(gateway, Class::Online);
+            self.add_request(gateway, Class::Online);
         }
         let Load { item_part, item_ms, .. } = self.load;
         let items = slots * item_part * STEP_MS as f64 / item_ms as f64;
         for _ in 0..self.arrivals(items / ITEMS_A_JOB as f64) {
             let gateway = self.rng.random_range(0..self.gateways.len());
             for _ in 0..ITEMS_A_JOB {
-                self.ask(gateway, Class::Batch);
+                self.add_request(gateway, Class::Batch);
             }
         }
     }
 
-    fn ask(&mut self, gateway: usize, class: Class) {
+    fn add_request(&mut self, gateway: usize, class: Class) {
         let request = RequestId(self.next);
         self.next += 1;
         let left_ms = if class == Class::Online { ONLINE_MS } else { self.load.item_ms };
-        self.requests.insert(request, Request { gateway, class, asked_ms: self.now_ms, left_ms });
+        self.requests.insert(request, Request { gateway, class, arrived_ms: self.now_ms, left_ms });
         self.place_request(request);
     }
 
     /// Passes a new or preempted request to the placement of its gateway.
     fn place_request(&mut self, request: RequestId) {
-        let Request { gateway, class, asked_ms, left_ms } = self.requests[&request];
+        let Request { gateway, class, arrived_ms, left_ms } = self.requests[&request];
         let whole_ms = if class == Class::Online { ONLINE_MS } else { self.load.item_ms };
         let wait_ms = if class == Class::Online { OBJECTIVE_MS / 5 } else { DUE_MS };
-        let ask = Ask {
+        let spec = Ask {
             request,
             class,
             service: "reader".into(),
             priority: 0,
             affinity: 0,
             tried: SmallVec::new(),
-            until_ms: asked_ms + wait_ms,
+            until_ms: arrived_ms + wait_ms,
             ran_ms: whole_ms - left_ms,
         };
-        self.input(gateway, Input::Ask(ask));
+        self.input(gateway, Input::Ask(spec));
     }
 
     fn input(&mut self, gateway: usize, input: Input) {
@@ -327,8 +327,8 @@
                 let engine = self.engines.get_mut(&target).unwrap();
                 if let Some(at) = engine.running.iter().position(|(it, _)| *it == request) {
                     let (_, until_ms) = engine.running.swap_remove(at);
-                    let asked = self.requests.get_mut(&request).unwrap();
-                    asked.left_ms = asked.left_ms.min(until_ms - self.now_ms);
+                    let request_state = self.requests.get_mut(&request).unwrap();
+                    request_state.left_ms = request_state.left_ms.min(until_ms - self.now_ms);
                 }
                 engine.queue.retain(|it| *it != request);
                 self.outcome.items_preempted += 1;
@@ -351,13 +351,13 @@
         while engine.running.len() < SLOTS as usize
             && let Some(request) = engine.queue.pop_front()
         {
-            let asked = &self.requests[&request];
-            let lasts_ms =
-                asked.left_ms + if asked.class == Class::Batch { FIRST_EVENT_MS } else { 0 };
-            if asked.class == Class::Online {
+            let request_state = &self.requests[&request];
+            let lasts_ms = request_state.left_ms
+                + if request_state.class == Class::Batch { FIRST_EVENT_MS } else { 0 };
+            if request_state.class == Class::Online {
                 let first_event_ms = self.now_ms + FIRST_EVENT_MS;
                 self.outcome.in_objective +=
-                    u32::from(first_event_ms - asked.asked_ms <= OBJECTIVE_MS);
+                    u32::from(first_event_ms - request_state.arrived_ms <= OBJECTIVE_MS);
             }
             engine.running.push((request, self.now_ms + lasts_ms));
         }
@@ -375,7 +375,7 @@
                 let ended = self.requests.remove(&request).unwrap();
                 if ended.class == Class::Batch {
                     self.outcome.items_done += 1;
-                    self.outcome.items_in_time += u32::from(now_ms <= ended.asked_ms + DUE_MS);
+                    self.outcome.items_in_time += u32::from(now_ms <= ended.arrived_ms + DUE_MS);
                 }
                 self.input(ended.gateway, Input::Ended { request, end: AttemptEnd::Answered });
             }
--- a/crates/samphiredoor-core/tests/placement/harness.rs
+++ b/crates/samphiredoor-core/tests/placement/harness.rs
@@ -63,24 +63,24 @@
         self.input(Input::Tick)
     }
 
-    pub fn ask(&mut self, class: Class) -> (RequestId, Vec<Action>) {
-        self.ask_with_tried(class, &[])
+    pub fn request(&mut self, class: Class) -> (RequestId, Vec<Action>) {
+        self.request_with_tried(class, &[])
     }
 
     /// Adds a request that was already tried on these targets.
-    pub fn ask_with_tried(&mut self, class: Class, tried: &[&str]) -> (RequestId, Vec<Action>) {
-        let mut ask = self.new_ask(class, self.now_ms + 60);
-        ask.tried = tried.iter().map(|it| Name::from(*it)).collect::<SmallVec<[Name; 2]>>();
-        (ask.request, self.input(Input::Ask(ask)))
+    pub fn request_with_tried(&mut self, class: Class, tried: &[&str]) -> (RequestId, Vec<Action>) {
+        let mut spec = self.new_spec(class, self.now_ms + 60);
+        spec.tried = tried.iter().map(|it| Name::from(*it)).collect::<SmallVec<[Name; 2]>>();
+        (spec.request, self.input(Input::Ask(spec)))
     }
 
     /// Adds an item with this time until it is due and this time of earlier runs.
-    pub fn ask_item(&mut self, due_in_ms: u64, ran_ms: u64) -> (RequestId, Vec<Action>) {
-        let ask = Ask { ran_ms, ..self.new_ask(Class::Batch, self.now_ms + due_in_ms) };
-        (ask.request, self.input(Input::Ask(ask)))
+    pub fn request_item(&mut self, due_in_ms: u64, ran_ms: u64) -> (RequestId, Vec<Action>) {
+        let spec = Ask { ran_ms, ..self.new_spec(Class::Batch, self.now_ms + due_in_ms) };
+        (spec.request, self.input(Input::Ask(spec)))
     }
 
-    fn new_ask(&mut self, class: Class, until_ms: u64) -> Ask {
+    fn new_spec(&mut self, class: Class, until_ms: u64) -> Ask {
         let request = RequestId(self.next_request);
         self.next_request += 1;
         Ask {
--- a/crates/samphiredoor-core/tests/placement/invariants.rs
+++ b/crates/samphiredoor-core/tests/placement/invariants.rs
@@ -20,9 +20,9 @@
 
 #[derive(Debug, Clone)]
 enum Step {
-    Ask(bool),
+    Request(bool),
     End(usize, AttemptEnd),
-    Gone(usize),
+    Cancel(usize),
     Peer(u8, u32, u32),
     Report(usize, u32),
     Targets(u8, u8),
@@ -43,9 +43,9 @@
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
-        8 => any::<bool>().prop_map(Step::Ask),
+        8 => any::<bool>().prop_map(Step::Request),
         6 => (any::<usize>(), end()).prop_map(|(which, end)| Step::End(which, end)),
-        1 => any::<usize>().prop_map(Step::Gone),
+        1 => any::<usize>().prop_map(Step::Cancel),
         2 => (0..3_u8, 0..12_u32, 0..6_u32).prop_map(|(d, o, b)| Step::Peer(d, o, b)),
         1 => (0..TARGETS, 0..20_u32).prop_map(|(target, load)| Step::Report(target, load)),
         1 => (any::<u8>(), any::<u8>()).prop_map(|(present, ready)| Step::Targets(present, ready)),
@@ -120,9 +120,9 @@
         Model { ready: (0..TARGETS).map(|it| format!("t-{it}")).collect(), ..Model::default() };
     for step in steps {
         let actions = match step {
-            Step::Ask(online) => {
+            Step::Request(online) => {
                 let class = if online { Class::Online } else { Class::Batch };
-                let (request, actions) = fixture.ask(class);
+                let (request, actions) = fixture.request(class);
                 model.waiting.push(request);
                 if online {
                     model.online.insert(request);
@@ -133,11 +133,11 @@
                 let (request, _) = model.running.remove(which % model.running.len());
                 fixture.end(request, end)
             }
-            Step::Gone(which) if !model.waiting.is_empty() => {
+            Step::Cancel(which) if !model.waiting.is_empty() => {
                 let request = model.waiting.remove(which % model.waiting.len());
                 fixture.input(Input::Gone { request })
             }
-            Step::End(..) | Step::Gone(_) => Vec::new(),
+            Step::End(..) | Step::Cancel(_) => Vec::new(),
             Step::Peer(peer, online, batch) => fixture
                 .peer(["a", "p", "z"][usize::from(peer)], &[("t-0", online, batch), ("t-9", 1, 1)]),
             Step::Report(target, load) => fixture.report(&format!("t-{target}"), load, 0),
--- a/crates/samphiredoor-core/tests/placement/scenarios.rs
+++ b/crates/samphiredoor-core/tests/placement/scenarios.rs
@@ -26,7 +26,7 @@
     ]);
     let mut used = Vec::new();
     for _ in 0..2 * SLOTS + 1 {
-        let (request, actions) = fixture.ask(Class::Online);
+        let (request, actions) = fixture.request(Class::Online);
         used.push(sent_to(request, &actions).unwrap());
     }
     let slots = SLOTS as usize;
@@ -41,7 +41,7 @@
     let mut fixture = Fixture::with_targets(2);
     fixture.peer("gateway-a", &[("t-0", SLOTS, 0)]);
     for _ in 0..SLOTS {
-        let (request, actions) = fixture.ask(Class::Online);
+        let (request, actions) = fixture.request(Class::Online);
         assert_eq!(sent_to(request, &actions).as_deref(), Some("t-1"));
     }
 }
@@ -51,10 +51,10 @@
 fn a_timed_out_peer_takes_no_slots() {
     let mut fixture = Fixture::with_targets(1);
     fixture.peer("gateway-a", &[("t-0", 2 * SLOTS, 0)]);
-    let (request, actions) = fixture.ask(Class::Online);
+    let (request, actions) = fixture.request(Class::Online);
     assert_eq!(sent_to(request, &actions), None);
     fixture.wait(1_600);
-    let (request, actions) = fixture.ask(Class::Online);
+    let (request, actions) = fixture.request(Class::Online);
     assert_eq!(sent_to(request, &actions).as_deref(), Some("t-0"));
 }
 
@@ -63,13 +63,13 @@
 fn unaccounted_load_takes_slots_for_a_while() {
     let mut fixture = Fixture::with_targets(2);
     fixture.report("t-0", SLOTS, 0);
-    let (request, actions) = fixture.ask(Class::Online);
+    let (request, actions) = fixture.request(Class::Online);
     assert_eq!(sent_to(request, &actions).as_deref(), Some("t-1"));
     fixture.wait(600);
     for _ in 0..SLOTS {
-        fixture.ask(Class::Online);
+        fixture.request(Class::Online);
     }
-    let (request, actions) = fixture.ask(Class::Online);
+    let (request, actions) = fixture.request(Class::Online);
     assert_eq!(sent_to(request, &actions).as_deref(), Some("t-0"));
 }
 
@@ -78,7 +78,7 @@
     let mut fixture = Fixture::with_targets(1);
     let mut sent = 0;
     for _ in 0..SLOTS {
-        let (request, actions) = fixture.ask(Class::Batch);
+        let (request, actions) = fixture.request(Class::Batch);
         sent += usize::from(sent_to(request, &actions).is_some());
     }
     assert_eq!(sent, SLOTS as usize - 1);
@@ -89,11 +89,11 @@
 #[test]
 fn online_requests_preempt_the_youngest_items() {
     let mut fixture = Fixture::with_targets(1);
-    let items: Vec<_> = (0..7).map(|_| fixture.ask(Class::Batch).0).collect();
-    let (request, actions) = fixture.ask(Class::Online);
+    let items: Vec<_> = (0..7).map(|_| fixture.request(Class::Batch).0).collect();
+    let (request, actions) = fixture.request(Class::Online);
     assert_eq!(sent_to(request, &actions).as_deref(), Some("t-0"));
     assert!(!actions.iter().any(|it| matches!(it, Action::Recall { .. })));
-    let (request, actions) = fixture.ask(Class::Online);
+    let (request, actions) = fixture.request(Class::Online);
     assert_eq!(sent_to(request, &actions).as_deref(), Some("t-0"));
     assert!(actions.contains(&Action::Recall { request: items[6] }));
     assert_eq!(actions.iter().filter(|it| matches!(it, Action::Recall { .. })).count(), 1);
@@ -105,7 +105,7 @@
 fn gateways_together_preempt_only_the_excess() {
     let mut fixture = Fixture::with_targets(1);
     for _ in 0..3 {
-        fixture.ask(Class::Batch);
+        fixture.request(Class::Batch);
     }
     let preempted = |actions: &[Action]| {
         actions.iter().filter(|it| matches!(it, Action::Recall { .. })).count()
@@ -113,7 +113,7 @@
     assert_eq!(preempted(&fixture.peer("gateway-a", &[("t-0", 6, 1)])), 1);
     let mut fixture = Fixture::with_targets(1);
     for _ in 0..3 {
-        fixture.ask(Class::Batch);
+        fixture.request(Class::Batch);
     }
     assert_eq!(preempted(&fixture.peer("gateway-z", &[("t-0", 6, 1)])), 2);
 }
@@ -125,29 +125,29 @@
     let mut fixture = Fixture::with_targets(1);
     fixture.peer("gateway-a", &[("t-0", 0, 6)]);
     for needs_others in [false, false, true] {
-        let (request, actions) = fixture.ask(Class::Online);
+        let (request, actions) = fixture.request(Class::Online);
         assert_eq!(sent_to(request, &actions).as_deref(), Some("t-0"));
         assert_eq!(fixture.placement.take_needs_others(), needs_others);
     }
     let mut fixture = Fixture::with_targets(1);
     for _ in 0..6 {
-        fixture.ask(Class::Batch);
+        fixture.request(Class::Batch);
     }
     for _ in 0..4 {
-        fixture.ask(Class::Online);
+        fixture.request(Class::Online);
         assert!(!fixture.placement.take_needs_others());
     }
 }
 
 #[test]
-fn a_draining_target_gets_no_requests() {
+fn a_leaving_target_gets_no_requests() {
     let mut fixture = Fixture::with_targets(1);
-    let draining = samphiredoor_core::placement::TargetEntry {
+    let leaving = samphiredoor_core::placement::TargetEntry {
         state: TargetState::Leaving,
         ..entry("t-0", place("brisbane", "north"))
     };
-    fixture.input(Input::Targets(vec![draining]));
-    let (request, actions) = fixture.ask(Class::Online);
+    fixture.input(Input::Targets(vec![leaving]));
+    let (request, actions) = fixture.request(Class::Online);
     let refused = Action::Refuse { request, reason: Refusal::NoTarget, retry_after_ms: 1_000 };
     assert_eq!(actions, [refused]);
 }
@@ -156,9 +156,9 @@
 fn a_request_waits_for_a_full_fleet_until_its_deadline_and_is_then_refused() {
     let mut fixture = Fixture::with_targets(1);
     for _ in 0..SLOTS + 2 {
-        fixture.ask(Class::Online);
+        fixture.request(Class::Online);
     }
-    let (request, actions) = fixture.ask(Class::Online);
+    let (request, actions) = fixture.request(Class::Online);
     assert!(actions.is_empty());
     let actions = fixture.wait(60);
     assert!(matches!(
@@ -178,14 +178,14 @@
                     entry("good", place("brisbane", "south")),
                 ]);
                 for _ in 0..$times {
-                    let (request, actions) = fixture.ask(Class::Online);
+                    let (request, actions) = fixture.request(Class::Online);
                     assert_eq!(sent_to(request, &actions).as_deref(), Some("bad"));
                     fixture.end(request, $end);
                 }
-                let (request, actions) = fixture.ask(Class::Online);
+                let (request, actions) = fixture.request(Class::Online);
                 assert_eq!(sent_to(request, &actions).as_deref(), Some("good"));
                 fixture.wait($backoff_ms);
-                let (request, actions) = fixture.ask(Class::Online);
+                let (request, actions) = fixture.request(Class::Online);
                 assert_eq!(sent_to(request, &actions).as_deref(), Some("bad"));
             }
         )*
@@ -205,10 +205,10 @@
 fn if_all_targets_are_in_backoff_one_is_tried() {
     let mut fixture = Fixture::with_targets(2);
     for _ in 0..2 {
-        let (request, _) = fixture.ask(Class::Online);
+        let (request, _) = fixture.request(Class::Online);
         fixture.end(request, AttemptEnd::Unreachable);
     }
-    let (request, actions) = fixture.ask(Class::Online);
+    let (request, actions) = fixture.request(Class::Online);
     assert!(sent_to(request, &actions).is_some());
 }
 
@@ -216,9 +216,9 @@
 #[test]
 fn targets_of_earlier_attempts_come_last() {
     let mut fixture = Fixture::with_targets(2);
-    let (request, actions) = fixture.ask_with_tried(Class::Online, &["t-0"]);
+    let (request, actions) = fixture.request_with_tried(Class::Online, &["t-0"]);
     assert_eq!(sent_to(request, &actions).as_deref(), Some("t-1"));
-    let (request, actions) = fixture.ask_with_tried(Class::Online, &["t-0", "t-1"]);
+    let (request, actions) = fixture.request_with_tried(Class::Online, &["t-0", "t-1"]);
     assert!(sent_to(request, &actions).is_some());
 }
 
@@ -233,7 +233,7 @@
 fn slots_are_shared_in_proportion_to_waiting_items() {
     let mut fixture = Fixture::with_targets(1);
     fixture.peer_waiting("gateway-a", 30);
-    let before: usize = (0..10).map(|_| started(&fixture.ask(Class::Batch).1)).sum();
+    let before: usize = (0..10).map(|_| started(&fixture.request(Class::Batch).1)).sum();
     // A quarter of seven slots, rounded up.
     assert_eq!(before, 2);
     // The peer has no items any more: all slots but the one for online requests.
@@ -245,7 +245,7 @@
 fn items_of_a_timed_out_peer_get_no_share() {
     let mut fixture = Fixture::with_targets(1);
     fixture.peer_waiting("gateway-a", 70);
-    let before: usize = (0..7).map(|_| started(&fixture.ask(Class::Batch).1)).sum();
+    let before: usize = (0..7).map(|_| started(&fixture.request(Class::Batch).1)).sum();
     assert_eq!(before, 1);
     assert_eq!(started(&fixture.wait(1_600)), 6);
 }
@@ -253,10 +253,10 @@
 /// A gateway that has recorded the run time of an item, and whose only target is full of items.
 fn full_of_items() -> (Fixture, Vec<RequestId>) {
     let mut fixture = Fixture::with_targets(1);
-    let (first, _) = fixture.ask_item(NOT_URGENT_MS, 0);
+    let (first, _) = fixture.request_item(NOT_URGENT_MS, 0);
     fixture.wait(RUN_MS);
     fixture.end(first, AttemptEnd::Answered);
-    let running = (0..SLOTS - RESERVED).map(|_| fixture.ask_item(NOT_URGENT_MS, 0).0).collect();
+    let running = (0..SLOTS - RESERVED).map(|_| fixture.request_item(NOT_URGENT_MS, 0).0).collect();
     (fixture, running)
 }
 
@@ -264,8 +264,8 @@
 #[test]
 fn an_item_that_cannot_finish_in_time_starts_after_one_that_can() {
     let (mut fixture, running) = full_of_items();
-    fixture.ask_item(RUN_MS, 0);
-    let (in_time, _) = fixture.ask_item(4 * RUN_MS, 0);
+    fixture.request_item(RUN_MS, 0);
+    let (in_time, _) = fixture.request_item(4 * RUN_MS, 0);
     let actions = fixture.end(running[0], AttemptEnd::Cut);
     assert_eq!(sent_to(in_time, &actions).as_deref(), Some("t-0"));
 }
@@ -274,9 +274,9 @@
 #[test]
 fn partly_done_items_resume_before_new_ones_start_under_overload() {
     let (mut fixture, running) = full_of_items();
-    fixture.ask_item(0, 0);
-    fixture.ask_item(4 * RUN_MS, 0);
-    let (partly_done, _) = fixture.ask_item(5 * RUN_MS, RUN_MS / 2);
+    fixture.request_item(0, 0);
+    fixture.request_item(4 * RUN_MS, 0);
+    let (partly_done, _) = fixture.request_item(5 * RUN_MS, RUN_MS / 2);
     let actions = fixture.end(running[0], AttemptEnd::Cut);
     assert_eq!(sent_to(partly_done, &actions).as_deref(), Some("t-0"));
 }
@@ -285,9 +285,9 @@
 #[test]
 fn a_late_item_starts_while_others_can_finish_in_time() {
     let (mut fixture, mut running) = full_of_items();
-    let (late, _) = fixture.ask_item(0, 0);
+    let (late, _) = fixture.request_item(0, 0);
     for _ in 0..MAX_STARTED_BEFORE_LATE {
-        let (in_time, _) = fixture.ask_item(NOT_URGENT_MS, 0);
+        let (in_time, _) = fixture.request_item(NOT_URGENT_MS, 0);
         let actions = fixture.end(running.remove(0), AttemptEnd::Cut);
         if sent_to(late, &actions).is_some() {
             return;
