--- a/crates/samphiredoor-core/src/placement/mod.rs
+++ b/crates/samphiredoor-core/src/placement/mod.rs
@@ -54,7 +54,8 @@
 /// Slots beyond the one needed that have to seem free at a target of another cell before an online request is sent there:
 /// its known load is older, and other gateways may have sent requests meanwhile.
 const SPARE_IN_OTHER_CELL: u32 = 2;
-/// How many more requests than the least loaded target one may have that probably has the prompt's prefix cached.
+/// How many more requests than the least loaded target a target may have and still be preferred because it probably has
+/// the prompt's prefix cached.
 const AFFINITY_SLACK: u32 = 2;
 /// Time without a message from a peer after which its requests count as ended; peers send at least every 500 ms.
 const PEER_TIMEOUT_MS: u64 = 1_600;
@@ -136,7 +137,7 @@
     place: Place,
     targets: BTreeMap<u64, Target>,
     /// Targets assigned to the own cell; `None` while the whole fleet counts as one cell.
-    own_targets: Option<HashSet<u64>>,
+    cell_targets: Option<HashSet<u64>>,
     peers: HashMap<Name, Peer>,
     running: HashMap<RequestId, RunningRequest>,
     queues: BTreeMap<Name, ServiceQueues>,
@@ -155,7 +156,7 @@
             own_name,
             place,
             targets: BTreeMap::new(),
-            own_targets: None,
+            cell_targets: None,
             peers: HashMap::new(),
             running: HashMap::new(),
             queues: BTreeMap::new(),
@@ -175,10 +176,10 @@
     /// Processes one event and appends the resulting actions to `out`.
     pub fn handle(&mut self, now_ms: u64, input: Input, out: &mut Vec<Action>) {
         match input {
-            Input::Targets(entries) => self.targets(entries),
-            Input::OwnTargets(targets) => self.own_targets(targets),
+            Input::Targets(entries) => self.set_targets(entries),
+            Input::OwnTargets(targets) => self.set_cell_targets(targets),
             Input::Ask(spec) => self.place_request(now_ms, spec, out),
-            Input::Ended { request, end } => self.ended(now_ms, request, end),
+            Input::Ended { request, end } => self.attempt_ended(now_ms, request, end),
             Input::Gone { request } => {
                 for queues in self.queues.values_mut() {
                     queues.online.remove(request);
@@ -191,7 +192,7 @@
                     target.record_report(now_ms, load);
                 }
             }
-            Input::Peer { door, state } => self.peer(now_ms, door, state),
+            Input::Peer { door, state } => self.update_peer(now_ms, door, state),
             Input::Tick => self.expire_peers(now_ms),
         }
         self.preempt(out);
@@ -230,7 +231,7 @@
         queues.fold((0, 0), |sum, it| (sum.0 + it.online.len(), sum.1 + it.batch.len()))
     }
 
-    fn targets(&mut self, entries: Vec<TargetEntry>) {
+    fn set_targets(&mut self, entries: Vec<TargetEntry>) {
         let mut former = std::mem::take(&mut self.targets);
         for entry in entries {
             let key = key_of(&entry.name);
@@ -246,16 +247,16 @@
         self.state_changed = true;
     }
 
-    fn own_targets(&mut self, own: HashSet<u64>) {
+    fn set_cell_targets(&mut self, targets: HashSet<u64>) {
         for (key, target) in &mut self.targets {
-            target.in_own_cell = own.contains(key);
+            target.in_own_cell = targets.contains(key);
         }
-        self.own_targets = Some(own);
+        self.cell_targets = Some(targets);
     }
 
     // A target whose entry was missing for a moment still runs its earlier requests, so they are counted again.
     fn new_target(&self, key: u64, entry: TargetEntry) -> Target {
-        let in_own_cell = self.own_targets.as_ref().is_none_or(|it| it.contains(&key));
+        let in_own_cell = self.cell_targets.as_ref().is_none_or(|it| it.contains(&key));
         let mut target = Target::new(entry, &self.place, in_own_cell);
         for (request, running) in self.running.iter().filter(|(_, it)| it.target == key) {
             target.add_request(*request, running.class, running.preempted);
@@ -283,7 +284,7 @@
         self.queues.entry(Name::clone(&spec.service)).or_default()
     }
 
-    fn ended(&mut self, now_ms: u64, request: RequestId, end: AttemptEnd) {
+    fn attempt_ended(&mut self, now_ms: u64, request: RequestId, end: AttemptEnd) {
         let Some(running) = self.running.remove(&request) else { return };
         if let Some(target) = self.targets.get_mut(&running.target) {
             target.remove_request(now_ms, request, running.class, end);
@@ -295,7 +296,7 @@
         self.state_changed = true;
     }
 
-    fn peer(&mut self, now_ms: u64, name: Name, state: DoorState) {
+    fn update_peer(&mut self, now_ms: u64, name: Name, state: DoorState) {
         if name == self.own_name {
             return;
         }
--- a/crates/samphiredoor-core/tests/placement/fleet.rs
+++ b/crates/samphiredoor-core/tests/placement/fleet.rs
@@ -21,8 +21,9 @@
 const STEP_MS: u64 = 5;
 /// The first second is not measured, because the gateways have no loads of each other then.
 const WARMUP_MS: u64 = 1_000;
-const ONLINE_MS: u64 = 600;
-const ITEMS_A_JOB: usize = 10;
+/// Run time of an online request at its target.
+const ONLINE_RUN_MS: u64 = 600;
+const ITEMS_PER_JOB: usize = 10;
 /// Time from the submission of an item until it is due.
 const DUE_MS: u64 = 18_000;
 /// Mean fraction of all slots that online requests take.
@@ -107,8 +108,8 @@
     sent_ms: u64,
     /// Other cells at whose targets it had requests when it last sent its loads.
     other_cells: Vec<CellId>,
-    /// Last state that each gateway of its cell sent.
-    cell_states: BTreeMap<usize, DoorState>,
+    /// Last state that each gateway sent to it, and its own.
+    known_states: BTreeMap<usize, DoorState>,
 }
 
 pub struct Fleet {
@@ -121,10 +122,10 @@
     targets: Vec<(Name, Place)>,
     engines: HashMap<Name, Engine>,
     /// Target of each dispatched request.
-    at: HashMap<RequestId, Name>,
+    dispatched_to: HashMap<RequestId, Name>,
     requests: HashMap<RequestId, Request>,
     messages: Vec<Message>,
-    next: u64,
+    next_request: u64,
     outcome: Outcome,
 }
 
@@ -171,10 +172,10 @@
             cells,
             engines: targets.iter().map(|(it, _)| (Name::clone(it), Engine::default())).collect(),
             targets,
-            at: HashMap::new(),
+            dispatched_to: HashMap::new(),
             requests: HashMap::new(),
             messages: Vec::new(),
-            next: 1,
+            next_request: 1,
             outcome: Outcome::default(),
         };
         for (number, (name, place)) in places.into_iter().enumerate() {
@@ -190,8 +191,8 @@
         let own = self.cells.of_door(&name).unwrap();
         let mut out = Vec::new();
         placement.handle(self.now_ms, Input::Targets(entries.collect()), &mut out);
-        let own_targets = self.cells.targets(own).collect();
-        placement.handle(self.now_ms, Input::OwnTargets(own_targets), &mut out);
+        let cell_targets = self.cells.targets(own).collect();
+        placement.handle(self.now_ms, Input::OwnTargets(cell_targets), &mut out);
         self.gateways.push(Gateway {
             placement,
             place,
@@ -199,7 +200,7 @@
             state: DoorState::default(),
             sent_ms: 0,
             other_cells: Vec::new(),
-            cell_states: BTreeMap::new(),
+            known_states: BTreeMap::new(),
         });
     }
 
@@ -265,7 +266,7 @@
         let slots = self.slots();
         let burst = self.now_ms % BURST_PERIOD_MS < BURST_MS;
         let online_part = ONLINE_PART * if burst { BURST_FACTOR } else { QUIET_FACTOR };
-        let online = slots * online_part * STEP_MS as f64 / ONLINE_MS as f64;
+        let online = slots * online_part * STEP_MS as f64 / ONLINE_RUN_MS as f64;
         for _ in 0..self.arrivals(online) {
             let gateway = self.rng.random_range(0..self.gateways.len());
             self.outcome.online += 1;
@@ -273,18 +274,18 @@
         }
         let Load { item_part, item_ms, .. } = self.load;
         let items = slots * item_part * STEP_MS as f64 / item_ms as f64;
-        for _ in 0..self.arrivals(items / ITEMS_A_JOB as f64) {
+        for _ in 0..self.arrivals(items / ITEMS_PER_JOB as f64) {
             let gateway = self.rng.random_range(0..self.gateways.len());
-            for _ in 0..ITEMS_A_JOB {
+            for _ in 0..ITEMS_PER_JOB {
                 self.add_request(gateway, Class::Batch);
             }
         }
     }
 
     fn add_request(&mut self, gateway: usize, class: Class) {
-        let request = RequestId(self.next);
-        self.next += 1;
-        let left_ms = if class == Class::Online { ONLINE_MS } else { self.load.item_ms };
+        let request = RequestId(self.next_request);
+        self.next_request += 1;
+        let left_ms = if class == Class::Online { ONLINE_RUN_MS } else { self.load.item_ms };
         self.requests.insert(request, Request { gateway, class, arrived_ms: self.now_ms, left_ms });
         self.place_request(request);
     }
@@ -292,7 +293,7 @@
     /// Passes a new or preempted request to the placement of its gateway.
     fn place_request(&mut self, request: RequestId) {
         let Request { gateway, class, arrived_ms, left_ms } = self.requests[&request];
-        let whole_ms = if class == Class::Online { ONLINE_MS } else { self.load.item_ms };
+        let whole_ms = if class == Class::Online { ONLINE_RUN_MS } else { self.load.item_ms };
         let wait_ms = if class == Class::Online { OBJECTIVE_MS / 5 } else { DUE_MS };
         let spec = Ask {
             request,
@@ -318,12 +319,12 @@
     fn apply_action(&mut self, gateway: usize, action: Action) {
         match action {
             Action::Dispatch { request, target, .. } => {
-                self.at.insert(request, Name::clone(&target));
+                self.dispatched_to.insert(request, Name::clone(&target));
                 self.engines.get_mut(&target).unwrap().queue.push_back(request);
                 self.admit(&target);
             }
             Action::Recall { request } => {
-                let Some(target) = self.at.remove(&request) else { return };
+                let Some(target) = self.dispatched_to.remove(&request) else { return };
                 let engine = self.engines.get_mut(&target).unwrap();
                 if let Some(at) = engine.running.iter().position(|(it, _)| *it == request) {
                     let (_, until_ms) = engine.running.swap_remove(at);
@@ -371,7 +372,7 @@
             let ended = engine.running.extract_if(.., |(_, until_ms)| *until_ms <= now_ms);
             let ended: Vec<RequestId> = ended.map(|(request, _)| request).collect();
             for request in ended {
-                self.at.remove(&request);
+                self.dispatched_to.remove(&request);
                 let ended = self.requests.remove(&request).unwrap();
                 if ended.class == Class::Batch {
                     self.outcome.items_done += 1;
@@ -390,7 +391,7 @@
             let sender = self.gateways.iter().position(|it| it.name == message.sender);
             let receiver = &mut self.gateways[message.to];
             if let Some(sender) = sender {
-                receiver.cell_states.insert(sender, message.state.clone());
+                receiver.known_states.insert(sender, message.state.clone());
             }
             self.input(message.to, Input::Peer { door: message.sender, state: message.state });
         }
@@ -459,7 +460,7 @@
             }
         }
         self.gateways[gateway].sent_ms = self.now_ms;
-        self.gateways[gateway].cell_states.insert(gateway, state.clone());
+        self.gateways[gateway].known_states.insert(gateway, state.clone());
         self.gateways[gateway].state = state;
     }
 
@@ -482,7 +483,7 @@
     }
 
     fn send_summary(&mut self, members: &[usize], sender: usize, receiver: CellId) {
-        let states = members.iter().filter_map(|it| self.gateways[sender].cell_states.get(it));
+        let states = members.iter().filter_map(|it| self.gateways[sender].known_states.get(it));
         let sum = sum_of(states, |it| self.cells.of_target(it) == Some(receiver));
         let cell = self.cells.of_door(&self.gateways[sender].name).unwrap();
         let name = self.cells.name(cell).unwrap();
