--- a/crates/samphiredoor-core/src/ordered/codec.rs
+++ b/crates/samphiredoor-core/src/ordered/codec.rs
@@ -109,7 +109,7 @@
 }
 
 /// Splits the text of a submission into encoded parts that fit into stored objects.
-pub fn cut_parts(text: &str) -> Vec<Value> {
+pub fn split_into_parts(text: &str) -> Vec<Value> {
     let mut parts = Vec::new();
     let mut rest = text;
     while !rest.is_empty() {
--- a/crates/samphiredoor-core/src/ordered/items.rs
+++ b/crates/samphiredoor-core/src/ordered/items.rs
@@ -33,9 +33,9 @@
     /// The item has its final result.
     Record(ItemResult),
     /// Run the item again after a backoff.
-    Again {
+    Retry {
         /// Length of the backoff.
-        pause_ms: u64,
+        backoff_ms: u64,
     },
 }
 
@@ -86,7 +86,7 @@
 
     /// Records the outcome of a run. Only failures reported by targets count against the limit: a lost answer is no evidence
     /// about the item.
-    pub fn ended(&mut self, item: u32, end: ItemEnd) -> ItemStep {
+    pub fn run_ended(&mut self, item: u32, end: ItemEnd) -> ItemStep {
         let tries = self.tries.entry(item).or_default();
         match end {
             ItemEnd::Completed { text } => self.record(item, Outcome::Completed, text),
@@ -95,12 +95,12 @@
                 tries.failed += 1;
                 match tries.failed >= self.attempts {
                     true => self.give_up(item),
-                    false => ItemStep::Again { pause_ms: backoff_ms(tries.failed) },
+                    false => ItemStep::Retry { backoff_ms: backoff_ms(tries.failed) },
                 }
             }
             ItemEnd::NoAnswer => {
                 tries.unanswered += 1;
-                ItemStep::Again { pause_ms: backoff_ms(tries.unanswered) }
+                ItemStep::Retry { backoff_ms: backoff_ms(tries.unanswered) }
             }
         }
     }
--- a/crates/samphiredoor-core/src/ordered/log.rs
+++ b/crates/samphiredoor-core/src/ordered/log.rs
@@ -73,33 +73,33 @@
     }
 
     /// Creates the log of a job that may have segments in the store; they are read before anything is appended.
-    pub fn to_be_read(job: JobName) -> ResultLog {
+    pub fn unread(job: JobName) -> ResultLog {
         ResultLog { next: Next::Read, ..ResultLog::new(job) }
     }
 
     /// Committed results, in the order of their positions.
-    pub fn standing(&self) -> &[ItemResult] {
+    pub fn committed(&self) -> &[ItemResult] {
         &self.committed
     }
 
     /// Whether an item has a committed result.
-    pub fn is_decided(&self, item: u32) -> bool {
+    pub fn has_result(&self, item: u32) -> bool {
         self.committed_items.contains(&item)
     }
 
     /// Whether all segments that existed when the log was last read have been read.
-    pub fn is_read(&self) -> bool {
+    pub fn is_caught_up(&self) -> bool {
         self.next == Next::Append
     }
 
     /// Makes the next step read the next segment, which another writer may have appended. Must not be called while a store
     /// call is in flight.
-    pub fn reread(&mut self) {
+    pub fn request_reread(&mut self) {
         self.next = Next::Read;
     }
 
     /// Whether no result and no output waits to be appended.
-    pub fn is_settled(&self) -> bool {
+    pub fn is_flushed(&self) -> bool {
         self.pending.is_empty() && self.outputs.is_empty()
     }
 
@@ -116,12 +116,12 @@
     }
 
     /// Takes the partial outputs, as read from segments, of items without a committed result.
-    pub fn take_kept(&mut self) -> BTreeMap<u32, PartialOutput> {
+    pub fn take_saved_outputs(&mut self) -> BTreeMap<u32, PartialOutput> {
         self.partial_outputs.take()
     }
 
     /// Whether a segment that this log did not write has been read since the last call.
-    pub fn take_foreign(&mut self) -> bool {
+    pub fn take_other_writer_seen(&mut self) -> bool {
         std::mem::take(&mut self.other_writer_seen)
     }
 
@@ -139,7 +139,7 @@
         let key = segment_key(&self.job, self.segments);
         match self.next {
             Next::Read => LogStep::Store(StoreOp::Get { key }),
-            Next::Append if self.is_settled() => LogStep::Idle,
+            Next::Append if self.is_flushed() => LogStep::Idle,
             Next::Append => {
                 self.in_flight = self.next_segment();
                 let value = codec::segment_value(&self.in_flight.results, &self.in_flight.outputs);
--- a/crates/samphiredoor-core/src/placement/cells.rs
+++ b/crates/samphiredoor-core/src/placement/cells.rs
@@ -14,8 +14,8 @@
     ops::Range,
 };
 
-use super::{Distance, DoorLoad, DoorState, WaitingItems};
-use crate::{Name, dispatch::Place};
+use super::{Distance, GatewayLoad, GatewayState, WaitingItems};
+use crate::{Name, dispatch::Location};
 
 /// Maximum number of gateways in a cell. A larger cell would have current loads of more targets, and send proportionally
 /// more messages.
@@ -38,7 +38,7 @@
 
 #[derive(Debug, Clone)]
 struct Cell {
-    place: Place,
+    location: Location,
     /// Index among the cells of its availability zone.
     number: usize,
     gateways: Vec<Name>,
@@ -53,8 +53,8 @@
 }
 
 impl Cells {
-    /// Divides these gateways and these targets, by [`super::key_of`], into cells. A small fleet is one cell.
-    pub fn new(gateways: &BTreeMap<Name, Place>, targets: &BTreeMap<u64, Place>) -> Cells {
+    /// Divides these gateways and these targets, by [`super::name_hash`], into cells. A small fleet is one cell.
+    pub fn new(gateways: &BTreeMap<Name, Location>, targets: &BTreeMap<u64, Location>) -> Cells {
         let mut cells = Cells::default();
         if gateways.len() <= MAX_GATEWAYS {
             cells.add_cells(gateways.iter().collect(), 1);
@@ -86,17 +86,17 @@
     }
 
     /// Cell of a gateway; `None` if the gateway is not listed.
-    pub fn of_door(&self, door: &str) -> Option<CellId> {
-        self.gateways.get(door).copied()
+    pub fn cell_of_gateway(&self, gateway: &str) -> Option<CellId> {
+        self.gateways.get(gateway).copied()
     }
 
     /// Cell that a target is assigned to.
-    pub fn of_target(&self, target: u64) -> Option<CellId> {
+    pub fn cell_of_target(&self, target: u64) -> Option<CellId> {
         self.targets.get(&target).copied()
     }
 
     /// Gateways of a cell, in order of their names.
-    pub fn doors(&self, cell: CellId) -> &[Name] {
+    pub fn gateways(&self, cell: CellId) -> &[Name] {
         self.cells.get(cell.0).map_or(&[], |it| &it.gateways)
     }
 
@@ -106,14 +106,14 @@
     }
 
     /// The loads at targets of other cells than the own one, grouped by cell.
-    pub fn loads_elsewhere(
+    pub fn loads_of_other_cells(
         &self,
         own: Option<CellId>,
-        loads: &[DoorLoad],
-    ) -> BTreeMap<CellId, Vec<DoorLoad>> {
-        let mut elsewhere: BTreeMap<CellId, Vec<DoorLoad>> = BTreeMap::new();
+        loads: &[GatewayLoad],
+    ) -> BTreeMap<CellId, Vec<GatewayLoad>> {
+        let mut elsewhere: BTreeMap<CellId, Vec<GatewayLoad>> = BTreeMap::new();
         for load in loads {
-            let cell = self.of_target(load.target).filter(|it| Some(*it) != own);
+            let cell = self.cell_of_target(load.target).filter(|it| Some(*it) != own);
             if let Some(cell) = cell {
                 elsewhere.entry(cell).or_default().push(*load);
             }
@@ -122,32 +122,32 @@
     }
 
     /// Location of a cell's first gateway; all gateways of a cell are in one zone unless the whole fleet is one cell.
-    pub fn place(&self, cell: CellId) -> Option<&Place> {
-        self.cells.get(cell.0).map(|it| &it.place)
+    pub fn location(&self, cell: CellId) -> Option<&Location> {
+        self.cells.get(cell.0).map(|it| &it.location)
     }
 
     /// Name of a cell; the same at every gateway that has the same lists.
     pub fn name(&self, cell: CellId) -> Option<Name> {
         let cell = self.cells.get(cell.0)?;
-        Some(format!("cell {} {}", cell.place.availability_zone, cell.number).into())
+        Some(format!("cell {} {}", cell.location.availability_zone, cell.number).into())
     }
 
     /// Divides gateways of one zone, or of the whole fleet, into this many cells.
-    fn add_cells(&mut self, gateways: Vec<(&Name, &Place)>, count: usize) {
+    fn add_cells(&mut self, gateways: Vec<(&Name, &Location)>, count: usize) {
         for number in 0..count {
             let gateways = &gateways[part(gateways.len(), number, count)];
-            let Some((_, place)) = gateways.first() else { continue };
+            let Some((_, location)) = gateways.first() else { continue };
             let id = CellId(self.cells.len());
             let gateways: Vec<Name> = gateways.iter().map(|(name, _)| Name::clone(name)).collect();
             self.gateways.extend(gateways.iter().map(|it| (Name::clone(it), id)));
-            self.cells.push(Cell { place: (*place).clone(), number, gateways });
+            self.cells.push(Cell { location: (*location).clone(), number, gateways });
         }
     }
 
     /// Divides targets of one zone evenly among the nearest cells.
-    fn assign_targets(&mut self, targets: &[(&u64, &Place)]) {
-        let Some((_, place)) = targets.first() else { return };
-        let nearest = self.nearest(place);
+    fn assign_targets(&mut self, targets: &[(&u64, &Location)]) {
+        let Some((_, location)) = targets.first() else { return };
+        let nearest = self.nearest(location);
         for (index, cell) in nearest.iter().enumerate() {
             let assigned = &targets[part(targets.len(), index, nearest.len())];
             self.targets.extend(assigned.iter().map(|(target, _)| (**target, *cell)));
@@ -155,18 +155,18 @@
     }
 
     /// Cells in a zone; if it has none, those of its region; if that has none, all cells.
-    fn nearest(&self, place: &Place) -> Vec<CellId> {
+    fn nearest(&self, location: &Location) -> Vec<CellId> {
         if self.cells.len() == 1 {
             return vec![CellId(0)];
         }
-        let cells_with = |wanted: &dyn Fn(&Place) -> bool| -> Vec<CellId> {
-            self.ids().filter(|it| wanted(&self.cells[it.0].place)).collect()
+        let cells_with = |wanted: &dyn Fn(&Location) -> bool| -> Vec<CellId> {
+            self.ids().filter(|it| wanted(&self.cells[it.0].location)).collect()
         };
-        let in_zone = cells_with(&|it| it == place);
+        let in_zone = cells_with(&|it| it == location);
         if !in_zone.is_empty() {
             return in_zone;
         }
-        let in_region = cells_with(&|it| it.region == place.region);
+        let in_region = cells_with(&|it| it.region == location.region);
         if !in_region.is_empty() {
             return in_region;
         }
@@ -174,11 +174,11 @@
     }
 }
 
-fn by_zone<K>(places: &BTreeMap<K, Place>) -> BTreeMap<(&str, &str), Vec<(&K, &Place)>> {
-    let mut zones: BTreeMap<(&str, &str), Vec<(&K, &Place)>> = BTreeMap::new();
-    for (name, place) in places {
-        let zone = (&*place.region, &*place.availability_zone);
-        zones.entry(zone).or_default().push((name, place));
+fn by_zone<K>(locations: &BTreeMap<K, Location>) -> BTreeMap<(&str, &str), Vec<(&K, &Location)>> {
+    let mut zones: BTreeMap<(&str, &str), Vec<(&K, &Location)>> = BTreeMap::new();
+    for (name, location) in locations {
+        let zone = (&*location.region, &*location.availability_zone);
+        zones.entry(zone).or_default().push((name, location));
     }
     zones
 }
@@ -190,24 +190,24 @@
 
 /// Interval between two summaries of a cell to this many other cells at a distance. It grows with their number, so that
 /// the message rate of a gateway does not.
-pub fn summary_pause_ms(distance: Distance, cells: usize) -> u64 {
+pub fn summary_interval_ms(distance: Distance, cells: usize) -> u64 {
     let (per_cell_ms, min_ms) = match distance {
-        Distance::Far => (OTHER_REGION_INTERVAL_PER_CELL_MS, MIN_OTHER_REGION_INTERVAL_MS),
+        Distance::OtherRegion => (OTHER_REGION_INTERVAL_PER_CELL_MS, MIN_OTHER_REGION_INTERVAL_MS),
         _ => (REGION_INTERVAL_PER_CELL_MS, MIN_REGION_INTERVAL_MS),
     };
     (per_cell_ms * cells as u64).clamp(min_ms, MAX_INTERVAL_MS)
 }
 
 /// Sums the requests of several gateways, without requests at targets for which `left_out` returns true.
-pub fn sum_of<'a>(
-    states: impl IntoIterator<Item = &'a DoorState>,
+pub fn sum_states<'a>(
+    states: impl IntoIterator<Item = &'a GatewayState>,
     left_out: impl Fn(u64) -> bool,
-) -> DoorState {
-    let mut loads: BTreeMap<u64, DoorLoad> = BTreeMap::new();
+) -> GatewayState {
+    let mut loads: BTreeMap<u64, GatewayLoad> = BTreeMap::new();
     let mut waiting: BTreeMap<u64, u32> = BTreeMap::new();
     for state in states {
         for load in state.loads.iter().filter(|it| !left_out(it.target)) {
-            let none = DoorLoad { online: 0, batch: 0, ..*load };
+            let none = GatewayLoad { online: 0, batch: 0, ..*load };
             let sum = loads.entry(load.target).or_insert(none);
             sum.online += load.online;
             sum.batch += load.batch;
@@ -217,5 +217,5 @@
         }
     }
     let waiting = waiting.into_iter().map(|(service, items)| WaitingItems { service, items });
-    DoorState { loads: loads.into_values().collect(), waiting: waiting.collect() }
+    GatewayState { loads: loads.into_values().collect(), waiting: waiting.collect() }
 }
--- a/crates/samphiredoor-core/src/placement/items.rs
+++ b/crates/samphiredoor-core/src/placement/items.rs
@@ -7,7 +7,7 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use super::Ask;
+use super::RequestSpec;
 use crate::dispatch::RequestId;
 
 /// Consecutive starts of items that can finish in time after which the first item starts even if it cannot.
@@ -24,8 +24,8 @@
 #[derive(Debug, Default)]
 pub struct ItemQueue {
     /// Items that an earlier run has partly done.
-    started: BTreeMap<Rank, Ask>,
-    unstarted: BTreeMap<Rank, Ask>,
+    started: BTreeMap<Rank, RequestSpec>,
+    unstarted: BTreeMap<Rank, RequestSpec>,
     ranks: HashMap<RequestId, Rank>,
     arrivals: u64,
     /// Consecutive starts of items that could finish in time.
@@ -36,16 +36,16 @@
 
 impl ItemQueue {
     /// Adds an item behind those that are due at the same time.
-    pub fn push(&mut self, spec: Ask) {
-        let rank = (spec.until_ms, self.arrivals);
+    pub fn push(&mut self, spec: RequestSpec) {
+        let rank = (spec.deadline_ms, self.arrivals);
         self.arrivals += 1;
         self.ranks.insert(spec.request, rank);
-        let queue = if spec.ran_ms > 0 { &mut self.started } else { &mut self.unstarted };
+        let queue = if spec.prior_run_ms > 0 { &mut self.started } else { &mut self.unstarted };
         queue.insert(rank, spec);
     }
 
     /// Removes an item, if it waits here.
-    pub fn remove(&mut self, request: RequestId) -> Option<Ask> {
+    pub fn remove(&mut self, request: RequestId) -> Option<RequestSpec> {
         let rank = self.ranks.remove(&request)?;
         self.started.remove(&rank).or_else(|| self.unstarted.remove(&rank))
     }
@@ -59,7 +59,7 @@
     }
 
     /// The item to start next.
-    pub fn next(&self, now_ms: u64) -> Option<&Ask> {
+    pub fn next(&self, now_ms: u64) -> Option<&RequestSpec> {
         let first = self.first()?;
         if self.in_time_streak >= MAX_IN_TIME_STREAK || self.is_in_time(now_ms, first) {
             return Some(first);
@@ -68,7 +68,7 @@
     }
 
     /// Takes an item that [`ItemQueue::next`] returned.
-    pub fn take(&mut self, now_ms: u64, request: RequestId) -> Option<Ask> {
+    pub fn take(&mut self, now_ms: u64, request: RequestId) -> Option<RequestSpec> {
         let spec = self.remove(request)?;
         self.in_time_streak =
             if self.is_in_time(now_ms, &spec) { self.in_time_streak.saturating_add(1) } else { 0 };
@@ -86,20 +86,20 @@
     }
 
     /// First item that can finish in time; started ones come first.
-    fn first_in_time(&self, now_ms: u64) -> Option<&Ask> {
+    fn first_in_time(&self, now_ms: u64) -> Option<&RequestSpec> {
         let not_overdue = (now_ms, 0)..;
         let all = self.started.range(not_overdue.clone()).chain(self.unstarted.range(not_overdue));
         all.map(|(_, spec)| spec).find(|it| self.is_in_time(now_ms, it))
     }
 
     /// Item with the earliest due time.
-    fn first(&self) -> Option<&Ask> {
+    fn first(&self) -> Option<&RequestSpec> {
         let firsts = [self.started.first_key_value(), self.unstarted.first_key_value()];
         firsts.into_iter().flatten().min_by_key(|(rank, _)| **rank).map(|(_, spec)| spec)
     }
 
-    fn is_in_time(&self, now_ms: u64, spec: &Ask) -> bool {
-        let left_ms = self.mean_run_ms.saturating_sub(spec.ran_ms);
-        now_ms + left_ms * TIME_TO_FINISH_PERCENT / 100 <= spec.until_ms
+    fn is_in_time(&self, now_ms: u64, spec: &RequestSpec) -> bool {
+        let left_ms = self.mean_run_ms.saturating_sub(spec.prior_run_ms);
+        now_ms + left_ms * TIME_TO_FINISH_PERCENT / 100 <= spec.deadline_ms
     }
 }
--- a/crates/samphiredoor-core/src/placement/messages.rs
+++ b/crates/samphiredoor-core/src/placement/messages.rs
@@ -6,7 +6,7 @@
 
 use crate::{
     Name,
-    dispatch::{Class, Place, RequestId},
+    dispatch::{Class, Location, RequestId},
     verdict::Refusal,
 };
 
@@ -29,7 +29,7 @@
     /// Address on which it accepts connections.
     pub address: SocketAddr,
     /// Region and availability zone.
-    pub place: Place,
+    pub location: Location,
     /// Maximum number of requests that it runs at once.
     pub slots: u32,
     /// Whether it accepts work.
@@ -40,7 +40,7 @@
 
 /// A request that needs a target.
 #[derive(Debug, Clone)]
-pub struct Ask {
+pub struct RequestSpec {
     /// Unique within this process; not reused for another request.
     pub request: RequestId,
     /// Online or batch.
@@ -52,11 +52,11 @@
     /// Hash of the prompt's shared prefix, for routing to a target that may have it cached; 0 for none.
     pub affinity: u64,
     /// Targets of earlier attempts; other targets are preferred.
-    pub tried: SmallVec<[Name; 2]>,
+    pub tried_targets: SmallVec<[Name; 2]>,
     /// Monotonic time until which an online request may wait for capacity, or at which an item is due.
-    pub until_ms: u64,
+    pub deadline_ms: u64,
     /// Total time of earlier runs of an item; the next run resumes after their last event.
-    pub ran_ms: u64,
+    pub prior_run_ms: u64,
 }
 
 /// Outcome of an attempt.
@@ -91,8 +91,8 @@
 
 /// Number of requests that one gateway has at one target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct DoorLoad {
-    /// Hash of the target's name, from [`super::key_of`].
+pub struct GatewayLoad {
+    /// Hash of the target's name, from [`super::name_hash`].
     pub target: u64,
     /// Online requests.
     pub online: u32,
@@ -103,7 +103,7 @@
 /// Number of items of one service that wait for a slot at one gateway.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct WaitingItems {
-    /// Hash of the service's name, from [`super::key_of`].
+    /// Hash of the service's name, from [`super::name_hash`].
     pub service: u64,
     /// Number of waiting items.
     pub items: u32,
@@ -111,9 +111,9 @@
 
 /// Requests of one gateway, as sent to its peers, or of all gateways of a cell.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct DoorState {
+pub struct GatewayState {
     /// Requests at targets; targets without any are omitted.
-    pub loads: Vec<DoorLoad>,
+    pub loads: Vec<GatewayLoad>,
     /// Waiting items; services without any are omitted.
     pub waiting: Vec<WaitingItems>,
 }
@@ -123,10 +123,10 @@
 pub enum Input {
     /// All targets that discovery lists now.
     Targets(Vec<TargetEntry>),
-    /// Targets assigned to the own cell, by [`super::key_of`]. Until the first such event the fleet counts as one cell.
-    OwnTargets(HashSet<u64>),
+    /// Targets assigned to the own cell, by [`super::name_hash`]. Until the first such event the fleet counts as one cell.
+    CellTargets(HashSet<u64>),
     /// A request needs a target.
-    Ask(Ask),
+    Request(RequestSpec),
     /// The attempt in progress ended; sent once for each [`Action::Dispatch`].
     Ended {
         /// Request of the attempt.
@@ -135,12 +135,12 @@
         end: AttemptEnd,
     },
     /// The caller no longer waits for a queued request.
-    Gone {
+    Cancelled {
         /// Request to remove from its queue.
         request: RequestId,
     },
     /// A target reported its load.
-    Load {
+    LoadReport {
         /// Target that reported.
         target: Name,
         /// Reported load.
@@ -149,9 +149,9 @@
     /// A peer sent its requests, or a cell sent the summary of its gateways' requests.
     Peer {
         /// Name of the peer or cell.
-        door: Name,
+        peer: Name,
         /// Its requests; they replace those that it sent before.
-        state: DoorState,
+        state: GatewayState,
     },
     /// Time has passed; peers that have timed out expire.
     Tick,
@@ -170,7 +170,7 @@
         address: SocketAddr,
     },
     /// Cancel the attempt in progress, because online requests need its slot.
-    Recall {
+    Preempt {
         /// Item whose attempt is preempted.
         request: RequestId,
     },
--- a/crates/samphiredoor-core/src/placement/mod.rs
+++ b/crates/samphiredoor-core/src/placement/mod.rs
@@ -24,16 +24,16 @@
 
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 
-pub use cells::{CellId, Cells, sum_of, summary_pause_ms};
+pub use cells::{CellId, Cells, sum_states, summary_interval_ms};
 pub use messages::{
-    Action, Ask, AttemptEnd, DoorLoad, DoorState, Input, ReportedLoad, TargetEntry, TargetState,
-    WaitingItems,
+    Action, AttemptEnd, GatewayLoad, GatewayState, Input, ReportedLoad, RequestSpec, TargetEntry,
+    TargetState, WaitingItems,
 };
 pub use target::{Distance, Load};
 
 use crate::{
     Name,
-    dispatch::{Class, Place, RequestId},
+    dispatch::{Class, Location, RequestId},
     verdict::Refusal,
 };
 use items::ItemQueue;
@@ -65,7 +65,7 @@
 const MAX_RETRY_AFTER_MS: u64 = 1_000;
 
 /// Hash that identifies a target or a service in messages between gateways.
-pub fn key_of(name: &str) -> u64 {
+pub fn name_hash(name: &str) -> u64 {
     rapidhash::v3::rapidhash_v3(name.as_bytes())
 }
 
@@ -77,7 +77,7 @@
     preempted: bool,
     started_ms: u64,
     /// Total time of earlier runs of the item.
-    ran_ms: u64,
+    prior_run_ms: u64,
 }
 
 #[derive(Debug)]
@@ -127,14 +127,14 @@
     /// Requests sent to a target.
     pub dispatched: u64,
     /// Items preempted for online requests.
-    pub recalled: u64,
+    pub preempted: u64,
 }
 
 /// Placement state of one gateway.
 #[derive(Debug)]
 pub struct Placement {
     own_name: Name,
-    place: Place,
+    location: Location,
     targets: BTreeMap<u64, Target>,
     /// Targets assigned to the own cell; `None` while the whole fleet counts as one cell.
     cell_targets: Option<HashSet<u64>>,
@@ -151,10 +151,10 @@
 
 impl Placement {
     /// Creates a placement without targets. Until the first [`Input::Targets`], items wait and online requests are refused.
-    pub fn new(own_name: Name, place: Place, seed: u64) -> Placement {
+    pub fn new(own_name: Name, location: Location, seed: u64) -> Placement {
         Placement {
             own_name,
-            place,
+            location,
             targets: BTreeMap::new(),
             cell_targets: None,
             peers: HashMap::new(),
@@ -177,22 +177,22 @@
     pub fn handle(&mut self, now_ms: u64, input: Input, out: &mut Vec<Action>) {
         match input {
             Input::Targets(entries) => self.set_targets(entries),
-            Input::OwnTargets(targets) => self.set_cell_targets(targets),
-            Input::Ask(spec) => self.place_request(now_ms, spec, out),
+            Input::CellTargets(targets) => self.set_cell_targets(targets),
+            Input::Request(spec) => self.place_request(now_ms, spec, out),
             Input::Ended { request, end } => self.attempt_ended(now_ms, request, end),
-            Input::Gone { request } => {
+            Input::Cancelled { request } => {
                 for queues in self.queues.values_mut() {
                     queues.online.remove(request);
                     queues.batch.remove(request);
                 }
                 self.state_changed = true;
             }
-            Input::Load { target, load } => {
-                if let Some(target) = self.targets.get_mut(&key_of(&target)) {
+            Input::LoadReport { target, load } => {
+                if let Some(target) = self.targets.get_mut(&name_hash(&target)) {
                     target.record_report(now_ms, load);
                 }
             }
-            Input::Peer { door, state } => self.update_peer(now_ms, door, state),
+            Input::Peer { peer: name, state } => self.update_peer(now_ms, name, state),
             Input::Tick => self.expire_peers(now_ms),
         }
         self.preempt(out);
@@ -200,24 +200,24 @@
     }
 
     /// State to send to peers, if it has changed since the last call.
-    pub fn take_changed_state(&mut self) -> Option<DoorState> {
+    pub fn take_changed_state(&mut self) -> Option<GatewayState> {
         std::mem::take(&mut self.state_changed).then(|| self.state())
     }
 
     /// Whether, since the last call, an online request was sent to a target where only a peer can free a slot.
-    pub fn take_needs_others(&mut self) -> bool {
+    pub fn take_needs_peer_preemption(&mut self) -> bool {
         std::mem::take(&mut self.needs_peer_preemption)
     }
 
     /// This gateway's requests at targets and its waiting items, as sent to peers.
-    pub fn state(&self) -> DoorState {
+    pub fn state(&self) -> GatewayState {
         let loads = self.targets.iter().filter_map(|(key, it)| it.own_load(*key)).collect();
         let waiting = self.queues.iter().filter(|(_, it)| !it.batch.is_empty());
         let waiting = waiting.map(|(service, it)| WaitingItems {
-            service: key_of(service),
+            service: name_hash(service),
             items: it.batch.len() as u32,
         });
-        DoorState { loads, waiting: waiting.collect() }
+        GatewayState { loads, waiting: waiting.collect() }
     }
 
     /// Totals since the process started.
@@ -234,7 +234,7 @@
     fn set_targets(&mut self, entries: Vec<TargetEntry>) {
         let mut former = std::mem::take(&mut self.targets);
         for entry in entries {
-            let key = key_of(&entry.name);
+            let key = name_hash(&entry.name);
             let target = match former.remove(&key) {
                 Some(mut known) => {
                     known.update(entry);
@@ -257,14 +257,14 @@
     // A target whose entry was missing for a moment still runs its earlier requests, so they are counted again.
     fn new_target(&self, key: u64, entry: TargetEntry) -> Target {
         let in_own_cell = self.cell_targets.as_ref().is_none_or(|it| it.contains(&key));
-        let mut target = Target::new(entry, &self.place, in_own_cell);
+        let mut target = Target::new(entry, &self.location, in_own_cell);
         for (request, running) in self.running.iter().filter(|(_, it)| it.target == key) {
             target.add_request(*request, running.class, running.preempted);
         }
         target
     }
 
-    fn place_request(&mut self, now_ms: u64, spec: Ask, out: &mut Vec<Action>) {
+    fn place_request(&mut self, now_ms: u64, spec: RequestSpec, out: &mut Vec<Action>) {
         match spec.class {
             Class::Batch => {
                 self.queues_of(&spec).batch.push(spec);
@@ -280,7 +280,7 @@
         }
     }
 
-    fn queues_of(&mut self, spec: &Ask) -> &mut ServiceQueues {
+    fn queues_of(&mut self, spec: &RequestSpec) -> &mut ServiceQueues {
         self.queues.entry(Name::clone(&spec.service)).or_default()
     }
 
@@ -290,17 +290,17 @@
             target.remove_request(now_ms, request, running.class, end);
         }
         if running.class == Class::Batch && end == AttemptEnd::Answered {
-            let run_ms = running.ran_ms + now_ms.saturating_sub(running.started_ms);
+            let run_ms = running.prior_run_ms + now_ms.saturating_sub(running.started_ms);
             self.queues.entry(running.service).or_default().batch.record_run(run_ms);
         }
         self.state_changed = true;
     }
 
-    fn update_peer(&mut self, now_ms: u64, name: Name, state: DoorState) {
+    fn update_peer(&mut self, now_ms: u64, name: Name, state: GatewayState) {
         if name == self.own_name {
             return;
         }
-        let DoorState { loads, waiting } = state;
+        let GatewayState { loads, waiting } = state;
         let targets = loads.iter().map(|it| it.target).collect();
         let peer = Peer { received_ms: now_ms, targets, waiting };
         let before = self.peers.insert(Name::clone(&name), peer);
@@ -332,11 +332,11 @@
     fn preempt(&mut self, out: &mut Vec<Action>) {
         for target in self.targets.values_mut().filter(|it| it.own().batch > 0) {
             for request in target.preempt(&self.own_name) {
-                self.counters.recalled += 1;
+                self.counters.preempted += 1;
                 if let Some(running) = self.running.get_mut(&request) {
                     running.preempted = true;
                 }
-                out.push(Action::Recall { request });
+                out.push(Action::Preempt { request });
             }
         }
     }
@@ -357,7 +357,7 @@
         for spec in queue.take_all() {
             if let Some(key) = self.best_online(now_ms, &spec) {
                 self.dispatch(now_ms, key, &spec, out);
-            } else if now_ms >= spec.until_ms {
+            } else if now_ms >= spec.deadline_ms {
                 self.refuse_full(&spec, out);
             } else {
                 queue.push(spec);
@@ -386,7 +386,7 @@
     /// How many more items of a service this gateway may start now without exceeding its share.
     fn startable_items(&self, now_ms: u64, service: &Name, waiting: u32) -> u32 {
         let targets = self.ready(service).filter(|(_, it)| !it.health.in_backoff(now_ms));
-        let key = key_of(service);
+        let key = name_hash(service);
         let of_service = self.peers.values().flat_map(|it| &it.waiting);
         let of_service = of_service.filter(|it| it.service == key).map(|it| it.items);
         let mut demand = Demand { waiting, others: of_service.sum(), ..Demand::default() };
@@ -402,7 +402,7 @@
         demand.startable()
     }
 
-    fn dispatch(&mut self, now_ms: u64, key: u64, spec: &Ask, out: &mut Vec<Action>) {
+    fn dispatch(&mut self, now_ms: u64, key: u64, spec: &RequestSpec, out: &mut Vec<Action>) {
         let Some(target) = self.targets.get_mut(&key) else { return };
         target.add_request(spec.request, spec.class, false);
         let running = RunningRequest {
@@ -411,7 +411,7 @@
             target: key,
             preempted: false,
             started_ms: now_ms,
-            ran_ms: spec.ran_ms,
+            prior_run_ms: spec.prior_run_ms,
         };
         self.running.insert(spec.request, running);
         self.counters.dispatched += 1;
@@ -426,10 +426,10 @@
     fn usable<'a>(
         &'a self,
         now_ms: u64,
-        spec: &'a Ask,
+        spec: &'a RequestSpec,
     ) -> impl Iterator<Item = (u64, &'a Target)> + 'a {
         let penalty = move |target: &Target| {
-            (target.health.in_backoff(now_ms), spec.tried.contains(&target.entry.name))
+            (target.health.in_backoff(now_ms), spec.tried_targets.contains(&target.entry.name))
         };
         let ready = self.ready(&spec.service);
         let least = ready.clone().map(|(_, it)| penalty(it)).min();
@@ -447,11 +447,11 @@
         })
     }
 
-    fn has_usable(&self, now_ms: u64, spec: &Ask) -> bool {
+    fn has_usable(&self, now_ms: u64, spec: &RequestSpec) -> bool {
         self.usable(now_ms, spec).next().is_some()
     }
 
-    fn best_online(&mut self, now_ms: u64, spec: &Ask) -> Option<u64> {
+    fn best_online(&mut self, now_ms: u64, spec: &RequestSpec) -> Option<u64> {
         let ranked: Vec<_> = self
             .usable(now_ms, spec)
             .filter(|(_, it)| !it.health.is_full(now_ms))
@@ -466,7 +466,7 @@
         self.pick(spec.affinity, &group)
     }
 
-    fn best_batch(&mut self, now_ms: u64, spec: &Ask) -> Option<u64> {
+    fn best_batch(&mut self, now_ms: u64, spec: &RequestSpec) -> Option<u64> {
         let free: Vec<_> = self
             .usable(now_ms, spec)
             .filter(|(_, it)| !it.health.is_full(now_ms))
@@ -505,14 +505,14 @@
         Some(candidates[self.rng.random_range(0..candidates.len())])
     }
 
-    fn refuse_full(&mut self, spec: &Ask, out: &mut Vec<Action>) {
+    fn refuse_full(&mut self, spec: &RequestSpec, out: &mut Vec<Action>) {
         // Jitter, so that callers refused together do not retry together.
         let retry_after_ms = self.rng.random_range(MIN_RETRY_AFTER_MS..=2 * MIN_RETRY_AFTER_MS);
         let (request, reason) = (spec.request, Refusal::Overloaded);
         out.push(Action::Refuse { request, reason, retry_after_ms });
     }
 
-    fn refuse_no_target(&mut self, now_ms: u64, spec: &Ask, out: &mut Vec<Action>) {
+    fn refuse_no_target(&mut self, now_ms: u64, spec: &RequestSpec, out: &mut Vec<Action>) {
         let in_backoff = self.ready(&spec.service).filter(|(_, it)| it.health.in_backoff(now_ms));
         let first_end_ms = in_backoff.map(|(_, it)| it.health.backoff_until_ms()).min();
         let retry_after_ms =
--- a/crates/samphiredoor-core/src/placement/queue.rs
+++ b/crates/samphiredoor-core/src/placement/queue.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use super::Ask;
+use super::RequestSpec;
 use crate::dispatch::RequestId;
 
 /// Queue order: priority, then deadline, then arrival.
@@ -11,15 +11,15 @@
 /// Waiting online requests of one service.
 #[derive(Debug, Default)]
 pub struct Queue {
-    waiting: BTreeMap<Rank, Ask>,
+    waiting: BTreeMap<Rank, RequestSpec>,
     ranks: HashMap<RequestId, Rank>,
     arrivals: u64,
 }
 
 impl Queue {
     /// Adds a request behind those of the same priority and deadline.
-    pub fn push(&mut self, spec: Ask) {
-        let rank = (spec.priority, spec.until_ms, self.arrivals);
+    pub fn push(&mut self, spec: RequestSpec) {
+        let rank = (spec.priority, spec.deadline_ms, self.arrivals);
         self.arrivals += 1;
         self.ranks.insert(spec.request, rank);
         self.waiting.insert(rank, spec);
@@ -33,7 +33,7 @@
     }
 
     /// Empties the queue; the most urgent request comes first.
-    pub fn take_all(&mut self) -> impl Iterator<Item = Ask> + use<> {
+    pub fn take_all(&mut self) -> impl Iterator<Item = RequestSpec> + use<> {
         self.ranks.clear();
         std::mem::take(&mut self.waiting).into_values()
     }
--- a/crates/samphiredoor-core/src/placement/target.rs
+++ b/crates/samphiredoor-core/src/placement/target.rs
@@ -2,10 +2,10 @@
 
 use std::collections::BTreeMap;
 
-use super::{AttemptEnd, DoorLoad, ReportedLoad, TargetEntry, health::Health};
+use super::{AttemptEnd, GatewayLoad, ReportedLoad, TargetEntry, health::Health};
 use crate::{
     Name,
-    dispatch::{Class, Place, RequestId},
+    dispatch::{Class, Location, RequestId},
 };
 
 /// How long load that a target reported and that no gateway accounts for is counted. Gateways send their loads within
@@ -23,14 +23,14 @@
     /// Same region.
     Region,
     /// Another region.
-    Far,
+    OtherRegion,
 }
 
 impl Distance {
     /// Distance by region and availability zone; cells are ignored.
-    pub fn between(own: &Place, other: &Place) -> Distance {
+    pub fn between(own: &Location, other: &Location) -> Distance {
         if own.region != other.region {
-            Distance::Far
+            Distance::OtherRegion
         } else if own.availability_zone == other.availability_zone {
             Distance::Zone
         } else {
@@ -77,8 +77,8 @@
 
 impl Target {
     /// Creates a target without load.
-    pub fn new(entry: TargetEntry, own_place: &Place, in_own_cell: bool) -> Target {
-        let distance = Distance::between(own_place, &entry.place);
+    pub fn new(entry: TargetEntry, own_location: &Location, in_own_cell: bool) -> Target {
+        let distance = Distance::between(own_location, &entry.location);
         Target {
             entry,
             in_own_cell,
@@ -200,8 +200,8 @@
     }
 
     /// Load of this gateway as sent to peers; `None` if it has no requests at the target.
-    pub fn own_load(&self, target: u64) -> Option<DoorLoad> {
+    pub fn own_load(&self, target: u64) -> Option<GatewayLoad> {
         let Load { online, batch } = self.own;
-        (self.own.total() > 0).then_some(DoorLoad { target, online, batch })
+        (self.own.total() > 0).then_some(GatewayLoad { target, online, batch })
     }
 }
--- a/crates/samphiredoor-core/tests/ordered/items.rs
+++ b/crates/samphiredoor-core/tests/ordered/items.rs
@@ -23,7 +23,7 @@
                 let mut outcome = None;
                 for end in $ends {
                     assert_eq!(outcome, None, "an item with a final result is not run again");
-                    if let ItemStep::Record(result) = items.ended(0, end) {
+                    if let ItemStep::Record(result) = items.run_ended(0, end) {
                         outcome = Some(result.outcome);
                     }
                 }
@@ -48,8 +48,8 @@
     let mut items = items(3);
     let mut backoffs = Vec::new();
     for _ in 0..10 {
-        if let ItemStep::Again { pause_ms } = items.ended(0, ItemEnd::NoAnswer) {
-            backoffs.push(pause_ms);
+        if let ItemStep::Retry { backoff_ms } = items.run_ended(0, ItemEnd::NoAnswer) {
+            backoffs.push(backoff_ms);
         }
     }
     assert!(backoffs.is_sorted());
--- a/crates/samphiredoor-core/tests/ordered/log.rs
+++ b/crates/samphiredoor-core/tests/ordered/log.rs
@@ -83,14 +83,14 @@
 
 impl Writer {
     fn new() -> Writer {
-        let mut log = ResultLog::to_be_read("job".into());
+        let mut log = ResultLog::unread("job".into());
         let step = log.step();
         Writer { log, step, seen: Vec::new(), events: None }
     }
 
     /// Runs an item for one more event, resuming from its saved output.
     fn emit_event(&mut self, item: u32) {
-        if !self.log.is_read() {
+        if !self.log.is_caught_up() {
             return;
         }
         let log = &mut self.log;
@@ -103,7 +103,7 @@
 
     /// Checks that earlier reads are a prefix of the committed results.
     fn check_positions(&mut self) {
-        let committed = self.log.standing();
+        let committed = self.log.committed();
         assert!(committed.starts_with(&self.seen), "a position changed");
         self.seen = committed.to_vec();
     }
@@ -119,7 +119,7 @@
         assert_eq!(text, (1..=last).map(event).collect::<String>(), "item {item}");
         (item, last)
     };
-    log.take_kept().into_iter().map(last).collect()
+    log.take_saved_outputs().into_iter().map(last).collect()
 }
 
 fn result(writer: usize, item: u32) -> ItemResult {
@@ -184,7 +184,7 @@
                 }
             }
             Step::Reread(writer) if !matches!(writers[writer].step, LogStep::Store(_)) => {
-                writers[writer].log.reread();
+                writers[writer].log.request_reread();
             }
             Step::Reread(_) => {}
             Step::Restart(writer) => writers[writer] = Writer::new(),
@@ -200,7 +200,7 @@
 
 fn check_outputs(store: &mut Store) {
     let mut reader = Writer::new();
-    while !reader.log.is_read() {
+    while !reader.log.is_caught_up() {
         call(store, &mut reader, CallOutcome::Answered);
     }
     last_saved_events(&mut reader.log);
@@ -215,7 +215,7 @@
     for _ in 0..200 {
         call(store, &mut last, CallOutcome::Answered);
     }
-    let mut items: Vec<u32> = last.log.standing().iter().map(|it| it.item).collect();
+    let mut items: Vec<u32> = last.log.committed().iter().map(|it| it.item).collect();
     items.sort();
     assert_eq!(items, (0..ITEMS).collect::<Vec<u32>>());
 }
@@ -246,11 +246,11 @@
     call(&mut store, &mut former, CallOutcome::Answered);
     former.log.push(result(0, 4));
     call(&mut store, &mut former, CallOutcome::Answered);
-    assert!(next.log.standing().is_empty());
-    next.log.reread();
+    assert!(next.log.committed().is_empty());
+    next.log.request_reread();
     call(&mut store, &mut next, CallOutcome::Answered);
-    assert_eq!(next.log.standing(), former.log.standing());
-    assert!(next.log.take_foreign());
+    assert_eq!(next.log.committed(), former.log.committed());
+    assert!(next.log.take_other_writer_seen());
 }
 
 // An owner is killed while its items are half done. Their outputs so far are in the log in several parts, and the next owner
@@ -266,7 +266,7 @@
     }
     owner.emit_event(7);
     let mut next = Writer::new();
-    while !next.log.is_read() {
+    while !next.log.is_caught_up() {
         call(&mut store, &mut next, CallOutcome::Answered);
     }
     assert_eq!(last_saved_events(&mut next.log), BTreeMap::from([(7, 5)]));
--- a/crates/samphiredoor-core/tests/placement/cells.rs
+++ b/crates/samphiredoor-core/tests/placement/cells.rs
@@ -8,11 +8,11 @@
 };
 use samphiredoor_core::{
     Name,
-    dispatch::Place,
-    placement::{CellId, Cells, DoorLoad, DoorState, WaitingItems, sum_of},
+    dispatch::Location,
+    placement::{CellId, Cells, GatewayLoad, GatewayState, WaitingItems, sum_states},
 };
 
-use crate::harness::place;
+use crate::harness::location;
 
 const SEED: [u8; 32] = *b"samphiredoor-placement-cells-xx-";
 const ZONES: [(&str, &str); 4] =
@@ -21,64 +21,65 @@
 /// a cell in a larger fleet.
 const SMALL_FLEET: usize = 12;
 
-fn zone(number: usize) -> Place {
-    place(ZONES[number % ZONES.len()].0, ZONES[number % ZONES.len()].1)
+fn zone(number: usize) -> Location {
+    location(ZONES[number % ZONES.len()].0, ZONES[number % ZONES.len()].1)
 }
 
-fn gateways(zones: &[usize]) -> BTreeMap<Name, Place> {
+fn gateways(zones: &[usize]) -> BTreeMap<Name, Location> {
     let named = zones.iter().enumerate().map(|(n, it)| (format!("gateway-{n}").into(), zone(*it)));
     named.collect()
 }
 
-fn targets(zones: &[usize]) -> BTreeMap<u64, Place> {
+fn targets(zones: &[usize]) -> BTreeMap<u64, Location> {
     let keyed = zones.iter().enumerate().map(|(n, it)| (n as u64 * 7_919, zone(*it)));
     keyed.collect()
 }
 
-fn check_cells(gateways: &BTreeMap<Name, Place>, targets: &BTreeMap<u64, Place>) {
+fn check_cells(gateways: &BTreeMap<Name, Location>, targets: &BTreeMap<u64, Location>) {
     let cells = Cells::new(gateways, targets);
     let mut members = HashSet::new();
     for cell in cells.ids() {
-        let in_cell = cells.doors(cell);
+        let in_cell = cells.gateways(cell);
         assert!(
             (1..=SMALL_FLEET).contains(&in_cell.len()),
             "a cell has at least one gateway and no more than its maximum"
         );
         for gateway in in_cell {
             assert!(members.insert(Name::clone(gateway)), "a gateway is in one cell");
-            assert_eq!(cells.of_door(gateway), Some(cell));
-            let in_other_zone = cells.len() > 1 && gateways[gateway] != *cells.place(cell).unwrap();
+            assert_eq!(cells.cell_of_gateway(gateway), Some(cell));
+            let in_other_zone =
+                cells.len() > 1 && gateways[gateway] != *cells.location(cell).unwrap();
             assert!(!in_other_zone, "each cell of a large fleet is in one zone");
         }
     }
     assert_eq!(members.len(), gateways.len(), "every gateway is in a cell");
-    for (target, place) in targets {
-        let cell = cells.of_target(*target).expect("every target is in a cell");
+    for (target, location) in targets {
+        let cell = cells.cell_of_target(*target).expect("every target is in a cell");
         assert!(cells.targets(cell).any(|it| it == *target));
-        let zone_has_gateways = gateways.values().any(|it| it == place);
-        let near = cells.len() == 1 || !zone_has_gateways || cells.place(cell) == Some(place);
+        let zone_has_gateways = gateways.values().any(|it| it == location);
+        let near = cells.len() == 1 || !zone_has_gateways || cells.location(cell) == Some(location);
         assert!(near, "a target is assigned to a cell of its own zone");
     }
     for zone in ZONES {
-        check_even_split(&cells, gateways, targets, &place(zone.0, zone.1));
+        check_even_split(&cells, gateways, targets, &location(zone.0, zone.1));
     }
 }
 
 /// Checks that the targets of a zone are divided evenly among its cells.
 fn check_even_split(
     cells: &Cells,
-    gateways: &BTreeMap<Name, Place>,
-    targets: &BTreeMap<u64, Place>,
-    zone: &Place,
+    gateways: &BTreeMap<Name, Location>,
+    targets: &BTreeMap<u64, Location>,
+    zone: &Location,
 ) {
     if cells.len() == 1 || !gateways.values().any(|it| it == zone) {
         return;
     }
     let in_zone: Vec<u64> =
         targets.iter().filter(|(_, it)| *it == zone).map(|(key, _)| *key).collect();
-    let of_zone = cells.ids().filter(|it| cells.place(*it) == Some(zone));
+    let of_zone = cells.ids().filter(|it| cells.location(*it) == Some(zone));
     let counts: Vec<usize> = of_zone
-        .map(|cell| in_zone.iter().filter(|it| cells.of_target(**it) == Some(cell)).count())
+        .map(|cell| in_zone.iter().filter(|it| cells.cell_of_target(**it) == Some(cell)).count())
         .collect();
     let spread = counts.iter().max().unwrap() - counts.iter().min().unwrap();
     assert!(spread <= 1, "target counts of the cells of a zone differ by at most one");
@@ -103,7 +104,7 @@
     let all = gateways(&[0, 1, 2, 3, 0, 1, 2, 3, 0, 1, 2, 3]);
     let cells = Cells::new(&all, &targets(&[0, 3]));
     assert_eq!(cells.len(), 1);
-    assert_eq!(cells.targets(cells.of_door("gateway-0").unwrap()).count(), 2);
+    assert_eq!(cells.targets(cells.cell_of_gateway("gateway-0").unwrap()).count(), 2);
 }
 
 // A zone has targets and no gateway. Without a fallback they would be in no cell, and a gateway that uses them would send
@@ -112,18 +113,18 @@
 fn targets_in_a_zone_without_gateways_are_assigned_within_the_region() {
     let cells = Cells::new(&gateways(&[[0; 10], [2; 10]].concat()), &targets(&[1, 1, 1]));
     for target in targets(&[1, 1, 1]).keys() {
-        let cell = cells.of_target(*target).unwrap();
-        assert_eq!(&*cells.place(cell).unwrap().region, "brisbane");
+        let cell = cells.cell_of_target(*target).unwrap();
+        assert_eq!(&*cells.location(cell).unwrap().region, "brisbane");
     }
 }
 
 #[test]
 fn summaries_omit_targets_whose_loads_are_sent_directly() {
-    let load = |target, online, batch| DoorLoad { target, online, batch };
+    let load = |target, online, batch| GatewayLoad { target, online, batch };
     let waiting = vec![WaitingItems { service: 5, items: 3 }];
-    let one = DoorState { loads: vec![load(1, 2, 1), load(2, 1, 0)], waiting: waiting.clone() };
-    let two = DoorState { loads: vec![load(1, 1, 0), load(3, 4, 0)], waiting };
-    let sum = sum_of([&one, &two], |target| target == 3);
+    let one = GatewayState { loads: vec![load(1, 2, 1), load(2, 1, 0)], waiting: waiting.clone() };
+    let two = GatewayState { loads: vec![load(1, 1, 0), load(3, 4, 0)], waiting };
+    let sum = sum_states([&one, &two], |target| target == 3);
     assert_eq!(sum.loads, [load(1, 3, 1), load(2, 1, 0)]);
     assert_eq!(sum.waiting, [WaitingItems { service: 5, items: 6 }]);
 }
@@ -133,12 +134,12 @@
     let (gateways, targets) = (gateways(&[[0; 10], [2; 10]].concat()), targets(&[0, 2]));
     let cells = Cells::new(&gateways, &targets);
     let keys: Vec<u64> = targets.keys().copied().collect();
-    let loads: Vec<DoorLoad> =
-        keys.iter().map(|it| DoorLoad { target: *it, online: 1, batch: 0 }).collect();
-    let own = cells.of_door("gateway-0");
-    assert_eq!(own, cells.of_target(keys[0]));
-    let elsewhere = cells.loads_elsewhere(own, &loads);
+    let loads: Vec<GatewayLoad> =
+        keys.iter().map(|it| GatewayLoad { target: *it, online: 1, batch: 0 }).collect();
+    let own = cells.cell_of_gateway("gateway-0");
+    assert_eq!(own, cells.cell_of_target(keys[0]));
+    let elsewhere = cells.loads_of_other_cells(own, &loads);
     let far: Vec<CellId> = elsewhere.keys().copied().collect();
-    assert_eq!(far, [cells.of_target(keys[1]).unwrap()]);
+    assert_eq!(far, [cells.cell_of_target(keys[1]).unwrap()]);
     assert_eq!(elsewhere[&far[0]], [loads[1]]);
 }
--- a/crates/samphiredoor-core/tests/placement/fleet.rs
+++ b/crates/samphiredoor-core/tests/placement/fleet.rs
@@ -7,15 +7,15 @@
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use samphiredoor_core::{
     Name,
-    dispatch::{Class, Place, RequestId},
+    dispatch::{Class, Location, RequestId},
     placement::{
-        Action, Ask, AttemptEnd, CellId, Cells, Distance, DoorState, Input, Placement, key_of,
-        sum_of, summary_pause_ms,
+        Action, AttemptEnd, CellId, Cells, Distance, GatewayState, Input, Placement, RequestSpec,
+        name_hash, sum_states, summary_interval_ms,
     },
 };
 use smallvec::SmallVec;
 
-use crate::harness::{SLOTS, entry, place};
+use crate::harness::{SLOTS, entry, location};
 
 const SEED: u64 = 71;
 const STEP_MS: u64 = 5;
@@ -97,19 +97,19 @@
     to: usize,
     /// Name of the gateway or cell whose loads these are.
     sender: Name,
-    state: DoorState,
+    state: GatewayState,
 }
 
 struct Gateway {
     placement: Placement,
-    place: Place,
+    location: Location,
     name: Name,
-    state: DoorState,
+    state: GatewayState,
     sent_ms: u64,
     /// Other cells at whose targets it had requests when it last sent its loads.
     other_cells: Vec<CellId>,
     /// Last state that each gateway sent to it, and its own.
-    known_states: BTreeMap<usize, DoorState>,
+    known_states: BTreeMap<usize, GatewayState>,
 }
 
 pub struct Fleet {
@@ -119,7 +119,7 @@
     rng: SmallRng,
     gateways: Vec<Gateway>,
     cells: Cells,
-    targets: Vec<(Name, Place)>,
+    targets: Vec<(Name, Location)>,
     engines: HashMap<Name, Engine>,
     /// Target of each dispatched request.
     dispatched_to: HashMap<RequestId, Name>,
@@ -149,20 +149,21 @@
     sent: u64,
 }
 
-fn zone(number: usize, count: usize) -> Place {
+fn zone(number: usize, count: usize) -> Location {
     let (region, zone) = ZONES[number * ZONES.len() / count];
-    place(region, zone)
+    location(region, zone)
 }
 
 impl Fleet {
     pub fn new(seed: u64, gateways: usize, targets: usize, load: Load) -> Fleet {
-        let places =
+        let locations =
             (0..gateways).map(|it| (Name::from(format!("gateway-{it:03}")), zone(it, gateways)));
-        let places: BTreeMap<Name, Place> = places.collect();
-        let targets: Vec<(Name, Place)> =
+        let locations: BTreeMap<Name, Location> = locations.collect();
+        let targets: Vec<(Name, Location)> =
             (0..targets).map(|it| (format!("t-{it}").into(), zone(it, targets))).collect();
-        let keys = targets.iter().map(|(name, place)| (key_of(name), place.clone())).collect();
-        let cells = Cells::new(&places, &keys);
+        let keys =
+            targets.iter().map(|(name, location)| (name_hash(name), location.clone())).collect();
+        let cells = Cells::new(&locations, &keys);
         let mut fleet = Fleet {
             seed,
             load,
@@ -178,26 +179,26 @@
             next_request: 1,
             outcome: Outcome::default(),
         };
-        for (number, (name, place)) in places.into_iter().enumerate() {
-            fleet.add_gateway(number, name, place);
+        for (number, (name, location)) in locations.into_iter().enumerate() {
+            fleet.add_gateway(number, name, location);
         }
         fleet
     }
 
-    fn add_gateway(&mut self, number: usize, name: Name, place: Place) {
+    fn add_gateway(&mut self, number: usize, name: Name, location: Location) {
         let mut placement =
-            Placement::new(Name::clone(&name), place.clone(), self.seed + number as u64);
-        let entries = self.targets.iter().map(|(name, place)| entry(name, place.clone()));
-        let own = self.cells.of_door(&name).unwrap();
+            Placement::new(Name::clone(&name), location.clone(), self.seed + number as u64);
+        let entries = self.targets.iter().map(|(name, location)| entry(name, location.clone()));
+        let own = self.cells.cell_of_gateway(&name).unwrap();
         let mut out = Vec::new();
         placement.handle(self.now_ms, Input::Targets(entries.collect()), &mut out);
         let cell_targets = self.cells.targets(own).collect();
-        placement.handle(self.now_ms, Input::OwnTargets(cell_targets), &mut out);
+        placement.handle(self.now_ms, Input::CellTargets(cell_targets), &mut out);
         self.gateways.push(Gateway {
             placement,
-            place,
+            location,
             name,
-            state: DoorState::default(),
+            state: GatewayState::default(),
             sent_ms: 0,
             other_cells: Vec::new(),
             known_states: BTreeMap::new(),
@@ -241,7 +242,7 @@
         }
         self.send_loads();
         self.send_summaries(Distance::Region);
-        self.send_summaries(Distance::Far);
+        self.send_summaries(Distance::OtherRegion);
     }
 
     /// Number of slots that online requests do not hold.
@@ -295,17 +296,17 @@
         let Request { gateway, class, arrived_ms, left_ms } = self.requests[&request];
         let whole_ms = if class == Class::Online { ONLINE_RUN_MS } else { self.load.item_ms };
         let wait_ms = if class == Class::Online { OBJECTIVE_MS / 5 } else { DUE_MS };
-        let spec = Ask {
+        let spec = RequestSpec {
             request,
             class,
             service: "reader".into(),
             priority: 0,
             affinity: 0,
-            tried: SmallVec::new(),
-            until_ms: arrived_ms + wait_ms,
-            ran_ms: whole_ms - left_ms,
+            tried_targets: SmallVec::new(),
+            deadline_ms: arrived_ms + wait_ms,
+            prior_run_ms: whole_ms - left_ms,
         };
-        self.input(gateway, Input::Ask(spec));
+        self.input(gateway, Input::Request(spec));
     }
 
     fn input(&mut self, gateway: usize, input: Input) {
@@ -323,7 +324,7 @@
                 self.engines.get_mut(&target).unwrap().queue.push_back(request);
                 self.admit(&target);
             }
-            Action::Recall { request } => {
+            Action::Preempt { request } => {
                 let Some(target) = self.dispatched_to.remove(&request) else { return };
                 let engine = self.engines.get_mut(&target).unwrap();
                 if let Some(at) = engine.running.iter().position(|(it, _)| *it == request) {
@@ -393,7 +394,7 @@
             if let Some(sender) = sender {
                 receiver.known_states.insert(sender, message.state.clone());
             }
-            self.input(message.to, Input::Peer { door: message.sender, state: message.state });
+            self.input(message.to, Input::Peer { peer: message.sender, state: message.state });
         }
         for gateway in 0..self.gateways.len() {
             if self.gateways[gateway].placement.waiting().0 > 0 {
@@ -402,22 +403,22 @@
         }
     }
 
-    fn send(&mut self, from: usize, to: usize, sender: Name, state: DoorState) {
+    fn send(&mut self, from: usize, to: usize, sender: Name, state: GatewayState) {
         self.outcome.sent += 1;
         if self.rng.random_ratio(1, LOST_ONE_IN) {
             return;
         }
-        let delay_ms = match Distance::between(&self.gateways[from].place, &self.gateways[to].place)
-        {
-            Distance::Far => 15,
-            _ => 5,
-        };
+        let delay_ms =
+            match Distance::between(&self.gateways[from].location, &self.gateways[to].location) {
+                Distance::OtherRegion => 15,
+                _ => 5,
+            };
         self.messages.push(Message { due_ms: self.now_ms + delay_ms, to, sender, state });
     }
 
     /// Indexes of the gateways of a cell.
     fn members(&self, cell: CellId) -> Vec<usize> {
-        let names = self.cells.doors(cell).iter();
+        let names = self.cells.gateways(cell).iter();
         names.map(|name| self.gateways.iter().position(|it| it.name == *name).unwrap()).collect()
     }
 
@@ -437,14 +438,14 @@
     }
 
     /// Sends a gateway's state to its cell, and changed loads to the cells of other targets.
-    fn send_state(&mut self, gateway: usize, state: DoorState) {
+    fn send_state(&mut self, gateway: usize, state: GatewayState) {
         let name = Name::clone(&self.gateways[gateway].name);
-        let own = self.cells.of_door(&name);
+        let own = self.cells.cell_of_gateway(&name);
         for peer in self.members(own.unwrap()).into_iter().filter(|it| *it != gateway) {
             self.send(gateway, peer, Name::clone(&name), state.clone());
         }
-        let before = self.cells.loads_elsewhere(own, &self.gateways[gateway].state.loads);
-        let mut other_cells = self.cells.loads_elsewhere(own, &state.loads);
+        let before = self.cells.loads_of_other_cells(own, &self.gateways[gateway].state.loads);
+        let mut other_cells = self.cells.loads_of_other_cells(own, &state.loads);
         for cell in std::mem::take(&mut self.gateways[gateway].other_cells) {
             other_cells.entry(cell).or_default();
         }
@@ -453,7 +454,7 @@
                 self.gateways[gateway].other_cells.push(cell);
             }
             if before.get(&cell) != Some(&loads) {
-                let state = DoorState { loads, waiting: Vec::new() };
+                let state = GatewayState { loads, waiting: Vec::new() };
                 for receiver in self.members(cell) {
                     self.send(gateway, receiver, Name::clone(&name), state.clone());
                 }
@@ -469,7 +470,7 @@
         for cell in self.cells.ids() {
             let others = self.other_cells_at(cell, distance);
             // Rounded up, as the simulation runs in steps.
-            let interval_ms = summary_pause_ms(distance, others.len()).next_multiple_of(STEP_MS);
+            let interval_ms = summary_interval_ms(distance, others.len()).next_multiple_of(STEP_MS);
             if !self.now_ms.is_multiple_of(interval_ms) {
                 continue;
             }
@@ -484,8 +485,8 @@
 
     fn send_summary(&mut self, members: &[usize], sender: usize, receiver: CellId) {
         let states = members.iter().filter_map(|it| self.gateways[sender].known_states.get(it));
-        let sum = sum_of(states, |it| self.cells.of_target(it) == Some(receiver));
-        let cell = self.cells.of_door(&self.gateways[sender].name).unwrap();
+        let sum = sum_states(states, |it| self.cells.cell_of_target(it) == Some(receiver));
+        let cell = self.cells.cell_of_gateway(&self.gateways[sender].name).unwrap();
         let name = self.cells.name(cell).unwrap();
         for to in self.members(receiver) {
             self.send(sender, to, Name::clone(&name), sum.clone());
@@ -494,11 +495,12 @@
 
     /// Other cells in other regions, or in the same region.
     fn other_cells_at(&self, cell: CellId, distance: Distance) -> Vec<CellId> {
-        let own = self.cells.place(cell).unwrap();
-        let in_other_region =
-            |it: &CellId| Distance::between(own, self.cells.place(*it).unwrap()) == Distance::Far;
+        let own = self.cells.location(cell).unwrap();
+        let in_other_region = |it: &CellId| {
+            Distance::between(own, self.cells.location(*it).unwrap()) == Distance::OtherRegion
+        };
         let others = self.cells.ids().filter(|it| *it != cell);
-        others.filter(|it| in_other_region(it) == (distance == Distance::Far)).collect()
+        others.filter(|it| in_other_region(it) == (distance == Distance::OtherRegion)).collect()
     }
 }
 
--- a/crates/samphiredoor-core/tests/placement/harness.rs
+++ b/crates/samphiredoor-core/tests/placement/harness.rs
@@ -2,10 +2,10 @@
 
 use samphiredoor_core::{
     Name,
-    dispatch::{Class, Place, RequestId},
+    dispatch::{Class, Location, RequestId},
     placement::{
-        Action, Ask, AttemptEnd, DoorLoad, DoorState, Input, Placement, ReportedLoad, TargetEntry,
-        TargetState, WaitingItems, key_of,
+        Action, AttemptEnd, GatewayLoad, GatewayState, Input, Placement, ReportedLoad, RequestSpec,
+        TargetEntry, TargetState, WaitingItems, name_hash,
     },
 };
 use smallvec::SmallVec;
@@ -20,16 +20,16 @@
     next_request: u64,
 }
 
-pub fn place(region: &str, zone: &str) -> Place {
-    Place { region: region.into(), availability_zone: zone.into() }
+pub fn location(region: &str, zone: &str) -> Location {
+    Location { region: region.into(), availability_zone: zone.into() }
 }
 
-pub fn entry(name: &str, place: Place) -> TargetEntry {
+pub fn entry(name: &str, location: Location) -> TargetEntry {
     TargetEntry {
         name: name.into(),
         service: "reader".into(),
         address: ([127, 0, 0, 1], 80).into(),
-        place,
+        location,
         slots: SLOTS,
         state: TargetState::Ready,
         started_unix_ms: 1,
@@ -39,7 +39,7 @@
 impl Fixture {
     /// Creates gateway `gateway-m` in `north`, with the given targets.
     pub fn new(entries: Vec<TargetEntry>) -> Fixture {
-        let placement = Placement::new("gateway-m".into(), place("brisbane", "north"), SEED);
+        let placement = Placement::new("gateway-m".into(), location("brisbane", "north"), SEED);
         let mut fixture = Fixture { placement, now_ms: 1_000, next_request: 1 };
         fixture.input(Input::Targets(entries));
         fixture
@@ -47,7 +47,7 @@
 
     /// Creates a gateway with `count` targets in its own zone, named `t-0` and so on.
     pub fn with_targets(count: usize) -> Fixture {
-        let entries = (0..count).map(|it| entry(&format!("t-{it}"), place("brisbane", "north")));
+        let entries = (0..count).map(|it| entry(&format!("t-{it}"), location("brisbane", "north")));
         Fixture::new(entries.collect())
     }
 
@@ -70,28 +70,30 @@
     /// Adds a request that was already tried on these targets.
     pub fn request_with_tried(&mut self, class: Class, tried: &[&str]) -> (RequestId, Vec<Action>) {
         let mut spec = self.new_spec(class, self.now_ms + 60);
-        spec.tried = tried.iter().map(|it| Name::from(*it)).collect::<SmallVec<[Name; 2]>>();
-        (spec.request, self.input(Input::Ask(spec)))
+        spec.tried_targets =
+            tried.iter().map(|it| Name::from(*it)).collect::<SmallVec<[Name; 2]>>();
+        (spec.request, self.input(Input::Request(spec)))
     }
 
     /// Adds an item with this time until it is due and this time of earlier runs.
-    pub fn request_item(&mut self, due_in_ms: u64, ran_ms: u64) -> (RequestId, Vec<Action>) {
-        let spec = Ask { ran_ms, ..self.new_spec(Class::Batch, self.now_ms + due_in_ms) };
-        (spec.request, self.input(Input::Ask(spec)))
+    pub fn request_item(&mut self, due_in_ms: u64, prior_run_ms: u64) -> (RequestId, Vec<Action>) {
+        let spec =
+            RequestSpec { prior_run_ms, ..self.new_spec(Class::Batch, self.now_ms + due_in_ms) };
+        (spec.request, self.input(Input::Request(spec)))
     }
 
-    fn new_spec(&mut self, class: Class, until_ms: u64) -> Ask {
+    fn new_spec(&mut self, class: Class, deadline_ms: u64) -> RequestSpec {
         let request = RequestId(self.next_request);
         self.next_request += 1;
-        Ask {
+        RequestSpec {
             request,
             class,
             service: "reader".into(),
             priority: 0,
             affinity: 0,
-            tried: SmallVec::new(),
-            until_ms,
-            ran_ms: 0,
+            tried_targets: SmallVec::new(),
+            deadline_ms,
+            prior_run_ms: 0,
         }
     }
 
@@ -101,25 +103,25 @@
 
     /// Delivers the loads of a peer: target, online requests, items.
     pub fn peer(&mut self, peer: &str, loads: &[(&str, u32, u32)]) -> Vec<Action> {
-        let load = |&(target, online, batch): &(&str, u32, u32)| DoorLoad {
-            target: key_of(target),
+        let load = |&(target, online, batch): &(&str, u32, u32)| GatewayLoad {
+            target: name_hash(target),
             online,
             batch,
         };
-        let state = DoorState { loads: loads.iter().map(load).collect(), waiting: Vec::new() };
-        self.input(Input::Peer { door: peer.into(), state })
+        let state = GatewayState { loads: loads.iter().map(load).collect(), waiting: Vec::new() };
+        self.input(Input::Peer { peer: peer.into(), state })
     }
 
     /// Delivers a peer's number of waiting items.
     pub fn peer_waiting(&mut self, peer: &str, items: u32) -> Vec<Action> {
-        let waiting = vec![WaitingItems { service: key_of("reader"), items }];
-        let state = DoorState { loads: Vec::new(), waiting };
-        self.input(Input::Peer { door: peer.into(), state })
+        let waiting = vec![WaitingItems { service: name_hash("reader"), items }];
+        let state = GatewayState { loads: Vec::new(), waiting };
+        self.input(Input::Peer { peer: peer.into(), state })
     }
 
     pub fn report(&mut self, target: &str, running: u32, waiting: u32) -> Vec<Action> {
         let load = ReportedLoad { running, waiting, slots: SLOTS };
-        self.input(Input::Load { target: target.into(), load })
+        self.input(Input::LoadReport { target: target.into(), load })
     }
 }
 
--- a/crates/samphiredoor-core/tests/placement/invariants.rs
+++ b/crates/samphiredoor-core/tests/placement/invariants.rs
@@ -13,7 +13,7 @@
     placement::{Action, AttemptEnd, Input, TargetState},
 };
 
-use crate::harness::{Fixture, SLOTS, entry, place};
+use crate::harness::{Fixture, SLOTS, entry, location};
 
 const SEED: [u8; 32] = *b"samphiredoor-placement-promises-";
 const TARGETS: usize = 4;
@@ -88,7 +88,7 @@
                     assert!((1..=1_000).contains(&retry_after_ms), "retry-after in its range");
                     self.waiting.retain(|it| *it != request);
                 }
-                Action::Recall { request } => {
+                Action::Preempt { request } => {
                     assert!(!self.online.contains(&request), "only items are preempted");
                     assert!(
                         self.running.iter().any(|(it, _)| *it == request),
@@ -135,7 +135,7 @@
             }
             Step::Cancel(which) if !model.waiting.is_empty() => {
                 let request = model.waiting.remove(which % model.waiting.len());
-                fixture.input(Input::Gone { request })
+                fixture.input(Input::Cancelled { request })
             }
             Step::End(..) | Step::Cancel(_) => Vec::new(),
             Step::Peer(peer, online, batch) => fixture
@@ -145,7 +145,7 @@
                 let present = (0..TARGETS).filter(|it| present & (1 << it) != 0);
                 let entries: Vec<_> = present
                     .map(|it| {
-                        let mut entry = entry(&format!("t-{it}"), place("brisbane", "north"));
+                        let mut entry = entry(&format!("t-{it}"), location("brisbane", "north"));
                         if ready & (1 << it) == 0 {
                             entry.state = TargetState::Leaving;
                         }
--- a/crates/samphiredoor-core/tests/placement/scenarios.rs
+++ b/crates/samphiredoor-core/tests/placement/scenarios.rs
@@ -6,7 +6,7 @@
     verdict::Refusal,
 };
 
-use crate::harness::{Fixture, SLOTS, entry, place, sent_to};
+use crate::harness::{Fixture, SLOTS, entry, location, sent_to};
 
 /// Run time of an item.
 const RUN_MS: u64 = 1_000;
@@ -20,9 +20,9 @@
 #[test]
 fn the_nearest_free_target_is_used_first() {
     let mut fixture = Fixture::new(vec![
-        entry("far", place("cairns", "port")),
-        entry("region", place("brisbane", "south")),
-        entry("zone", place("brisbane", "north")),
+        entry("far", location("cairns", "port")),
+        entry("region", location("brisbane", "south")),
+        entry("zone", location("brisbane", "north")),
     ]);
     let mut used = Vec::new();
     for _ in 0..2 * SLOTS + 1 {
@@ -92,11 +92,11 @@
     let items: Vec<_> = (0..7).map(|_| fixture.request(Class::Batch).0).collect();
     let (request, actions) = fixture.request(Class::Online);
     assert_eq!(sent_to(request, &actions).as_deref(), Some("t-0"));
-    assert!(!actions.iter().any(|it| matches!(it, Action::Recall { .. })));
+    assert!(!actions.iter().any(|it| matches!(it, Action::Preempt { .. })));
     let (request, actions) = fixture.request(Class::Online);
     assert_eq!(sent_to(request, &actions).as_deref(), Some("t-0"));
-    assert!(actions.contains(&Action::Recall { request: items[6] }));
-    assert_eq!(actions.iter().filter(|it| matches!(it, Action::Recall { .. })).count(), 1);
+    assert!(actions.contains(&Action::Preempt { request: items[6] }));
+    assert_eq!(actions.iter().filter(|it| matches!(it, Action::Preempt { .. })).count(), 1);
 }
 
 // Two gateways have items at a target, and both see that it is two requests over its slots. Together they preempt two
@@ -108,7 +108,7 @@
         fixture.request(Class::Batch);
     }
     let preempted = |actions: &[Action]| {
-        actions.iter().filter(|it| matches!(it, Action::Recall { .. })).count()
+        actions.iter().filter(|it| matches!(it, Action::Preempt { .. })).count()
     };
     assert_eq!(preempted(&fixture.peer("gateway-a", &[("t-0", 6, 1)])), 1);
     let mut fixture = Fixture::with_targets(1);
@@ -127,7 +127,7 @@
     for needs_others in [false, false, true] {
         let (request, actions) = fixture.request(Class::Online);
         assert_eq!(sent_to(request, &actions).as_deref(), Some("t-0"));
-        assert_eq!(fixture.placement.take_needs_others(), needs_others);
+        assert_eq!(fixture.placement.take_needs_peer_preemption(), needs_others);
     }
     let mut fixture = Fixture::with_targets(1);
     for _ in 0..6 {
@@ -135,7 +135,7 @@
     }
     for _ in 0..4 {
         fixture.request(Class::Online);
-        assert!(!fixture.placement.take_needs_others());
+        assert!(!fixture.placement.take_needs_peer_preemption());
     }
 }
 
@@ -144,7 +144,7 @@
     let mut fixture = Fixture::with_targets(1);
     let leaving = samphiredoor_core::placement::TargetEntry {
         state: TargetState::Leaving,
-        ..entry("t-0", place("brisbane", "north"))
+        ..entry("t-0", location("brisbane", "north"))
     };
     fixture.input(Input::Targets(vec![leaving]));
     let (request, actions) = fixture.request(Class::Online);
@@ -174,8 +174,8 @@
             #[test]
             fn $name() {
                 let mut fixture = Fixture::new(vec![
-                    entry("bad", place("brisbane", "north")),
-                    entry("good", place("brisbane", "south")),
+                    entry("bad", location("brisbane", "north")),
+                    entry("good", location("brisbane", "south")),
                 ]);
                 for _ in 0..$times {
                     let (request, actions) = fixture.request(Class::Online);
--- a/crates/samphiredoor-gateway/src/front/online.rs
+++ b/crates/samphiredoor-gateway/src/front/online.rs
@@ -16,21 +16,21 @@
 use samphiredoor_core::{
     Name,
     dispatch::Class,
-    placement::{Ask, AttemptEnd},
+    placement::{AttemptEnd, RequestSpec},
     routes::Route,
-    verdict::{Doubt, Refusal},
+    verdict::{MayHaveRunReason, Refusal},
 };
 use samphiredoor_net::{Body, Call};
 use smallvec::SmallVec;
 
 use super::{
     Front,
-    answers::{in_doubt, refused},
+    answers::{in_doubt, refusal_response},
     attempt::{Attempt, Begun, Patience, attempt},
     header_number,
     passing::Passing,
 };
-use crate::placement::{Placed, Ticket};
+use crate::placement::{Decision, Ticket};
 
 /// Deadline of a caller that names none.
 const DEFAULT_DEADLINE_MS: u64 = 60_000;
@@ -68,7 +68,7 @@
     deadline: Instant,
     sends: u32,
     tried: SmallVec<[Name; 2]>,
-    doubt: Option<Doubt>,
+    doubt: Option<MayHaveRunReason>,
     /// What a target answered that ran it and failed.
     failed: Option<(Box<response::Parts>, Bytes)>,
     _open: Open,
@@ -108,7 +108,7 @@
 #[derive(Debug, Clone, Copy)]
 pub(super) enum Over {
     Refused { reason: Refusal, retry_after_ms: u64 },
-    Doubt(Doubt),
+    Doubt(MayHaveRunReason),
 }
 
 impl Online {
@@ -171,7 +171,7 @@
         let response = match over {
             Over::Refused { reason, retry_after_ms } => {
                 self.front.metrics.refused(reason);
-                refused(reason, retry_after_ms)
+                refusal_response(reason, retry_after_ms)
             }
             Over::Doubt(doubt) => in_doubt(doubt),
         };
@@ -201,7 +201,11 @@
     }
 
     /// Continues a stream that was cut after an event at another target.
-    pub(super) async fn resume(&mut self, after: u64, doubt: Doubt) -> Result<Streaming, Over> {
+    pub(super) async fn resume(
+        &mut self,
+        after: u64,
+        doubt: MayHaveRunReason,
+    ) -> Result<Streaming, Over> {
         self.doubt = Some(doubt);
         if !self.may_run_again() {
             return Err(Over::Doubt(doubt));
@@ -228,10 +232,10 @@
                 let over = self.no_more(Refusal::DeadlineTooShort);
                 return self.over(over);
             }
-            let mut ticket = self.front.placer.ask(self.ask());
-            let (target, address) = match ticket.placed().await {
-                Placed::Go { target, address } => (target, address),
-                Placed::Refused { reason, retry_after_ms } => {
+            let mut ticket = self.front.placement.request(self.ask());
+            let (target, address) = match ticket.next_decision().await {
+                Decision::Dispatch { target, address } => (target, address),
+                Decision::Refused { reason, retry_after_ms } => {
                     let over = match self.doubt {
                         Some(doubt) => Over::Doubt(doubt),
                         None => Over::Refused { reason, retry_after_ms },
@@ -239,7 +243,7 @@
                     return self.over(over);
                 }
                 // Only items of jobs are recalled.
-                Placed::Recalled => continue,
+                Decision::Preempted => continue,
             };
             self.sends += 1;
             let names = self.front.dialect.headers();
@@ -263,7 +267,7 @@
             }
             Attempt::Whole(parts, body) => {
                 self.runs += 1;
-                ticket.ended(AttemptEnd::Answered);
+                ticket.report_end(AttemptEnd::Answered);
                 self.report_load(&target, &parts.headers);
                 if parts.status.is_server_error() && self.may_run_again() {
                     self.front.metrics.retried("target_failed");
@@ -274,14 +278,14 @@
                 Some(Next::Whole(parts, body))
             }
             Attempt::NotRun(end) => {
-                ticket.ended(end);
+                ticket.report_end(end);
                 self.log_retry(&target, end);
                 self.tried.push(target);
                 None
             }
             Attempt::Doubt(end, doubt) => {
                 self.runs += 1;
-                ticket.ended(end);
+                ticket.report_end(end);
                 self.doubt = Some(doubt);
                 self.log_retry(&target, end);
                 self.tried.push(target);
@@ -309,7 +313,7 @@
 
     fn report_load(&self, target: &Name, headers: &HeaderMap) {
         if let Some(load) = self.front.dialect.reported_load(headers) {
-            self.front.placer.reported(target, load);
+            self.front.placement.report_load(target, load);
         }
     }
 
@@ -329,17 +333,17 @@
         }
     }
 
-    fn ask(&self) -> Ask {
+    fn ask(&self) -> RequestSpec {
         let queue_ms = self.route.objective_ms / QUEUE_PART;
-        Ask {
-            request: self.front.placer.next_request(),
+        RequestSpec {
+            request: self.front.placement.next_request(),
             class: Class::Online,
             service: self.service.clone().unwrap_or_else(|| Name::from("")),
             priority: self.route.priority,
             affinity: self.affinity,
-            tried: self.tried.clone(),
-            until_ms: self.front.clock.now().mono_ms + queue_ms,
-            ran_ms: 0,
+            tried_targets: self.tried.clone(),
+            deadline_ms: self.front.clock.now().mono_ms + queue_ms,
+            prior_run_ms: 0,
         }
     }
 }
--- a/crates/samphiredoor-gateway/src/jobs/sweep.rs
+++ b/crates/samphiredoor-gateway/src/jobs/sweep.rs
@@ -10,8 +10,8 @@
 use samphiredoor_core::{
     Name,
     ordered::{
-        Item, Items, JobHeader, JobName, JobOwner, ResultLog, end_key, header_key, part_key,
-        read_header, segment_key,
+        Item, Items, JobHeader, JobName, JobOwner, ResultLog, cancellation_key, header_key,
+        part_key, read_header, segment_key,
     },
     store::{Kind, Labels, ObjectKey, StoreAnswer, StoreOp, Version},
 };
@@ -25,8 +25,8 @@
     stored::{StoredJobs, Unread},
 };
 use crate::{
-    edge::Freshness,
     peers::{Liveness, registered_address},
+    platform_api::Freshness,
     watch::list_all,
 };
 
@@ -55,7 +55,7 @@
         if !env.stopping.get() {
             sweep(&env, &directory, &stored).await;
         }
-        let processes = env.roster.heard_count() as u32 + 1;
+        let processes = env.roster.live_count() as u32 + 1;
         compio::time::sleep(FLEET_PAUSE.saturating_mul(processes).max(SHORTEST_PAUSE)).await;
     }
 }
@@ -65,10 +65,10 @@
     let store = &*env.platform.store;
     let listed = list_all(store, Kind::OrderedJob, Freshness::MayBeStale).await;
     let Some((objects, _)) = listed else {
-        env.health.doubt();
+        env.health.raise_suspicion();
         return;
     };
-    env.health.heard();
+    env.health.record_answer();
     for object in &objects {
         match read_header(object) {
             // One that another process has finished may still be worked on here.
@@ -78,7 +78,7 @@
             Ok(header) if is_forgotten(env, &header) => old.push((object.name.clone(), header)),
             Ok(_) => {}
             Err(fault) => {
-                env.metrics.foreign("job");
+                env.metrics.invalid_entry("job");
                 log::warn!(job = &*object.name, fault:% = fault; "job: header ignored");
             }
         }
@@ -94,14 +94,14 @@
 
 /// Whether a finished job is so old that nobody may read it any more.
 fn is_forgotten(env: &JobEnv, header: &JobHeader) -> bool {
-    let kept = env.keep + REMOVE_MARGIN;
+    let kept = env.retention + REMOVE_MARGIN;
     env.clock.now().unix_ms > header.accepted_unix_ms + kept.as_millis() as u64
 }
 
 /// Removes all objects of a job, the header last: a removal that is cut short is done again.
 async fn remove(env: &JobEnv, job: &JobName, header: &JobHeader) {
     let parts = (0..header.parts).map(|it| part_key(job, &header.digest, it));
-    for key in parts.chain([end_key(job)]) {
+    for key in parts.chain([cancellation_key(job)]) {
         if !delete(env, key).await {
             return;
         }
@@ -116,7 +116,7 @@
     }
     if delete(env, header_key(job)).await {
         log::info!(job = &**job; "job: removed, its time is over");
-        env.metrics.job("removed");
+        env.metrics.job_event("removed");
     }
 }
 
@@ -158,22 +158,23 @@
         // Handed over, or of an earlier start of this process, or accepted by a call of it that was given up.
         return true;
     }
-    let gone = env.roster.liveness(&owner.process, owner.incarnation) == Liveness::Gone;
-    gone && env.roster.hears_most() && !has_told_owner(env, job)
+    let gone = env.roster.liveness(&owner.process, owner.incarnation) == Liveness::Dead;
+    gone && env.roster.at_least_half_live() && !has_told_owner(env, job)
 }
 
 /// Whether a process that works has told that it owns the job. The list of jobs may be seconds older than that, and each
 /// process of the fleet would read the job's header once more to learn it.
 fn has_told_owner(env: &JobEnv, job: &JobName) -> bool {
-    let owner = env.owners.of(job);
-    owner.is_some_and(|it| env.roster.liveness(&it.process, it.incarnation) == Liveness::Works)
+    let owner = env.owners.get(job);
+    owner.is_some_and(|it| env.roster.liveness(&it.process, it.incarnation) == Liveness::Alive)
 }
 
 /// Whether an owner says that it works on its jobs. Asked where it was never heard: a gateway that is new in the fleet is
 /// known to others only when they have read its entry.
 async fn says_it_works(env: &JobEnv, owner: &JobOwner) -> bool {
     let (process, incarnation) = (Name::from(&*owner.process), owner.incarnation);
-    if process.is_empty() || process == env.name || env.roster.was_heard(&process, incarnation) {
+    if process.is_empty() || process == env.name || env.roster.has_been_seen(&process, incarnation)
+    {
         return false;
     }
     let address = match env.roster.address(&process) {
@@ -224,7 +225,7 @@
     version: Version,
     ended: bool,
 ) -> Option<OwnedJob> {
-    let (before, gaps) = (header.owner.clone(), env.gaps.count());
+    let (before, gaps) = (header.owner.clone(), env.liveness_gaps.count());
     let former = match before.process.as_str() {
         "" => header.former.clone(),
         _ => Some(before.clone()),
@@ -245,14 +246,14 @@
         job = &**job, from = before.process, from_incarnation = before.incarnation, ended;
         "job: taken"
     );
-    env.metrics.job("taken");
+    env.metrics.job_event("taken");
     Some(OwnedJob { job: JobName::clone(job), header, version, gaps, is_new: false })
 }
 
 fn start(env: &Rc<JobEnv>, directory: &Directory, owned: OwnedJob, items: Vec<Item>) {
     let Some((messages, inbox)) = directory.open(&owned.job) else { return };
     env.tell_owned(&owned.job, owned.header.items);
-    let log = ResultLog::to_be_read(JobName::clone(&owned.job));
+    let log = ResultLog::unread(JobName::clone(&owned.job));
     let items = Items::new(items, owned.header.attempts);
     let task = JobTask::new(Rc::clone(env), owned, items, log, messages);
     compio::runtime::spawn(task.run(inbox, directory.clone())).detach();
@@ -260,7 +261,7 @@
 
 /// Tells the nearest process that works that a job was handed over.
 pub async fn offer(env: Rc<JobEnv>, job: JobName) {
-    for address in env.roster.takers().into_iter().take(3) {
+    for address in env.roster.takeover_candidates().into_iter().take(3) {
         let pool = Pool::new(address).with_connect_timeout(OFFER_TIMEOUT);
         let call = PeerCall::Offer { job: JobName::clone(&job) };
         if exchange(&pool, &call, OFFER_TIMEOUT).await.is_some() {
--- a/crates/samphiredoor-gateway/src/peers/registration.rs
+++ b/crates/samphiredoor-gateway/src/peers/registration.rs
@@ -4,16 +4,16 @@
 
 use samphiredoor_core::{
     Name,
-    dispatch::Place,
+    dispatch::Location,
     store::{Kind, Labels, ObjectKey, StoreAnswer, StoreOp, Stored, Value},
 };
 use serde_json::json;
 
-use super::{Own, Roster};
+use super::{LocalGateway, Roster};
 use crate::{
-    edge::{Change, ObjectStore},
-    placement::Placer,
-    watch::{Follower, Seen},
+    placement::PlacementHandle,
+    platform_api::{Change, ObjectStore},
+    watch::{StoreEvent, Watcher},
 };
 
 /// Wait of a process that was not registered before it looks for the others: those that start together have registered by
@@ -23,7 +23,7 @@
 const REGISTER_PAUSE: Duration = Duration::from_millis(500);
 
 /// Registers this process until the store has it.
-async fn register(own: Own, store: Rc<dyn ObjectStore>, found: Found) {
+async fn register(own: LocalGateway, store: Rc<dyn ObjectStore>, found: Found) {
     let key = ObjectKey::new(Kind::Door, Name::clone(&own.name));
     let value: Value = entry(&own);
     loop {
@@ -49,7 +49,7 @@
     Same,
 }
 
-fn find(own: &Own, all: &[Stored]) -> Found {
+fn find(own: &LocalGateway, all: &[Stored]) -> Found {
     match all.iter().find(|it| it.name == own.name) {
         None => Found::Nothing,
         Some(stored) if read_entry(&stored.value) == read_entry(&entry(own)) => Found::Same,
@@ -77,11 +77,11 @@
     store.call(StoreOp::Update { key, version, labels: Labels::new(), value: value.clone() }).await
 }
 
-fn entry(own: &Own) -> Value {
+fn entry(own: &LocalGateway) -> Value {
     let entry = json!({
         "address": own.address.to_string(),
-        "region": &*own.place.region,
-        "availability_zone": &*own.place.availability_zone,
+        "region": &*own.location.region,
+        "availability_zone": &*own.location.availability_zone,
     });
     entry.to_string().into_bytes().into()
 }
@@ -90,35 +90,35 @@
 /// the others are registered already.
 pub async fn run(
     roster: Roster,
-    placer: Placer,
+    placement: PlacementHandle,
     store: Rc<dyn ObjectStore>,
-    mut follower: Follower,
+    mut watcher: Watcher,
 ) {
     let mut registering = false;
     loop {
-        match follower.next().await {
-            Seen::All(all) => {
+        match watcher.next().await {
+            StoreEvent::Snapshot(all) => {
                 all.iter().for_each(|it| take_entry(&roster, it));
-                let found = find(roster.own(), &all);
+                let found = find(roster.local(), &all);
                 if !std::mem::replace(&mut registering, true) && found != Found::Same {
-                    let register = register(roster.own().clone(), Rc::clone(&store), found);
+                    let register = register(roster.local().clone(), Rc::clone(&store), found);
                     compio::runtime::spawn(register).detach();
                     compio::time::sleep(FOLLOW_PAUSE).await;
                     continue;
                 }
             }
-            Seen::Changes(changes) => changes.iter().for_each(|it| match it {
+            StoreEvent::Changes(changes) => changes.iter().for_each(|it| match it {
                 Change::Written(stored) => take_entry(&roster, stored),
                 Change::Deleted(name) => roster.remove(name),
             }),
-            Seen::Lost | Seen::Regained => continue,
+            StoreEvent::Lost | StoreEvent::Recovered => continue,
         }
         roster.listed();
-        let own_targets = roster.own_targets();
+        let own_targets = roster.own_cell_targets();
         let (cells, mates, targets) =
             (roster.cells().len(), roster.mates().len(), own_targets.len());
         log::info!(cells, mates, targets; "peers: cells worked out");
-        placer.own_targets(own_targets);
+        placement.set_cell_targets(own_targets);
     }
 }
 
@@ -133,17 +133,17 @@
 
 fn take_entry(roster: &Roster, stored: &Stored) {
     match read_entry(&stored.value) {
-        Some((address, place)) => roster.register(Name::clone(&stored.name), address, place),
+        Some((address, location)) => roster.register(Name::clone(&stored.name), address, location),
         None => log::warn!(peer = &*stored.name; "peers: entry ignored"),
     }
 }
 
-fn read_entry(value: &[u8]) -> Option<(SocketAddr, Place)> {
+fn read_entry(value: &[u8]) -> Option<(SocketAddr, Location)> {
     let entry: serde_json::Value = serde_json::from_slice(value).ok()?;
     let text = |key: &str| entry.get(key)?.as_str();
-    let place = Place {
+    let location = Location {
         region: text("region")?.into(),
         availability_zone: text("availability_zone")?.into(),
     };
-    Some((text("address")?.parse().ok()?, place))
+    Some((text("address")?.parse().ok()?, location))
 }
--- a/crates/samphiredoor-gateway/src/peers/teller.rs
+++ b/crates/samphiredoor-gateway/src/peers/status_sender.rs
@@ -12,16 +12,16 @@
 };
 
 use compio::net::UdpSocket;
-use samphiredoor_core::placement::{CellId, Distance, DoorLoad, DoorState};
+use samphiredoor_core::placement::{CellId, Distance, GatewayLoad, GatewayState};
 use samphiredoor_net::pool::within;
 
 use super::{
-    Mates, Own, Roster, STORE_LOST,
+    CellStatuses, LocalGateway, Roster, STORE_LOST_AFTER,
     datagram::Datagram,
     listener::send_to_all,
     status::{OwnedJob, Status},
 };
-use crate::{placement::Told, routes::Routes, store_health::StoreHealth};
+use crate::{placement::OwnLoad, routes::Routes, store_health::StoreHealth};
 
 /// Shortest time between two datagrams to gateways of the own region, whose targets are used when the own ones are full.
 const REGION_PAUSE: Duration = Duration::from_millis(100);
@@ -34,15 +34,15 @@
 const FOREVER: Duration = Duration::from_secs(3_600);
 
 /// Tells other gateways the state of this one.
-pub struct Teller {
+pub struct StatusSender {
     /// This process.
-    pub own: Own,
+    pub local: LocalGateway,
     /// Socket to send from.
     pub socket: Rc<UdpSocket>,
     /// Other gateways.
     pub roster: Roster,
     /// What the own cell's gateways told.
-    pub mates: Mates,
+    pub cell_statuses: CellStatuses,
     /// Routes in force.
     pub routes: Routes,
     /// Whether the store answers.
@@ -103,20 +103,20 @@
 
 /// What another cell was told last of the requests at its targets.
 struct ToldCell {
-    loads: Vec<DoorLoad>,
+    loads: Vec<GatewayLoad>,
     at: Instant,
 }
 
-impl Teller {
+impl StatusSender {
     /// Sends a status for each change of the own loads, and for each job that this process comes to own.
-    pub async fn run(self, told: flume::Receiver<Told>, owned: flume::Receiver<OwnedJob>) {
+    pub async fn run(self, told: flume::Receiver<OwnLoad>, owned: flume::Receiver<OwnedJob>) {
         let mut audiences = [
             Audience::new(Distance::Zone, Duration::ZERO),
             Audience::new(Distance::Region, REGION_PAUSE),
-            Audience::new(Distance::Far, FAR_PAUSE),
+            Audience::new(Distance::OtherRegion, FAR_PAUSE),
         ];
         let mut told_cells = BTreeMap::new();
-        let mut requests = DoorState::default();
+        let mut requests = GatewayState::default();
         loop {
             let left = audiences.iter().map(Audience::left).min().unwrap_or(FOREVER);
             match within(left, told.recv_async()).await {
@@ -136,7 +136,7 @@
                 audience.urgent = false;
                 audience.told_at = Instant::now();
                 let status = self.status(requests.clone(), audience.take_jobs());
-                self.mates.told(&status);
+                self.cell_statuses.told(&status);
                 let to = self.roster.mates_at(audience.distance);
                 send_to_all(&self.socket, Datagram::Status(status).encode(), to).await;
             }
@@ -144,9 +144,13 @@
     }
 
     /// Tells each other cell of the requests at its targets, once more when there are none left.
-    async fn tell_other_cells(&self, requests: &DoorState, told: &mut BTreeMap<CellId, ToldCell>) {
+    async fn tell_other_cells(
+        &self,
+        requests: &GatewayState,
+        told: &mut BTreeMap<CellId, ToldCell>,
+    ) {
         let (cells, own) = (self.roster.cells(), self.roster.own_cell());
-        let mut by_cell = cells.loads_elsewhere(own, &requests.loads);
+        let mut by_cell = cells.loads_of_other_cells(own, &requests.loads);
         for cell in told.keys() {
             by_cell.entry(*cell).or_default();
         }
@@ -154,7 +158,7 @@
             if told.get(&cell).is_some_and(|it| it.loads == loads && it.at.elapsed() < REPEAT) {
                 continue;
             }
-            let requests = DoorState { loads: loads.clone(), waiting: Vec::new() };
+            let requests = GatewayState { loads: loads.clone(), waiting: Vec::new() };
             let status = self.status(requests, Vec::new());
             let to = self.roster.addresses_in(cell);
             send_to_all(&self.socket, Datagram::Status(status).encode(), to).await;
@@ -166,19 +170,19 @@
         }
     }
 
-    fn status(&self, requests: DoorState, jobs: Vec<OwnedJob>) -> Status {
+    fn status(&self, requests: GatewayState, jobs: Vec<OwnedJob>) -> Status {
         Status {
-            name: self.own.name.to_string(),
-            incarnation: self.own.incarnation,
+            name: self.local.name.to_string(),
+            incarnation: self.local.incarnation,
             routes_version: self.routes.version(),
-            store_reached: !self.health.is_lost_for(STORE_LOST),
+            store_reached: !self.health.is_lost_for(STORE_LOST_AFTER),
             stopping: self.stopping.get(),
             requests,
             jobs,
-            seen: self.roster.sightings().own(),
+            seen: self.roster.seen_versions().own(),
             store_silent_ms: self
                 .health
-                .silent()
+                .time_since_answer()
                 .map_or(u32::MAX, |it| it.as_millis().try_into().unwrap_or(u32::MAX)),
         }
     }
--- a/crates/samphiredoor-gateway/src/watch.rs
+++ b/crates/samphiredoor-gateway/src/watch.rs
@@ -19,19 +19,19 @@
 use samphiredoor_core::{
     Name,
     store::{Kind, Stored, Version},
-    watch_cache::News,
+    watch_cache::Delta,
 };
 use samphiredoor_net::pool::within;
 
 use crate::{
-    edge::{Change, Freshness, ObjectStore, WatchAnswer},
     fleet::Fleet,
     metrics::Metrics,
     mirror::Mirrors,
     peers::{
-        Followed,
-        followed::{self, Told},
+        WatchRelay,
+        watch_relay::{self, RelayedChanges},
     },
+    platform_api::{Change, Freshness, ObjectStore, WatchAnswer},
     store_health::StoreHealth,
 };
 
@@ -67,15 +67,15 @@
 
 /// What a follower learns.
 #[derive(Debug, Clone)]
-pub enum Seen {
+pub enum StoreEvent {
     /// All objects of the kind, as they stood at one moment.
-    All(Vec<Stored>),
+    Snapshot(Vec<Stored>),
     /// Changes since, in order.
     Changes(Vec<Change>),
     /// The store gives no usable answers from now on.
     Lost,
-    /// The store answers again; [`Seen::All`] or [`Seen::Changes`] may follow.
-    Regained,
+    /// The store answers again; [`StoreEvent::Snapshot`] or [`StoreEvent::Changes`] may follow.
+    Recovered,
 }
 
 /// Why a watch that waits may be deaf.
@@ -90,7 +90,7 @@
 /// What became of a watch through another process.
 enum Relayed {
     /// It told this.
-    Seen(Seen),
+    Seen(StoreEvent),
     /// It may be deaf.
     Doubted(Doubt),
     /// There is none, or it did not answer, or the store has to be asked.
@@ -98,7 +98,7 @@
 }
 
 /// Follows one kind of objects.
-pub struct Follower {
+pub struct Watcher {
     store: Rc<dyn ObjectStore>,
     kind: Kind,
     wait: Duration,
@@ -106,7 +106,7 @@
     /// How current the first list has to be; later ones are read because history was missed.
     first_list: Freshness,
     failures: u32,
-    queued: Option<Seen>,
+    queued: Option<StoreEvent>,
     changed: bool,
     rest: Duration,
     gate: Option<StoreHealth>,
@@ -116,12 +116,12 @@
     /// Whether the last watch was given up because another process is ahead.
     behind: bool,
     /// What this process has seen, and the one through which it may watch.
-    followed: Option<Followed>,
+    watch_relay: Option<WatchRelay>,
     relayed_wait: Duration,
     /// Process that was last watched through.
     relay: Option<SocketAddr>,
     /// Who told the last changes that came through another process.
-    told_by: Option<followed::Source>,
+    told_by: Option<watch_relay::RelayEpoch>,
     /// Whether that one has missed the store since, or is another one.
     relay_regained: bool,
     /// Whether the process that was to be watched through has just not answered.
@@ -133,10 +133,10 @@
     heard: Instant,
 }
 
-impl Follower {
-    /// Follower that has seen nothing. A watch waits for events at most for `wait`.
-    pub fn new(store: Rc<dyn ObjectStore>, kind: Kind, wait: Duration) -> Follower {
-        Follower {
+impl Watcher {
+    /// Watcher that has seen nothing. A watch waits for events at most for `wait`.
+    pub fn new(store: Rc<dyn ObjectStore>, kind: Kind, wait: Duration) -> Watcher {
+        Watcher {
             store,
             kind,
             wait,
@@ -150,7 +150,7 @@
             health: None,
             fleet: None,
             behind: false,
-            followed: None,
+            watch_relay: None,
             relayed_wait: Duration::ZERO,
             relay: None,
             told_by: None,
@@ -163,26 +163,26 @@
     }
 
     /// Has the follower count what it hears of the store.
-    pub fn with_metrics(mut self, metrics: Rc<Metrics>) -> Follower {
+    pub fn with_metrics(mut self, metrics: Rc<Metrics>) -> Watcher {
         self.metrics = Some(metrics);
         self
     }
 
     /// Has the first list be one that may be stale, and costs little. The watch from its version on tells what has changed
     /// since.
-    pub fn with_stale_start(mut self) -> Follower {
+    pub fn with_stale_start(mut self) -> Watcher {
         self.first_list = Freshness::MayBeStale;
         self
     }
 
     /// Has a watch that waits be asked anew when another call of the process got no answer.
-    pub fn with_health(mut self, health: StoreHealth) -> Follower {
+    pub fn with_health(mut self, health: StoreHealth) -> Watcher {
         self.health = Some(health);
         self
     }
 
     /// Has the first list come from a mirror if the store does not answer.
-    pub fn with_mirrors(mut self, mirrors: Mirrors) -> Follower {
+    pub fn with_mirrors(mut self, mirrors: Mirrors) -> Watcher {
         self.mirrors = Some(mirrors).filter(|it| !it.is_empty());
         self
     }
@@ -190,33 +190,33 @@
     /// Has the follower take turns with the other processes that follow the kind, and ask anew when one of them has seen
     /// more. Without it a watch that the store has swallowed hides all changes for as long as it may wait, from every process
     /// at once: callers are served by routes that were replaced, and targets that leave get new requests.
-    pub fn with_fleet(mut self, fleet: Fleet) -> Follower {
+    pub fn with_fleet(mut self, fleet: Fleet) -> Watcher {
         self.fleet = Some(fleet);
         self
     }
 
     /// Has the follower watch through the process that follows the store for its cell, and keep what it sees for others. A
     /// change has to be in force `within` some time.
-    pub fn with_followed(mut self, followed: Followed, within: Duration) -> Follower {
-        self.followed = Some(followed);
+    pub fn with_watch_relay(mut self, watch_relay: WatchRelay, within: Duration) -> Watcher {
+        self.watch_relay = Some(watch_relay);
         self.relayed_wait = within.mul_f64(RELAYED_PART);
         self
     }
 
     /// Has the follower rest after changes, for a part of the time within which a change has to be in force.
-    pub fn with_rest_after_changes(mut self, within: Duration) -> Follower {
+    pub fn with_rest_after_changes(mut self, within: Duration) -> Watcher {
         self.rest = within.mul_f64(REST_PART);
         self
     }
 
     /// Has the follower wait while the store is known to be lost: one follower that tries is enough.
-    pub fn with_gate(mut self, gate: StoreHealth) -> Follower {
+    pub fn with_gate(mut self, gate: StoreHealth) -> Watcher {
         self.gate = Some(gate);
         self
     }
 
     /// Waits for the next thing to learn.
-    pub async fn next(&mut self) -> Seen {
+    pub async fn next(&mut self) -> StoreEvent {
         if let Some(seen) = self.queued.take() {
             return seen;
         }
@@ -238,23 +238,23 @@
                         return seen;
                     }
                     self.queued = Some(seen);
-                    return Seen::Lost;
+                    return StoreEvent::Lost;
                 }
                 compio::time::sleep(self.pause()).await;
                 self.wait_at_gate().await;
                 if self.failures == 1 {
-                    return Seen::Lost;
+                    return StoreEvent::Lost;
                 }
                 continue;
             };
-            let news = !matches!(&seen, Seen::Changes(changes) if changes.is_empty());
-            self.changed = news && matches!(seen, Seen::Changes(_));
+            let news = !matches!(&seen, StoreEvent::Changes(changes) if changes.is_empty());
+            self.changed = news && matches!(seen, StoreEvent::Changes(_));
             // News that only others told of had been missed: entries may have lapsed with the store, as after a failure.
             let was_deaf = std::mem::take(&mut self.behind) && news;
             let relay_regained = std::mem::take(&mut self.relay_regained);
             if std::mem::take(&mut self.failures) > 0 || was_deaf || relay_regained {
                 self.queued = news.then_some(seen);
-                return Seen::Regained;
+                return StoreEvent::Recovered;
             }
             if news {
                 return seen;
@@ -263,24 +263,24 @@
     }
 
     /// What a mirror tells in the place of the first list; the store tells what has changed since.
-    async fn mirrored(&mut self) -> Option<Seen> {
+    async fn mirrored(&mut self) -> Option<StoreEvent> {
         let list = self.mirrors.as_ref()?.list(self.kind).await?;
         self.mirrors = None;
         self.since = Some(list.version);
         self.first_list = Freshness::Current;
         self.note_listed(&list.objects, list.version);
-        Some(Seen::All(list.objects))
+        Some(StoreEvent::Snapshot(list.objects))
     }
 
     /// The first list, given up as soon as nothing of it comes, so that a mirror is asked. A large one comes for a while, and a
     /// mirror's would only share the line with it.
-    async fn list_while_it_comes(&mut self) -> Option<Seen> {
+    async fn list_while_it_comes(&mut self) -> Option<StoreEvent> {
         let store = Rc::clone(&self.store);
         let mut list = pin!(self.list());
         loop {
             match within(FIRST_LIST_PATIENCE, &mut list).await {
                 Some(listed) => return listed,
-                None if was_heard(&*store, FIRST_LIST_PATIENCE) => {}
+                None if received_within(&*store, FIRST_LIST_PATIENCE) => {}
                 None => return None,
             }
         }
@@ -298,11 +298,11 @@
         FIRST_PAUSE.saturating_mul(1 << self.failures.min(4)).min(LONGEST_PAUSE)
     }
 
-    async fn list(&mut self) -> Option<Seen> {
+    async fn list(&mut self) -> Option<StoreEvent> {
         let asked = Instant::now();
         let listed = list_all(&*self.store, self.kind, self.first_list).await;
         if let (None, Some(health)) = (&listed, &self.health) {
-            health.failed(asked);
+            health.record_failure(asked);
         }
         let (all, version) = listed?;
         self.since = Some(version);
@@ -310,7 +310,7 @@
         self.mirrors = None;
         self.note_listed(&all, version);
         self.heard();
-        Some(Seen::All(all))
+        Some(StoreEvent::Snapshot(all))
     }
 
     /// Notes that the store has answered. A store that falls silent cuts no connection, and nothing else shows a follower
@@ -325,7 +325,7 @@
             metrics.store_heard(self.kind);
         }
         if let Some(health) = &self.health {
-            health.heard();
+            health.record_answer();
         }
     }
 
@@ -340,10 +340,10 @@
             }
             WatchAnswer::Refused | WatchAnswer::NoAnswer => {
                 if let Some(health) = &self.health {
-                    health.failed(asked);
+                    health.record_failure(asked);
                     // What swallowed this watch may have swallowed the others of the process.
                     if self.failures == 0 && matches!(answer, WatchAnswer::NoAnswer) {
-                        health.doubt();
+                        health.raise_suspicion();
                     }
                 }
                 self.watch_failed(asked, answer.label());
@@ -366,7 +366,7 @@
         );
     }
 
-    async fn watch(&mut self, since: Version) -> Option<Seen> {
+    async fn watch(&mut self, since: Version) -> Option<StoreEvent> {
         let mut asked = match self.watch_relayed(since).await {
             Relayed::Seen(seen) => return Some(seen),
             Relayed::Doubted(doubt) => Err(doubt),
@@ -380,11 +380,11 @@
         match answer {
             WatchAnswer::Changes { changes, version } => {
                 self.note_changes(&changes, version);
-                Some(Seen::Changes(changes))
+                Some(StoreEvent::Changes(changes))
             }
             WatchAnswer::HistoryGone => {
                 self.since = None;
-                Some(Seen::Changes(Vec::new()))
+                Some(StoreEvent::Changes(Vec::new()))
             }
             WatchAnswer::Refused | WatchAnswer::NoAnswer => None,
         }
@@ -395,13 +395,13 @@
         if self.failures > 0 || self.behind {
             return Relayed::Not;
         }
-        let Some(followed) = self.followed.clone() else { return Relayed::Not };
-        let Some(address) = followed.follower() else { return Relayed::Not };
+        let Some(watch_relay) = self.watch_relay.clone() else { return Relayed::Not };
+        let Some(address) = watch_relay.relay_address() else { return Relayed::Not };
         if self.relay.replace(address) != Some(address) {
             log::info!(kind = self.kind.path(), peer:% = address; "store: followed through another gateway");
         }
         let (asked, wait) = (Instant::now(), self.relayed_wait);
-        let watch = followed.watch(address, self.kind, since, wait);
+        let watch = watch_relay.watch(address, self.kind, since, wait);
         match self.until_doubted(since, watch).await {
             Ok(Some(told)) => Relayed::Seen(self.take_told(told)),
             Ok(None) => {
@@ -417,24 +417,24 @@
     }
 
     /// Takes what another process has seen. One that has missed the store meanwhile may tell of entries that have lapsed.
-    fn take_told(&mut self, told: Told) -> Seen {
-        let before = self.told_by.replace(told.by);
-        self.relay_regained = before.is_some_and(|it| it != told.by);
-        match told.news {
-            News::None => Seen::Changes(Vec::new()),
-            News::Touched { objects, version } => {
+    fn take_told(&mut self, told: RelayedChanges) -> StoreEvent {
+        let before = self.told_by.replace(told.epoch);
+        self.relay_regained = before.is_some_and(|it| it != told.epoch);
+        match told.delta {
+            Delta::None => StoreEvent::Changes(Vec::new()),
+            Delta::Changed { objects, version } => {
                 let changes = objects.into_iter().map(|(name, stored)| match stored {
                     Some(stored) => Change::Written(stored),
                     None => Change::Deleted(name),
                 });
                 let changes: Vec<Change> = changes.collect();
                 self.note_changes(&changes, version);
-                Seen::Changes(changes)
+                StoreEvent::Changes(changes)
             }
-            News::All { objects, version } => {
+            Delta::Snapshot { objects, version } => {
                 self.note_listed(&objects, version);
                 self.since = Some(version);
-                Seen::All(objects)
+                StoreEvent::Snapshot(objects)
             }
         }
     }
@@ -443,9 +443,9 @@
         if let Some(fleet) = &self.fleet {
             fleet.listed(all);
         }
-        if let Some(followed) = &self.followed {
-            self.note_regained(followed);
-            followed.listed(self.kind, all, version);
+        if let Some(watch_relay) = &self.watch_relay {
+            self.note_regained(watch_relay);
+            watch_relay.record_list(self.kind, all, version);
         }
     }
 
@@ -454,16 +454,16 @@
         if let Some(fleet) = &self.fleet {
             fleet.watched(changes, version);
         }
-        if let Some(followed) = &self.followed {
-            self.note_regained(followed);
-            followed.changed(self.kind, changes, version);
+        if let Some(watch_relay) = &self.watch_relay {
+            self.note_regained(watch_relay);
+            watch_relay.record_changes(self.kind, changes, version);
         }
     }
 
     /// Those that watch through this process have to know that it had missed the store, before they see what has lapsed.
-    fn note_regained(&self, followed: &Followed) {
+    fn note_regained(&self, watch_relay: &WatchRelay) {
         if self.failures > 0 || self.behind || self.relay_regained {
-            followed.regained(self.kind);
+            watch_relay.record_store_outage(self.kind);
         }
     }
 
@@ -485,14 +485,14 @@
         since: Version,
         watch: impl Future<Output = T>,
     ) -> Result<T, Doubt> {
-        let doubts = self.health.as_ref().map(StoreHealth::doubts);
+        let doubts = self.health.as_ref().map(StoreHealth::suspicions);
         let mut watch = pin!(watch);
         let mut looks_behind = 0;
         loop {
             if let Some(answer) = within(DOUBT_PAUSE, &mut watch).await {
                 return Ok(answer);
             }
-            if self.health.as_ref().map(StoreHealth::doubts) != doubts {
+            if self.health.as_ref().map(StoreHealth::suspicions) != doubts {
                 return Err(Doubt::CallLost);
             }
             let behind = self.fleet.as_ref().is_some_and(|it| it.is_ahead_of(since));
@@ -528,8 +528,8 @@
 }
 
 /// Whether something of an answer of the store has come lately.
-pub fn was_heard(store: &dyn ObjectStore, lately: Duration) -> bool {
-    store.heard().is_some_and(|it| it.elapsed() < lately)
+pub fn received_within(store: &dyn ObjectStore, lately: Duration) -> bool {
+    store.last_received_at().is_some_and(|it| it.elapsed() < lately)
 }
 
 /// Reads all pages of a kind, and the version from which a watch goes on; `None` if a page could not be read.
--- a/crates/samphiredoor/src/online.rs
+++ b/crates/samphiredoor/src/online.rs
@@ -14,9 +14,9 @@
     http::response,
 };
 use samphiredoor_core::{
-    dispatch::{Ask, AttemptEnd, Class},
+    dispatch::{AttemptEnd, Class, RequestSpec},
     ledger::service_in_path,
-    verdict::{Doubt, Refusal, Verdict},
+    verdict::{MayHaveRunReason, Refusal, Verdict},
 };
 use samphiredoor_net::{
     Body,
@@ -103,7 +103,7 @@
 impl Online {
     /// Places and sends the request until it has an answer or a verdict. An answer of the door itself has its verdict
     /// in its extensions, a stream its [`StreamEnd`].
-    pub async fn run(mut self, ask: Ask) -> Response<Body> {
+    pub async fn run(mut self, ask: RequestSpec) -> Response<Body> {
         let mut ticket = self.door.dispatch.ask(ask.clone());
         let mut doubt = None;
         loop {
@@ -130,7 +130,7 @@
                     return self.pass_on(*parts, body, first, ticket, pass);
                 }
                 Outcome::Nothing(end) => {
-                    if let AttemptEnd::Lost(reason) = end {
+                    if let AttemptEnd::AnswerLost(reason) = end {
                         doubt.get_or_insert(reason);
                         if reason.is_loss() {
                             // Before another attempt, so that it is not sent to a second target unsuspected.
@@ -151,9 +151,11 @@
             Some(Ok(response)) => response,
             Some(Err(SendError::NotSent(_))) => return Outcome::Nothing(AttemptEnd::NotSent),
             Some(Err(SendError::MayHaveRun(_))) => {
-                return Outcome::Nothing(AttemptEnd::Lost(Doubt::ConnectionLost));
+                return Outcome::Nothing(AttemptEnd::AnswerLost(MayHaveRunReason::ConnectionLost));
+            }
+            None => {
+                return Outcome::Nothing(AttemptEnd::AnswerLost(MayHaveRunReason::DeadlinePassed));
             }
-            None => return Outcome::Nothing(AttemptEnd::Lost(Doubt::DeadlinePassed)),
         };
         let status = response.status();
         if let Some(pushback) = pushback(self.is_engine, &response) {
@@ -162,10 +164,10 @@
         if self.stream && status.is_success() {
             return self.begin(response).await;
         }
-        let end = if status.is_server_error() { AttemptEnd::Failed } else { AttemptEnd::Done };
+        let end = if status.is_server_error() { AttemptEnd::Failed } else { AttemptEnd::Completed };
         match self.read_answer(response).await {
             Ok(response) => Outcome::Whole(response, end),
-            Err(doubt) => Outcome::Nothing(AttemptEnd::Lost(doubt)),
+            Err(doubt) => Outcome::Nothing(AttemptEnd::AnswerLost(doubt)),
         }
     }
 
@@ -175,11 +177,13 @@
         let (parts, mut body) = response.into_parts();
         match next_piece(&mut body, self.deadline).await {
             Ok(Some(first)) => Outcome::Begun(Box::new(parts), body, first),
-            Ok(None) if self.is_engine => Outcome::Nothing(AttemptEnd::Lost(Doubt::AnswerCut)),
+            Ok(None) if self.is_engine => {
+                Outcome::Nothing(AttemptEnd::AnswerLost(MayHaveRunReason::AnswerCut))
+            }
             Ok(None) => {
-                Outcome::Whole(Response::from_parts(parts, Body::empty()), AttemptEnd::Done)
+                Outcome::Whole(Response::from_parts(parts, Body::empty()), AttemptEnd::Completed)
             }
-            Err(doubt) => Outcome::Nothing(AttemptEnd::Lost(doubt)),
+            Err(doubt) => Outcome::Nothing(AttemptEnd::AnswerLost(doubt)),
         }
     }
 
@@ -198,7 +202,10 @@
         verdict_answer(verdict)
     }
 
-    async fn read_answer(&self, response: Response<Answer>) -> Result<Response<Body>, Doubt> {
+    async fn read_answer(
+        &self,
+        response: Response<Answer>,
+    ) -> Result<Response<Body>, MayHaveRunReason> {
         let (mut parts, body) = response.into_parts();
         let read = read_whole(body, MAX_WHOLE_ANSWER_BYTES);
         match within(self.time_left(), read).await {
@@ -206,8 +213,8 @@
                 strip_framing(&mut parts.headers);
                 Ok(Response::from_parts(parts, Body::full(body)))
             }
-            Some(Err(_)) => Err(Doubt::AnswerCut),
-            None => Err(Doubt::DeadlinePassed),
+            Some(Err(_)) => Err(MayHaveRunReason::AnswerCut),
+            None => Err(MayHaveRunReason::DeadlinePassed),
         }
     }
 
@@ -240,7 +247,7 @@
 }
 
 /// Verdict when the deadline passes while no target has the request: an earlier attempt may have run.
-fn out_of_time(doubt: Option<Doubt>) -> Verdict {
+fn out_of_time(doubt: Option<MayHaveRunReason>) -> Verdict {
     match doubt {
         Some(reason) => Verdict::MayHaveRun { reason },
         None => Verdict::NotRun { retry_after_ms: 0, reason: Refusal::DeadlineTooShort },
@@ -248,9 +255,9 @@
 }
 
 /// Verdict on a request that is blamed for the death of targets; final in either case.
-fn quarantined(doubt: Option<Doubt>) -> Verdict {
+fn quarantined(doubt: Option<MayHaveRunReason>) -> Verdict {
     match doubt {
-        Some(_) => Verdict::MayHaveRun { reason: Doubt::TargetsDied },
+        Some(_) => Verdict::MayHaveRun { reason: MayHaveRunReason::TargetsDied },
         None => Verdict::NotRun { retry_after_ms: 0, reason: Refusal::Quarantined },
     }
 }
