--- a/crates/samphiredoor-core/src/placement/cells.rs
+++ b/crates/samphiredoor-core/src/placement/cells.rs
@@ -111,14 +111,14 @@
         own: Option<CellId>,
         loads: &[GatewayLoad],
     ) -> BTreeMap<CellId, Vec<GatewayLoad>> {
-        let mut elsewhere: BTreeMap<CellId, Vec<GatewayLoad>> = BTreeMap::new();
+        let mut loads_by_cell: BTreeMap<CellId, Vec<GatewayLoad>> = BTreeMap::new();
         for load in loads {
             let cell = self.cell_of_target(load.target).filter(|it| Some(*it) != own);
             if let Some(cell) = cell {
-                elsewhere.entry(cell).or_default().push(*load);
+                loads_by_cell.entry(cell).or_default().push(*load);
             }
         }
-        elsewhere
+        loads_by_cell
     }
 
     /// Location of a cell's first gateway; all gateways of a cell are in one zone unless the whole fleet is one cell.
--- a/crates/samphiredoor-core/tests/placement/cells.rs
+++ b/crates/samphiredoor-core/tests/placement/cells.rs
@@ -138,8 +138,8 @@
         keys.iter().map(|it| GatewayLoad { target: *it, online: 1, batch: 0 }).collect();
     let own = cells.cell_of_gateway("gateway-0");
     assert_eq!(own, cells.cell_of_target(keys[0]));
-    let elsewhere = cells.loads_of_other_cells(own, &loads);
-    let far: Vec<CellId> = elsewhere.keys().copied().collect();
-    assert_eq!(far, [cells.cell_of_target(keys[1]).unwrap()]);
-    assert_eq!(elsewhere[&far[0]], [loads[1]]);
+    let loads_by_cell = cells.loads_of_other_cells(own, &loads);
+    let other_cells: Vec<CellId> = loads_by_cell.keys().copied().collect();
+    assert_eq!(other_cells, [cells.cell_of_target(keys[1]).unwrap()]);
+    assert_eq!(loads_by_cell[&other_cells[0]], [loads[1]]);
 }
--- a/crates/samphiredoor-core/tests/placement/main.rs
+++ b/crates/samphiredoor-core/tests/placement/main.rs
@@ -5,4 +5,4 @@
 mod harness;
 mod invariants;
 mod overload;
-mod scenarios;
+mod situations;
