--- a/crates/samphiredoor-core/src/placement/cells.rs
+++ b/crates/samphiredoor-core/src/placement/cells.rs
@@ -29,7 +29,7 @@
 const MIN_REGION_INTERVAL_MS: u64 = 100;
 /// Shortest interval between two summaries to other regions, where bandwidth is expensive.
 const MIN_OTHER_REGION_INTERVAL_MS: u64 = 450;
-/// Longest interval between two summaries: without messages a cell times out, and its requests count as ended.
+/// Longest interval between two summaries: a cell times out without messages, and its requests then count as ended.
 const MAX_INTERVAL_MS: u64 = 800;
 
 /// Index of a cell; valid for the [`Cells`] that it was taken from.
@@ -189,7 +189,7 @@
 }
 
 /// Interval between two summaries of a cell to this many other cells at a distance. It grows with their number, so that
-/// the message rate of a gateway does not.
+/// the rate at which a gateway receives and forwards messages does not.
 pub fn summary_interval_ms(distance: Distance, cells: usize) -> u64 {
     let (per_cell_ms, min_ms) = match distance {
         Distance::OtherRegion => (OTHER_REGION_INTERVAL_PER_CELL_MS, MIN_OTHER_REGION_INTERVAL_MS),
