--- a/crates/samphiredoor-core/src/dispatch/admission.rs
+++ b/crates/samphiredoor-core/src/dispatch/admission.rs
@@ -1,44 +1,50 @@
-//! Whether a request is let in, queued or refused.
+//! Admission control: whether a request is dispatched, queued or refused.
 //!
-//! A refusal is given at the moment at which it is certain, with the time to come back.
+//! A request is refused as soon as it is certain that it cannot be served in time, together with the time after which
+//! the caller may retry.
 
 use smallvec::SmallVec;
 
 use super::{
     Action, Ask, Class, Dispatcher, Policy, Request, RequestId, ServiceState, Stage,
-    refusal::jittered,
+    retry_after::jittered,
 };
 use crate::{
     Name,
     verdict::{Refusal, Verdict},
 };
 
-const MIN_QUEUED: usize = 2;
-const UNMEASURED_QUEUED: usize = 16;
-const LOOK_AHEAD: usize = 4;
-const LATER_MS: f64 = 1_000.0;
+/// Smallest bound of an online queue, however slow the service is.
+const MIN_QUEUE_BOUND: usize = 2;
+/// Bound of an online queue until the service's rate has been measured.
+const UNMEASURED_QUEUE_BOUND: usize = 16;
+/// Requests at the head of a queue that are tried when capacity becomes free.
+const QUEUE_LOOKAHEAD: usize = 4;
+/// Retry delay when nothing is known about when capacity will be free.
+const DEFAULT_RETRY_AFTER_MS: f64 = 1_000.0;
 
 impl ServiceState {
-    /// About how long a new request of the workspace waits in the queue.
+    /// Estimated time that a new request of the workspace would wait in the queue.
     fn expected_wait_ms(&self, now_ms: u64, workspace: &Name) -> f64 {
-        let drain_per_ms = self.drain_per_ms(now_ms);
-        let ahead = self.queue.ahead_of(workspace) as f64;
-        if drain_per_ms > 0.0 { ahead / drain_per_ms } else { 0.0 }
+        let completions_per_ms = self.completions_per_ms(now_ms);
+        let ahead = self.online_queue.ahead_of(workspace) as f64;
+        if completions_per_ms > 0.0 { ahead / completions_per_ms } else { 0.0 }
     }
 
-    /// Most requests that can be served within the wait that is allowed.
+    /// Number of requests that can be served within the longest allowed wait, within fixed bounds.
     fn queue_bound(&self, now_ms: u64, policy: &Policy) -> usize {
-        let drain_per_ms = self.drain_per_ms(now_ms);
-        let served_in_time = match drain_per_ms > 0.0 {
-            true => (drain_per_ms * policy.queue_wait_ms as f64) as usize,
-            false => UNMEASURED_QUEUED,
+        let completions_per_ms = self.completions_per_ms(now_ms);
+        let servable_in_time = match completions_per_ms > 0.0 {
+            true => (completions_per_ms * policy.queue_wait_ms as f64) as usize,
+            false => UNMEASURED_QUEUE_BOUND,
         };
-        served_in_time.max(MIN_QUEUED).min(policy.max_queued)
+        servable_in_time.max(MIN_QUEUE_BOUND).min(policy.max_queued)
     }
 }
 
 impl Dispatcher {
-    pub(super) fn ask(&mut self, now_ms: u64, ask: Ask, out: &mut Vec<Action>) {
+    /// Handles a new request. One whose identifier is already in use is ignored.
+    pub(super) fn admit(&mut self, now_ms: u64, ask: Ask, out: &mut Vec<Action>) {
         if self.requests.contains_key(&ask.request) {
             return;
         }
@@ -52,46 +58,46 @@
         let (request, service) = (ask.request, Name::clone(&ask.service));
         match ask.class {
             Class::Online => {
-                *self.workspaces.entry(Name::clone(&ask.workspace)).or_default() += 1;
-                self.requests.insert(request, Request::new(ask, Stage::Arrived));
-                self.place_or_queue(now_ms, request, out);
+                *self.online_by_workspace.entry(Name::clone(&ask.workspace)).or_default() += 1;
+                self.requests.insert(request, Request::new(ask, Stage::Unassigned));
+                self.dispatch_or_queue(now_ms, request, out);
             }
             Class::Batch => {
-                self.requests.insert(request, Request::new(ask, Stage::Waiting));
-                self.lend(now_ms, &service, out);
+                self.requests.insert(request, Request::new(ask, Stage::WaitingForSlot));
+                self.schedule_batch(now_ms, &service, out);
             }
         }
     }
 
     fn admit_online(&mut self, now_ms: u64, ask: &Ask) -> Result<(), Refusal> {
-        self.check_known(now_ms, ask)?;
-        let in_hand = self.workspaces.get(&ask.workspace).copied().unwrap_or(0);
+        self.check_request(now_ms, ask)?;
+        let in_flight = self.online_by_workspace.get(&ask.workspace).copied().unwrap_or(0);
         let declared = self.manifest.workspaces.get(&ask.workspace);
-        if declared.is_some_and(|it| it.max_in_flight > 0 && in_hand >= it.max_in_flight) {
+        if declared.is_some_and(|it| it.max_in_flight > 0 && in_flight >= it.max_in_flight) {
             return Err(Refusal::WorkspaceLimit);
         }
         let Some(state) = self.services.get_mut(&ask.service) else {
             return Err(Refusal::UnknownService);
         };
-        state.retries.request_arrived();
-        if ask.deadline_ms as f64 <= now_ms as f64 + state.pace.quick_ms(now_ms) {
+        state.retry_budget.request_arrived();
+        if ask.deadline_ms as f64 <= now_ms as f64 + state.stats.fast_latency_ms(now_ms) {
             return Err(Refusal::DeadlineTooShort);
         }
         Ok(())
     }
 
     fn admit_batch(&mut self, now_ms: u64, ask: &Ask) -> Result<(), Refusal> {
-        self.check_known(now_ms, ask)?;
+        self.check_request(now_ms, ask)?;
         let Some(state) = self.services.get_mut(&ask.service) else {
             return Err(Refusal::UnknownService);
         };
-        match state.batch.push(ask) {
+        match state.batch_queue.push(ask) {
             true => Ok(()),
             false => Err(Refusal::Overloaded),
         }
     }
 
-    fn check_known(&self, now_ms: u64, ask: &Ask) -> Result<(), Refusal> {
+    fn check_request(&self, now_ms: u64, ask: &Ask) -> Result<(), Refusal> {
         if self.manifest.revision == 0 {
             return Err(Refusal::NotReady);
         }
@@ -104,8 +110,9 @@
         Ok(())
     }
 
-    /// Gives an online request a target or a place in the queue, or gives it up.
-    pub(super) fn place_or_queue(
+    /// Dispatches or queues an online request, or ends it if neither is possible. It may skip the queue only while that
+    /// is empty.
+    pub(super) fn dispatch_or_queue(
         &mut self,
         now_ms: u64,
         request: RequestId,
@@ -115,20 +122,21 @@
         else {
             return;
         };
-        let nobody_waits = self.services.get(&service).is_some_and(|it| it.queue.is_empty());
-        if nobody_waits && self.place(now_ms, request, out) {
+        let queue_is_empty =
+            self.services.get(&service).is_some_and(|it| it.online_queue.is_empty());
+        if queue_is_empty && self.try_dispatch(now_ms, request, out) {
             return;
         }
         if let Err(reason) = self.enqueue(now_ms, request, out) {
-            self.give_up(now_ms, request, reason, out);
+            self.fail_request(now_ms, request, reason, out);
         }
     }
 
-    /// Dispatches an online request if a target has room, or gets room by recalling an item of a job.
-    fn place(&mut self, now_ms: u64, request: RequestId, out: &mut Vec<Action>) -> bool {
-        let mut target = self.pick_for(now_ms, request);
-        if target.is_none() && self.recall_for(now_ms, request, out) {
-            target = self.pick_for(now_ms, request);
+    /// Dispatches an online request if a target has free capacity or gets it by preempting a batch item.
+    fn try_dispatch(&mut self, now_ms: u64, request: RequestId, out: &mut Vec<Action>) -> bool {
+        let mut target = self.pick_target(now_ms, request);
+        if target.is_none() && self.preempt_for(now_ms, request, out) {
+            target = self.pick_target(now_ms, request);
         }
         if let Some(target) = target {
             self.dispatch(now_ms, request, target, out);
@@ -144,97 +152,102 @@
     ) -> Result<(), Refusal> {
         let Some(waiting) = self.requests.get_mut(&request) else { return Ok(()) };
         let ask = &waiting.ask;
-        if !self.targets.any_expected(now_ms, &ask.service, &waiting.tried) {
+        if !self.targets.any_may_accept_work_soon(now_ms, &ask.service, &waiting.tried_targets) {
             return Err(Refusal::NoTarget);
         }
         let weight = self.manifest.workspaces.get(&ask.workspace).map_or(1, |it| it.weight);
         let Some(state) = self.services.get_mut(&ask.service) else {
             return Err(Refusal::UnknownService);
         };
-        let quick_ms = state.pace.quick_ms(now_ms);
+        let fast_latency_ms = state.stats.fast_latency_ms(now_ms);
         let wait_ms = state.expected_wait_ms(now_ms, &ask.workspace);
-        if now_ms as f64 + wait_ms + quick_ms >= ask.deadline_ms as f64 {
+        if now_ms as f64 + wait_ms + fast_latency_ms >= ask.deadline_ms as f64 {
             return Err(Refusal::DeadlineTooShort);
         }
-        let full = state.queue.len() >= state.queue_bound(now_ms, &self.policy);
-        if full && !state.queue.goes_before_last(&ask.workspace, weight) {
+        let full = state.online_queue.len() >= state.queue_bound(now_ms, &self.policy);
+        if full && !state.online_queue.goes_before_last(&ask.workspace, weight) {
             return Err(Refusal::Overloaded);
         }
-        let given_up = if full { state.queue.last() } else { None };
-        // The wait was promised at the drain rate of now; if that falls, the request is given up after twice the time.
+        let displaced = if full { state.online_queue.last() } else { None };
+        // The wait was estimated from the current completion rate; if that falls, the request is refused after twice
+        // the allowed wait.
         let latest_ms = now_ms.saturating_add(self.policy.queue_wait_ms.saturating_mul(2));
-        let expires_ms = latest_ms.min(ask.deadline_ms.saturating_sub(quick_ms as u64));
-        let tag = state.queue.push(request, &ask.workspace, weight, expires_ms);
+        let expires_ms = latest_ms.min(ask.deadline_ms.saturating_sub(fast_latency_ms as u64));
+        let tag = state.online_queue.push(request, &ask.workspace, weight, expires_ms);
         waiting.stage = Stage::Queued(tag);
-        if let Some(given_up) = given_up {
-            self.give_up(now_ms, given_up, Refusal::Overloaded, out);
+        if let Some(displaced) = displaced {
+            self.fail_request(now_ms, displaced, Refusal::Overloaded, out);
         }
         Ok(())
     }
 
-    /// Dispatches queued requests while there is room.
-    pub(super) fn drain_queue(&mut self, now_ms: u64, service: &Name, out: &mut Vec<Action>) {
+    /// Dispatches queued online requests of a service while there is free capacity. Refuses all of them if no target is
+    /// expected to accept work.
+    pub(super) fn schedule_online(&mut self, now_ms: u64, service: &Name, out: &mut Vec<Action>) {
         loop {
             let Some(state) = self.services.get(service) else { return };
-            if state.queue.is_empty() {
+            if state.online_queue.is_empty() {
                 return;
             }
-            // The first may have tried all targets that have room; it must not hold up those behind it.
-            let first: SmallVec<[RequestId; LOOK_AHEAD]> = state.queue.first(LOOK_AHEAD).collect();
-            if !first.into_iter().any(|request| self.place(now_ms, request, out)) {
+            // The first request may already have tried every target with free capacity; it must not block the others.
+            let first: SmallVec<[RequestId; QUEUE_LOOKAHEAD]> =
+                state.online_queue.first(QUEUE_LOOKAHEAD).collect();
+            if !first.into_iter().any(|request| self.try_dispatch(now_ms, request, out)) {
                 break;
             }
         }
-        if !self.targets.any_expected(now_ms, service, &[]) {
-            self.refuse_queued(now_ms, service, Refusal::NoTarget, out);
+        if !self.targets.any_may_accept_work_soon(now_ms, service, &[]) {
+            self.refuse_all_queued(now_ms, service, Refusal::NoTarget, out);
         }
     }
 
-    pub(super) fn give_up_expired(&mut self, now_ms: u64, service: &Name, out: &mut Vec<Action>) {
-        while let Some(request) = self.services.get(service).and_then(|it| it.queue.expired(now_ms))
+    /// Refuses the requests whose time in the queue has passed.
+    pub(super) fn refuse_expired(&mut self, now_ms: u64, service: &Name, out: &mut Vec<Action>) {
+        while let Some(request) =
+            self.services.get(service).and_then(|it| it.online_queue.expired(now_ms))
         {
             let Some(queued) = self.requests.get(&request) else { return };
             let in_time = queued.ask.deadline_ms > now_ms;
             let reason = if in_time { Refusal::Overloaded } else { Refusal::DeadlineTooShort };
-            self.give_up(now_ms, request, reason, out);
+            self.fail_request(now_ms, request, reason, out);
         }
     }
 
-    /// Refuses everything that waits for a service.
-    pub(super) fn refuse_waiting(
+    /// Refuses all online requests and batch items that wait for a service.
+    pub(super) fn refuse_all_waiting(
         &mut self,
         now_ms: u64,
         service: &Name,
         reason: Refusal,
         out: &mut Vec<Action>,
     ) {
-        self.refuse_queued(now_ms, service, reason, out);
-        while let Some(request) = self.services.get(service).and_then(|it| it.batch.next(0)) {
-            self.give_up(now_ms, request, reason, out);
+        self.refuse_all_queued(now_ms, service, reason, out);
+        while let Some(request) = self.services.get(service).and_then(|it| it.batch_queue.next(0)) {
+            self.fail_request(now_ms, request, reason, out);
         }
     }
 
-    fn refuse_queued(
+    fn refuse_all_queued(
         &mut self,
         now_ms: u64,
         service: &Name,
         reason: Refusal,
         out: &mut Vec<Action>,
     ) {
-        while let Some(request) = self.services.get(service).and_then(|it| it.queue.last()) {
-            self.give_up(now_ms, request, reason, out);
+        while let Some(request) = self.services.get(service).and_then(|it| it.online_queue.last()) {
+            self.fail_request(now_ms, request, reason, out);
         }
     }
 
-    /// Ends a request that does not run, at once. If an earlier attempt may have run, it says so.
-    pub(super) fn give_up(
+    /// Ends a request that is not running without an answer. The verdict tells whether an earlier attempt may have run.
+    pub(super) fn fail_request(
         &mut self,
         now_ms: u64,
         request: RequestId,
         reason: Refusal,
         out: &mut Vec<Action>,
     ) {
-        let Some(closed) = self.close(now_ms, request) else { return };
+        let Some(closed) = self.remove_request(now_ms, request) else { return };
         match closed.doubt {
             Some(reason) => {
                 out.push(Action::Refuse { request, verdict: Verdict::MayHaveRun { reason } });
@@ -251,26 +264,29 @@
 
     fn retry_after_ms(&mut self, now_ms: u64, ask: &Ask, reason: Refusal) -> u64 {
         let Some(state) = self.services.get_mut(&ask.service) else {
-            return jittered(LATER_MS, &mut self.rng);
+            return jittered(DEFAULT_RETRY_AFTER_MS, &mut self.rng);
         };
-        let drain_per_ms = state.drain_per_ms(now_ms);
+        let completions_per_ms = state.completions_per_ms(now_ms);
         let wait_ms = match reason {
             Refusal::Overloaded => {
-                let queued = state.queue.len();
-                return state.returns.next(now_ms, queued, drain_per_ms, &mut self.rng);
+                let queued = state.online_queue.len();
+                return state.retry_after.next(now_ms, queued, completions_per_ms, &mut self.rng);
             }
-            // Neither takes a place in the line: the one is not held up by others, the other would not stand in it.
+            // Neither of these two takes a time from the retry schedule: a request above its workspace's limit does not
+            // wait for other workspaces, and one with too short a deadline would not have been queued.
             Refusal::WorkspaceLimit => {
-                let in_hand = self.workspaces.get(&ask.workspace).copied().unwrap_or(0);
-                state.pace.mean_ms() / f64::from(in_hand.max(1))
+                let in_flight = self.online_by_workspace.get(&ask.workspace).copied().unwrap_or(0);
+                state.stats.mean_ms() / f64::from(in_flight.max(1))
             }
-            Refusal::DeadlineTooShort if drain_per_ms > 0.0 => {
-                state.queue.len() as f64 / drain_per_ms
+            Refusal::DeadlineTooShort if completions_per_ms > 0.0 => {
+                state.online_queue.len() as f64 / completions_per_ms
             }
             _ => {
                 let targets = self.targets.of_service(&ask.service);
-                let back_ms = targets.filter_map(|(_, it)| it.health.back_ms(now_ms)).min();
-                back_ms.map_or(LATER_MS, |it| it.saturating_sub(now_ms) as f64)
+                let available_at_ms =
+                    targets.filter_map(|(_, it)| it.health.available_at_ms(now_ms)).min();
+                available_at_ms
+                    .map_or(DEFAULT_RETRY_AFTER_MS, |it| it.saturating_sub(now_ms) as f64)
             }
         };
         jittered(wait_ms, &mut self.rng)
--- a/crates/samphiredoor-core/src/dispatch/attempt.rs
+++ b/crates/samphiredoor-core/src/dispatch/attempt.rs
@@ -1,33 +1,34 @@
-//! How one attempt at a target can end.
+//! Outcomes of an attempt at a target.
 
 use crate::verdict::Doubt;
 
-/// End of an attempt.
+/// Outcome of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// The whole answer arrived.
+    /// The complete answer arrived.
     Done,
-    /// The whole answer arrived, and says that the target failed; the caller gets it as it is.
+    /// The complete answer arrived and reports that the target failed; the caller gets it unchanged.
     Failed,
     /// No byte of the request reached the target.
     NotSent,
-    /// The target refused the request without running it, because it has too much to do.
+    /// The target refused the request without running it, because it is overloaded.
     Pushback {
-        /// When it asked to be called again, in milliseconds; 0 if it did not say.
+        /// Delay until the next attempt that the target asked for, in milliseconds; 0 if it gave none.
         retry_after_ms: u64,
     },
-    /// The request was sent; its answer is lost, and nothing of it reached the caller.
+    /// The request was sent, but its answer was lost before any of it reached the caller.
     Lost(Doubt),
-    /// The answer was cut after a part of it had reached the caller, who has been told so.
+    /// The answer was truncated after part of it had reached the caller, who has been notified.
     Cut(Doubt),
-    /// Cut by ourselves, so that the capacity is free again.
+    /// The gateway aborted the attempt to free the capacity; the request ends.
     Aborted,
-    /// Cut by ourselves as well, but the request waits for a slot again: a decision follows. For batch requests only.
+    /// The gateway aborted the attempt to free the capacity, and the request waits for a slot again: another action
+    /// for it follows. Batch requests only.
     Yielded,
 }
 
 impl AttemptEnd {
-    /// Whether the request ends with this attempt, without any further action of the dispatcher.
+    /// Whether the request ends with this attempt, so that the dispatcher sends no further action for it.
     pub fn closes(self) -> bool {
         match self {
             AttemptEnd::Done | AttemptEnd::Failed | AttemptEnd::Cut(_) | AttemptEnd::Aborted => {
@@ -40,7 +41,8 @@
         }
     }
 
-    /// Whether it speaks against the target.
+    /// Whether the outcome counts as a failure of the target. A passed deadline does not: the request may have been
+    /// sent with little time left.
     pub fn is_failure(self) -> bool {
         match self {
             AttemptEnd::Lost(doubt) | AttemptEnd::Cut(doubt) => doubt != Doubt::DeadlinePassed,
--- a/crates/samphiredoor-core/src/dispatch/counters.rs
+++ b/crates/samphiredoor-core/src/dispatch/counters.rs
@@ -1,22 +1,22 @@
-//! What the dispatcher counts for operators.
+//! Counters and gauges of the dispatcher.
 
 use super::{health::Ejection, retry::RetryReason};
 use crate::Name;
 
-/// Counts since the start of the process.
+/// Counters since the start of the process.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Counters {
     /// Retries, in the order of [`RetryReason::ALL`].
     pub retries: [u64; RetryReason::ALL.len()],
-    /// Retries that the budget did not allow.
+    /// Retries not made because the retry budget was spent.
     pub retries_over_budget: u64,
     /// Ejections of targets, in the order of [`Ejection::ALL`].
     pub ejections: [u64; Ejection::ALL.len()],
-    /// Load reports found to be frozen or wrong.
+    /// Times that a target's load reports were found to be frozen or wrong.
     pub reports_distrusted: u64,
-    /// Items of jobs recalled to make room for an online request.
+    /// Batch items preempted.
     pub recalls: u64,
-    /// Bytes of bodies sent to another region.
+    /// Bytes of request bodies sent to targets in another region.
     pub bytes_to_other_regions: u64,
 }
 
@@ -30,32 +30,32 @@
     }
 }
 
-/// State at one moment.
+/// Gauges at one moment.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Gauges {
     /// Online requests in queues.
     pub queued: usize,
-    /// Items of jobs that wait for lent capacity.
+    /// Batch items that wait for a slot.
     pub waiting_batch: usize,
-    /// Online requests that run.
+    /// Online requests that are running.
     pub online: usize,
-    /// Requests of all kinds that the dispatcher knows.
+    /// All requests that the dispatcher holds, waiting or running.
     pub known: usize,
     /// Targets in use.
     pub targets: usize,
-    /// Targets in use that get no work, as they are ejected.
+    /// Targets in use that are ejected and get no work.
     pub ejected: usize,
 }
 
-/// A target that this process uses, as it sees it.
+/// State of a target in use, as seen by this process.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TargetView {
-    /// Name.
+    /// Name of the target.
     pub name: Name,
-    /// Online requests of this process.
+    /// Online requests of this process running there.
     pub online: u32,
-    /// Items of jobs of this process.
+    /// Batch items of this process running there.
     pub batch: u32,
-    /// Whether it gets no work, as it failed, could not be reached or leaves.
+    /// Whether it gets no work because it failed, could not be reached or is leaving.
     pub is_ejected: bool,
 }
--- a/crates/samphiredoor-core/src/dispatch/messages.rs
+++ b/crates/samphiredoor-core/src/dispatch/messages.rs
@@ -1,4 +1,4 @@
-//! What goes into the dispatcher and what comes out.
+//! Inputs and actions of the dispatcher.
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -8,176 +8,176 @@
 };
 use crate::{Name, manifest::Manifest, news::TargetLoad, verdict::Verdict};
 
-/// Where a process stands.
+/// Location of a process.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Place {
-    /// Region.
+    /// Region, as named in the manifest.
     pub region: Name,
-    /// Availability zone.
+    /// Availability zone within the region.
     pub availability_zone: Name,
 }
 
-/// Identity of a request within one process.
+/// Identifier of a request, unique within one process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct RequestId(pub u64);
 
-/// Whether a caller waits for the answer.
+/// Scheduling class of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Class {
-    /// A caller waits.
+    /// A caller waits for the answer.
     Online,
-    /// An item of a job; runs on lent capacity only.
+    /// An item of a job; runs only in batch slots, which online requests take back.
     Batch,
 }
 
-/// A request that wants a target.
+/// A request to be dispatched to a target.
 #[derive(Debug, Clone)]
 pub struct Ask {
-    /// Identity; not used again by this process.
+    /// Identifier; never reused by this process.
     pub request: RequestId,
-    /// Online or batch.
+    /// Scheduling class.
     pub class: Class,
-    /// Service asked for.
+    /// Requested service.
     pub service: Name,
-    /// Workspace that asks.
+    /// Workspace that the request is accounted to.
     pub workspace: Name,
-    /// Monotonic time at which an answer is of no use any more.
+    /// Deadline on the monotonic clock; an answer after it is useless.
     pub deadline_ms: u64,
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub repeatable: bool,
-    /// Hash of the beginning of the prompt, for routing to a target that may have it cached.
+    /// Hash of the prompt's prefix, for routing to a target that may have it cached; 0 if there is none.
     pub prefix_hash: u64,
-    /// Hash of the whole request, to know it again if it crashes targets.
+    /// Hash of the whole request, by which a request that crashes targets is recognised.
     pub fingerprint: u64,
-    /// Bytes of the body.
+    /// Size of the body in bytes.
     pub body_bytes: u32,
     /// Job that the item belongs to; empty for online requests.
     pub job: Name,
-    /// Wall-clock time at which the job is due, if it says so.
+    /// Wall-clock time at which the job is due, if it has one.
     pub due_unix_ms: Option<u64>,
 }
 
-/// What happened.
+/// Event that the dispatcher handles.
 #[derive(Debug, Clone)]
 pub enum Input {
-    /// A new revision of the declarations.
+    /// A manifest was received; ignored if its revision is older than the current one.
     Manifest(Arc<Manifest>),
-    /// A request wants a target.
+    /// A new request arrived.
     Ask(Ask),
-    /// The attempt in hand of a request ended; said once for each [`Action::Dispatch`].
+    /// The running attempt of a request ended. Sent once for each [`Action::Dispatch`].
     Ended {
-        /// Which request.
+        /// Request that the attempt belongs to.
         request: RequestId,
-        /// How.
+        /// Outcome of the attempt.
         end: AttemptEnd,
     },
-    /// Nobody waits for the request any more.
+    /// The request was cancelled: nobody waits for its answer any more.
     Gone {
-        /// Which request.
+        /// Cancelled request.
         request: RequestId,
     },
     /// A target was reached and reported its load.
     Load {
-        /// Which target.
+        /// Reporting target.
         target: Name,
-        /// Sequences running.
+        /// Running sequences.
         running: u32,
-        /// Sequences waiting.
+        /// Sequences queued at the target.
         waiting: u32,
     },
-    /// A target's own report of the work it has done since its start.
+    /// A target reported the work that it has done since its start.
     Work {
-        /// Which target.
+        /// Reporting target.
         target: Name,
-        /// Steps.
+        /// Total steps.
         steps: u64,
-        /// Tokens.
+        /// Total tokens.
         tokens: u64,
     },
-    /// The doors that are known to live, this one among them.
+    /// The set of live gateways, including this one unless it is stopping.
     Doors {
-        /// Name of this door.
+        /// Name of this gateway.
         own_name: Name,
-        /// All names, in order.
+        /// Live gateways, sorted by name.
         live: Vec<LiveDoor>,
     },
-    /// The lender of a target gives this door a share of its batch slots.
+    /// The allocator of a target grants this gateway some of the target's batch slots.
     Share {
-        /// Which target.
+        /// Target that the slots belong to.
         target: Name,
-        /// The door that says so.
+        /// Gateway that granted the slots.
         lender: Name,
-        /// Slots from now on.
+        /// Granted slots; replaces the previous grant.
         slots: u32,
-        /// Number of the change; the highest one of a lender holds.
+        /// Sequence number of the grant; the highest one of an allocator is in force.
         epoch: u64,
     },
-    /// Another door tells its traffic at a target that this one lends.
+    /// Another gateway reports its traffic at a target whose batch slots this gateway allocates.
     Demand {
-        /// Which door.
+        /// Reporting gateway.
         door: Name,
-        /// Its traffic.
+        /// Traffic of that gateway at the target.
         load: TargetLoad,
     },
     /// A target refused a connection outside of any request.
     Unreachable {
-        /// Which target.
+        /// Target that refused the connection.
         target: Name,
     },
-    /// A target says, or is known, to leave: it gets no new work until it reports a load again.
+    /// A target reports, or is known, to be leaving. It gets no new work until it reports a load again.
     Leaving {
-        /// Which target.
+        /// Target that is leaving.
         target: Name,
     },
-    /// The host list or a peer says that a target leaves. It gets no new work for this long, whatever it reports of
+    /// The host list or a peer reports that a target is leaving. It gets no new work for `for_ms`, whatever it reports
     /// itself.
     ToldLeaving {
-        /// Which target.
+        /// Target that is leaving.
         target: Name,
-        /// When the word is forgotten, unless it is heard again.
+        /// Time for which the report counts, unless it is repeated.
         for_ms: u64,
     },
-    /// Time passed.
+    /// Periodic timer: expires queued requests and refreshes the batch capacity.
     Tick,
 }
 
-/// What to do.
+/// Action that the caller of the dispatcher must carry out.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
     /// Send the request to a target.
     Dispatch {
-        /// Which request.
+        /// Request to send.
         request: RequestId,
-        /// Which target.
+        /// Target that it is sent to.
         target: Name,
-        /// Where it listens.
+        /// Address of the target.
         address: SocketAddr,
     },
-    /// Cut the attempt in hand: its capacity is wanted back. Its end is to be reported as [`AttemptEnd::Aborted`],
-    /// or as [`AttemptEnd::Yielded`] if it is to go on later.
+    /// Abort the running attempt to free its capacity. Its end must be reported as [`AttemptEnd::Aborted`], or as
+    /// [`AttemptEnd::Yielded`] if the request is to run again later.
     Abort {
-        /// Which request.
+        /// Request whose attempt is aborted.
         request: RequestId,
     },
-    /// Tell another door which share it has of a target that this one lends.
+    /// Grant another gateway batch slots of a target whose slots this gateway allocates.
     Share {
-        /// Which target.
+        /// Target that the slots belong to.
         target: Name,
-        /// The share.
+        /// Grant to send.
         change: ShareChange,
     },
-    /// Tell the lender of a target what this door has and wants there.
+    /// Report this gateway's traffic and demand at a target to the gateway that allocates its batch slots.
     Demand {
-        /// Which door.
+        /// Gateway that allocates the target's batch slots.
         lender: Name,
-        /// The own traffic.
+        /// Traffic and demand of this gateway.
         load: TargetLoad,
     },
-    /// The request ends without an answer; this is final.
+    /// End the request without an answer. Final: no action for this request follows.
     Refuse {
-        /// Which request.
+        /// Refused request.
         request: RequestId,
-        /// Whether it may have run.
+        /// Whether it may have run, and why it was refused.
         verdict: Verdict,
     },
 }
--- a/crates/samphiredoor-core/src/dispatch/mod.rs
+++ b/crates/samphiredoor-core/src/dispatch/mod.rs
@@ -1,35 +1,36 @@
-//! Who runs what, where and when: routing, limits, queues, retries and refusal behind one border.
+//! Dispatcher: chooses which target runs each request and when. Covers routing, concurrency limits, queues, retries,
+//! load shedding and the capacity that batch work may use.
 //!
-//! The dispatcher gets every request that wants a target, online or batch, and answers each with exactly one final
-//! action: it was dispatched and ended, or it was refused. One task owns it; events go in by [`Dispatcher::handle`],
-//! actions come out in order.
+//! The dispatcher receives every request that needs a target, online or batch. Each ends in exactly one of two ways: an
+//! attempt at a target ended it, or it was refused. A single task owns the dispatcher and passes events to
+//! [`Dispatcher::handle`], which appends actions in the order in which they are to be carried out.
 //!
-//! No event looks at all requests or all targets: requests are found by their identity, each service has its own short
-//! queue, and this process uses a bounded subset of a service's targets. Only a new manifest is read whole.
+//! No event scans all requests or all targets: requests are found by identity, each service has its own short queue,
+//! and this process uses a bounded subset of a service's targets. Only a new manifest is processed in full.
 
 mod admission;
 mod attempt;
 mod attempts;
+mod batch_capacity;
+mod batch_queue;
+mod batch_scheduling;
 mod counters;
-mod decayed;
-mod envelope;
-mod fairness;
+mod decayed_histogram;
+mod decrease_trial;
 mod health;
 pub mod lender;
-mod lending;
 mod limits;
 mod load;
-mod loan;
 mod messages;
-mod pace;
+mod online_demand;
+mod online_queue;
 mod policy;
-mod queue;
-mod refusal;
 mod retry;
+mod retry_after;
 mod routing;
+mod service_stats;
 mod step_model;
 mod targets;
-mod trial;
 
 use std::{collections::BTreeMap, net::SocketAddr, sync::Arc};
 
@@ -49,34 +50,34 @@
     time::Now,
     verdict::{Doubt, Refusal},
 };
-use fairness::FairQueue;
+use batch_queue::BatchQueue;
 use lender::LiveDoor;
-use pace::Pace;
-use queue::{OnlineQueue, Tag};
-use refusal::ReturnTimes;
+use online_queue::{OnlineQueue, Tag};
 use retry::RetryBudget;
+use retry_after::RetryAfterSchedule;
+use service_stats::ServiceStats;
 use targets::{TargetId, Targets};
 
-/// Where a request stands.
+/// Lifecycle stage of a request.
 #[derive(Debug, Clone, Copy)]
 enum Stage {
-    /// Online, between two places.
-    Arrived,
+    /// Neither queued nor running: newly arrived, or between two attempts.
+    Unassigned,
     /// Online, in the queue of its service.
     Queued(Tag),
-    /// Batch, waiting for lent capacity.
-    Waiting,
-    /// At a target.
-    Running(Running),
+    /// Batch, waiting for a batch slot.
+    WaitingForSlot,
+    /// An attempt is running at a target.
+    Running(RunningAttempt),
 }
 
-/// An attempt in hand.
+/// An attempt that is running at a target.
 #[derive(Debug, Clone, Copy)]
-struct Running {
+struct RunningAttempt {
     target: TargetId,
     started_ms: u64,
-    recalled: bool,
-    /// Slot time that the item was charged when it started.
+    preempted: bool,
+    /// Estimated slot time that a batch item was charged at its start; 0 for online requests.
     charged_ms: f64,
 }
 
@@ -84,45 +85,47 @@
 struct Request {
     ask: Ask,
     stage: Stage,
-    tried: SmallVec<[Name; 2]>,
+    tried_targets: SmallVec<[Name; 2]>,
+    /// Set when the answer of an earlier attempt was lost, so the request may have run.
     doubt: Option<Doubt>,
 }
 
 impl Request {
     fn new(ask: Ask, stage: Stage) -> Request {
-        Request { ask, stage, tried: SmallVec::new(), doubt: None }
+        Request { ask, stage, tried_targets: SmallVec::new(), doubt: None }
     }
 }
 
-/// What is kept for each service.
+/// Queues and measurements of one service.
 #[derive(Debug)]
 struct ServiceState {
-    queue: OnlineQueue,
-    batch: FairQueue,
-    pace: Pace,
-    retries: RetryBudget,
-    returns: ReturnTimes,
-    online: u32,
+    online_queue: OnlineQueue,
+    batch_queue: BatchQueue,
+    stats: ServiceStats,
+    retry_budget: RetryBudget,
+    retry_after: RetryAfterSchedule,
+    /// Online requests that are running.
+    online_running: u32,
 }
 
 impl ServiceState {
     fn new(policy: &Policy) -> ServiceState {
         ServiceState {
-            queue: OnlineQueue::default(),
-            batch: FairQueue::default(),
-            pace: Pace::default(),
-            retries: RetryBudget::new(policy.retry_percent),
-            returns: ReturnTimes::default(),
-            online: 0,
+            online_queue: OnlineQueue::default(),
+            batch_queue: BatchQueue::default(),
+            stats: ServiceStats::default(),
+            retry_budget: RetryBudget::new(policy.retry_percent),
+            retry_after: RetryAfterSchedule::default(),
+            online_running: 0,
         }
     }
 
-    fn drain_per_ms(&self, now_ms: u64) -> f64 {
-        self.pace.drain_per_ms(now_ms, self.online)
+    fn completions_per_ms(&self, now_ms: u64) -> f64 {
+        self.stats.completions_per_ms(now_ms, self.online_running)
     }
 }
 
-/// State of all dispatching in one process.
+/// Dispatching state of one process; see the module documentation.
 #[derive(Debug)]
 pub struct Dispatcher {
     policy: Policy,
@@ -130,18 +133,19 @@
     targets: Targets,
     services: BTreeMap<Name, ServiceState>,
     requests: BTreeMap<RequestId, Request>,
-    workspaces: BTreeMap<Name, u32>,
+    /// Online requests queued or running, by workspace.
+    online_by_workspace: BTreeMap<Name, u32>,
     counters: Counters,
     own_name: Name,
-    doors: Vec<LiveDoor>,
-    // Wall-clock time of the event in hand.
+    live_gateways: Vec<LiveDoor>,
+    /// Wall-clock time of the event that is being handled.
     unix_ms: u64,
     rng: SmallRng,
 }
 
 impl Dispatcher {
-    /// Dispatcher without declarations: it refuses everything until the first [`Input::Manifest`]. The seed also
-    /// decides which targets this process uses.
+    /// Creates a dispatcher without a manifest: it refuses everything until the first [`Input::Manifest`]. Besides
+    /// seeding random choices, `seed` determines which subset of the targets this process uses.
     pub fn new(place: Place, seed: u64) -> Dispatcher {
         Dispatcher {
             policy: Policy::default(),
@@ -149,60 +153,65 @@
             targets: Targets::new(place, seed),
             services: BTreeMap::new(),
             requests: BTreeMap::new(),
-            workspaces: BTreeMap::new(),
+            online_by_workspace: BTreeMap::new(),
             counters: Counters::default(),
             own_name: Name::from(""),
-            doors: Vec::new(),
+            live_gateways: Vec::new(),
             unix_ms: 0,
             rng: SmallRng::seed_from_u64(seed),
         }
     }
 
-    /// Sets the bounds; to be called before the first event.
+    /// Sets the bounds on queues and retries. Must be called before the first event, as a service keeps the retry
+    /// budget of its creation.
     pub fn with_policy(mut self, policy: Policy) -> Dispatcher {
         self.policy = policy;
         self
     }
 
-    /// Takes one event; appends what to do to `out`.
+    /// Handles one event and appends the resulting actions to `out`.
     pub fn handle(&mut self, now: Now, input: Input, out: &mut Vec<Action>) {
         let now_ms = now.mono_ms;
         self.unix_ms = now.unix_ms;
         match input {
-            Input::Manifest(manifest) => self.apply(now_ms, manifest, out),
-            Input::Ask(ask) => self.ask(now_ms, ask, out),
-            Input::Ended { request, end } => self.ended(now_ms, request, end, out),
-            Input::Gone { request } => self.gone(now_ms, request, out),
+            Input::Manifest(manifest) => self.apply_manifest(now_ms, manifest, out),
+            Input::Ask(ask) => self.admit(now_ms, ask, out),
+            Input::Ended { request, end } => self.attempt_ended(now_ms, request, end, out),
+            Input::Gone { request } => self.cancel(now_ms, request, out),
             Input::Load { target, running, waiting } => {
-                self.reported(now_ms, &target, running.saturating_add(waiting), out);
+                self.update_load(now_ms, &target, running.saturating_add(waiting), out);
+            }
+            Input::Work { target, steps, tokens } => {
+                self.update_progress(now_ms, &target, steps, tokens)
+            }
+            Input::Doors { own_name, live } => {
+                self.update_live_gateways(now_ms, own_name, live, out)
             }
-            Input::Work { target, steps, tokens } => self.worked(now_ms, &target, steps, tokens),
-            Input::Doors { own_name, live } => self.doors(now_ms, own_name, live, out),
             Input::Share { target, lender, slots, epoch } => {
-                self.share(now_ms, &target, &lender, (slots, epoch), out);
+                self.update_slot_lease(now_ms, &target, &lender, (slots, epoch), out);
             }
-            Input::Demand { door, load } => self.demand(now_ms, &door, &load, out),
+            Input::Demand { door, load } => self.update_demand(now_ms, &door, &load, out),
             Input::Unreachable { target } => self.eject(now_ms, &target, Ejection::Unreachable),
             Input::Leaving { target } => self.eject(now_ms, &target, Ejection::Leaving),
             Input::ToldLeaving { target, for_ms } => {
-                self.targets.told_leaving(&target, now_ms + for_ms);
+                self.targets.reported_leaving(&target, now_ms + for_ms);
             }
             Input::Tick => self.tick(now_ms, out),
         }
     }
 
-    /// Counts since the start.
+    /// Counters since the start of the process.
     pub fn counters(&self) -> &Counters {
         &self.counters
     }
 
-    /// State at this moment; looks at each target in use, so it is not for every event.
+    /// Current gauge values. Visits every target in use, so it should not be called for every event.
     pub fn gauges(&self, now: Now) -> Gauges {
         let mut gauges = Gauges { known: self.requests.len(), ..Gauges::default() };
         for (name, service) in &self.services {
-            gauges.queued += service.queue.len();
-            gauges.waiting_batch += service.batch.len();
-            gauges.online += service.online as usize;
+            gauges.queued += service.online_queue.len();
+            gauges.waiting_batch += service.batch_queue.len();
+            gauges.online += service.online_running as usize;
             for (_, target) in self.targets.of_service(name) {
                 gauges.targets += 1;
                 gauges.ejected += usize::from(target.health.is_ejected(now.mono_ms));
@@ -211,21 +220,23 @@
         gauges
     }
 
-    /// Targets whose load is worth asking for: name, address, and whether this process has work there.
+    /// Targets whose load should be polled: name, address, and whether this process has work running there.
     pub fn targets_in_use(&self) -> impl Iterator<Item = (&Name, SocketAddr, bool)> {
         self.targets.in_use()
     }
 
-    /// Targets in use as this process sees them; for operators, not for every event.
+    /// Per-target state for operators. Visits every target in use, so it should not be called for every event.
     pub fn target_views(&self, now: Now) -> Vec<TargetView> {
         self.targets.views(now.mono_ms).collect()
     }
 
-    fn apply(&mut self, now_ms: u64, manifest: Arc<Manifest>, out: &mut Vec<Action>) {
+    /// Applies a manifest unless its revision is older than the current one. Requests that wait for a service that is
+    /// no longer declared are refused.
+    fn apply_manifest(&mut self, now_ms: u64, manifest: Arc<Manifest>, out: &mut Vec<Action>) {
         if manifest.revision < self.manifest.revision {
             return;
         }
-        self.targets.apply(now_ms, &manifest);
+        self.targets.apply_manifest(now_ms, &manifest);
         for name in manifest.services.keys() {
             if !self.services.contains_key(name) {
                 self.services.insert(Name::clone(name), ServiceState::new(&self.policy));
@@ -233,34 +244,34 @@
         }
         self.manifest = manifest;
         self.assign_roles(now_ms);
-        self.review_loans(now_ms, out);
+        self.refresh_batch_capacity(now_ms, out);
         for service in self.service_names() {
             if !self.manifest.services.contains_key(&service) {
-                self.refuse_waiting(now_ms, &service, Refusal::UnknownService, out);
+                self.refuse_all_waiting(now_ms, &service, Refusal::UnknownService, out);
                 self.services.remove(&service);
             }
         }
-        self.settle_all(now_ms, out);
+        self.schedule_all(now_ms, out);
     }
 
-    fn reported(&mut self, now_ms: u64, name: &Name, total: u32, out: &mut Vec<Action>) {
+    fn update_load(&mut self, now_ms: u64, name: &Name, total: u32, out: &mut Vec<Action>) {
         let Some(target) = self.targets.find(name).and_then(|it| self.targets.get_mut(it)) else {
             return;
         };
-        target.health.reached(now_ms);
+        target.health.mark_reached(now_ms);
         if target.load.report(now_ms, total) {
             self.counters.reports_distrusted += 1;
         }
         let service = Name::clone(&target.declared.service);
         if let Some(id) = self.targets.find(name) {
-            self.recall_above_slots(now_ms, id, out);
+            self.preempt_above_slots(now_ms, id, out);
         }
-        self.settle(now_ms, &service, out);
+        self.schedule(now_ms, &service, out);
     }
 
-    fn worked(&mut self, now_ms: u64, target: &Name, steps: u64, tokens: u64) {
+    fn update_progress(&mut self, now_ms: u64, target: &Name, steps: u64, tokens: u64) {
         if let Some(target) = self.targets.find(target).and_then(|it| self.targets.get_mut(it)) {
-            target.loan.worked(now_ms, steps, tokens);
+            target.batch_capacity.update_progress(now_ms, steps, tokens);
         }
     }
 
@@ -271,23 +282,23 @@
     }
 
     fn tick(&mut self, now_ms: u64, out: &mut Vec<Action>) {
-        self.review_loans(now_ms, out);
+        self.refresh_batch_capacity(now_ms, out);
         for service in self.service_names() {
-            self.give_up_expired(now_ms, &service, out);
+            self.refuse_expired(now_ms, &service, out);
         }
-        self.settle_all(now_ms, out);
+        self.schedule_all(now_ms, out);
     }
 
-    fn settle_all(&mut self, now_ms: u64, out: &mut Vec<Action>) {
+    fn schedule_all(&mut self, now_ms: u64, out: &mut Vec<Action>) {
         for service in self.service_names() {
-            self.settle(now_ms, &service, out);
+            self.schedule(now_ms, &service, out);
         }
     }
 
-    /// Gives room to those who wait for it: online requests first.
-    fn settle(&mut self, now_ms: u64, service: &Name, out: &mut Vec<Action>) {
-        self.drain_queue(now_ms, service, out);
-        self.lend(now_ms, service, out);
+    /// Dispatches waiting requests of a service to free capacity, online requests before batch items.
+    fn schedule(&mut self, now_ms: u64, service: &Name, out: &mut Vec<Action>) {
+        self.schedule_online(now_ms, service, out);
+        self.schedule_batch(now_ms, service, out);
     }
 
     fn service_names(&self) -> SmallVec<[Name; 8]> {
--- a/crates/samphiredoor-core/src/dispatch/policy.rs
+++ b/crates/samphiredoor-core/src/dispatch/policy.rs
@@ -1,13 +1,13 @@
-//! The few numbers that experiments change.
+//! Tunable bounds of the dispatcher.
 
 /// Bounds on queues and retries of one process.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Policy {
     /// Retries allowed for each hundred requests.
     pub retry_percent: u32,
-    /// Longest time that a request may have to wait in a queue, in milliseconds.
+    /// Longest expected wait of a request in a queue, in milliseconds.
     pub queue_wait_ms: u64,
-    /// Most requests in the queue of one service.
+    /// Most online requests in the queue of one service.
     pub max_queued: usize,
 }
 
--- a/crates/samphiredoor-core/src/dispatch/routing.rs
+++ b/crates/samphiredoor-core/src/dispatch/routing.rs
@@ -1,8 +1,9 @@
-//! Which target a request goes to.
+//! Choice of a target for a request.
 //!
-//! The nearest group with room is used: availability zone, then region, then the link between regions, which is slow
-//! and paid for by volume. Within the group a request goes where its prompt's beginning is likely to be cached, as long
-//! as that target's load stays within a bound of the group's mean; else to the less loaded of two drawn at random.
+//! The nearest group with free capacity is used: the own availability zone, then the own region, then other regions, as
+//! the link between regions is slow and billed by volume. Within the group a request goes to the target that is likely
+//! to have the prefix of its prompt cached, as long as that target's load is within a bound of the group's mean;
+//! otherwise to the less loaded of two random targets.
 
 use rand::{Rng, rngs::SmallRng};
 use smallvec::SmallVec;
@@ -13,6 +14,7 @@
 /// Load that prefix affinity may put on a target, as a multiple of the group's mean.
 const AFFINITY_BOUND: f64 = 1.25;
 
+/// Target that accepts the request, with its load and limit.
 struct Candidate {
     id: TargetId,
     hash: u64,
@@ -38,7 +40,7 @@
 type Candidates = SmallVec<[Candidate; 36]>;
 
 impl Targets {
-    /// Target for an online request; `None` if all that were not tried are full or out of service.
+    /// Target for an online request; `None` if all targets that it has not tried are full or unavailable.
     pub(super) fn pick_online(
         &self,
         now_ms: u64,
@@ -48,7 +50,8 @@
         rng: &mut SmallRng,
     ) -> Option<TargetId> {
         for group in self.groups(service)? {
-            let takes = |it: &Target| it.takes_online(now_ms) && !tried.contains(&it.declared.name);
+            let takes =
+                |it: &Target| it.accepts_online(now_ms) && !tried.contains(&it.declared.name);
             let able = self.candidates(now_ms, group, takes);
             if !able.is_empty() {
                 return choose(able, prefix_hash, rng);
@@ -57,8 +60,8 @@
         None
     }
 
-    /// Target for an item of a job. Items go to another region only if none is lent in the own one: there is always
-    /// more batch work, and it would fill the link.
+    /// Target for a batch item. Items go to another region only if no target of the own region accepts any: there is
+    /// always more batch work, and it would saturate the link between regions.
     pub(super) fn pick_batch(
         &self,
         now_ms: u64,
@@ -67,22 +70,24 @@
     ) -> Option<TargetId> {
         let [zone, region, beyond] = self.groups(service)?;
         let near = [zone, region];
-        let groups = if self.lent_nearby(service) { &near[..] } else { &[beyond] };
+        let groups = if self.has_batch_capacity_nearby(service) { &near[..] } else { &[beyond] };
         groups.iter().find_map(|group| {
-            let able = self.candidates(now_ms, group, |it| it.takes_batch(now_ms));
+            let able = self.candidates(now_ms, group, |it| it.accepts_batch(now_ms));
             less_loaded_of_two(&able, rng)
         })
     }
 
-    /// Whether a target of the service is lent in the own region; if so, items of jobs go to no other region.
-    pub(super) fn lent_nearby(&self, service: &Name) -> bool {
+    /// Whether a target of the service in the own region has a loan limit above 0; if so, batch items go to no other
+    /// region.
+    pub(super) fn has_batch_capacity_nearby(&self, service: &Name) -> bool {
         let lends = |id: &TargetId| self.get(*id).is_some_and(|it| it.declared.loan_limit > 0);
         let near = self.groups(service).into_iter().flat_map(|[zone, region, _]| [zone, region]);
         near.flatten().any(lends)
     }
 
-    /// Target where an online request finds room if one item of a job is recalled; the one that lends most.
-    pub(super) fn pick_recall(
+    /// Target at which preempting one batch item frees capacity for an online request: of the nearest group that has
+    /// one, the target that runs the most batch items.
+    pub(super) fn pick_preemption(
         &self,
         now_ms: u64,
         service: &Name,
@@ -92,7 +97,7 @@
         groups.iter().find_map(|group| {
             let targets = group.iter().filter_map(|id| Some((*id, self.get(*id)?)));
             let able = targets.filter(|(_, it)| {
-                it.takes_online_after_recall(now_ms) && !tried.contains(&it.declared.name)
+                it.accepts_online_after_preemption(now_ms) && !tried.contains(&it.declared.name)
             });
             able.max_by_key(|(_, it)| it.batch()).map(|(id, _)| id)
         })
@@ -121,7 +126,8 @@
     Some(chosen.id)
 }
 
-/// The target that all processes prefer for a prefix, if its load allows; else one of the others.
+/// Chooses the target that all processes prefer for the prefix, by rendezvous hash, if its load allows that; otherwise
+/// one of the others.
 fn choose(mut able: Candidates, prefix_hash: u64, rng: &mut SmallRng) -> Option<TargetId> {
     if prefix_hash == 0 || able.len() < 2 {
         return less_loaded_of_two(&able, rng);
--- a/crates/samphiredoor-core/src/dispatch/step_model.rs
+++ b/crates/samphiredoor-core/src/dispatch/step_model.rs
@@ -1,22 +1,28 @@
-//! How an engine's step grows with the sequences in it, learnt from its own load reports.
+//! Linear model of an engine's step time as a function of the sequences in the step, fitted to its progress reports.
 //!
-//! Between two reports the engine did some steps and some tokens: their ratio is the mean number of sequences, and the
-//! time over the steps is the mean step. Time without work makes a step look longer than it was, never shorter, so for
-//! each number of sequences the estimate follows low samples quickly and high ones slowly. What the lending needs is
-//! the slope against the empty step: by which part of it one more sequence makes every step longer.
+//! Between two reports the engine has run some steps and produced some tokens: tokens per step is the mean number of
+//! sequences, and elapsed time per step is the mean step time. Idle time makes a step appear longer, never shorter, so
+//! for each number of sequences the estimate follows low samples quickly and high ones slowly. The batch capacity is
+//! computed from the slope relative to the empty step: the part of it by which each further sequence lengthens a step.
 
+/// Mean numbers of sequences above this are ignored.
 const MAX_SEQUENCES: usize = 256;
-const MIN_POINTS: u32 = 2;
+/// Samples that a number of sequences needs to be used in the fit.
+const MIN_SAMPLES: u32 = 2;
+/// Smallest root of the summed squared deviations of the numbers of sequences that allows a fit.
 const MIN_SPREAD: f64 = 3.0;
-const DOWN: f64 = 0.5;
-const UP: f64 = 0.05;
+/// Weight of a sample below the estimate.
+const DOWNWARD_WEIGHT: f64 = 0.5;
+/// Weight of a sample above the estimate.
+const UPWARD_WEIGHT: f64 = 0.05;
 
-/// Slope that is assumed until the reports tell better.
+/// Slope that is assumed until the reports allow a fit.
 const ASSUMED_SLOPE: f64 = 0.05;
-const LEAST_SLOPE: f64 = 0.002;
-const GREATEST_SLOPE: f64 = 0.5;
+const MIN_SLOPE: f64 = 0.002;
+const MAX_SLOPE: f64 = 0.5;
 const ASSUMED_STEP_MS: f64 = 10.0;
 
+/// Contents of a progress report.
 #[derive(Debug, Clone, Copy)]
 struct Totals {
     at_ms: u64,
@@ -24,16 +30,17 @@
     tokens: u64,
 }
 
+/// Estimated step time for one number of sequences.
 #[derive(Debug, Clone, Copy, Default)]
 struct Point {
     step_ms: f64,
     samples: u32,
 }
 
-/// Time of a step by its number of sequences.
+/// Step time of one engine by number of sequences.
 #[derive(Debug, Clone)]
 pub(super) struct StepModel {
-    last: Option<Totals>,
+    previous: Option<Totals>,
     points: Vec<Point>,
     slope: f64,
     empty_step_ms: f64,
@@ -42,28 +49,28 @@
 impl StepModel {
     pub(super) fn new() -> StepModel {
         StepModel {
-            last: None,
+            previous: None,
             points: Vec::new(),
             slope: ASSUMED_SLOPE,
             empty_step_ms: ASSUMED_STEP_MS,
         }
     }
 
-    /// Takes a report: steps and tokens since the engine's start.
+    /// Handles a progress report: steps and tokens since the engine's start.
     pub(super) fn report(&mut self, now_ms: u64, steps: u64, tokens: u64) {
         let totals = Totals { at_ms: now_ms, steps, tokens };
-        let Some(last) = self.last.replace(totals) else { return };
-        // An engine that was started anew counts from zero.
-        if steps <= last.steps || tokens < last.tokens {
+        let Some(previous) = self.previous.replace(totals) else { return };
+        // Lower numbers mean that the engine was restarted and counts from zero.
+        if steps <= previous.steps || tokens < previous.tokens {
             return;
         }
-        let steps = (steps - last.steps) as f64;
-        let sequences = (tokens - last.tokens) as f64 / steps;
-        let step_ms = now_ms.saturating_sub(last.at_ms) as f64 / steps;
-        self.learn(sequences, step_ms);
+        let steps = (steps - previous.steps) as f64;
+        let sequences = (tokens - previous.tokens) as f64 / steps;
+        let step_ms = now_ms.saturating_sub(previous.at_ms) as f64 / steps;
+        self.add_sample(sequences, step_ms);
     }
 
-    /// By which part of an empty step one more sequence makes the step longer.
+    /// Part of an empty step by which one more sequence lengthens a step.
     pub(super) fn slope(&self) -> f64 {
         self.slope
     }
@@ -73,7 +80,7 @@
         self.empty_step_ms * (1.0 + self.slope * f64::from(sequences))
     }
 
-    fn learn(&mut self, sequences: f64, step_ms: f64) {
+    fn add_sample(&mut self, sequences: f64, step_ms: f64) {
         let index = sequences.round() as usize;
         if index == 0 || index > MAX_SEQUENCES {
             return;
@@ -82,21 +89,22 @@
             self.points.resize(index + 1, Point::default());
         }
         let point = &mut self.points[index];
-        let share = match point.samples {
+        let weight = match point.samples {
             0 => 1.0,
-            _ if step_ms < point.step_ms => DOWN,
-            _ => UP,
+            _ if step_ms < point.step_ms => DOWNWARD_WEIGHT,
+            _ => UPWARD_WEIGHT,
         };
-        point.step_ms += share * (step_ms - point.step_ms);
+        point.step_ms += weight * (step_ms - point.step_ms);
         point.samples = point.samples.saturating_add(1);
         self.fit();
     }
 
-    /// Least squares through the points that have enough samples.
+    /// Fits a line to the points that have enough samples, by least squares. Keeps the last fit if there are too few or
+    /// they lie too close together.
     fn fit(&mut self) {
-        let known = self.points.iter().enumerate().filter(|(_, it)| it.samples >= MIN_POINTS);
+        let measured = self.points.iter().enumerate().filter(|(_, it)| it.samples >= MIN_SAMPLES);
         let (mut count, mut sum_x, mut sum_y, mut sum_xx, mut sum_xy) = (0.0, 0.0, 0.0, 0.0, 0.0);
-        for (index, point) in known {
+        for (index, point) in measured {
             let x = index as f64;
             count += 1.0;
             sum_x += x;
@@ -114,6 +122,6 @@
             return;
         }
         self.empty_step_ms = empty_step_ms;
-        self.slope = (per_sequence_ms / empty_step_ms).clamp(LEAST_SLOPE, GREATEST_SLOPE);
+        self.slope = (per_sequence_ms / empty_step_ms).clamp(MIN_SLOPE, MAX_SLOPE);
     }
 }
--- a/crates/samphiredoor-core/src/dispatch/targets.rs
+++ b/crates/samphiredoor-core/src/dispatch/targets.rs
@@ -1,9 +1,9 @@
-//! The targets that this process uses, by service and by distance.
+//! The targets that this process uses, by service and distance.
 //!
-//! At the size to design for, a process must not know the load of every target. It uses a subset of each service's
-//! targets, chosen by rendezvous hash of process and target: no process needs to know of another, a target that comes
-//! or goes moves only its own places, and each target is used by about the same number of processes. Most of the subset
-//! stands in the own availability zone; the rest is there for the day on which that zone is lost.
+//! Large fleets have too many targets for each process to track the load of all of them. A process uses a subset of
+//! each service's targets, chosen by rendezvous hash of process and target: processes need not know each other, adding
+//! or removing a target changes only its own assignments, and each target is used by about the same number of
+//! processes. Most of the subset is in the own availability zone; the rest is for the case that the zone is lost.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -13,11 +13,11 @@
 use rapidhash::v3::rapidhash_v3;
 
 use super::{
+    batch_capacity::{BatchCapacity, InFlight},
     counters::TargetView,
     health::{Ejection, Health},
     limits::Limit,
     load::Load,
-    loan::{InFlight, Loan},
     messages::{Class, Place, RequestId},
 };
 use crate::{
@@ -25,16 +25,17 @@
     manifest::{self, Manifest, Service},
 };
 
-/// Targets of one service in the own availability zone, in the rest of the region, and beyond.
-const SUBSET: [usize; 3] = [20, 10, 6];
-const SUBSET_TOTAL: usize = SUBSET[0] + SUBSET[1] + SUBSET[2];
-const MAX_MISSING_SHARE: f64 = 0.5;
+/// Subset sizes: targets of one service in the own availability zone, in the rest of the region, and in other regions.
+const SUBSET_BY_DISTANCE: [usize; 3] = [20, 10, 6];
+const SUBSET_SIZE: usize = SUBSET_BY_DISTANCE[0] + SUBSET_BY_DISTANCE[1] + SUBSET_BY_DISTANCE[2];
+/// Largest share of a service's targets that ejections for failing may take out.
+const MAX_MISSING_CAPACITY: f64 = 0.5;
 
 /// Index of a target; valid while the target is in use or has an attempt running.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct TargetId(usize);
 
-/// How far a target is.
+/// Distance of a target from this process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Distance {
     SameZone,
@@ -42,10 +43,10 @@
     OtherRegion,
 }
 
-/// Targets in use, nearest group first.
+/// Targets in use of one service, nearest group first.
 pub(super) type Groups = [Vec<TargetId>; 3];
 
-/// One target.
+/// State of one target.
 #[derive(Debug)]
 pub(super) struct Target {
     pub(super) declared: manifest::Target,
@@ -54,15 +55,24 @@
     pub(super) load: Load,
     pub(super) limit: Limit,
     pub(super) health: Health,
-    pub(super) loan: Loan,
+    pub(super) batch_capacity: BatchCapacity,
+    /// Whether the target is declared, not drained, and in the subset.
     in_use: bool,
+    /// Running batch attempts, without preempted ones.
     batch: u32,
-    recallable: BTreeSet<RequestId>,
-    recalled: u32,
+    /// Running batch attempts that may be preempted because their request is repeatable.
+    preemptible: BTreeSet<RequestId>,
+    /// Preempted attempts whose end has not been reported yet.
+    preempted: u32,
 }
 
 impl Target {
-    fn new(declared: &manifest::Target, distance: Distance, health: Health, loan: Loan) -> Target {
+    fn new(
+        declared: &manifest::Target,
+        distance: Distance,
+        health: Health,
+        batch_capacity: BatchCapacity,
+    ) -> Target {
         Target {
             declared: declared.clone(),
             distance,
@@ -70,114 +80,115 @@
             load: Load::default(),
             limit: Limit::new(declared.concurrency_limit),
             health,
-            loan,
+            batch_capacity,
             in_use: true,
             batch: 0,
-            recallable: BTreeSet::new(),
-            recalled: 0,
+            preemptible: BTreeSet::new(),
+            preempted: 0,
         }
     }
 
-    /// Attempts allowed at once now.
+    /// Attempts allowed at once, reduced during a slow start.
     pub(super) fn limit_now(&self, now_ms: u64) -> u32 {
         let limit = f64::from(self.limit.current()) * self.health.share(now_ms);
         (limit.ceil() as u32).max(1)
     }
 
-    /// Whether a new online request may go there.
-    pub(super) fn takes_online(&self, now_ms: u64) -> bool {
-        self.is_open(now_ms) && self.has_room(now_ms, self.load.own())
+    /// Whether a new online request may be sent to the target.
+    pub(super) fn accepts_online(&self, now_ms: u64) -> bool {
+        self.accepts_work(now_ms) && self.has_capacity(now_ms, self.load.own())
     }
 
-    /// Whether an online request may go there once one item of a job was recalled.
-    pub(super) fn takes_online_after_recall(&self, now_ms: u64) -> bool {
-        !self.recallable.is_empty()
-            && self.is_open(now_ms)
-            && self.has_room(now_ms, self.load.own() - 1)
+    /// Whether an online request may be sent to the target after preempting one batch item.
+    pub(super) fn accepts_online_after_preemption(&self, now_ms: u64) -> bool {
+        !self.preemptible.is_empty()
+            && self.accepts_work(now_ms)
+            && self.has_capacity(now_ms, self.load.own() - 1)
     }
 
-    /// Whether an item of a job may go there.
-    pub(super) fn takes_batch(&self, now_ms: u64) -> bool {
+    /// Whether a batch item may be sent to the target.
+    pub(super) fn accepts_batch(&self, now_ms: u64) -> bool {
         !self.declared.reclaimed
-            && self.batch + self.recalled < self.declared.loan_limit
-            && self.loan.may_start(now_ms, &self.declared, self.in_flight(now_ms))
-            && self.takes_online(now_ms)
+            && self.batch + self.preempted < self.declared.loan_limit
+            && self.batch_capacity.may_start(now_ms, &self.declared, self.in_flight(now_ms))
+            && self.accepts_online(now_ms)
     }
 
-    /// Whether it can be expected to take work again soon, though it may be full or asked to be spared now.
-    pub(super) fn is_expected(&self, now_ms: u64) -> bool {
+    /// Whether the target can be expected to accept work soon, though it may be full or in backoff now.
+    pub(super) fn may_accept_work_soon(&self, now_ms: u64) -> bool {
         self.in_use && !self.declared.drained && !self.health.is_ejected(now_ms)
     }
 
-    fn is_open(&self, now_ms: u64) -> bool {
-        self.is_expected(now_ms) && self.health.takes_work(now_ms)
+    fn accepts_work(&self, now_ms: u64) -> bool {
+        self.may_accept_work_soon(now_ms) && self.health.accepts_work(now_ms)
     }
 
-    /// The item of a job that started last and may run again: it has least to lose.
-    pub(super) fn newest_recallable(&self) -> Option<RequestId> {
-        self.recallable.last().copied()
+    /// The preemptible batch item that arrived last: it has the least work to lose.
+    pub(super) fn newest_preemptible(&self) -> Option<RequestId> {
+        self.preemptible.last().copied()
     }
 
-    /// The items of jobs that started last and may run again.
-    pub(super) fn youngest_recallable(&self, count: usize) -> impl Iterator<Item = RequestId> {
-        self.recallable.iter().rev().take(count).copied()
+    /// The `count` preemptible batch items that arrived last.
+    pub(super) fn newest_preemptibles(&self, count: usize) -> impl Iterator<Item = RequestId> {
+        self.preemptible.iter().rev().take(count).copied()
     }
 
-    /// What runs there, as the lending sees it.
+    /// Work in flight at the target, as needed for its batch capacity.
     pub(super) fn in_flight(&self, now_ms: u64) -> InFlight {
         let online = self.load.own().saturating_sub(self.batch);
         InFlight { online, batch: self.batch, others: self.load.others(now_ms) }
     }
 
-    /// Batch attempts that may go on there now.
+    /// Batch attempts that this process may have running at the target now.
     pub(super) fn slots(&self, now_ms: u64) -> u32 {
-        self.loan.slots(now_ms, &self.declared, self.in_flight(now_ms))
+        self.batch_capacity.slots(now_ms, &self.declared, self.in_flight(now_ms))
     }
 
-    /// Takes notice of what is in flight.
-    pub(super) fn observe_loan(&mut self, now_ms: u64) {
+    /// Samples the work in flight for the batch capacity.
+    pub(super) fn sample_batch_capacity(&mut self, now_ms: u64) {
         let in_flight = self.in_flight(now_ms);
-        self.loan.observe(now_ms, in_flight);
+        self.batch_capacity.sample(now_ms, in_flight);
     }
 
     pub(super) fn batch(&self) -> u32 {
         self.batch
     }
 
-    // A report that says "full" may be wrong. One attempt at a time is always allowed, so that this is found out.
-    fn has_room(&self, now_ms: u64, own: u32) -> bool {
+    // Load reports may be wrong. One own attempt at a time is allowed even if they say that the target is full, so that
+    // a wrong report is detected.
+    fn has_capacity(&self, now_ms: u64, own: u32) -> bool {
         let all = f64::from(own) + self.load.others(now_ms);
         let below_declared = all + 1.0 <= f64::from(self.declared.concurrency_limit);
         own < self.limit_now(now_ms) && (own == 0 || below_declared)
     }
 
-    // A declared target that is out of work stays known: it would come back as a healthy one otherwise, if it is
+    // An ejected target is kept while it is not in use. Otherwise it would be added again as a healthy one if it is
     // drained and undrained, or leaves and joins the subset, while it is still leaving or unreachable.
-    fn is_forgettable(&self, now_ms: u64) -> bool {
+    fn is_removable(&self, now_ms: u64) -> bool {
         !self.in_use && self.is_idle() && !self.health.is_ejected(now_ms)
     }
 
     fn is_idle(&self) -> bool {
-        self.load.own() == 0 && self.recalled == 0
+        self.load.own() == 0 && self.preempted == 0
     }
 
     fn declare(&mut self, declared: &manifest::Target, distance: Distance, service: &Service) {
-        let other_machine =
+        let is_different_process =
             declared.address != self.declared.address || declared.service != self.declared.service;
-        if other_machine {
+        if is_different_process {
             self.health = Health::default();
-            self.load.forget_report();
+            self.load.clear_report();
             self.limit = Limit::new(declared.concurrency_limit);
         }
-        self.limit.declare(declared.concurrency_limit);
-        self.loan.declare(service);
+        self.limit.update_declared(declared.concurrency_limit);
+        self.batch_capacity.update_service(service);
         self.declared = declared.clone();
         self.distance = distance;
         self.in_use = true;
     }
 }
 
-/// All targets in use.
+/// The targets of this process, in use or still busy.
 #[derive(Debug)]
 pub(super) struct Targets {
     place: Place,
@@ -200,26 +211,26 @@
         }
     }
 
-    /// Takes over declarations; the one step that looks at every target.
-    pub(super) fn apply(&mut self, now_ms: u64, manifest: &Manifest) {
+    /// Applies a manifest. The only operation that visits every declared target.
+    pub(super) fn apply_manifest(&mut self, now_ms: u64, manifest: &Manifest) {
         for target in self.slots.iter_mut().flatten() {
             target.in_use = false;
         }
-        let before = std::mem::take(&mut self.groups);
-        for (service, mut declared) in self.by_distance(manifest) {
-            let newcomers_start_slowly = before.contains_key(&service);
-            self.shrink_to_subset(&mut declared);
-            let Some(lending) = manifest.services.get(&service) else { continue };
+        let previous_groups = std::mem::take(&mut self.groups);
+        for (service, mut declared) in self.group_by_distance(manifest) {
+            let slow_start = previous_groups.contains_key(&service);
+            self.select_subset(&mut declared);
+            let Some(declared_service) = manifest.services.get(&service) else { continue };
             let groups = declared.map(|group| {
-                let take_in = |it: &manifest::Target| {
-                    self.take_in(now_ms, it, lending, newcomers_start_slowly)
+                let insert_or_update = |it: &manifest::Target| {
+                    self.insert_or_update(now_ms, it, declared_service, slow_start)
                 };
-                group.into_iter().map(take_in).collect()
+                group.into_iter().map(insert_or_update).collect()
             });
             self.groups.insert(service, groups);
         }
         for id in 0..self.slots.len() {
-            self.retire(now_ms, TargetId(id), manifest);
+            self.remove_if_unused(now_ms, TargetId(id), manifest);
         }
     }
 
@@ -231,7 +242,7 @@
         self.slots.get_mut(id.0)?.as_mut()
     }
 
-    /// All targets, for what is done once and not per event.
+    /// All targets. Not to be used for every event.
     pub(super) fn all_mut(&mut self) -> impl Iterator<Item = &mut Target> {
         self.slots.iter_mut().flatten()
     }
@@ -240,30 +251,35 @@
         self.by_name.get(name).copied()
     }
 
-    /// Targets of a service that are in use, nearest first.
+    /// Targets in use of a service, grouped by distance, nearest first.
     pub(super) fn groups(&self, service: &Name) -> Option<&Groups> {
         self.groups.get(service)
     }
 
-    /// Targets of a service that are in use.
+    /// Targets in use of a service, nearest first.
     pub(super) fn of_service(&self, service: &Name) -> impl Iterator<Item = (TargetId, &Target)> {
         let ids = self.groups.get(service).into_iter().flatten().flatten();
         ids.filter_map(|id| Some((*id, self.get(*id)?)))
     }
 
-    /// Whether a target of the service, other than those tried, can be expected to take work soon.
-    pub(super) fn any_expected(&self, now_ms: u64, service: &Name, tried: &[Name]) -> bool {
+    /// Whether a target of the service, other than those in `tried`, can be expected to accept work soon.
+    pub(super) fn any_may_accept_work_soon(
+        &self,
+        now_ms: u64,
+        service: &Name,
+        tried: &[Name],
+    ) -> bool {
         let mut targets = self.of_service(service);
-        targets.any(|(_, it)| it.is_expected(now_ms) && !tried.contains(&it.declared.name))
+        targets.any(|(_, it)| it.may_accept_work_soon(now_ms) && !tried.contains(&it.declared.name))
     }
 
-    /// All targets in use, with their addresses.
+    /// All targets in use: name, address, and whether this process has work running there.
     pub(super) fn in_use(&self) -> impl Iterator<Item = (&Name, SocketAddr, bool)> {
         let targets = self.slots.iter().flatten().filter(|it| it.in_use);
         targets.map(|it| (&it.declared.name, it.declared.address, !it.is_idle()))
     }
 
-    /// All targets in use, as this process sees them.
+    /// State of all targets in use, for operators.
     pub(super) fn views(&self, now_ms: u64) -> impl Iterator<Item = TargetView> {
         let targets = self.slots.iter().flatten().filter(|it| it.in_use);
         targets.map(move |it| TargetView {
@@ -274,60 +290,60 @@
         })
     }
 
-    pub(super) fn started(
+    pub(super) fn attempt_started(
         &mut self,
         now_ms: u64,
         id: TargetId,
         request: RequestId,
         class: Class,
-        recallable: bool,
+        preemptible: bool,
     ) {
         let Some(target) = self.get_mut(id) else { return };
-        target.load.started(now_ms);
-        target.loan.joined(now_ms, target.load.own());
+        target.load.attempt_started(now_ms);
+        target.batch_capacity.request_started(now_ms, target.load.own());
         if class == Class::Batch {
             target.batch += 1;
-            if recallable {
-                target.recallable.insert(request);
+            if preemptible {
+                target.preemptible.insert(request);
             }
         }
     }
 
-    /// An attempt is told to end; its room is given away at once.
-    pub(super) fn recalled(&mut self, now_ms: u64, id: TargetId, request: RequestId) {
+    /// Records that an attempt has been preempted; its capacity counts as free at once.
+    pub(super) fn attempt_preempted(&mut self, now_ms: u64, id: TargetId, request: RequestId) {
         let Some(target) = self.get_mut(id) else { return };
-        target.load.ended(now_ms);
-        target.recallable.remove(&request);
+        target.load.attempt_ended(now_ms);
+        target.preemptible.remove(&request);
         target.batch -= 1;
-        target.recalled += 1;
+        target.preempted += 1;
     }
 
-    pub(super) fn ended(
+    pub(super) fn attempt_ended(
         &mut self,
         now_ms: u64,
         id: TargetId,
         request: RequestId,
         class: Class,
-        was_recalled: bool,
+        was_preempted: bool,
     ) {
         let Some(target) = self.get_mut(id) else { return };
-        if was_recalled {
-            target.recalled -= 1;
+        if was_preempted {
+            target.preempted -= 1;
         } else {
-            target.load.ended(now_ms);
+            target.load.attempt_ended(now_ms);
             if class == Class::Batch {
                 target.batch -= 1;
-                target.recallable.remove(&request);
+                target.preemptible.remove(&request);
             }
         }
-        if target.is_forgettable(now_ms) {
-            self.forget(id);
+        if target.is_removable(now_ms) {
+            self.remove(id);
         }
     }
 
-    /// Ejects a target that fails, unless half of its service's targets would be missing then: a fault that all of them
-    /// show lies elsewhere. One that has just returned counts by the share that it does not get yet, as its work lies
-    /// on the others all the same. Tells whether it is ejected by this.
+    /// Ejects a failing target, unless more than half of its service's targets would be missing then: a fault that all
+    /// of them show has its cause elsewhere. A target in slow start counts as missing by the share of its limit that it
+    /// does not get yet, because the others carry that work. Returns whether this is a new ejection.
     pub(super) fn eject_failing(&mut self, now_ms: u64, id: TargetId) -> bool {
         let Some(target) = self.get(id) else { return false };
         let service = Name::clone(&target.declared.service);
@@ -336,26 +352,26 @@
             all += 1.0;
             missing += if other == id { 0.0 } else { 1.0 - target.health.share(now_ms) };
         }
-        if missing > MAX_MISSING_SHARE * all {
+        if missing > MAX_MISSING_CAPACITY * all {
             return false;
         }
         self.get_mut(id).is_some_and(|it| it.health.eject_failing(now_ms))
     }
 
-    /// Takes word of a target's leaving or of a refused connection. Tells whether it is ejected by this.
+    /// Ejects a target for the given reason. Returns whether this is a new ejection.
     pub(super) fn eject(&mut self, now_ms: u64, name: &Name, reason: Ejection) -> bool {
         let Some(target) = self.find(name).and_then(|id| self.get_mut(id)) else { return false };
         match reason {
-            Ejection::Leaving => target.health.leaving(now_ms),
-            Ejection::Unreachable => target.health.unreachable(now_ms),
+            Ejection::Leaving => target.health.mark_leaving(now_ms),
+            Ejection::Unreachable => target.health.mark_unreachable(now_ms),
             Ejection::Failing => target.health.eject_failing(now_ms),
         }
     }
 
-    /// Gives the target no new work until the given time.
-    pub(super) fn told_leaving(&mut self, name: &Name, until_ms: u64) {
+    /// Records a report by others that the target is leaving: it gets no new work until `until_ms`.
+    pub(super) fn reported_leaving(&mut self, name: &Name, until_ms: u64) {
         if let Some(target) = self.find(name).and_then(|id| self.get_mut(id)) {
-            target.health.told_leaving(until_ms);
+            target.health.mark_reported_leaving(until_ms);
         }
     }
 
@@ -369,7 +385,7 @@
         }
     }
 
-    fn by_distance<'a>(
+    fn group_by_distance<'a>(
         &self,
         manifest: &'a Manifest,
     ) -> BTreeMap<Name, [Vec<&'a manifest::Target>; 3]> {
@@ -381,12 +397,12 @@
         services
     }
 
-    fn shrink_to_subset(&self, groups: &mut [Vec<&manifest::Target>; 3]) {
+    fn select_subset(&self, groups: &mut [Vec<&manifest::Target>; 3]) {
         let mut kept = [0; 3];
-        for (kept, (group, share)) in kept.iter_mut().zip(groups.iter().zip(SUBSET)) {
+        for (kept, (group, share)) in kept.iter_mut().zip(groups.iter().zip(SUBSET_BY_DISTANCE)) {
             *kept = group.len().min(share);
         }
-        let mut spare = SUBSET_TOTAL - kept.iter().sum::<usize>();
+        let mut spare = SUBSET_SIZE - kept.iter().sum::<usize>();
         for (kept, group) in kept.iter_mut().zip(groups.iter()) {
             let more = spare.min(group.len() - *kept);
             *kept += more;
@@ -394,22 +410,22 @@
         }
         for (group, kept) in groups.iter_mut().zip(kept) {
             if group.len() > kept {
-                group.sort_by_cached_key(|it| self.score(&it.name));
+                group.sort_by_cached_key(|it| self.rendezvous_weight(&it.name));
                 group.truncate(kept);
             }
         }
     }
 
-    fn score(&self, target: &Name) -> u64 {
+    fn rendezvous_weight(&self, target: &Name) -> u64 {
         mix(self.process, rapidhash_v3(target.as_bytes()))
     }
 
-    fn take_in(
+    fn insert_or_update(
         &mut self,
         now_ms: u64,
         declared: &manifest::Target,
         service: &Service,
-        newcomer: bool,
+        slow_start: bool,
     ) -> TargetId {
         let distance = self.distance(declared);
         if let Some(id) = self.find(&declared.name) {
@@ -418,8 +434,8 @@
             }
             return id;
         }
-        let health = if newcomer { Health::newcomer(now_ms) } else { Health::default() };
-        let target = Target::new(declared, distance, health, Loan::new(now_ms, service));
+        let health = if slow_start { Health::slow_start(now_ms) } else { Health::default() };
+        let target = Target::new(declared, distance, health, BatchCapacity::new(now_ms, service));
         let id = match self.free.pop() {
             Some(slot) => slot,
             None => {
@@ -432,17 +448,17 @@
         TargetId(id)
     }
 
-    /// Forgets a target that is not in use any more, once nothing runs there.
-    fn retire(&mut self, now_ms: u64, id: TargetId, manifest: &Manifest) {
+    /// Removes a target that is not in use any more, unless it is busy or, while it is declared, ejected.
+    fn remove_if_unused(&mut self, now_ms: u64, id: TargetId, manifest: &Manifest) {
         let Some(target) = self.get(id) else { return };
         let removed = !manifest.targets.contains_key(&target.declared.name);
         let unused = !target.in_use && target.is_idle();
-        if target.is_forgettable(now_ms) || (removed && unused) {
-            self.forget(id);
+        if target.is_removable(now_ms) || (removed && unused) {
+            self.remove(id);
         }
     }
 
-    fn forget(&mut self, id: TargetId) {
+    fn remove(&mut self, id: TargetId) {
         if let Some(target) = self.slots[id.0].take() {
             self.by_name.remove(&target.declared.name);
             self.free.push(id.0);
@@ -450,7 +466,7 @@
     }
 }
 
-/// Hash of two hashes.
+/// Combines two hashes into one.
 pub(super) fn mix(a: u64, b: u64) -> u64 {
     let mut mixed = a ^ b.rotate_left(32) ^ 0x9e37_79b9_7f4a_7c15;
     mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/crates/samphiredoor-core/tests/lending/division.rs
+++ b/crates/samphiredoor-core/tests/lending/division.rs
@@ -1,4 +1,5 @@
-//! A lender and its borrowers: what is lent in all stays bounded while words are lost and lenders come and go.
+//! Slot allocators and leaseholders: the total of the leased slots stays bounded while messages are lost and allocators
+//! change.
 
 use proptest::{
     prelude::*,
@@ -6,67 +7,72 @@
 };
 use samphiredoor_core::{
     Name,
-    dispatch::lender::{Demand, Lender, LiveDoor, SHARE_TTL_MS, Share, ShareChange, lender_of},
+    dispatch::lender::{
+        Demand, LEASE_TTL_MS, LiveDoor, ShareChange, SlotAllocator, SlotLease, allocator_of,
+    },
 };
 
-const ROOM: u32 = 12;
-const DOORS: usize = 4;
+const SLOTS: u32 = 12;
+const GATEWAYS: usize = 4;
 
 #[derive(Debug, Clone)]
 enum Step {
-    Wanted { door: usize, wanted: u32 },
-    Room { room: u32 },
+    Wanted { gateway: usize, wanted: u32 },
+    Slots { slots: u32 },
     Pass { ms: u64 },
 }
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
-        3 => (0..DOORS, 0..20_u32).prop_map(|(door, wanted)| Step::Wanted { door, wanted }),
-        1 => (0..=ROOM).prop_map(|room| Step::Room { room }),
+        3 => (0..GATEWAYS, 0..20_u32).prop_map(|(gateway, wanted)| Step::Wanted { gateway, wanted }),
+        1 => (0..=SLOTS).prop_map(|slots| Step::Slots { slots }),
         3 => (1..2_000_u64).prop_map(|ms| Step::Pass { ms }),
     ]
 }
 
-fn name(door: usize) -> Name {
-    format!("door-{door}").into()
+fn name(gateway: usize) -> Name {
+    format!("gateway-{gateway}").into()
 }
 
-fn deliver(now_ms: u64, lender: &str, changes: &[ShareChange], shares: &mut [Share]) {
+fn deliver(now_ms: u64, allocator: &str, changes: &[ShareChange], leases: &mut [SlotLease]) {
     for change in changes {
-        let door = (0..DOORS).find(|it| name(*it) == change.door).expect("a known door");
-        shares[door].change(now_ms, &lender.into(), change.slots, change.epoch);
+        let gateway = (0..GATEWAYS).find(|it| name(*it) == change.door).expect("a known gateway");
+        leases[gateway].update(now_ms, &allocator.into(), change.slots, change.epoch);
     }
 }
 
-fn in_force(now_ms: u64, shares: &[Share]) -> u32 {
-    shares.iter().map(|it| it.slots(now_ms)).sum()
+fn leased_slots(now_ms: u64, leases: &[SlotLease]) -> u32 {
+    leases.iter().map(|it| it.slots(now_ms)).sum()
 }
 
 #[test]
-fn shares_that_arrive_are_never_more_than_the_room() {
+fn granted_leases_never_exceed_the_slots() {
     let rng = TestRng::deterministic_rng(RngAlgorithm::ChaCha);
     let config = Config { cases: 500, failure_persistence: None, ..Config::default() };
     let steps = proptest::collection::vec(step(), 1..60);
     let ran = TestRunner::new_with_rng(config, rng).run(&steps, |steps| {
         let mut now_ms = 1_000;
-        let mut lender = Lender::new(now_ms, 0);
-        let mut shares = vec![Share::default(); DOORS];
-        let mut room = ROOM;
+        let mut allocator = SlotAllocator::new(now_ms, 0);
+        let mut leases = vec![SlotLease::default(); GATEWAYS];
+        let mut slots = SLOTS;
         for step in &steps {
             match *step {
-                Step::Wanted { door, wanted } => {
+                Step::Wanted { gateway, wanted } => {
                     let demand = Demand { online: 0, batch: 0, wanted };
-                    lender.told(now_ms, &name(door), demand);
+                    allocator.record_demand(now_ms, &name(gateway), demand);
                 }
-                Step::Room { room: now } => room = now,
+                Step::Slots { slots: now } => slots = now,
                 Step::Pass { ms } => now_ms += ms,
             }
             let mut changes = Vec::new();
-            lender.divide(now_ms, room, 3, &mut changes);
-            deliver(now_ms, "lender", &changes, &mut shares);
-            let in_force = in_force(now_ms, &shares);
-            prop_assert!(in_force <= room, "{in_force} of {room}");
-            prop_assert!(in_force <= lender.lent(), "a borrower uses what was not lent");
+            allocator.allocate(now_ms, slots, 3, &mut changes);
+            deliver(now_ms, "allocator", &changes, &mut leases);
+            let leased = leased_slots(now_ms, &leases);
+            prop_assert!(leased <= slots, "{leased} of {slots}");
+            prop_assert!(
+                leased <= allocator.granted(),
+                "a gateway uses slots that were not granted"
+            );
         }
         Ok(())
     });
@@ -75,78 +81,78 @@
     }
 }
 
-/// Nobody renews the shares of a lender that was killed. They are over after their time, and the next lender gives
-/// nothing before that; so the room is never lent twice.
+/// The leases of a killed allocator are not renewed. If the next allocator granted slots before they expire, the same
+/// slots would be in use twice.
 #[test]
-fn the_shares_of_a_lost_lender_are_over_before_the_next_one_lends() {
-    let mut shares = vec![Share::default(); DOORS];
+fn leases_of_a_lost_allocator_expire_before_the_next_one_grants() {
+    let mut leases = vec![SlotLease::default(); GATEWAYS];
     let wants = Demand { online: 0, batch: 0, wanted: 9 };
-    let mut first = Lender::new(0, 0);
-    let mut second = Lender::new(100 + SHARE_TTL_MS, 0);
+    let mut first = SlotAllocator::new(0, 0);
+    let mut second = SlotAllocator::new(100 + LEASE_TTL_MS, 0);
     for now_ms in (0..10_000).step_by(50) {
         let mut changes = Vec::new();
-        let (lender, lender_name) =
+        let (allocator, allocator_name) =
             if now_ms < 100 { (&mut first, "first") } else { (&mut second, "second") };
-        // Two doors have not yet heard of the change and still use what the first gave them.
-        let heard = if (100..=SHARE_TTL_MS + 200).contains(&now_ms) { 2 } else { 0 };
-        for door in heard..DOORS {
-            lender.told(now_ms, &name(door), wants);
+        // Gateways 0 and 1 have not noticed the change yet and still use the slots that the first allocator granted.
+        let first_reached = if (100..=LEASE_TTL_MS + 200).contains(&now_ms) { 2 } else { 0 };
+        for gateway in first_reached..GATEWAYS {
+            allocator.record_demand(now_ms, &name(gateway), wants);
         }
-        let room = if lender.lends(now_ms) { ROOM } else { 0 };
-        lender.divide(now_ms, room, 0, &mut changes);
-        deliver(now_ms, lender_name, &changes, &mut shares);
-        assert!(in_force(now_ms, &shares) <= ROOM, "at {now_ms}");
+        let slots = if allocator.may_grant(now_ms) { SLOTS } else { 0 };
+        allocator.allocate(now_ms, slots, 0, &mut changes);
+        deliver(now_ms, allocator_name, &changes, &mut leases);
+        assert!(leased_slots(now_ms, &leases) <= SLOTS, "at {now_ms}");
     }
-    assert_eq!(in_force(9_950, &shares), ROOM);
+    assert_eq!(leased_slots(9_950, &leases), SLOTS);
 }
 
-/// Two doors take themselves for the lender while membership is in doubt. A borrower holds the share of one of them at
-/// a time, so that together they lend at most twice the room.
+/// Two gateways consider themselves the allocator while the membership views differ. Each leaseholder holds the lease of
+/// one of them at a time, so together they grant at most twice the slots.
 #[test]
-fn two_lenders_lend_at_most_twice_the_room() {
-    let mut shares = vec![Share::default(); DOORS];
-    let mut lenders = [Lender::new(0, 0), Lender::new(0, 0)];
+fn two_allocators_grant_at_most_twice_the_slots() {
+    let mut leases = vec![SlotLease::default(); GATEWAYS];
+    let mut allocators = [SlotAllocator::new(0, 0), SlotAllocator::new(0, 0)];
     let wants = Demand { online: 0, batch: 0, wanted: 9 };
     for now_ms in (0..10_000).step_by(50) {
-        for (index, lender) in lenders.iter_mut().enumerate() {
+        for (index, allocator) in allocators.iter_mut().enumerate() {
             let mut changes = Vec::new();
-            for door in 0..DOORS {
-                lender.told(now_ms, &name(door), wants);
+            for gateway in 0..GATEWAYS {
+                allocator.record_demand(now_ms, &name(gateway), wants);
             }
-            lender.divide(now_ms, ROOM, 0, &mut changes);
-            // Each door hears the lender that it takes for the right one.
+            allocator.allocate(now_ms, SLOTS, 0, &mut changes);
+            // Each gateway accepts only the grants of the allocator that it considers the right one.
             changes.retain(|it| (it.door == name(0) || it.door == name(1)) == (index == 0));
-            deliver(now_ms, ["first", "second"][index], &changes, &mut shares);
+            deliver(now_ms, ["first", "second"][index], &changes, &mut leases);
         }
-        assert!(in_force(now_ms, &shares) <= 2 * ROOM);
+        assert!(leased_slots(now_ms, &leases) <= 2 * SLOTS);
     }
 }
 
 #[test]
-fn only_the_targets_of_a_door_that_goes_change_their_lender() {
-    let door = |it: usize| LiveDoor { name: name(it), region: "brisbane".into() };
-    let all: Vec<LiveDoor> = (0..9).map(door).collect();
-    let without: Vec<LiveDoor> = (0..8).map(door).collect();
+fn only_targets_of_a_removed_gateway_change_their_allocator() {
+    let gateway = |it: usize| LiveDoor { name: name(it), region: "brisbane".into() };
+    let all: Vec<LiveDoor> = (0..9).map(gateway).collect();
+    let without: Vec<LiveDoor> = (0..8).map(gateway).collect();
     let mut of_each = [0; 9];
     for target in 0..900 {
         let target = format!("engine-{target}");
-        let before = lender_of(&target, "brisbane", &all).expect("a lender");
-        let after = lender_of(&target, "brisbane", &without).expect("a lender");
+        let before = allocator_of(&target, "brisbane", &all).expect("an allocator");
+        let after = allocator_of(&target, "brisbane", &without).expect("an allocator");
         assert!(before == after || *before == name(8));
-        let index = (0..9).find(|it| name(*it) == *before).expect("a known door");
+        let index = (0..9).find(|it| name(*it) == *before).expect("a known gateway");
         of_each[index] += 1;
     }
     assert!(of_each.iter().all(|it| (60..=140).contains(it)), "{of_each:?}");
 }
 
 #[test]
-fn a_target_is_lent_by_a_door_of_its_region_if_one_lives() {
-    let door = |name: &str, region: &str| LiveDoor { name: name.into(), region: region.into() };
-    let doors = [door("a", "brisbane"), door("b", "brisbane"), door("c", "cairns")];
+fn the_allocator_is_in_the_region_of_the_target_if_a_gateway_is_live_there() {
+    let gateway = |name: &str, region: &str| LiveDoor { name: name.into(), region: region.into() };
+    let gateways = [gateway("a", "brisbane"), gateway("b", "brisbane"), gateway("c", "cairns")];
     for target in 0..50 {
         let target = format!("engine-{target}");
-        assert_eq!(lender_of(&target, "cairns", &doors).map(|it| &**it), Some("c"));
-        assert_ne!(lender_of(&target, "brisbane", &doors).map(|it| &**it), Some("c"));
-        assert!(lender_of(&target, "cairns", &doors[..2]).is_some());
+        assert_eq!(allocator_of(&target, "cairns", &gateways).map(|it| &**it), Some("c"));
+        assert_ne!(allocator_of(&target, "brisbane", &gateways).map(|it| &**it), Some("c"));
+        assert!(allocator_of(&target, "cairns", &gateways[..2]).is_some());
     }
 }
--- a/crates/samphiredoor-core/tests/lending/promises.rs
+++ b/crates/samphiredoor-core/tests/lending/promises.rs
@@ -7,7 +7,7 @@
 use samphiredoor_core::{
     dispatch::{
         Action, AttemptEnd, Class, Input, RequestId,
-        lender::{SHARE_TTL_MS, lender_of},
+        lender::{LEASE_TTL_MS, allocator_of},
     },
     verdict::{Refusal, Verdict},
 };
@@ -164,7 +164,7 @@
     fn lenders(&self) -> Vec<Option<samphiredoor_core::Name>> {
         let names: Vec<&str> = self.doors.iter().map(|it| DOORS[*it]).collect();
         let doors = live(&names);
-        TARGETS.iter().map(|it| lender_of(it, "brisbane", &doors).cloned()).collect()
+        TARGETS.iter().map(|it| allocator_of(it, "brisbane", &doors).cloned()).collect()
     }
 
     fn share(&mut self, target: usize, lender: usize, slots: u32, epoch: u64) -> Vec<Action> {
@@ -172,7 +172,7 @@
         let held = self.shares[target].unwrap_or_default();
         let newer = held.lender != lender || epoch > held.epoch;
         if is_lender && newer && lender != 0 {
-            let until_ms = self.world.now_ms + SHARE_TTL_MS;
+            let until_ms = self.world.now_ms + LEASE_TTL_MS;
             self.shares[target] = Some(Held { lender, slots, epoch, until_ms });
         }
         self.world.handle(Input::Share {
--- a/crates/samphiredoor-core/tests/lending/situations.rs
+++ b/crates/samphiredoor-core/tests/lending/situations.rs
@@ -4,7 +4,7 @@
 
 use samphiredoor_core::{
     Name,
-    dispatch::{Action, AttemptEnd, Class, Input, RequestId, lender::SHARE_TTL_MS},
+    dispatch::{Action, AttemptEnd, Class, Input, RequestId, lender::LEASE_TTL_MS},
 };
 
 use crate::world::{LOAN_LIMIT, QUIET_MS, World, dispatched, live, recalled};
@@ -123,7 +123,7 @@
         world.pass(100);
     }
     assert_eq!(world.lent("engine").len(), 2, "one of them is the lender, whatever {granted}");
-    world.pass(SHARE_TTL_MS + 1_000);
+    world.pass(LEASE_TTL_MS + 1_000);
     assert_eq!(world.lent("engine"), []);
 }
 
