--- a/crates/samphiredoor-core/tests/lending/main.rs
+++ b/crates/samphiredoor-core/tests/lending/main.rs
@@ -1,4 +1,4 @@
-//! Tests of lending: what holds under any order of events, and what it does in named situations.
+//! Tests of batch capacity: invariants under any order of events, and behaviour in specific situations.
 
 mod division;
 mod promises;
--- a/crates/samphiredoor-core/tests/lending/promises.rs
+++ b/crates/samphiredoor-core/tests/lending/promises.rs
@@ -1,4 +1,4 @@
-//! What holds after every event, whatever the order. A longer run: `SAMPHIREDOOR_CASES=20000`.
+//! Invariants after every event, in any order of events. For a longer run set `SAMPHIREDOOR_CASES=20000`.
 
 use proptest::{
     prelude::*,
@@ -15,19 +15,19 @@
 use crate::world::{CONCURRENCY_LIMIT, LOAN_LIMIT, OWN_NAME, World, live};
 
 const TARGETS: [&str; 3] = ["engine-0", "engine-1", "engine-2"];
-const DOORS: [&str; 3] = ["door-0", "door-1", "door-2"];
+const GATEWAYS: [&str; 3] = ["gateway-0", "gateway-1", "gateway-2"];
 
 #[derive(Debug, Clone)]
 enum Step {
     Online,
     Item { job: u8, repeatable: bool },
     End { which: usize, end: AttemptEnd },
-    Gone { which: usize },
-    Pass { ms: u64 },
+    Cancel { which: usize },
+    Advance { ms: u64 },
     Report { target: usize, running: u32, steps: u64 },
     Reclaim { target: usize, reclaimed: bool },
-    Doors { live: u8 },
-    Share { target: usize, lender: usize, slots: u32, epoch: u64 },
+    LiveGateways { live: u8 },
+    Grant { target: usize, allocator: usize, slots: u32, epoch: u64 },
 }
 
 fn end() -> impl Strategy<Value = AttemptEnd> {
@@ -45,23 +45,23 @@
         8 => Just(Step::Online),
         8 => (0..3_u8, any::<bool>()).prop_map(|(job, repeatable)| Step::Item { job, repeatable }),
         8 => (any::<usize>(), end()).prop_map(|(which, end)| Step::End { which, end }),
-        1 => any::<usize>().prop_map(|which| Step::Gone { which }),
-        6 => (1..3_000_u64).prop_map(|ms| Step::Pass { ms }),
+        1 => any::<usize>().prop_map(|which| Step::Cancel { which }),
+        6 => (1..3_000_u64).prop_map(|ms| Step::Advance { ms }),
         2 => (target.clone(), 0..12_u32, 1..50_u64)
             .prop_map(|(target, running, steps)| Step::Report { target, running, steps }),
         2 => (target.clone(), any::<bool>())
             .prop_map(|(target, reclaimed)| Step::Reclaim { target, reclaimed }),
-        1 => (0..8_u8).prop_map(|live| Step::Doors { live }),
-        2 => (target, 0..DOORS.len(), 0..8_u32, 0..10_u64).prop_map(
-            |(target, lender, slots, epoch)| Step::Share { target, lender, slots, epoch }
+        1 => (0..8_u8).prop_map(|live| Step::LiveGateways { live }),
+        2 => (target, 0..GATEWAYS.len(), 0..8_u32, 0..10_u64).prop_map(
+            |(target, allocator, slots, epoch)| Step::Grant { target, allocator, slots, epoch }
         ),
     ]
 }
 
-/// A share as its borrower should know it.
+/// Lease that this gateway should hold.
 #[derive(Debug, Clone, Copy, Default)]
-struct Held {
-    lender: usize,
+struct ExpectedLease {
+    allocator: usize,
     slots: u32,
     epoch: u64,
     until_ms: u64,
@@ -69,18 +69,18 @@
 
 struct Model {
     world: World,
-    doors: Vec<usize>,
-    shares: [Option<Held>; TARGETS.len()],
-    work: u64,
+    gateways: Vec<usize>,
+    leases: [Option<ExpectedLease>; TARGETS.len()],
+    total_steps: u64,
 }
 
 impl Model {
     fn new() -> Model {
         Model {
             world: World::new(&TARGETS),
-            doors: Vec::new(),
-            shares: Default::default(),
-            work: 0,
+            gateways: Vec::new(),
+            leases: Default::default(),
+            total_steps: 0,
         }
     }
 
@@ -95,51 +95,51 @@
                 self.world.ask(Class::Batch, change).1
             }
             Step::End { which, end } => self.end(which, end),
-            Step::Gone { which } => {
-                let known: Vec<RequestId> = self.world.known.keys().copied().collect();
-                if known.is_empty() {
+            Step::Cancel { which } => {
+                let tracked: Vec<RequestId> = self.world.tracked.keys().copied().collect();
+                if tracked.is_empty() {
                     return;
                 }
-                self.world.handle(Input::Gone { request: known[which % known.len()] })
+                self.world.handle(Input::Gone { request: tracked[which % tracked.len()] })
             }
-            Step::Pass { ms } => {
+            Step::Advance { ms } => {
                 for _ in 0..ms.div_ceil(100) {
-                    let actions = self.world.pass(100);
+                    let actions = self.world.advance(100);
                     self.check(&actions);
                 }
                 return;
             }
             Step::Report { target, running, steps } => {
                 let target: samphiredoor_core::Name = TARGETS[target].into();
-                self.work += steps;
-                let (steps, tokens) = (self.work, self.work * u64::from(running));
+                self.total_steps += steps;
+                let (steps, tokens) = (self.total_steps, self.total_steps * u64::from(running));
                 let work = Input::Work { target: target.clone(), steps, tokens };
                 self.world.handle(work);
                 self.world.handle(Input::Load { target, running, waiting: 0 })
             }
             Step::Reclaim { target, reclaimed } => self.world.reclaim(TARGETS[target], reclaimed),
-            Step::Doors { live } => self.change_doors(live),
-            Step::Share { target, lender, slots, epoch } => {
-                self.share(target, lender, slots, epoch)
+            Step::LiveGateways { live } => self.change_live_gateways(live),
+            Step::Grant { target, allocator, slots, epoch } => {
+                self.receive_grant(target, allocator, slots, epoch)
             }
         };
         self.check(&actions);
     }
 
     fn end(&mut self, which: usize, end: AttemptEnd) -> Vec<Action> {
-        let running = self.world.known.iter().filter(|(_, it)| it.running.is_some());
+        let running = self.world.tracked.iter().filter(|(_, it)| it.running.is_some());
         let running: Vec<(RequestId, bool)> =
-            running.map(|(request, it)| (*request, it.recalled)).collect();
+            running.map(|(request, it)| (*request, it.preempted)).collect();
         if running.is_empty() {
             return Vec::new();
         }
-        let (request, recalled) = running[which % running.len()];
-        let class = self.world.known[&request].class;
-        match (end, class, recalled) {
+        let (request, preempted) = running[which % running.len()];
+        let class = self.world.tracked[&request].class;
+        match (end, class, preempted) {
             (AttemptEnd::Aborted, Class::Batch, true) => {
                 self.world.end(request, AttemptEnd::Yielded)
             }
-            // A retry of an online request would make the model follow the tried targets.
+            // A retry of an online request would require the model to track the tried targets.
             (AttemptEnd::NotSent | AttemptEnd::Aborted, Class::Online, _) => {
                 self.world.end(request, AttemptEnd::Done)
             }
@@ -147,58 +147,64 @@
         }
     }
 
-    fn change_doors(&mut self, doors: u8) -> Vec<Action> {
-        self.doors = (0..DOORS.len()).filter(|it| doors >> it & 1 == 1).collect();
-        let names: Vec<&str> = self.doors.iter().map(|it| DOORS[*it]).collect();
-        let was = self.lenders();
+    fn change_live_gateways(&mut self, gateways: u8) -> Vec<Action> {
+        self.gateways = (0..GATEWAYS.len()).filter(|it| gateways >> it & 1 == 1).collect();
+        let names: Vec<&str> = self.gateways.iter().map(|it| GATEWAYS[*it]).collect();
+        let before = self.allocators();
         let actions =
             self.world.handle(Input::Doors { own_name: OWN_NAME.into(), live: live(&names) });
-        for (target, (was, is)) in was.into_iter().zip(self.lenders()).enumerate() {
-            if was.as_deref() == Some(OWN_NAME) || is.as_deref() == Some(OWN_NAME) {
-                self.shares[target] = None;
+        for (target, (before, after)) in before.into_iter().zip(self.allocators()).enumerate() {
+            if before.as_deref() == Some(OWN_NAME) || after.as_deref() == Some(OWN_NAME) {
+                self.leases[target] = None;
             }
         }
         actions
     }
 
-    fn lenders(&self) -> Vec<Option<samphiredoor_core::Name>> {
-        let names: Vec<&str> = self.doors.iter().map(|it| DOORS[*it]).collect();
-        let doors = live(&names);
-        TARGETS.iter().map(|it| allocator_of(it, "brisbane", &doors).cloned()).collect()
+    fn allocators(&self) -> Vec<Option<samphiredoor_core::Name>> {
+        let names: Vec<&str> = self.gateways.iter().map(|it| GATEWAYS[*it]).collect();
+        let gateways = live(&names);
+        TARGETS.iter().map(|it| allocator_of(it, "brisbane", &gateways).cloned()).collect()
     }
 
-    fn share(&mut self, target: usize, lender: usize, slots: u32, epoch: u64) -> Vec<Action> {
-        let is_lender = self.lenders()[target].as_deref() == Some(DOORS[lender]);
-        let held = self.shares[target].unwrap_or_default();
-        let newer = held.lender != lender || epoch > held.epoch;
-        if is_lender && newer && lender != 0 {
+    fn receive_grant(
+        &mut self,
+        target: usize,
+        allocator: usize,
+        slots: u32,
+        epoch: u64,
+    ) -> Vec<Action> {
+        let is_allocator = self.allocators()[target].as_deref() == Some(GATEWAYS[allocator]);
+        let lease = self.leases[target].unwrap_or_default();
+        let is_newer = lease.allocator != allocator || epoch > lease.epoch;
+        if is_allocator && is_newer && allocator != 0 {
             let until_ms = self.world.now_ms + LEASE_TTL_MS;
-            self.shares[target] = Some(Held { lender, slots, epoch, until_ms });
+            self.leases[target] = Some(ExpectedLease { allocator, slots, epoch, until_ms });
         }
         self.world.handle(Input::Share {
             target: TARGETS[target].into(),
-            lender: DOORS[lender].into(),
+            lender: GATEWAYS[allocator].into(),
             slots,
             epoch,
         })
     }
 
     fn check(&self, actions: &[Action]) {
-        let lenders = self.lenders();
+        let allocators = self.allocators();
         for (index, target) in TARGETS.iter().enumerate() {
-            let lent = self.world.lent(target);
-            assert!(lent.len() <= LOAN_LIMIT as usize, "above the owner's limit");
-            let all = lent.len() + self.world.online_at(target);
+            let items = self.world.running_items(target);
+            assert!(items.len() <= LOAN_LIMIT as usize, "above the owner's limit");
+            let all = items.len() + self.world.online_at(target);
             assert!(all <= CONCURRENCY_LIMIT as usize, "above the target's limit");
-            let recallable = lent.iter().filter(|it| self.world.known[it].repeatable).count();
+            let preemptible = items.iter().filter(|it| self.world.tracked[it].repeatable).count();
             if self.world.manifest.targets[*target].reclaimed {
-                assert_eq!(recallable, 0, "items stay after a reclaim");
+                assert_eq!(preemptible, 0, "items run on after a reclaim");
             }
-            let is_borrower = lenders[index].as_ref().is_some_and(|it| &**it != OWN_NAME);
-            if is_borrower {
-                let held = self.shares[index].filter(|it| self.world.now_ms < it.until_ms);
-                let slots = held.map_or(0, |it| it.slots) as usize;
-                assert!(recallable <= slots, "{recallable} items above a share of {slots}");
+            let is_leaseholder = allocators[index].as_ref().is_some_and(|it| &**it != OWN_NAME);
+            if is_leaseholder {
+                let lease = self.leases[index].filter(|it| self.world.now_ms < it.until_ms);
+                let slots = lease.map_or(0, |it| it.slots) as usize;
+                assert!(preemptible <= slots, "{preemptible} items above a lease of {slots}");
             }
         }
         for action in actions {
@@ -211,16 +217,17 @@
             && matches!(reason, Refusal::Overloaded)
         {
             for target in TARGETS {
-                let lent = self.world.lent(target);
-                let recallable = lent.iter().filter(|it| self.world.known[it].repeatable).count();
-                assert_eq!(recallable, 0, "refused while a slot could be recalled");
+                let items = self.world.running_items(target);
+                let preemptible =
+                    items.iter().filter(|it| self.world.tracked[it].repeatable).count();
+                assert_eq!(preemptible, 0, "refused while an item could be preempted");
             }
         }
     }
 }
 
 #[test]
-fn lending_keeps_its_bounds_under_any_order_of_events() {
+fn batch_capacity_stays_within_its_bounds_under_any_order_of_events() {
     let cases = std::env::var("SAMPHIREDOOR_CASES").ok().and_then(|it| it.parse().ok());
     let config =
         Config { cases: cases.unwrap_or(400), failure_persistence: None, ..Config::default() };
--- a/crates/samphiredoor-core/tests/lending/situations.rs
+++ b/crates/samphiredoor-core/tests/lending/situations.rs
@@ -1,4 +1,4 @@
-//! What lending does in named situations.
+//! Behaviour of batch capacity in specific situations.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -7,92 +7,96 @@
     dispatch::{Action, AttemptEnd, Class, Input, RequestId, lender::LEASE_TTL_MS},
 };
 
-use crate::world::{LOAN_LIMIT, QUIET_MS, World, dispatched, live, recalled};
+use crate::world::{IDLE_MS, LOAN_LIMIT, World, dispatched, live, preempted};
 
 fn filled() -> World {
     let mut world = World::new(&["engine"]);
-    world.items(20, "list", "light");
-    world.pass(QUIET_MS + 1_000);
-    assert_eq!(world.lent("engine").len(), LOAN_LIMIT as usize);
+    world.submit_items(20, "list", "light");
+    world.advance(IDLE_MS + 1_000);
+    assert_eq!(world.running_items("engine").len(), LOAN_LIMIT as usize);
     world
 }
 
-/// An owner sees the engine busy with others' lists although the capacity was reclaimed. The manifest says so, and the
-/// cause would be items that run on until they end by themselves.
+/// Guards against batch items that keep a target busy until they end by themselves although its owner has reclaimed the
+/// capacity in the manifest.
 #[test]
-fn a_reclaim_recalls_all_items_in_the_same_turn() {
+fn a_reclaim_preempts_all_items_at_once() {
     let mut world = filled();
     let actions = world.reclaim("engine", true);
-    assert_eq!(recalled(&actions).len(), LOAN_LIMIT as usize);
-    assert_eq!(world.lent("engine"), []);
-    for request in recalled(&actions) {
+    assert_eq!(preempted(&actions).len(), LOAN_LIMIT as usize);
+    assert_eq!(world.running_items("engine"), []);
+    for request in preempted(&actions) {
         world.end(request, AttemptEnd::Yielded);
     }
-    assert_eq!(dispatched(&world.pass(5_000)), []);
+    assert_eq!(dispatched(&world.advance(5_000)), []);
     world.reclaim("engine", false);
-    world.pass(1_000);
-    assert!(!world.lent("engine").is_empty(), "lent again after the reclaim ends");
+    world.advance(1_000);
+    assert!(!world.running_items("engine").is_empty(), "items run again after the reclaim ends");
 }
 
-/// A driver at the loading bay waits for an answer that comes word by word, as the engine is full of lists. The first
-/// online request after a quiet time arrives; the cause would be batch that stays until it ends.
+/// Guards against slow token streams: after an idle time the engine is full of batch items, and the first online request
+/// would be slowed down if they ran on until they end.
 #[test]
-fn the_first_online_request_after_a_quiet_time_recalls_in_the_same_turn() {
+fn the_first_online_request_after_an_idle_time_preempts_items_at_once() {
     let mut world = filled();
     let (online, actions) = world.online();
     assert_eq!(dispatched(&actions), [online]);
-    assert_eq!(recalled(&actions).len(), LOAN_LIMIT as usize, "nothing is known of the level yet");
-    assert_eq!(dispatched(&world.pass(100)), []);
+    assert_eq!(
+        preempted(&actions).len(),
+        LOAN_LIMIT as usize,
+        "the online concurrency has not been measured yet"
+    );
+    assert_eq!(dispatched(&world.advance(100)), []);
 }
 
 #[test]
-fn the_youngest_items_are_recalled_first() {
+fn the_newest_items_are_preempted_first() {
     let mut world = World::new(&["engine"]);
-    world.items(20, "list", "light");
-    world.pass(QUIET_MS + 1_000);
-    // A level of four online requests, so that some batch may stay beside one.
+    world.submit_items(20, "list", "light");
+    world.advance(IDLE_MS + 1_000);
+    // Four online requests at once are measured, so that some items may stay beside a single one.
     let online: Vec<RequestId> = (0..4).map(|_| world.online().0).collect();
-    world.pass(200);
+    world.advance(200);
     for request in online {
         world.end(request, AttemptEnd::Done);
     }
-    for request in world.known.keys().copied().collect::<Vec<_>>() {
-        if world.known[&request].recalled {
+    for request in world.tracked.keys().copied().collect::<Vec<_>>() {
+        if world.tracked[&request].preempted {
             world.end(request, AttemptEnd::Yielded);
         }
     }
-    world.pass(QUIET_MS + 1_000);
-    let lent = world.lent("engine");
-    assert_eq!(lent.len(), LOAN_LIMIT as usize);
+    world.advance(IDLE_MS + 1_000);
+    let items = world.running_items("engine");
+    assert_eq!(items.len(), LOAN_LIMIT as usize);
     let (_, actions) = world.online();
-    let recalled = recalled(&actions);
-    let left = world.lent("engine");
-    assert!(!recalled.is_empty() && !left.is_empty(), "{recalled:?} {left:?}");
-    assert!(left.iter().max() < recalled.iter().min());
+    let preempted = preempted(&actions);
+    let left = world.running_items("engine");
+    assert!(!preempted.is_empty() && !left.is_empty(), "{preempted:?} {left:?}");
+    assert!(left.iter().max() < preempted.iter().min());
 }
 
-/// A list of long answers never ends, as each item that loses its slot begins anew behind all others.
+/// Guards against a job of long answers that never ends because each preempted item is queued behind all others.
 #[test]
-fn an_item_that_lost_its_slot_goes_on_before_others_begin() {
+fn a_preempted_item_is_resumed_before_others_start() {
     let mut world = filled();
     let (online, actions) = world.online();
-    let lost = recalled(&actions);
+    let lost = preempted(&actions);
     for request in &lost {
         world.end(*request, AttemptEnd::Yielded);
     }
     world.end(online, AttemptEnd::Done);
-    let again = dispatched(&world.pass(QUIET_MS + 1_000));
+    let again = dispatched(&world.advance(IDLE_MS + 1_000));
     let mut expected = lost;
     expected.sort();
     assert_eq!(again, expected);
 }
 
-/// A list hangs for ever at its last item. Its service was taken out of the declarations while the item was being
-/// recalled; the cause would be an item that waits where nobody looks any more.
+/// Guards against a job that never ends: its service is removed from the manifest while an item is being preempted, and
+/// the item would wait in a queue that no longer exists.
 #[test]
-fn an_item_that_lost_its_slot_is_refused_if_its_service_is_gone() {
+fn a_preempted_item_is_refused_if_its_service_has_been_removed() {
     let mut world = filled();
-    let lost = recalled(&world.online().1);
+    let lost = preempted(&world.online().1);
     world.manifest.revision += 1;
     world.manifest.services.clear();
     world.manifest.targets.clear();
@@ -105,68 +109,72 @@
     }
 }
 
-/// Two doors fill one target, each with the whole loan. The lender is lost or cut off; the cause would be shares that
-/// are kept for ever.
+/// Guards against two gateways that each use the whole loan limit of a target: the allocator is lost or isolated, and
+/// leases on its slots would be kept forever.
 #[test]
-fn a_share_that_is_not_renewed_is_over() {
+fn a_lease_that_is_not_renewed_expires() {
     let mut world = World::new(&["engine"]);
-    let others: Vec<String> = (1..9).map(|it| format!("door-{it}")).collect();
+    let others: Vec<String> = (1..9).map(|it| format!("gateway-{it}")).collect();
     let names: Vec<&str> = others.iter().map(String::as_str).collect();
-    world.handle(Input::Doors { own_name: "door-0".into(), live: live(&names) });
-    world.items(20, "list", "light");
-    assert_eq!(dispatched(&world.pass(5_000)), [], "nothing without a share");
+    world.handle(Input::Doors { own_name: "gateway-0".into(), live: live(&names) });
+    world.submit_items(20, "list", "light");
+    assert_eq!(dispatched(&world.advance(5_000)), [], "nothing without a lease");
     let mut granted = false;
     for lender in &names {
         let share =
             Input::Share { target: "engine".into(), lender: (*lender).into(), slots: 2, epoch: 1 };
         granted |= !dispatched(&world.handle(share)).is_empty();
-        world.pass(100);
+        world.advance(100);
     }
-    assert_eq!(world.lent("engine").len(), 2, "one of them is the lender, whatever {granted}");
-    world.pass(LEASE_TTL_MS + 1_000);
-    assert_eq!(world.lent("engine"), []);
+    assert_eq!(
+        world.running_items("engine").len(),
+        2,
+        "one of them is the allocator, whatever {granted}"
+    );
+    world.advance(LEASE_TTL_MS + 1_000);
+    assert_eq!(world.running_items("engine"), []);
 }
 
 #[test]
-fn a_smaller_share_recalls_in_the_same_turn_and_an_older_one_changes_nothing() {
+fn a_smaller_grant_preempts_items_at_once_and_an_older_grant_is_ignored() {
     let mut world = World::new(&["engine"]);
-    world.handle(Input::Doors { own_name: "door-0".into(), live: live(&["door-1"]) });
-    world.items(20, "list", "light");
+    world.handle(Input::Doors { own_name: "gateway-0".into(), live: live(&["gateway-1"]) });
+    world.submit_items(20, "list", "light");
     let share = |slots, epoch| Input::Share {
         target: "engine".into(),
-        lender: "door-1".into(),
+        lender: "gateway-1".into(),
         slots,
         epoch,
     };
     world.handle(share(4, 5));
-    world.pass(500);
-    assert_eq!(world.lent("engine").len(), 4);
-    assert_eq!(recalled(&world.handle(share(1, 6))).len(), 3);
-    assert_eq!(world.lent("engine").len(), 1);
+    world.advance(500);
+    assert_eq!(world.running_items("engine").len(), 4);
+    assert_eq!(preempted(&world.handle(share(1, 6))).len(), 3);
+    assert_eq!(world.running_items("engine").len(), 1);
     world.handle(share(4, 5));
-    world.pass(500);
-    assert_eq!(world.lent("engine").len(), 1);
+    world.advance(500);
+    assert_eq!(world.running_items("engine").len(), 1);
 }
 
-/// A driver's request arrives at a door that is not the target's lender, which learns of it a moment later. Until then
-/// the target would be slower; the cause would be a door that waits for its lender before it yields.
+/// An online request arrives at a gateway that is not the target's slot allocator. If that gateway waited for the
+/// allocator's next grant before preempting items, the target would be slower until then.
 #[test]
-fn a_borrower_yields_to_its_own_online_request_in_the_same_turn() {
+fn a_leaseholder_preempts_items_for_its_own_online_request_at_once() {
     let mut world = World::new(&["engine"]);
-    world.handle(Input::Doors { own_name: "door-0".into(), live: live(&["door-1"]) });
-    world.items(20, "list", "light");
+    world.handle(Input::Doors { own_name: "gateway-0".into(), live: live(&["gateway-1"]) });
+    world.submit_items(20, "list", "light");
     let (slots, epoch) = (3, 1);
-    let share = Input::Share { target: "engine".into(), lender: "door-1".into(), slots, epoch };
+    let share = Input::Share { target: "engine".into(), lender: "gateway-1".into(), slots, epoch };
     world.handle(share);
-    world.pass(500);
-    assert_eq!(world.lent("engine").len(), 3);
-    assert_eq!(recalled(&world.online().1).len(), 1);
-    assert_eq!(recalled(&world.online().1).len(), 1);
-    assert_eq!(world.lent("engine").len(), 1);
+    world.advance(500);
+    assert_eq!(world.running_items("engine").len(), 3);
+    assert_eq!(preempted(&world.online().1).len(), 1);
+    assert_eq!(preempted(&world.online().1).len(), 1);
+    assert_eq!(world.running_items("engine").len(), 1);
 }
 
-/// Runs items to their end until `total_ms` have passed; `takes` tells how long a job's items take. Returns the slot
-/// time of each job.
+/// Runs items to their end until `total_ms` have passed. `takes` returns how long a job's items take and how they end.
+/// Returns the slot time of each job.
 fn run(
     world: &mut World,
     total_ms: u64,
@@ -176,10 +184,10 @@
     let mut started: BTreeMap<RequestId, u64> = BTreeMap::new();
     let until_ms = world.now_ms + total_ms;
     while world.now_ms < until_ms {
-        world.pass(10);
-        for request in world.lent("engine") {
+        world.advance(10);
+        for request in world.running_items("engine") {
             let started_ms = *started.entry(request).or_insert(world.now_ms);
-            let job = Name::clone(&world.known[&request].job);
+            let job = Name::clone(&world.tracked[&request].job);
             let (takes_ms, end) = takes(&job);
             let took_ms = world.now_ms - started_ms;
             if took_ms >= takes_ms {
@@ -200,9 +208,9 @@
 #[test]
 fn workspaces_share_slot_time_by_weight() {
     let mut world = World::new(&["engine"]);
-    world.items(400, "many", "heavy");
-    world.items(400, "few", "light");
-    world.pass(QUIET_MS);
+    world.submit_items(400, "many", "heavy");
+    world.submit_items(400, "few", "light");
+    world.advance(IDLE_MS);
     let slot_ms = run(&mut world, 20_000, |_| (200, AttemptEnd::Done));
     assert_share(&slot_ms, "many", 0.75);
 }
@@ -210,9 +218,9 @@
 #[test]
 fn jobs_of_long_and_of_short_items_share_slot_time() {
     let mut world = World::new(&["engine"]);
-    world.items(400, "long", "light");
-    world.items(400, "short", "light");
-    world.pass(QUIET_MS);
+    world.submit_items(400, "long", "light");
+    world.submit_items(400, "short", "light");
+    world.advance(IDLE_MS);
     let slot_ms = run(&mut world, 20_000, |job| match job {
         "long" => (1_000, AttemptEnd::Done),
         _ => (100, AttemptEnd::Done),
@@ -220,14 +228,14 @@
     assert_share(&slot_ms, "long", 0.5);
 }
 
-/// The planning desk's round sheets stand still while a broken list is tried again and again. Each try fails at once
-/// and asks anew; the cause would be turns by items and not by what they take.
+/// Guards against a job that is starved by another one whose items fail at once and are retried again and again, as
+/// would happen if fairness counted items instead of slot time.
 #[test]
 fn a_job_whose_items_fail_does_not_take_the_slots_of_another() {
     let mut world = World::new(&["engine"]);
-    world.items(500, "broken", "light");
-    world.items(400, "sheets", "light");
-    world.pass(QUIET_MS);
+    world.submit_items(500, "broken", "light");
+    world.submit_items(400, "sheets", "light");
+    world.advance(IDLE_MS);
     let slot_ms = run(&mut world, 10_000, |job| match job {
         "broken" => (20, AttemptEnd::Failed),
         _ => (200, AttemptEnd::Done),
@@ -238,10 +246,10 @@
 }
 
 #[test]
-fn a_job_that_is_due_soon_goes_first_within_its_workspace_alone() {
+fn a_job_that_is_due_soon_goes_first_only_within_its_workspace() {
     let mut world = World::new(&["engine"]);
-    world.items(200, "other", "other");
-    world.items(200, "later", "light");
+    world.submit_items(200, "other", "other");
+    world.submit_items(200, "later", "light");
     for _ in 0..200 {
         let due_unix_ms = Some(world.now_ms + 60_000);
         world.ask(Class::Batch, |it| {
@@ -249,7 +257,7 @@
             it.due_unix_ms = due_unix_ms;
         });
     }
-    world.pass(QUIET_MS);
+    world.advance(IDLE_MS);
     let slot_ms = run(&mut world, 5_000, |_| (200, AttemptEnd::Done));
     assert_eq!(slot_ms.get("later").copied().unwrap_or(0), 0, "{slot_ms:?}");
     assert_share(&slot_ms, "coach", 0.5);
--- a/crates/samphiredoor-core/tests/lending/world.rs
+++ b/crates/samphiredoor-core/tests/lending/world.rs
@@ -1,4 +1,4 @@
-//! A dispatcher with measured lending, a clock that tests set, and a model of what runs where.
+//! A dispatcher with measured batch capacity, a clock under the tests' control, and a model of what runs where.
 
 use std::{collections::BTreeMap, net::SocketAddr, sync::Arc};
 
@@ -14,27 +14,27 @@
 pub const SEED: u64 = 11;
 pub const CONCURRENCY_LIMIT: u32 = 8;
 pub const LOAN_LIMIT: u32 = 5;
-pub const OWN_NAME: &str = "door-0";
-/// Without online requests for this long, all of the loan is lent.
-pub const QUIET_MS: u64 = 2_500;
+pub const OWN_NAME: &str = "gateway-0";
+/// Time without online requests after which batch work may use the whole loan limit.
+pub const IDLE_MS: u64 = 2_500;
 
 const TICK_MS: u64 = 10;
 
-/// A request that was asked and has not ended.
+/// A submitted request that has not ended.
 #[derive(Debug, Clone)]
-pub struct Known {
+pub struct TrackedRequest {
     pub class: Class,
     pub job: Name,
     pub repeatable: bool,
     pub running: Option<Name>,
-    pub recalled: bool,
+    pub preempted: bool,
 }
 
 pub struct World {
     pub dispatcher: Dispatcher,
     pub now_ms: u64,
     pub manifest: Manifest,
-    pub known: BTreeMap<RequestId, Known>,
+    pub tracked: BTreeMap<RequestId, TrackedRequest>,
     next: u64,
 }
 
@@ -68,8 +68,8 @@
 }
 
 pub fn live(names: &[&str]) -> Vec<LiveDoor> {
-    let door = |it: &&str| LiveDoor { name: (*it).into(), region: "brisbane".into() };
-    names.iter().map(door).collect()
+    let gateway = |it: &&str| LiveDoor { name: (*it).into(), region: "brisbane".into() };
+    names.iter().map(gateway).collect()
 }
 
 impl World {
@@ -87,51 +87,56 @@
             dispatcher: Dispatcher::new(place, SEED),
             now_ms: 10_000,
             manifest,
-            known: BTreeMap::new(),
+            tracked: BTreeMap::new(),
             next: 1,
         };
         world.handle(Input::Manifest(Arc::new(world.manifest.clone())));
         world
     }
 
-    /// Hands an event over and keeps the model; returns the actions.
+    /// Passes an event to the dispatcher and updates the model; returns the actions.
     pub fn handle(&mut self, input: Input) -> Vec<Action> {
         match &input {
             Input::Ended { request, end: AttemptEnd::Yielded } => {
-                if let Some(known) = self.known.get_mut(request) {
-                    known.running = None;
-                    known.recalled = false;
+                if let Some(tracked) = self.tracked.get_mut(request) {
+                    tracked.running = None;
+                    tracked.preempted = false;
                 }
             }
             Input::Ended { request, .. } | Input::Gone { request } => {
-                self.known.remove(request);
+                self.tracked.remove(request);
             }
             _ => {}
         }
         let mut out = Vec::new();
         self.dispatcher.handle(Now::new(self.now_ms, self.now_ms), input, &mut out);
         for action in &out {
-            self.note(action);
+            self.track(action);
         }
         out
     }
 
-    fn note(&mut self, action: &Action) {
+    fn track(&mut self, action: &Action) {
         match action {
             Action::Dispatch { request, target, .. } => {
-                let known = self.known.get_mut(request).expect("only what was asked is dispatched");
-                assert_eq!(known.running, None, "dispatched while it runs");
-                known.running = Some(Name::clone(target));
+                let tracked =
+                    self.tracked.get_mut(request).expect("only submitted requests are dispatched");
+                assert_eq!(tracked.running, None, "dispatched while it runs");
+                tracked.running = Some(Name::clone(target));
             }
             Action::Abort { request } => {
-                let known = self.known.get_mut(request).expect("only what runs is recalled");
-                assert_eq!(known.class, Class::Batch, "only items are recalled");
-                assert!(known.repeatable, "an item that may not be repeated is not cut");
-                assert!(known.running.is_some() && !known.recalled, "recalled once, while it runs");
-                known.recalled = true;
+                let tracked =
+                    self.tracked.get_mut(request).expect("only running requests are preempted");
+                assert_eq!(tracked.class, Class::Batch, "only items are preempted");
+                assert!(tracked.repeatable, "an item that is not repeatable is not preempted");
+                assert!(
+                    tracked.running.is_some() && !tracked.preempted,
+                    "preempted once, while it runs"
+                );
+                tracked.preempted = true;
             }
             Action::Refuse { request, .. } => {
-                self.known.remove(request);
+                self.tracked.remove(request);
             }
             Action::Share { .. } | Action::Demand { .. } => {}
         }
@@ -154,14 +159,14 @@
             due_unix_ms: None,
         };
         change(&mut ask);
-        let known = Known {
+        let tracked = TrackedRequest {
             class,
             job: Name::clone(&ask.job),
             repeatable: ask.repeatable,
             running: None,
-            recalled: false,
+            preempted: false,
         };
-        self.known.insert(request, known);
+        self.tracked.insert(request, tracked);
         (request, self.handle(Input::Ask(ask)))
     }
 
@@ -169,7 +174,7 @@
         self.ask(Class::Online, |_| {})
     }
 
-    pub fn items(&mut self, count: usize, job: &str, workspace: &str) {
+    pub fn submit_items(&mut self, count: usize, job: &str, workspace: &str) {
         for _ in 0..count {
             self.ask(Class::Batch, |it| {
                 it.job = job.into();
@@ -178,8 +183,8 @@
         }
     }
 
-    /// Lets time pass, tick by tick; returns all actions.
-    pub fn pass(&mut self, ms: u64) -> Vec<Action> {
+    /// Advances the clock tick by tick; returns all actions.
+    pub fn advance(&mut self, ms: u64) -> Vec<Action> {
         let mut out = Vec::new();
         for _ in 0..ms.div_ceil(TICK_MS) {
             self.now_ms += TICK_MS;
@@ -200,26 +205,26 @@
         self.handle(Input::Manifest(Arc::new(self.manifest.clone())))
     }
 
-    /// Items that run at a target and were not recalled.
-    pub fn lent(&self, target: &str) -> Vec<RequestId> {
-        let here = |it: &&Known| it.running.as_deref() == Some(target) && !it.recalled;
-        let items = self.known.iter().filter(|(_, it)| it.class == Class::Batch && here(it));
+    /// Items that run at a target and have not been preempted.
+    pub fn running_items(&self, target: &str) -> Vec<RequestId> {
+        let here = |it: &&TrackedRequest| it.running.as_deref() == Some(target) && !it.preempted;
+        let items = self.tracked.iter().filter(|(_, it)| it.class == Class::Batch && here(it));
         items.map(|(request, _)| *request).collect()
     }
 
-    /// Online requests that run at a target.
+    /// Number of online requests that run at a target.
     pub fn online_at(&self, target: &str) -> usize {
-        let here = |it: &&Known| it.running.as_deref() == Some(target);
-        self.known.values().filter(|it| it.class == Class::Online && here(it)).count()
+        let here = |it: &&TrackedRequest| it.running.as_deref() == Some(target);
+        self.tracked.values().filter(|it| it.class == Class::Online && here(it)).count()
     }
 }
 
-pub fn recalled(actions: &[Action]) -> Vec<RequestId> {
-    let recalled = |it: &Action| match it {
+pub fn preempted(actions: &[Action]) -> Vec<RequestId> {
+    let preempted = |it: &Action| match it {
         Action::Abort { request } => Some(*request),
         _ => None,
     };
-    actions.iter().filter_map(recalled).collect()
+    actions.iter().filter_map(preempted).collect()
 }
 
 pub fn dispatched(actions: &[Action]) -> Vec<RequestId> {
