--- a/crates/samphiredoor-core/tests/dispatch/harness.rs
+++ b/crates/samphiredoor-core/tests/dispatch/harness.rs
@@ -1,4 +1,4 @@
-//! A dispatcher with a clock that tests set, and declarations in short form.
+//! A dispatcher with a clock under the tests' control, and short constructors for declarations.
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -97,7 +97,7 @@
         out
     }
 
-    /// Asks with a new identity; returns it with what was decided at once.
+    /// Submits a request with a new identifier; returns the identifier and the immediate actions.
     pub fn ask(&mut self, change: impl FnOnce(&mut Ask)) -> (RequestId, Vec<Action>) {
         let mut ask = ask(self.next, Class::Online);
         self.next += 1;
@@ -106,7 +106,7 @@
         (request, self.handle(Input::Ask(ask)))
     }
 
-    /// Asks online; returns the identity with the target that it was sent to at once.
+    /// Submits an online request; returns its identifier and the target that it was sent to at once, if any.
     pub fn online(&mut self) -> (RequestId, Option<Name>) {
         let (request, actions) = self.ask(|_| {});
         (request, sent_to(&actions, request))
--- a/crates/samphiredoor-core/tests/dispatch/limits.rs
+++ b/crates/samphiredoor-core/tests/dispatch/limits.rs
@@ -1,4 +1,4 @@
-//! Who is let in, who waits, who is refused, and what is tried again.
+//! Admission, queueing, refusal, retries and concurrency limits.
 
 use std::collections::BTreeMap;
 
@@ -15,8 +15,8 @@
     (0..count).map(|it| target(&format!("target-{it}"), "north", limit)).collect()
 }
 
-/// Fills all targets, after answers of 100 ms have been measured.
-fn full(limit: u32) -> Harness {
+/// One target, filled with online requests after answers of 100 ms have been measured.
+fn with_full_targets(limit: u32) -> Harness {
     let mut harness = Harness::new(targets(1, limit));
     for _ in 0..20 {
         let (request, _) = harness.online();
@@ -43,10 +43,10 @@
     }
 }
 
-/// Bookings staff send an excursion list of hundreds of items, and a driver confirms a pickup count. With the items
-/// filling every place, the driver would wait until one of them ends. The cause: one limit for both.
+/// Guards against an online request that waits until a batch item ends because hundreds of items fill every slot, as
+/// would happen with one limit for both classes.
 #[test]
-fn an_online_request_is_dispatched_at_once_though_items_fill_every_place() {
+fn an_online_request_is_dispatched_at_once_though_items_fill_every_slot() {
     let mut harness = Harness::new(targets(2, 4));
     for _ in 0..300 {
         harness.batch();
@@ -58,11 +58,11 @@
     }
     assert_eq!(harness.dispatcher.counters().recalls, 8);
     let (_, actions) = harness.ask(|_| {});
-    assert!(actions.is_empty(), "every place is taken online; it is queued");
+    assert!(actions.is_empty(), "every slot is occupied by an online request; it is queued");
 }
 
 #[test]
-fn an_item_that_may_run_only_once_is_not_recalled() {
+fn an_item_that_may_run_only_once_is_not_preempted() {
     let mut harness = Harness::new(targets(1, 1));
     let (item, _) = harness.ask(|it| {
         it.class = Class::Batch;
@@ -76,7 +76,7 @@
 
 #[test]
 fn queued_online_requests_go_before_items() {
-    let mut harness = full(2);
+    let mut harness = with_full_targets(2);
     let (queued, _) = harness.online();
     harness.batch();
     let actions = harness.end(RequestId(21), AttemptEnd::Done);
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn an_item_does_not_take_the_room_that_a_queued_online_request_is_about_to_get() {
+fn an_item_does_not_take_the_slot_that_a_queued_online_request_is_about_to_get() {
     let mut harness = Harness::new(targets(1, 1));
     let (first, _) = harness.online();
     harness.end(first, AttemptEnd::Pushback { retry_after_ms: 500 });
@@ -109,8 +109,8 @@
 
 #[test]
 fn the_queue_holds_what_can_be_served_in_time_and_the_rest_is_refused_at_once() {
-    let mut harness = full(4);
-    // Four places of 100 ms each drain 40 requests a second; half a second's worth is held.
+    let mut harness = with_full_targets(4);
+    // Four slots of 100 ms each serve 40 requests per second; the queue holds those of half a second.
     let mut verdicts = Vec::new();
     for _ in 0..40 {
         let (request, actions) = harness.ask(|_| {});
@@ -120,7 +120,8 @@
     assert_eq!(harness.gauges().queued, 20);
     assert_eq!(refusals.len(), 20);
     let times: Vec<u64> = refusals.iter().filter_map(|it| retry_after_ms(Some(*it))).collect();
-    // After 20 queued at 25 ms a turn: each turn 25 ms after the one before it, and up to half as much later again.
+    // The 20 queued requests take 25 ms each; each refused caller gets a time 25 ms after the previous one, lengthened
+    // by up to half.
     let turns = (0..times.len() as u64).map(|it| 525 + 25 * it);
     for (time, turn_ms) in times.iter().zip(turns.clone()) {
         assert!((turn_ms - 1..=turn_ms * 3 / 2).contains(time), "{time} for {turn_ms}");
@@ -129,8 +130,8 @@
 }
 
 #[test]
-fn requests_that_have_waited_too_long_are_given_up_and_told_so() {
-    let mut harness = full(4);
+fn requests_that_have_waited_too_long_are_refused() {
+    let mut harness = with_full_targets(4);
     let (request, _) = harness.online();
     harness.now_ms += 999;
     assert!(harness.handle(Input::Tick).is_empty());
@@ -146,7 +147,7 @@
         let (request, actions) = harness.ask(|it| it.deadline_ms = deadline_ms);
         reason(refused(&actions, request))
     };
-    let mut harness = full(4);
+    let mut harness = with_full_targets(4);
     harness.now_ms += 100;
     harness.end(RequestId(21), AttemptEnd::Done);
     assert_eq!(in_ms(&mut harness, 90), Some(Refusal::DeadlineTooShort), "though there is room");
@@ -158,20 +159,20 @@
     assert_eq!(in_ms(&mut harness, 200), Some(Refusal::DeadlineTooShort), "behind the queue");
 }
 
-/// One workspace sends thousands of requests at once. Without shares, another one's single request would stand behind
-/// all of them or be refused.
+/// One workspace sends thousands of requests at once. Without fair shares, the single request of another workspace would
+/// wait behind all of them or be refused.
 #[test]
 fn a_busy_workspace_does_not_crowd_out_a_quiet_one() {
-    let mut harness = full(4);
+    let mut harness = with_full_targets(4);
     for _ in 0..40 {
         harness.online();
     }
     let (quiet, actions) = harness.ask(|it| it.workspace = "rounds".into());
     assert_eq!(actions.len(), 1, "{actions:?}");
-    assert_eq!(refused(&actions, quiet), None, "a request of the busy one makes room");
+    assert_eq!(refused(&actions, quiet), None, "a request of the busy workspace is dropped for it");
     harness.end(RequestId(21), AttemptEnd::Done);
     let actions = harness.end(RequestId(22), AttemptEnd::Done);
-    assert!(sent_to(&actions, quiet).is_some(), "it goes second");
+    assert!(sent_to(&actions, quiet).is_some(), "it is served second");
 }
 
 #[test]
@@ -187,11 +188,11 @@
     assert!(sent_to(&actions, fourth).is_some());
 }
 
-/// One workspace runs into its own limit again and again, and another caller asks with deadlines that cannot be met. If
-/// each of their refusals takes a place in the line, all others are told to come back later than there is room.
+/// One workspace keeps hitting its own limit, and another caller sends deadlines that cannot be met. If each of these
+/// refusals took a time from the retry schedule, all other callers would be asked to retry later than necessary.
 #[test]
-fn refusals_that_are_not_for_want_of_room_do_not_make_others_wait() {
-    let mut harness = full(4);
+fn refusals_that_are_not_for_lack_of_capacity_do_not_delay_the_retries_of_others() {
+    let mut harness = with_full_targets(4);
     harness.ask(|it| it.workspace = "capped".into());
     harness.ask(|it| it.workspace = "capped".into());
     for _ in 0..100 {
@@ -212,7 +213,7 @@
 }
 
 #[test]
-fn a_target_that_pushes_back_is_spared_and_another_one_tried() {
+fn a_target_that_pushes_back_gets_a_backoff_and_another_one_is_tried() {
     let mut harness = Harness::new(targets(2, 10));
     let (request, first) = harness.online();
     let actions = harness.end(request, AttemptEnd::Pushback { retry_after_ms: 500 });
@@ -228,7 +229,7 @@
 }
 
 #[test]
-fn a_lost_answer_is_tried_again_only_if_the_request_may_run_twice() {
+fn a_request_with_a_lost_answer_is_retried_only_if_it_may_run_twice() {
     for repeatable in [true, false] {
         let mut harness = Harness::new(targets(2, 10));
         let (request, _) = harness.ask(|it| it.repeatable = repeatable);
@@ -239,12 +240,16 @@
             false => refused(&actions, request),
         };
         let reason = Doubt::ConnectionLost;
-        assert_eq!(verdict, Some(Verdict::MayHaveRun { reason }), "the doubt stays");
+        assert_eq!(
+            verdict,
+            Some(Verdict::MayHaveRun { reason }),
+            "it may have run in the first attempt"
+        );
     }
 }
 
-/// A zone is lost and every attempt fails. Without a budget each request is sent to every target in turn, and the
-/// traffic multiplies when there is least room for it.
+/// A zone is lost and every attempt fails. Without a retry budget each request would be sent to every target in turn,
+/// and the traffic would multiply while capacity is lowest.
 #[test]
 fn retries_stay_within_a_tenth_of_the_traffic() {
     let policy = Policy::default();
@@ -262,51 +267,56 @@
     assert!(harness.dispatcher.counters().retries_over_budget > 800);
 }
 
-/// Rounds of as many requests as the target's limit lets in; `latency_ms` tells by their number how long they take.
-fn limit_after(harness: &mut Harness, rounds: usize, latency_ms: impl Fn(u64) -> u64) -> usize {
-    let mut placed = 0;
+/// Runs rounds of as many requests as the target's limit allows; `latency_ms` returns how long they take, given their
+/// number. Returns the number of requests in the last round.
+fn dispatched_after_rounds(
+    harness: &mut Harness,
+    rounds: usize,
+    latency_ms: impl Fn(u64) -> u64,
+) -> usize {
+    let mut dispatched = 0;
     for _ in 0..rounds {
         let sent: Vec<_> = (0..40).map(|_| harness.online()).collect();
         let (running, queued): (Vec<_>, Vec<_>) = sent.into_iter().partition(|it| it.1.is_some());
         for (request, _) in queued {
             harness.handle(Input::Gone { request });
         }
-        placed = running.len();
-        harness.now_ms += latency_ms(placed as u64);
+        dispatched = running.len();
+        harness.now_ms += latency_ms(dispatched as u64);
         for (request, _) in running {
             harness.end(request, AttemptEnd::Done);
         }
     }
-    placed
+    dispatched
 }
 
-/// A target has less room than before, and each request more makes all others slower. If as much work is held there as
-/// before, all of it is late.
+/// A target has less capacity than before, and each additional request slows down all others. If it got as much work as
+/// before, all answers would be late.
 #[test]
 fn a_target_that_slows_under_load_gets_fewer_requests_and_gets_them_back() {
     let mut harness = Harness::new(targets(1, 40));
-    assert_eq!(limit_after(&mut harness, 20, |_| 20), 40);
-    let slow = limit_after(&mut harness, 200, |running| 20 + 20 * running);
+    assert_eq!(dispatched_after_rounds(&mut harness, 20, |_| 20), 40);
+    let slow = dispatched_after_rounds(&mut harness, 200, |running| 20 + 20 * running);
     assert!(slow <= 12, "{slow}");
-    let again = limit_after(&mut harness, 400, |_| 20);
+    let again = dispatched_after_rounds(&mut harness, 400, |_| 20);
     assert!(again > 35, "{again}");
 }
 
-/// Callers begin to send longer prompts, and answers take a hundred times as long as before, whatever the load. A limit
-/// that goes by the best latency ever seen would end at one request at a time.
+/// Callers begin to send longer prompts, and answers take a hundred times as long as before, independently of the load.
+/// A limit based on the best latency ever measured would fall to one request at a time.
 #[test]
-fn answers_that_take_longer_whatever_the_load_leave_the_limit_as_it_is() {
+fn a_latency_increase_that_does_not_depend_on_the_load_does_not_reduce_the_limit() {
     let mut harness = Harness::new(targets(1, 40));
-    assert_eq!(limit_after(&mut harness, 20, |_| 20), 40);
-    assert!(limit_after(&mut harness, 50, |_| 2_000) > 35);
+    assert_eq!(dispatched_after_rounds(&mut harness, 20, |_| 20), 40);
+    assert!(dispatched_after_rounds(&mut harness, 50, |_| 2_000) > 35);
 }
 
-/// Requests wait, are sent with little time left, and their deadlines pass at the target. If that lowers the target's
-/// limit, the next ones wait longer, and goodput falls to half though the target is well.
+/// Requests wait, are sent with little time left, and their deadlines pass at the target. If that reduced the target's
+/// limit, the next requests would wait longer, and goodput would fall to half though the target is healthy.
 #[test]
-fn a_deadline_that_passes_soon_after_sending_is_not_held_against_the_target() {
-    let placed_after = |elapsed_ms: u64| {
-        let mut harness = full(10);
+fn a_deadline_that_passes_soon_after_sending_does_not_count_against_the_target() {
+    let dispatched_after = |elapsed_ms: u64| {
+        let mut harness = with_full_targets(10);
         harness.now_ms += elapsed_ms;
         for request in 21..31 {
             let end = AttemptEnd::Lost(Doubt::DeadlinePassed);
@@ -314,36 +324,37 @@
         }
         (0..10).filter(|_| harness.online().1.is_some()).count()
     };
-    assert_eq!(placed_after(50), 10);
-    assert_eq!(placed_after(2_000), 10, "once is no sign");
+    assert_eq!(dispatched_after(50), 10);
+    assert_eq!(dispatched_after(2_000), 10, "a single occurrence does not reduce the limit");
 }
 
-/// A target loses some answers and gives others, as it has more to do than it can. Ejecting it would put its work on the
-/// next one, which would break as well: its limit gives way instead.
+/// An overloaded target loses some answers and returns others. Ejecting it would move its work to the next target, which
+/// would fail as well, so its limit is reduced instead.
 #[test]
 fn a_target_that_loses_some_answers_under_load_gets_less_work_and_is_not_ejected() {
     let mut harness = Harness::new(targets(2, 20));
-    let placed = rounds(&mut harness, 60, |beside, _| beside > 10 && !beside.is_multiple_of(4));
+    let dispatched =
+        run_rounds(&mut harness, 60, |running, _| running > 10 && !running.is_multiple_of(4));
     assert_eq!(harness.dispatcher.counters().ejections, [0; 3]);
-    assert!((10..30).contains(&placed), "{placed}");
+    assert!((10..30).contains(&dispatched), "{dispatched}");
 }
 
-/// A version of a model breaks one request in two, or one in thirty, at any load. A limit that gives way to each lost
-/// answer ends at one request at a time, and the callers whose requests are well wait for nothing.
+/// A model version fails on one request in two, or one in thirty, at any load. A limit that is reduced for each lost
+/// answer would fall to one request at a time, and callers whose requests succeed would wait without any benefit.
 #[test]
-fn losses_that_do_not_depend_on_the_load_leave_the_limit_as_it_is() {
+fn losses_that_do_not_depend_on_the_load_do_not_reduce_the_limit() {
     for every in [2, 30] {
         let mut harness = Harness::new(targets(2, 20));
-        let placed = rounds(&mut harness, 60, |_, number| number % every == 0);
-        assert!(placed >= 38, "one in {every}: {placed}");
+        let dispatched = run_rounds(&mut harness, 60, |_, number| number % every == 0);
+        assert!(dispatched >= 38, "one in {every}: {dispatched}");
     }
 }
 
-/// Rounds of 40 requests that end after 100 ms; `lost` tells by the number of those at the same target, and by its own
-/// number, whether a request's answer is lost. Returns how many are placed at the end.
-fn rounds(harness: &mut Harness, rounds: usize, lost: impl Fn(usize, usize) -> bool) -> usize {
+/// Runs rounds of 40 requests that end after 100 ms. `lost` returns, given the number of requests at the same target and
+/// the request's own number, whether a request's answer is lost. Returns the number dispatched in the last round.
+fn run_rounds(harness: &mut Harness, rounds: usize, lost: impl Fn(usize, usize) -> bool) -> usize {
     let mut number = 0;
-    let mut placed = 0;
+    let mut dispatched = 0;
     for _ in 0..rounds {
         let mut at = BTreeMap::<Name, usize>::new();
         let mut ends = Vec::new();
@@ -353,25 +364,25 @@
                 harness.handle(Input::Gone { request });
                 continue;
             };
-            let beside = at.entry(target).or_default();
-            *beside += 1;
+            let running = at.entry(target).or_default();
+            *running += 1;
             number += 1;
-            let is_lost = lost(*beside, number);
+            let is_lost = lost(*running, number);
             let lost_end = AttemptEnd::Lost(Doubt::ConnectionLost);
             ends.push((request, if is_lost { lost_end } else { AttemptEnd::Done }));
         }
-        placed = ends.len();
+        dispatched = ends.len();
         harness.now_ms += 100;
         for (request, end) in ends {
             harness.end(request, end);
         }
     }
-    placed
+    dispatched
 }
 
 #[test]
-fn when_all_targets_are_lost_those_in_the_queue_are_refused_at_once() {
-    let mut harness = full(1);
+fn queued_requests_are_refused_at_once_when_all_targets_are_lost() {
+    let mut harness = with_full_targets(1);
     let (queued, _) = harness.online();
     let actions = harness.end(RequestId(21), AttemptEnd::NotSent);
     assert_eq!(reason(refused(&actions, RequestId(21))), Some(Refusal::ConnectFailed));
--- a/crates/samphiredoor-core/tests/dispatch/main.rs
+++ b/crates/samphiredoor-core/tests/dispatch/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the dispatcher: its promises under any order of events, and what it does in named situations.
+//! Tests of the dispatcher: invariants under any order of events, and behaviour in specific situations.
 
 mod harness;
 mod leaving;
--- a/crates/samphiredoor-core/tests/dispatch/promises.rs
+++ b/crates/samphiredoor-core/tests/dispatch/promises.rs
@@ -1,6 +1,6 @@
-//! What holds after every event, whatever the order of events.
+//! Invariants after every event, in any order of events.
 //!
-//! A model beside the dispatcher knows what was declared, what runs where and what callers were told. Longer runs:
+//! A model beside the dispatcher tracks what is declared, what runs where and which requests have ended. Longer runs:
 //! `SAMPHIREDOOR_CASES=20000 cargo test -p samphiredoor-core --test dispatch`.
 
 use std::{collections::BTreeMap, sync::Arc};
@@ -27,8 +27,8 @@
     Online { large: bool, repeatable: bool, deadline_ms: u64, prefix_hash: u64, capped: bool },
     Batch { large: bool, repeatable: bool, job: u8 },
     End { which: usize, end: AttemptEnd },
-    Stray { which: u64, end: AttemptEnd },
-    Gone { which: u64 },
+    LateEnd { which: u64, end: AttemptEnd },
+    Cancel { which: u64 },
     Load { target: usize, running: u32 },
     Unreachable { target: usize },
     Leaving { target: usize },
@@ -58,8 +58,8 @@
         4 => (any::<bool>(), any::<bool>(), 0..3_u8)
             .prop_map(|(large, repeatable, job)| Step::Batch { large, repeatable, job }),
         8 => (any::<usize>(), end()).prop_map(|(which, end)| Step::End { which, end }),
-        1 => (0..60_u64, end()).prop_map(|(which, end)| Step::Stray { which, end }),
-        1 => (0..60_u64).prop_map(|which| Step::Gone { which }),
+        1 => (0..60_u64, end()).prop_map(|(which, end)| Step::LateEnd { which, end }),
+        1 => (0..60_u64).prop_map(|which| Step::Cancel { which }),
         1 => (0..TARGETS, 0..9_u32).prop_map(|(target, running)| Step::Load { target, running }),
         1 => (0..TARGETS).prop_map(|target| Step::Unreachable { target }),
         1 => (0..TARGETS).prop_map(|target| Step::Leaving { target }),
@@ -72,15 +72,15 @@
 }
 
 #[derive(Debug, Default)]
-struct Known {
+struct TrackedRequest {
     class: Option<Class>,
     service: String,
     repeatable: bool,
     deadline_ms: u64,
     tried: Vec<Name>,
     running: Option<Name>,
-    recalled: bool,
-    doubted: bool,
+    preempted: bool,
+    may_have_run: bool,
     ended: bool,
 }
 
@@ -88,9 +88,9 @@
     dispatcher: Dispatcher,
     now_ms: u64,
     declared: Manifest,
-    out_of_work: BTreeMap<Name, u64>,
-    requests: BTreeMap<RequestId, Known>,
-    asked: BTreeMap<String, u64>,
+    unavailable_until: BTreeMap<Name, u64>,
+    requests: BTreeMap<RequestId, TrackedRequest>,
+    submitted: BTreeMap<String, u64>,
     retried: BTreeMap<String, u64>,
 }
 
@@ -112,9 +112,9 @@
             dispatcher: Dispatcher::new(place(), SEED),
             now_ms: 10_000,
             declared: Manifest::default(),
-            out_of_work: BTreeMap::new(),
+            unavailable_until: BTreeMap::new(),
             requests: BTreeMap::new(),
-            asked: BTreeMap::new(),
+            submitted: BTreeMap::new(),
             retried: BTreeMap::new(),
         };
         model.declare(0xff, 0, 0, 2);
@@ -124,7 +124,7 @@
     fn declare(&mut self, present: u8, drained: u8, reclaimed: u8, limit: u32) {
         let revision = self.declared.revision + 1;
         self.declared = declare(revision, present, drained, reclaimed, limit);
-        self.out_of_work.retain(|name, _| self.declared.targets.contains_key(name));
+        self.unavailable_until.retain(|name, _| self.declared.targets.contains_key(name));
         self.handle(Input::Manifest(Arc::new(self.declared.clone())));
     }
 
@@ -137,15 +137,15 @@
                 ask.deadline_ms = self.now_ms + deadline_ms;
                 ask.prefix_hash = prefix_hash;
                 ask.workspace = if capped { "capped".into() } else { "tours".into() };
-                *self.asked.entry(ask.service.to_string()).or_default() += 1;
-                self.ask(ask);
+                *self.submitted.entry(ask.service.to_string()).or_default() += 1;
+                self.submit(ask);
             }
             Step::Batch { large, repeatable, job } => {
                 let mut ask = ask(self.requests.len() as u64, Class::Batch);
                 ask.service = if large { "large".into() } else { "small".into() };
                 ask.repeatable = repeatable;
                 ask.job = format!("job-{job}").into();
-                self.ask(ask);
+                self.submit(ask);
             }
             Step::End { which, end } => {
                 let running = self.running();
@@ -153,26 +153,26 @@
                     self.end(running[which % running.len()], end);
                 }
             }
-            Step::Stray { which, end } => {
+            Step::LateEnd { which, end } => {
                 let request = RequestId(which);
                 if self.requests.get(&request).is_none_or(|it| it.running.is_none()) {
                     self.handle(Input::Ended { request, end });
                 }
             }
-            Step::Gone { which } => self.gone(RequestId(which)),
+            Step::Cancel { which } => self.cancel(RequestId(which)),
             Step::Load { target, running } => {
                 let target = Name::from(format!("target-{target}"));
-                self.out_of_work.remove(&target);
+                self.unavailable_until.remove(&target);
                 self.handle(Input::Load { target, running, waiting: 0 });
             }
             Step::Unreachable { target } => {
                 let target = Name::from(format!("target-{target}"));
-                self.refuses_until(&target, self.now_ms + 1_000);
+                self.mark_unavailable_until(&target, self.now_ms + 1_000);
                 self.handle(Input::Unreachable { target });
             }
             Step::Leaving { target } => {
                 let target = Name::from(format!("target-{target}"));
-                self.refuses_until(&target, u64::MAX);
+                self.mark_unavailable_until(&target, u64::MAX);
                 self.handle(Input::Leaving { target });
             }
             Step::Declare { present, drained, reclaimed, limit } => {
@@ -185,9 +185,9 @@
         }
     }
 
-    fn refuses_until(&mut self, target: &Name, until_ms: u64) {
+    fn mark_unavailable_until(&mut self, target: &Name, until_ms: u64) {
         if self.declared.targets.get(target).is_some_and(|it| !it.drained) {
-            let until = self.out_of_work.entry(Name::clone(target)).or_default();
+            let until = self.unavailable_until.entry(Name::clone(target)).or_default();
             *until = (*until).max(until_ms);
         }
     }
@@ -196,36 +196,36 @@
         self.requests.iter().filter(|(_, it)| it.running.is_some()).map(|(id, _)| *id).collect()
     }
 
-    fn ask(&mut self, ask: samphiredoor_core::dispatch::Ask) {
-        let known = Known {
+    fn submit(&mut self, ask: samphiredoor_core::dispatch::Ask) {
+        let tracked = TrackedRequest {
             class: Some(ask.class),
             service: ask.service.to_string(),
             repeatable: ask.repeatable,
             deadline_ms: ask.deadline_ms,
-            ..Known::default()
+            ..TrackedRequest::default()
         };
-        self.requests.insert(ask.request, known);
+        self.requests.insert(ask.request, tracked);
         self.handle(Input::Ask(ask));
     }
 
     fn end(&mut self, request: RequestId, end: AttemptEnd) {
-        let known = self.requests.get_mut(&request).expect("it runs");
-        let target = known.running.take().expect("it runs");
-        known.ended |= end.closes();
-        known.doubted |= matches!(end, AttemptEnd::Lost(_));
+        let tracked = self.requests.get_mut(&request).expect("a running request");
+        let target = tracked.running.take().expect("a running request");
+        tracked.ended |= end.closes();
+        tracked.may_have_run |= matches!(end, AttemptEnd::Lost(_));
         if end == AttemptEnd::NotSent {
-            self.refuses_until(&target, self.now_ms + 1_000);
+            self.mark_unavailable_until(&target, self.now_ms + 1_000);
         }
         self.handle(Input::Ended { request, end });
-        let known = &self.requests[&request];
-        let batch_is_final = known.class == Some(Class::Online) || known.ended;
+        let tracked = &self.requests[&request];
+        let batch_is_final = tracked.class == Some(Class::Online) || tracked.ended;
         assert!(batch_is_final, "an item's failed attempt ends it at once");
     }
 
-    fn gone(&mut self, request: RequestId) {
-        if let Some(known) = self.requests.get_mut(&request) {
-            known.running = None;
-            known.ended = true;
+    fn cancel(&mut self, request: RequestId) {
+        if let Some(tracked) = self.requests.get_mut(&request) {
+            tracked.running = None;
+            tracked.ended = true;
         }
         self.handle(Input::Gone { request });
     }
@@ -241,60 +241,60 @@
     fn check(&mut self, action: Action) {
         match action {
             Action::Share { .. } | Action::Demand { .. } => {
-                panic!("a door that knows of no other has nobody to tell")
+                panic!("a single gateway has no peer to send messages to")
             }
             Action::Dispatch { request, target, .. } => self.check_dispatch(request, &target),
             Action::Abort { request } => {
-                let known = self.requests.get_mut(&request).expect("known");
-                assert_eq!(known.class, Some(Class::Batch), "only items are recalled");
-                assert!(known.running.is_some() && !known.recalled && known.repeatable);
-                known.recalled = true;
+                let tracked = self.requests.get_mut(&request).expect("a submitted request");
+                assert_eq!(tracked.class, Some(Class::Batch), "only batch items are preempted");
+                assert!(tracked.running.is_some() && !tracked.preempted && tracked.repeatable);
+                tracked.preempted = true;
             }
             Action::Refuse { request, verdict } => {
-                let known = self.requests.get_mut(&request).expect("known");
-                assert!(!known.ended, "two final actions");
-                assert!(known.running.is_none(), "refused while it runs");
+                let tracked = self.requests.get_mut(&request).expect("a submitted request");
+                assert!(!tracked.ended, "two final actions");
+                assert!(tracked.running.is_none(), "refused while it runs");
                 let not_run = matches!(verdict, Verdict::NotRun { .. });
-                assert_eq!(not_run, !known.doubted, "{verdict:?}");
-                known.ended = true;
+                assert_eq!(not_run, !tracked.may_have_run, "{verdict:?}");
+                tracked.ended = true;
             }
         }
     }
 
     fn check_dispatch(&mut self, request: RequestId, name: &Name) {
         let declared = self.declared.targets.get(name).expect("a removed target gets no work");
-        let known = self.requests.get_mut(&request).expect("known");
+        let tracked = self.requests.get_mut(&request).expect("a submitted request");
         assert!(
-            !known.ended && known.running.is_none(),
+            !tracked.ended && tracked.running.is_none(),
             "dispatched while it runs or after its end"
         );
-        assert!(!known.tried.contains(name), "twice to the same target");
-        assert!(!known.doubted || known.repeatable, "ran twice though not repeatable");
-        assert!(known.deadline_ms > self.now_ms, "dispatched past the deadline");
+        assert!(!tracked.tried.contains(name), "twice to the same target");
+        assert!(!tracked.may_have_run || tracked.repeatable, "ran twice though not repeatable");
+        assert!(tracked.deadline_ms > self.now_ms, "dispatched past the deadline");
         assert!(!declared.drained, "a drained target gets no work");
-        let out_of_work_until = self.out_of_work.get(name).copied().unwrap_or(0);
-        assert!(out_of_work_until <= self.now_ms, "a leaving or unreachable target gets no work");
-        if !known.tried.is_empty() {
-            *self.retried.entry(known.service.clone()).or_default() += 1;
+        let unavailable_until = self.unavailable_until.get(name).copied().unwrap_or(0);
+        assert!(unavailable_until <= self.now_ms, "a leaving or unreachable target gets no work");
+        if !tracked.tried.is_empty() {
+            *self.retried.entry(tracked.service.clone()).or_default() += 1;
         }
-        known.tried.push(Name::clone(name));
-        known.running = Some(Name::clone(name));
-        let class = known.class;
-        let there = |it: &&Known| it.running.as_ref() == Some(name);
-        let at_target: Vec<&Known> = self.requests.values().filter(there).collect();
-        let taken = at_target.iter().filter(|it| !it.recalled).count();
-        assert!(taken <= declared.concurrency_limit as usize, "above the declared limit");
+        tracked.tried.push(Name::clone(name));
+        tracked.running = Some(Name::clone(name));
+        let class = tracked.class;
+        let there = |it: &&TrackedRequest| it.running.as_ref() == Some(name);
+        let at_target: Vec<&TrackedRequest> = self.requests.values().filter(there).collect();
+        let occupied = at_target.iter().filter(|it| !it.preempted).count();
+        assert!(occupied <= declared.concurrency_limit as usize, "above the declared limit");
         if class == Some(Class::Batch) {
             assert!(!declared.reclaimed, "a reclaimed target gets no batch work");
-            let lent = at_target.iter().filter(|it| it.class == Some(Class::Batch)).count();
-            assert!(lent <= declared.loan_limit as usize, "above the loan");
+            let items = at_target.iter().filter(|it| it.class == Some(Class::Batch)).count();
+            assert!(items <= declared.loan_limit as usize, "above the loan limit");
         }
         let retried = self.retried.values().sum::<u64>();
-        let budget = self.asked.values().map(|it| RETRY_RESERVE + it / 10).sum::<u64>();
+        let budget = self.submitted.values().map(|it| RETRY_RESERVE + it / 10).sum::<u64>();
         assert!(retried <= budget, "above the retry budget");
     }
 
-    /// Ends everything: nothing is left open, and every slot is free.
+    /// Ends all requests and checks that each got a final action and that every slot is free.
     fn finish(mut self) {
         while let Some(request) = self.running().first().copied() {
             self.end(request, AttemptEnd::Done);
@@ -304,12 +304,12 @@
         while let Some(request) = self.running().first().copied() {
             self.end(request, AttemptEnd::Done);
         }
-        for (request, known) in &self.requests {
-            let answered = known.ended || known.class == Some(Class::Batch);
+        for (request, tracked) in &self.requests {
+            let answered = tracked.ended || tracked.class == Some(Class::Batch);
             assert!(answered, "{request:?} got no final action");
         }
         for request in 0..self.requests.len() as u64 {
-            self.gone(RequestId(request));
+            self.cancel(RequestId(request));
         }
         let gauges = self.dispatcher.gauges(Now::new(self.now_ms, 0));
         assert_eq!(
@@ -321,7 +321,7 @@
 }
 
 #[test]
-fn promises_hold_under_any_order_of_events() {
+fn invariants_hold_under_any_order_of_events() {
     let cases = std::env::var("SAMPHIREDOOR_CASES").ok().and_then(|it| it.parse().ok());
     let config =
         Config { cases: cases.unwrap_or(1_000), failure_persistence: None, ..Config::default() };
--- a/crates/samphiredoor-core/tests/dispatch/routing.rs
+++ b/crates/samphiredoor-core/tests/dispatch/routing.rs
@@ -1,4 +1,4 @@
-//! Where requests go: distance, load, prefix, ejection and slow start.
+//! Target choice: distance, load, prefix affinity, ejection and slow start.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -25,8 +25,8 @@
     (0..count).map(|it| target(&format!("target-{it}"), "north", limit)).collect()
 }
 
-/// Sends `count` requests that stay open; counts them by target.
-fn spread(harness: &mut Harness, count: usize) -> BTreeMap<Name, usize> {
+/// Submits `count` requests that keep running; returns the number dispatched to each target.
+fn dispatch_open(harness: &mut Harness, count: usize) -> BTreeMap<Name, usize> {
     let mut counts = BTreeMap::new();
     for _ in 0..count {
         if let (_, Some(target)) = harness.online() {
@@ -36,7 +36,7 @@
     counts
 }
 
-fn of(counts: &BTreeMap<Name, usize>, target: &str) -> usize {
+fn count_of(counts: &BTreeMap<Name, usize>, target: &str) -> usize {
     counts.get(target).copied().unwrap_or(0)
 }
 
@@ -52,21 +52,20 @@
     assert_eq!(harness.dispatcher.counters().bytes_to_other_regions, 200);
 }
 
-/// A kitchen's availability zone loses power while tour desks ask. Each request that was sent there is refused a
-/// connection, and the desk would get an error for each until the declarations change. The cause: a lost zone looks like
-/// many targets that refuse connections at once.
+/// When an availability zone loses power, all its targets refuse connections at once. Guards against requests that are
+/// sent there, and fail, until the manifest changes.
 #[test]
-fn a_lost_zone_is_left_after_one_refused_connection_for_each_target() {
+fn a_lost_zone_is_avoided_after_one_refused_connection_for_each_target() {
     let mut harness = Harness::new(zones());
     let mut refused_connections = 0;
     for _ in 0..20 {
-        let (request, mut at) = harness.online();
-        while let Some(target) = at.take() {
+        let (request, mut sent_to_target) = harness.online();
+        while let Some(target) = sent_to_target.take() {
             if target.starts_with("near") {
                 refused_connections += 1;
                 let actions = harness.end(request, AttemptEnd::NotSent);
-                at = sent_to(&actions, request);
-                assert!(at.is_some(), "another target is tried at once");
+                sent_to_target = sent_to(&actions, request);
+                assert!(sent_to_target.is_some(), "another target is tried at once");
             } else {
                 assert!(target.starts_with("zone"), "the other region is not used");
                 harness.end(request, AttemptEnd::Done);
@@ -77,7 +76,7 @@
     assert_eq!(harness.dispatcher.counters().ejections[Ejection::Unreachable as usize], 2);
 }
 
-fn fail(harness: &mut Harness, bad: &str) {
+fn fail_until_ejected(harness: &mut Harness, bad: &str) {
     while harness.gauges().ejected == 0 {
         let (request, target) = harness.online();
         let fails = target.is_some_and(|it| &*it == bad);
@@ -86,14 +85,22 @@
 }
 
 #[test]
-fn an_ejected_target_returns_slowly_and_stays_away_longer_the_second_time() {
+fn an_ejected_target_gets_a_slow_start_and_a_longer_second_ejection() {
     let mut harness = Harness::new(targets(2, 40));
-    fail(&mut harness, "target-0");
-    assert_eq!(of(&spread(&mut harness, 4), "target-0"), 0);
+    fail_until_ejected(&mut harness, "target-0");
+    assert_eq!(count_of(&dispatch_open(&mut harness, 4), "target-0"), 0);
     harness.now_ms += 1_000;
-    assert_eq!(of(&spread(&mut harness, 36 + 4), "target-0"), 4, "a tenth of its limit");
+    assert_eq!(
+        count_of(&dispatch_open(&mut harness, 36 + 4), "target-0"),
+        4,
+        "a tenth of its limit"
+    );
     harness.now_ms += 2_500;
-    assert_eq!(of(&spread(&mut harness, 22), "target-0"), 20, "six tenths of its limit");
+    assert_eq!(
+        count_of(&dispatch_open(&mut harness, 22), "target-0"),
+        20,
+        "six tenths of its limit"
+    );
     harness.handle(Input::Unreachable { target: "target-0".into() });
     harness.now_ms += 1_999;
     assert_eq!(harness.gauges().ejected, 1);
@@ -101,21 +108,21 @@
     assert_eq!(harness.gauges().ejected, 0);
 }
 
-/// A switch is cut off for a second, and no target can be reached. If each of them starts slowly after that, a second's
-/// outage becomes one of several.
+/// A network switch fails for a second, and no target can be reached. If every target got a slow start after that, an
+/// outage of a second would become one of several seconds.
 #[test]
-fn targets_that_were_out_of_reach_for_a_moment_return_with_most_of_their_limit() {
+fn targets_that_were_briefly_unreachable_recover_with_most_of_their_limit() {
     let mut harness = Harness::new(targets(2, 40));
     for target in ["target-0", "target-1"] {
         harness.handle(Input::Unreachable { target: target.into() });
     }
     assert_eq!(harness.online().1, None);
     harness.now_ms += 1_000;
-    assert_eq!(spread(&mut harness, 80).values().sum::<usize>(), 72);
+    assert_eq!(dispatch_open(&mut harness, 80).values().sum::<usize>(), 72);
 }
 
 #[test]
-fn a_target_that_loses_answers_again_and_again_is_ejected() {
+fn a_target_that_loses_answers_repeatedly_is_ejected() {
     let mut harness = Harness::new(targets(3, 100));
     let bad = Name::from("target-0");
     let mut sent = 0;
@@ -132,8 +139,8 @@
     assert_eq!(harness.dispatcher.counters().ejections[Ejection::Failing as usize], 1);
 }
 
-/// A fault in the callers' own requests makes every target answer with an error. If each were ejected for it, nobody
-/// would be served any more. The cause lies elsewhere than in the targets, so at most half of them are ejected.
+/// A fault in the callers' own requests makes every target answer with an error. If each were ejected for it, no request
+/// would be served any more. The cause is not in the targets, so at most half of them are ejected.
 #[test]
 fn at_most_half_of_the_targets_are_ejected_for_failing() {
     let mut harness = Harness::new(targets(6, 100));
@@ -145,11 +152,11 @@
     assert_eq!(harness.gauges().ejected, 3);
 }
 
-/// Targets that break under too much work are ejected, their work breaks the next ones, and those that return are kept
-/// to a tenth of their limit: goodput stays at a third of what was asked for, long after the cause has gone. The cause:
-/// a target that has just returned was counted as a whole one.
+/// Targets that fail under overload are ejected, their work overloads the next ones, and those that recover are limited
+/// to a tenth of their limit: goodput stays at a third of the offered load, long after the cause has disappeared. This
+/// happened when a target in slow start was counted as one with its full capacity.
 #[test]
-fn targets_that_have_just_returned_are_not_counted_as_whole() {
+fn targets_in_slow_start_do_not_count_as_full_capacity() {
     let mut harness = Harness::new(targets(4, 40));
     let fail_all = |harness: &mut Harness, bad: &[&str]| {
         for _ in 0..160 {
@@ -168,45 +175,46 @@
     assert_eq!(harness.gauges().ejected, 2);
 }
 
-/// A host is being replaced. Its target says so, but the list of hosts lags, and requests that are sent there would be
-/// cut when it goes.
+/// A host is being replaced. Its target reports that it is leaving before the host list does, and requests that are
+/// still sent there would be cut off when the host stops.
 #[test]
 fn a_leaving_target_gets_no_work_until_it_reports_again() {
     let mut harness = Harness::new(targets(2, 40));
     harness.handle(Input::Leaving { target: "target-0".into() });
     harness.now_ms += 600_000;
-    assert_eq!(of(&spread(&mut harness, 30), "target-0"), 0);
+    assert_eq!(count_of(&dispatch_open(&mut harness, 30), "target-0"), 0);
     harness.report("target-0", 0);
-    assert!(of(&spread(&mut harness, 14), "target-0") > 0);
+    assert!(count_of(&dispatch_open(&mut harness, 14), "target-0") > 0);
 }
 
 #[test]
-fn reports_of_others_work_move_requests_away_and_lose_weight_with_age() {
+fn reported_load_of_others_moves_requests_away_and_loses_weight_with_age() {
     let mut harness = Harness::new(targets(2, 40));
     harness.report("target-0", 20);
-    assert_eq!(of(&spread(&mut harness, 10), "target-0"), 0);
+    assert_eq!(count_of(&dispatch_open(&mut harness, 10), "target-0"), 0);
     let mut later = Harness::new(targets(2, 40));
     later.report("target-0", 20);
     later.now_ms += 20_000;
-    assert!(of(&spread(&mut later, 10), "target-0") > 2);
+    assert!(count_of(&dispatch_open(&mut later, 10), "target-0") > 2);
 }
 
-/// A target's load report stops moving at a high figure, as its reporter hangs. It would get hardly any work for as
-/// long as that lasts, while the others are full.
+/// The load report of a target is stuck at a high value because its reporter hangs. The target would get hardly any work
+/// for as long as that lasts, while the others are full.
 #[test]
-fn a_report_frozen_high_is_believed_less_and_less() {
+fn a_report_frozen_at_a_high_value_loses_weight() {
     let mut harness = Harness::new(targets(2, 40));
     for _ in 0..30 {
         harness.report("target-0", 40);
         harness.now_ms += 1_000;
     }
-    let counts = spread(&mut harness, 20);
-    assert!(of(&counts, "target-0") >= 8, "{counts:?}");
+    let counts = dispatch_open(&mut harness, 20);
+    assert!(count_of(&counts, "target-0") >= 8, "{counts:?}");
 }
 
-/// The same with the figure standing still while this process's own requests there come and go: that shows at once.
+/// As above, but the report stays unchanged while this process's own requests start and end there, by which it is
+/// recognised as frozen at once.
 #[test]
-fn a_report_that_stands_still_while_own_work_moves_is_distrusted() {
+fn a_report_that_does_not_change_while_own_work_does_is_distrusted() {
     let mut harness = Harness::new(targets(1, 40));
     for _ in 0..4 {
         harness.report("target-0", 17);
@@ -219,14 +227,14 @@
 }
 
 #[test]
-fn a_report_that_says_full_still_lets_one_request_through() {
+fn one_request_is_sent_to_a_target_that_reports_to_be_full() {
     let mut harness = Harness::new(targets(1, 4));
     harness.report("target-0", 1_000);
-    assert_eq!(spread(&mut harness, 3).values().sum::<usize>(), 1);
+    assert_eq!(dispatch_open(&mut harness, 3).values().sum::<usize>(), 1);
 }
 
 #[test]
-fn a_prefix_stays_with_its_target_until_that_is_a_quarter_above_the_mean() {
+fn a_prefix_stays_on_its_target_until_its_load_is_a_quarter_above_the_mean() {
     let mut harness = Harness::new(targets(8, 100));
     let mut counts = BTreeMap::<Name, usize>::new();
     let mut first = None;
