--- a/crates/samphiredoor-core/src/orders/giver.rs
+++ b/crates/samphiredoor-core/src/orders/leader.rs
@@ -1,13 +1,13 @@
-//! The orders to one target, from taking them over to the last weight.
+//! State machine of the orders to one target, from taking over the leadership to the last weight.
 
 use std::{collections::BTreeSet, sync::Arc};
 
 use samphiredoor_schema::objects::{PendingOrder, TargetOrders};
 
 use super::{
+    load_slots::LoadSlots,
     messages::{Order, OrderEnd, OrdersAction, OrdersConfig, Wanted},
     outbox::Outbox,
-    pace::Pace,
 };
 use crate::{
     Name,
@@ -16,48 +16,50 @@
     time::Now,
 };
 
+/// Delay before a store call is repeated, and initial backoff of an order.
 const RETRY_MS: u64 = 500;
-const RETRY_MAX_MS: u64 = 30_000;
+const MAX_BACKOFF_MS: u64 = 30_000;
 
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum State {
     /// The object must be read.
     Unread,
     Reading(CallId),
-    /// The object is read; nothing is under way.
+    /// The object has been read; no call or order is in progress.
     Idle,
     Writing(CallId),
-    /// The intent stands; the order may be sent.
+    /// The intent is stored; the order may be sent.
     Intended,
     /// The order was sent and has not ended.
     Sent,
-    /// The order ended as done; that is to be written.
+    /// The order was carried out; its outcome must be stored.
     Done,
 }
 
-/// Giver of the orders to one target.
+/// Orders to one target, which this process leads or tries to lead.
 #[derive(Debug)]
-pub(super) struct Giver {
+pub(super) struct OrderLeader {
     target: Name,
     wanted: Option<Wanted>,
     config: OrdersConfig,
     state: State,
     version: Option<Version>,
     record: Option<TargetOrders>,
+    /// Weights that the target holds according to the record.
     held: BTreeSet<Name>,
-    // No order is sent before this time: an order of a former giver may still take effect.
+    /// No order is sent before this time, because an earlier order may still take effect.
     not_before_ms: u64,
     call_sent_ms: u64,
-    // Until then no other giver's first order can be on its way.
-    fresh_until_ms: u64,
+    /// Until this time no order of another leader can be in transit.
+    confirmed_until_ms: u64,
     retry_at_ms: u64,
     backoff_ms: u64,
     wants_slot: bool,
 }
 
-impl Giver {
-    pub(super) fn new(target: Name, wanted: Wanted, config: OrdersConfig) -> Giver {
-        Giver {
+impl OrderLeader {
+    pub(super) fn new(target: Name, wanted: Wanted, config: OrdersConfig) -> OrderLeader {
+        OrderLeader {
             target,
             wanted: Some(wanted),
             config,
@@ -67,7 +69,7 @@
             held: BTreeSet::new(),
             not_before_ms: 0,
             call_sent_ms: 0,
-            fresh_until_ms: 0,
+            confirmed_until_ms: 0,
             retry_at_ms: 0,
             backoff_ms: RETRY_MS,
             wants_slot: false,
@@ -84,11 +86,11 @@
     }
 
     pub(super) fn held(&self) -> Option<&BTreeSet<Name>> {
-        self.is_ours().then_some(&self.held)
+        self.is_leader().then_some(&self.held)
     }
 
-    /// Whether the giver may be forgotten: nothing is wanted, and no order waits for its end to be written.
-    pub(super) fn is_over(&self) -> bool {
+    /// Whether this state may be dropped: no state is desired any more, and no outcome of an order has yet to be stored.
+    pub(super) fn is_finished(&self) -> bool {
         self.wanted.is_none() && !self.is_busy()
     }
 
@@ -96,16 +98,17 @@
         matches!(self.state, State::Sent | State::Done | State::Writing(_))
     }
 
-    /// Whether a slot for a load is wanted or used.
+    /// Whether a load slot is needed or in use.
     pub(super) fn wants_slot(&self) -> bool {
         self.wants_slot
     }
 
+    /// Takes the next step that is possible now. `leased` tells whether this process holds its lease for long enough.
     pub(super) fn step(
         &mut self,
         now: Now,
         leased: bool,
-        pace: &mut Pace,
+        load_slots: &mut LoadSlots,
         outbox: &mut Outbox<'_>,
     ) {
         if now.mono_ms < self.retry_at_ms {
@@ -117,15 +120,16 @@
                 self.call_sent_ms = now.mono_ms;
                 self.state = State::Reading(outbox.store(op));
             }
-            State::Idle if self.wanted.is_some() && leased => self.go_on(now, pace, outbox),
+            State::Idle if self.wanted.is_some() && leased => self.advance(now, load_slots, outbox),
             State::Intended if self.wanted.is_none() => self.state = State::Idle,
             State::Intended => self.send(now, leased, outbox),
-            State::Done => self.write_done(now, outbox),
+            State::Done => self.write_outcome(now, outbox),
             State::Idle | State::Reading(_) | State::Writing(_) | State::Sent => {}
         }
     }
 
-    pub(super) fn stored(&mut self, now: Now, call: CallId, answer: &StoreAnswer) -> bool {
+    /// Handles the answer to a store call. Returns whether the call was made by this state machine.
+    pub(super) fn store_answered(&mut self, now: Now, call: CallId, answer: &StoreAnswer) -> bool {
         match self.state {
             State::Reading(own) if own == call => self.read_answered(now, answer),
             State::Writing(own) if own == call => self.write_answered(now, answer),
@@ -134,7 +138,8 @@
         true
     }
 
-    pub(super) fn ended(&mut self, now: Now, fence: u64, end: OrderEnd) {
+    /// Handles the outcome of an order. Ignored if it was sent under another fencing number.
+    pub(super) fn order_ended(&mut self, now: Now, fence: u64, end: OrderEnd) {
         let current = self.record.as_ref().is_some_and(|it| it.epoch == fence);
         if self.state != State::Sent || !current {
             return;
@@ -144,46 +149,48 @@
                 self.backoff_ms = RETRY_MS;
                 self.state = State::Done;
             }
-            // Another process has taken over: its record tells the rest.
+            // Another process has taken over; its record has to be read.
             OrderEnd::Fenced => self.state = State::Unread,
             OrderEnd::NotDone => {
                 self.state = State::Intended;
                 self.retry_at_ms = now.mono_ms + self.backoff_ms;
-                self.backoff_ms = (self.backoff_ms * 2).min(RETRY_MAX_MS);
+                self.backoff_ms = (self.backoff_ms * 2).min(MAX_BACKOFF_MS);
             }
             OrderEnd::Unknown => {
                 self.state = State::Intended;
                 self.retry_at_ms = now.mono_ms + RETRY_MS;
-                // It may still take effect late. Sending the same order again does no harm, but another one must wait:
-                // the late one would undo it, and has the same fencing number.
+                // The order may still take effect late. Repeating the same order is harmless, but a different one must
+                // wait: the late order has the same fencing number and would undo it.
                 self.not_before_ms = now.mono_ms + self.config.longest_order_ms;
             }
         }
     }
 
-    fn go_on(&mut self, now: Now, pace: &mut Pace, outbox: &mut Outbox<'_>) {
+    /// Takes over the leadership if needed, then starts the pending or next order.
+    fn advance(&mut self, now: Now, load_slots: &mut LoadSlots, outbox: &mut Outbox<'_>) {
         let pending = self.record.as_ref().is_some_and(|it| it.pending.is_some());
         if !pending && self.next_order().is_none() {
             return;
         }
-        if !self.is_ours() {
-            return self.take(now, outbox);
+        if !self.is_leader() {
+            return self.take_leadership(now, outbox);
         }
         if now.mono_ms < self.not_before_ms {
             return;
         }
         if pending {
-            // An intent of our own or of a former giver: it may have been carried out, so it is carried out again.
-            // At once: by the next event a short lease may be about to end, and this would begin anew for ever.
+            // An intent of this or a previous leader: the order may have been carried out, so it is sent again. This
+            // must happen within the same event: by the next one a short lease may be about to expire, and the sequence
+            // would start again forever.
             self.state = State::Intended;
             return self.send(now, true, outbox);
         }
         let Some(order) = self.next_order() else { return };
         self.wants_slot = matches!(order, Order::Load(_));
-        if self.wants_slot && !pace.claim(&self.target) {
+        if self.wants_slot && !load_slots.request(&self.target) {
             return;
         }
-        self.intend(now, &order, outbox);
+        self.write_intent(now, &order, outbox);
     }
 
     fn next_order(&self) -> Option<Order> {
@@ -195,20 +202,21 @@
         wanted.difference(&self.held).next().map(|it| Order::Load(Arc::clone(it)))
     }
 
-    fn take(&mut self, now: Now, outbox: &mut Outbox<'_>) {
-        let former = self.record.clone();
+    /// Stores this process as the leader, with the next fencing number.
+    fn take_leadership(&mut self, now: Now, outbox: &mut Outbox<'_>) {
+        let previous = self.record.clone();
         let record = TargetOrders {
-            epoch: former.as_ref().map_or(1, |it| it.epoch + 1),
+            epoch: previous.as_ref().map_or(1, |it| it.epoch + 1),
             process: self.config.process.to_string(),
             incarnation: self.config.incarnation,
             writer: String::new(),
-            pending: former.as_ref().and_then(|it| it.pending.clone()),
-            held: former.map(|it| it.held).unwrap_or_default(),
+            pending: previous.as_ref().and_then(|it| it.pending.clone()),
+            held: previous.map(|it| it.held).unwrap_or_default(),
         };
         self.write(now, record, outbox);
     }
 
-    fn intend(&mut self, now: Now, order: &Order, outbox: &mut Outbox<'_>) {
+    fn write_intent(&mut self, now: Now, order: &Order, outbox: &mut Outbox<'_>) {
         let Some(mut record) = self.record.clone() else { return };
         let load = matches!(order, Order::Load(_));
         record.pending = Some(PendingOrder { load, weight: order.weight().to_string() });
@@ -216,9 +224,9 @@
     }
 
     fn send(&mut self, now: Now, leased: bool, outbox: &mut Outbox<'_>) {
-        // A giver that was paused since it last saw itself as the giver may wake after another's first order, and its
-        // own would then undo that one. It reads again instead.
-        if !leased || now.mono_ms >= self.fresh_until_ms {
+        // If this process was paused since the store last confirmed its leadership, another leader may have sent an
+        // order, which this one would undo. So the record is read again first.
+        if !leased || now.mono_ms >= self.confirmed_until_ms {
             self.state = State::Unread;
             return;
         }
@@ -231,7 +239,7 @@
         self.state = State::Sent;
     }
 
-    fn write_done(&mut self, now: Now, outbox: &mut Outbox<'_>) {
+    fn write_outcome(&mut self, now: Now, outbox: &mut Outbox<'_>) {
         let Some(mut record) = self.record.clone() else { return };
         let Some(pending) = record.pending.take() else { return };
         record.held.retain(|it| *it != pending.weight);
@@ -255,7 +263,7 @@
 
     fn read_answered(&mut self, now: Now, answer: &StoreAnswer) {
         match answer {
-            StoreAnswer::Object(stored) => self.take_read(now, stored),
+            StoreAnswer::Object(stored) => self.apply_record(now, stored),
             StoreAnswer::Absent => {
                 self.version = None;
                 self.record = None;
@@ -268,40 +276,41 @@
     fn write_answered(&mut self, now: Now, answer: &StoreAnswer) {
         match answer {
             StoreAnswer::Object(stored) => {
-                self.take_read(now, stored);
+                self.apply_record(now, stored);
                 let pending = self.record.as_ref().is_some_and(|it| it.pending.is_some());
-                if self.is_ours() && pending && now.mono_ms >= self.not_before_ms {
+                if self.is_leader() && pending && now.mono_ms >= self.not_before_ms {
                     self.state = State::Intended;
                 }
             }
-            // Whether the write stands, or another's does, only a read tells.
+            // Only a read shows whether this write or another one is stored.
             _ => self.retry_read(now),
         }
     }
 
-    fn take_read(&mut self, now: Now, stored: &Stored) {
-        // An object that cannot be read is left alone: what it says may matter to a newer process.
+    fn apply_record(&mut self, now: Now, stored: &Stored) {
+        // A record that cannot be parsed is left unchanged: it may matter to a newer version that wrote it.
         let Ok(record) = serde_json::from_slice::<TargetOrders>(&stored.value) else {
             return self.retry_read(now);
         };
-        let was_ours = self.is_ours();
+        let was_leader = self.is_leader();
         self.version = Some(stored.version);
         self.held = record.held.iter().map(|it| Name::from(it.as_str())).collect();
-        // Read, not written by this giver: an order of whoever wrote it may still be on its way.
-        let taken_over = record.epoch > 1 || matches!(self.state, State::Reading(_));
+        // If the record existed before or was read, an order of its previous writer may still be in transit.
+        let follows_other_writer = record.epoch > 1 || matches!(self.state, State::Reading(_));
         self.record = Some(record);
         self.state = State::Idle;
         let pending = self.record.as_ref().is_some_and(|it| it.pending.is_some());
-        self.wants_slot &= self.is_ours() && pending;
-        if self.is_ours() {
-            self.fresh_until_ms = self.call_sent_ms + self.config.lease_ms;
+        self.wants_slot &= self.is_leader() && pending;
+        if self.is_leader() {
+            self.confirmed_until_ms = self.call_sent_ms + self.config.lease_ms;
         }
-        if self.is_ours() && !was_ours && taken_over {
-            self.wait_out_former(now);
+        if self.is_leader() && !was_leader && follows_other_writer {
+            self.delay_after_takeover(now);
         }
     }
 
-    fn wait_out_former(&mut self, now: Now) {
+    /// Delays orders until those of the previous leader can have no effect any more, unless the target refuses them.
+    fn delay_after_takeover(&mut self, now: Now) {
         let wait_ms = self.config.lease_ms + self.config.margin_ms + self.config.longest_order_ms;
         if !self.checks_fencing() {
             self.not_before_ms = now.mono_ms + wait_ms;
@@ -317,7 +326,7 @@
         self.wanted.as_ref().is_some_and(|it| it.checks_fencing)
     }
 
-    fn is_ours(&self) -> bool {
+    fn is_leader(&self) -> bool {
         self.record.as_ref().is_some_and(|it| {
             it.process == *self.config.process && it.incarnation == self.config.incarnation
         })
--- a/crates/samphiredoor-core/src/orders/pace.rs
+++ b/crates/samphiredoor-core/src/orders/load_slots.rs
@@ -1,4 +1,4 @@
-//! How many loads from the weight store run at once, over all processes.
+//! Limit of simultaneous loads from the weight store over all processes, by slots in one stored object.
 
 use std::{collections::BTreeSet, sync::Arc};
 
@@ -14,7 +14,7 @@
 
 const OBJECT_NAME: &str = "weight-store";
 const RETRY_MS: u64 = 250;
-// A slot that nobody gives back is noticed at this pace.
+/// Interval of reads while waiting for a slot; without them, slots released by others would not be seen.
 const REREAD_MS: u64 = 2_000;
 
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -25,18 +25,23 @@
     Writing(CallId),
 }
 
-/// Slots for loads.
+/// This process's view of the load slots and the slots that it needs.
 #[derive(Debug)]
-pub(super) struct Pace {
+pub(super) struct LoadSlots {
+    /// Identifier of this process in the object.
     holder: String,
     limit: usize,
     state: State,
     version: Option<Version>,
     record: LoadPace,
+    /// Targets that need a slot or have one.
     wanted: BTreeSet<Name>,
-    gone: BTreeSet<String>,
+    /// Holders whose leases have expired; their slots are released.
+    dead_holders: BTreeSet<String>,
+    /// Earliest time of the next store call.
     next_ms: u64,
-    in_doubt: bool,
+    /// Whether the outcome of the last write is unknown.
+    write_unconfirmed: bool,
 }
 
 fn holder(process: &str, incarnation: u64) -> String {
@@ -47,33 +52,33 @@
     LoadPace { writer: String::new(), slots: Default::default() }
 }
 
-impl Pace {
-    pub(super) fn new(config: &OrdersConfig) -> Pace {
-        Pace {
+impl LoadSlots {
+    pub(super) fn new(config: &OrdersConfig) -> LoadSlots {
+        LoadSlots {
             holder: holder(&config.process, config.incarnation),
             limit: config.loads_at_once.max(1),
             state: State::Unread,
             version: None,
             record: empty(),
             wanted: BTreeSet::new(),
-            gone: BTreeSet::new(),
+            dead_holders: BTreeSet::new(),
             next_ms: 0,
-            in_doubt: false,
+            write_unconfirmed: false,
         }
     }
 
-    /// Asks for a slot for a target; true once it stands in the store.
-    pub(super) fn claim(&mut self, target: &Name) -> bool {
+    /// Requests a slot for a target; returns whether the store has confirmed it.
+    pub(super) fn request(&mut self, target: &Name) -> bool {
         self.wanted.insert(Arc::clone(target));
         self.holds(target)
     }
 
-    /// Gives the slot of a target back, or stops waiting for it.
+    /// Releases the slot of a target, or stops waiting for one.
     pub(super) fn release(&mut self, target: &Name) {
         self.wanted.remove(target);
     }
 
-    /// Forgets the wishes of targets that are not kept.
+    /// Releases the slots and requests of all targets for which `kept` is false.
     pub(super) fn retain(&mut self, kept: impl Fn(&Name) -> bool) {
         self.wanted.retain(kept);
     }
@@ -82,8 +87,8 @@
         self.limit = limit.max(1);
     }
 
-    pub(super) fn lapsed(&mut self, process: &str, incarnation: u64) {
-        self.gone.insert(holder(process, incarnation));
+    pub(super) fn lease_expired(&mut self, process: &str, incarnation: u64) {
+        self.dead_holders.insert(holder(process, incarnation));
     }
 
     pub(super) fn step(&mut self, now: Now, outbox: &mut Outbox<'_>) {
@@ -91,9 +96,11 @@
             return;
         }
         match self.state {
-            // Nothing may be wanted any more, and slots be held all the same: by a write whose answer was lost, or
-            // since before the last read.
-            State::Unread if self.in_doubt || self.holds_any() || !self.wanted.is_empty() => {
+            // Slots may be held though none is needed any more: by a write whose answer was lost, or since before the
+            // last read.
+            State::Unread
+                if self.write_unconfirmed || self.holds_any() || !self.wanted.is_empty() =>
+            {
                 let op = StoreOp::Get { key: key() };
                 self.state = State::Reading(outbox.store(op));
             }
@@ -109,7 +116,7 @@
         }
     }
 
-    pub(super) fn stored(&mut self, now: Now, call: CallId, answer: &StoreAnswer) -> bool {
+    pub(super) fn store_answered(&mut self, now: Now, call: CallId, answer: &StoreAnswer) -> bool {
         let own = matches!(self.state, State::Reading(it) | State::Writing(it) if it == call);
         if !own {
             return false;
@@ -117,19 +124,19 @@
         let wrote = matches!(self.state, State::Writing(_));
         match answer {
             StoreAnswer::Object(stored) => {
-                self.in_doubt = false;
+                self.write_unconfirmed = false;
                 self.version = Some(stored.version);
                 self.record = serde_json::from_slice(&stored.value).unwrap_or_else(|_| empty());
                 self.state = State::Idle;
             }
             StoreAnswer::Absent => {
-                self.in_doubt = false;
+                self.write_unconfirmed = false;
                 self.version = None;
                 self.record = empty();
                 self.state = State::Idle;
             }
             _ => {
-                self.in_doubt |= wrote;
+                self.write_unconfirmed |= wrote;
                 self.state = State::Unread;
                 self.next_ms = now.mono_ms + RETRY_MS;
             }
@@ -137,11 +144,12 @@
         true
     }
 
+    /// The record with released slots removed and free slots taken; `None` if nothing changes.
     fn next_record(&self) -> Option<LoadPace> {
         let mut next = self.record.clone();
         next.slots.retain(|target, holder| {
             let ours = *holder == self.holder;
-            !self.gone.contains(holder) && (!ours || self.wanted.contains(target.as_str()))
+            !self.dead_holders.contains(holder) && (!ours || self.wanted.contains(target.as_str()))
         });
         for target in &self.wanted {
             if next.slots.len() < self.limit && !next.slots.contains_key(&**target) {
--- a/crates/samphiredoor-core/src/orders/messages.rs
+++ b/crates/samphiredoor-core/src/orders/messages.rs
@@ -1,4 +1,4 @@
-//! What goes into the orders, and what comes out.
+//! Inputs and actions of the orders.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,33 +8,33 @@
     store::{StoreAnswer, StoreOp},
 };
 
-/// What a target is to hold.
+/// Desired state of a target.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Wanted {
-    /// Weights.
+    /// Weights that the target is to hold.
     pub weights: BTreeSet<Name>,
     /// Whether the target refuses orders with old fencing numbers.
     pub checks_fencing: bool,
 }
 
-/// How long things take, and how many loads run at once.
+/// Timing bounds, the limit of simultaneous loads, and the identity of this process.
 #[derive(Debug, Clone)]
 pub struct OrdersConfig {
-    /// Process that gives the orders.
+    /// Name of this process.
     pub process: Name,
-    /// Start of the process.
+    /// Incarnation of this process.
     pub incarnation: u64,
-    /// Length of any process's lease.
+    /// Lease duration, the same for all processes.
     pub lease_ms: u64,
-    /// Margin on a lease, for clocks that run differently.
+    /// Safety margin on a lease, for clocks that run at different rates.
     pub margin_ms: u64,
-    /// Longest time from the sending of an order until it has no effect any more.
+    /// Longest time after an order was sent at which it can still take effect.
     pub longest_order_ms: u64,
-    /// Loads from the weight store at once, over all processes.
+    /// Limit of simultaneous loads from the weight store, over all processes.
     pub loads_at_once: usize,
 }
 
-/// One order.
+/// Command to a target.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Order {
     /// Load a weight from the weight store.
@@ -44,7 +44,7 @@
 }
 
 impl Order {
-    /// Weight that the order is about.
+    /// Weight that the order loads or unloads.
     pub fn weight(&self) -> &Name {
         match self {
             Order::Load(weight) | Order::Unload(weight) => weight,
@@ -52,80 +52,80 @@
     }
 }
 
-/// How an order ended.
+/// Outcome of an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OrderEnd {
-    /// The target did it.
+    /// The target carried out the order.
     Done,
-    /// The target did not get it, or said that it did nothing.
+    /// The target did not receive the order, or reported that it did nothing.
     NotDone,
-    /// The target refused it because a higher fencing number was seen.
+    /// The target refused the order because it has seen a higher fencing number.
     Fenced,
-    /// It may have been done.
+    /// The order may have been carried out, or may still be.
     Unknown,
 }
 
-/// What happened.
+/// Event that the orders handle.
 #[derive(Debug, Clone)]
 pub enum OrdersInput {
-    /// Targets for which this process wants to be the giver, and what each is to hold; replaces the former ones.
+    /// Targets that this process is to lead, with their desired state; replaces the previous ones.
     Wanted(BTreeMap<Name, Wanted>),
-    /// Bounds that the declarations set.
+    /// Bounds from the manifest.
     Bounds {
-        /// Loads from the weight store at once, over all processes.
+        /// Limit of simultaneous loads from the weight store, over all processes.
         loads_at_once: usize,
-        /// Longest time from the sending of an order until it has no effect any more.
+        /// Longest time after an order was sent at which it can still take effect.
         longest_order_ms: u64,
     },
-    /// The own lease is held until this monotonic time.
+    /// The lease of this process was renewed.
     Lease {
-        /// End of the lease.
+        /// End of the lease on the monotonic clock.
         valid_until_ms: u64,
     },
-    /// The lease of another process has lapsed.
+    /// The lease of another process has expired.
     Lapsed {
-        /// Which process.
+        /// Name of that process.
         process: Name,
-        /// Which start of it.
+        /// Incarnation of that process.
         incarnation: u64,
     },
     /// A store call was answered.
     Stored {
-        /// Which call.
+        /// Number of the call in [`OrdersAction::Store`].
         call: CallId,
-        /// Its answer.
+        /// Answer of the store.
         answer: StoreAnswer,
     },
     /// An order ended.
     Ended {
-        /// Which target.
+        /// Target that the order was sent to.
         target: Name,
         /// Fencing number that it was sent with.
         fence: u64,
-        /// How.
+        /// Outcome of the order.
         end: OrderEnd,
     },
-    /// Time passed.
+    /// Periodic timer, for retries and waits.
     Tick,
 }
 
-/// What to do.
+/// Action that the caller must carry out.
 #[derive(Debug, Clone, PartialEq)]
 pub enum OrdersAction {
     /// Make a store call.
     Store {
-        /// Which call.
+        /// Number to report the answer with.
         call: CallId,
-        /// The call.
+        /// Operation on the store.
         op: StoreOp,
     },
-    /// Send an order, once, and report how it ended within the longest time of an order.
+    /// Send an order, once, and report its outcome within the longest time of an order.
     Send {
-        /// Which target.
+        /// Target to send the order to.
         target: Name,
-        /// Fencing number.
+        /// Fencing number to send with it.
         fence: u64,
-        /// The order.
+        /// Order to send.
         order: Order,
     },
 }
--- a/crates/samphiredoor-core/src/orders/mod.rs
+++ b/crates/samphiredoor-core/src/orders/mod.rs
@@ -1,19 +1,20 @@
-//! Orders to targets: which weights each is to hold, given by one process at a time.
+//! Orders to targets: commands to load or unload model weights, sent by one process per target at a time.
 //!
-//! A late order of a former giver must not undo what a later one ordered. One object a target holds the giver and a
-//! fencing number that grows with each taking. Safety: a target that checks the number refuses late orders itself; for
-//! one that does not, a giver sends only for a lease's length after it last saw in the store that it is the giver, and the
-//! next one waits that long, a margin, and the longest order after its taking. The intent of each order is written
-//! before it is sent, so that the next giver knows what may have happened. Speed: by rendezvous hash one process at a time
-//! wants to be the giver, so that takings are rare.
+//! The process that sends a target's orders is the target's leader. A late order of a previous leader must not undo what
+//! a later one has ordered. One stored object per target holds the leader and a fencing number that grows with each
+//! takeover. A target that checks the number refuses late orders itself. For one that does not, a leader sends orders
+//! only for the length of a lease after the store last confirmed that it is the leader, and the next leader waits that
+//! long, plus a margin and the longest time of an order, after its takeover. The intent of each order is stored before
+//! the order is sent, so that the next leader can find out what may have been carried out. To keep takeovers rare, each
+//! target is assigned to one process by hash, and only that process tries to become the leader.
 //!
-//! Loads are paced: the weight store is rate-limited, and one object holds the loads that run at once. The pace is no
-//! promise; a slot of a process that is gone is dropped by whoever needs one.
+//! The weight store is rate-limited, so the number of simultaneous loads is limited by slots in one stored object. The
+//! limit is not strict: a slot of a dead process is released by any process that needs one.
 
-mod giver;
+mod leader;
+mod load_slots;
 mod messages;
 mod outbox;
-mod pace;
 mod ring;
 
 use std::{
@@ -25,79 +26,82 @@
 pub use ring::Ring;
 
 use crate::{Name, time::Now};
-use giver::Giver;
+use leader::OrderLeader;
+use load_slots::LoadSlots;
 use outbox::Outbox;
-use pace::Pace;
 
-/// Orders that this process gives.
+/// Orders that this process sends, as the leader of some targets.
 #[derive(Debug)]
 pub struct Orders {
     config: OrdersConfig,
-    givers: BTreeMap<Name, Giver>,
-    pace: Pace,
+    leaders: BTreeMap<Name, OrderLeader>,
+    load_slots: LoadSlots,
     lease_until_ms: u64,
     next_call: u64,
 }
 
 impl Orders {
-    /// Process that gives no orders yet.
+    /// Creates the state of a process that is not the leader of any target yet.
     pub fn new(config: OrdersConfig) -> Orders {
-        let pace = Pace::new(&config);
-        Orders { config, givers: BTreeMap::new(), pace, lease_until_ms: 0, next_call: 0 }
+        let load_slots = LoadSlots::new(&config);
+        Orders { config, leaders: BTreeMap::new(), load_slots, lease_until_ms: 0, next_call: 0 }
     }
 
-    /// Weights that a target holds, as far as this process, as its giver, knows.
+    /// Weights that a target holds according to the orders that it has confirmed; `None` unless this process is its
+    /// leader.
     pub fn held(&self, target: &str) -> Option<&BTreeSet<Name>> {
-        self.givers.get(target).and_then(Giver::held)
+        self.leaders.get(target).and_then(OrderLeader::held)
     }
 
-    /// Takes one event; appends what to do to `out`.
+    /// Handles one event and appends the resulting actions to `out`.
     pub fn handle(&mut self, now: Now, input: OrdersInput, out: &mut Vec<OrdersAction>) {
         match input {
-            OrdersInput::Wanted(wanted) => self.givers_for(wanted),
+            OrdersInput::Wanted(wanted) => self.set_wanted(wanted),
             OrdersInput::Bounds { loads_at_once, longest_order_ms } => {
                 self.config.longest_order_ms = longest_order_ms;
-                self.pace.set_limit(loads_at_once);
-                for giver in self.givers.values_mut() {
-                    giver.set_longest_order(longest_order_ms);
+                self.load_slots.set_limit(loads_at_once);
+                for leader in self.leaders.values_mut() {
+                    leader.set_longest_order(longest_order_ms);
                 }
             }
             OrdersInput::Lease { valid_until_ms } => self.lease_until_ms = valid_until_ms,
-            OrdersInput::Lapsed { process, incarnation } => self.pace.lapsed(&process, incarnation),
+            OrdersInput::Lapsed { process, incarnation } => {
+                self.load_slots.lease_expired(&process, incarnation)
+            }
             OrdersInput::Stored { call, answer } => {
-                if !self.pace.stored(now, call, &answer) {
-                    let mut givers = self.givers.values_mut();
-                    givers.any(|it| it.stored(now, call, &answer));
+                if !self.load_slots.store_answered(now, call, &answer) {
+                    let mut leaders = self.leaders.values_mut();
+                    leaders.any(|it| it.store_answered(now, call, &answer));
                 }
             }
             OrdersInput::Ended { target, fence, end } => {
-                if let Some(giver) = self.givers.get_mut(&target) {
-                    giver.ended(now, fence, end);
+                if let Some(leader) = self.leaders.get_mut(&target) {
+                    leader.order_ended(now, fence, end);
                 }
             }
             OrdersInput::Tick => {}
         }
         let mut outbox = Outbox { next_call: &mut self.next_call, out };
         let leased = now.mono_ms + self.config.margin_ms < self.lease_until_ms;
-        for (target, giver) in &mut self.givers {
-            giver.step(now, leased, &mut self.pace, &mut outbox);
-            if !giver.wants_slot() {
-                self.pace.release(target);
+        for (target, leader) in &mut self.leaders {
+            leader.step(now, leased, &mut self.load_slots, &mut outbox);
+            if !leader.wants_slot() {
+                self.load_slots.release(target);
             }
         }
-        self.givers.retain(|_, giver| !giver.is_over());
-        self.pace.retain(|target| self.givers.contains_key(target));
-        self.pace.step(now, &mut outbox);
+        self.leaders.retain(|_, leader| !leader.is_finished());
+        self.load_slots.retain(|target| self.leaders.contains_key(target));
+        self.load_slots.step(now, &mut outbox);
     }
 
-    fn givers_for(&mut self, wanted: BTreeMap<Name, Wanted>) {
-        for (target, giver) in &mut self.givers {
-            giver.set_wanted(wanted.get(target).cloned());
+    fn set_wanted(&mut self, wanted: BTreeMap<Name, Wanted>) {
+        for (target, leader) in &mut self.leaders {
+            leader.set_wanted(wanted.get(target).cloned());
         }
         for (target, wanted) in wanted {
             let config = &self.config;
-            let new = || Giver::new(Arc::clone(&target), wanted, config.clone());
-            self.givers.entry(Arc::clone(&target)).or_insert_with(new);
+            let new = || OrderLeader::new(Arc::clone(&target), wanted, config.clone());
+            self.leaders.entry(Arc::clone(&target)).or_insert_with(new);
         }
     }
 }
--- a/crates/samphiredoor-core/src/orders/ring.rs
+++ b/crates/samphiredoor-core/src/orders/ring.rs
@@ -1,26 +1,27 @@
-//! Which process is to give the orders to a target: a ring by hash that every process works out alike.
+//! Assignment of targets to the processes that lead them: a consistent-hash ring that every process computes alike.
 //!
-//! A process that comes or goes moves only its neighbours' targets, and looking a target up costs the logarithm of the
-//! number of processes, so that a change among 920 processes is worked out for 4,500 targets at once.
+//! When a process starts or stops, only the targets of its neighbours on the ring move. A lookup takes time logarithmic
+//! in the number of processes, so the assignment of 4,500 targets can be recomputed at once after a change among 920
+//! processes.
 
 use std::sync::Arc;
 
 use crate::Name;
 
-const POINTS: u64 = 16;
+const POINTS_PER_PROCESS: u64 = 16;
 
-/// Processes on a ring.
+/// Consistent-hash ring of processes.
 #[derive(Debug, Clone, Default)]
 pub struct Ring {
     points: Vec<(u64, Name)>,
 }
 
 impl Ring {
-    /// Ring of the given processes.
+    /// Creates the ring of the given processes.
     pub fn new<'a>(processes: impl IntoIterator<Item = &'a Name>) -> Ring {
         let mut points = Vec::new();
         for process in processes {
-            for point in 0..POINTS {
+            for point in 0..POINTS_PER_PROCESS {
                 points.push((hash(process, point), Arc::clone(process)));
             }
         }
@@ -28,10 +29,10 @@
         Ring { points }
     }
 
-    /// Process that is to give the orders to `target`; `None` on an empty ring.
+    /// Process that is to lead `target`; `None` if the ring is empty.
     pub fn giver(&self, target: &str) -> Option<&Name> {
-        let place = hash(target, POINTS);
-        let next = self.points.partition_point(|(point, _)| *point < place);
+        let position = hash(target, POINTS_PER_PROCESS);
+        let next = self.points.partition_point(|(point, _)| *point < position);
         self.points.get(next).or(self.points.first()).map(|(_, process)| process)
     }
 }
--- a/crates/samphiredoor-core/tests/orders.rs
+++ b/crates/samphiredoor-core/tests/orders.rs
@@ -1,7 +1,7 @@
-//! Orders to targets under pauses, lost answers and takeovers.
+//! Orders to targets under process pauses, lost answers and takeovers.
 //!
-//! The model is one store, one target and a few processes. An order that was sent takes effect at any time within the
-//! longest order, once, or never; a process may be paused for as long as it takes.
+//! The model consists of one store, one target and a few processes. An order that was sent takes effect once, at any
+//! time within the longest time of an order, or never. A process may be paused for any time.
 
 use std::{
     collections::{BTreeMap, BTreeSet, VecDeque},
@@ -24,41 +24,22 @@
 
 #[derive(Debug, Clone)]
 enum Step {
-    /// All that run take a turn; store answers come as told.
-    Turn {
-        lose_answer: bool,
-        refuse: bool,
-    },
-    /// An order on its way takes effect, or is dropped; its answer may be lost.
-    Deliver {
-        which: usize,
-        drop: bool,
-        lose_answer: bool,
-    },
-    /// The connection of an order breaks: its giver is told so, the order is still on its way.
-    Cut {
-        which: usize,
-    },
-    /// The target says that it did nothing.
-    NotDone {
-        which: usize,
-    },
-    /// A process stops or goes on taking turns.
-    Pause {
-        process: usize,
-    },
-    Wake {
-        process: usize,
-    },
-    /// The hint says which process is to be the giver, and what is wanted.
-    Want {
-        process: usize,
-        weights: u8,
-    },
-    /// Time passes without a turn.
-    Wait {
-        steps: u64,
-    },
+    /// All processes that are not paused handle their inputs; write answers may be lost or store calls refused.
+    Round { lose_answer: bool, refuse: bool },
+    /// An order in transit takes effect or is dropped; its answer may be lost.
+    Deliver { which: usize, drop: bool, lose_answer: bool },
+    /// The connection of an order breaks: its sender gets an unknown outcome, but the order is still in transit.
+    Cut { which: usize },
+    /// The target reports that it did nothing.
+    NotDone { which: usize },
+    /// A process is paused.
+    Pause { process: usize },
+    /// A paused process continues.
+    Resume { process: usize },
+    /// One process is assigned the target, with a desired state.
+    Want { process: usize, weights: u8 },
+    /// Time passes without any process running.
+    Wait { steps: u64 },
 }
 
 struct Process {
@@ -68,7 +49,7 @@
     ends: VecDeque<OrdersInput>,
 }
 
-struct OnItsWay {
+struct InTransit {
     process: usize,
     number: u64,
     fence: u64,
@@ -79,13 +60,13 @@
 
 struct World {
     now_ms: u64,
-    // The lease is long enough only at the moment of its renewal.
+    /// Whether the lease is long enough only at the moment of its renewal.
     lease_is_short: bool,
     checks_fencing: bool,
     objects: BTreeMap<Name, Stored>,
     version: u64,
     processes: Vec<Process>,
-    on_their_way: Vec<OnItsWay>,
+    in_transit: Vec<InTransit>,
     held: BTreeSet<Name>,
     highest_fence: u64,
     sent: u64,
@@ -106,7 +87,7 @@
     fn new(checks_fencing: bool) -> World {
         let process = |number: usize| Process {
             orders: Orders::new(OrdersConfig {
-                process: format!("door-{number}").into(),
+                process: format!("gateway-{number}").into(),
                 incarnation: 1,
                 lease_ms: LEASE_MS,
                 margin_ms: MARGIN_MS,
@@ -124,7 +105,7 @@
             objects: BTreeMap::new(),
             version: 0,
             processes: (0..3).map(process).collect(),
-            on_their_way: Vec::new(),
+            in_transit: Vec::new(),
             held: BTreeSet::new(),
             highest_fence: 0,
             sent: 0,
@@ -134,33 +115,32 @@
 
     fn apply(&mut self, step: &Step) {
         match step {
-            Step::Turn { lose_answer, refuse } => self.turn(*lose_answer, *refuse),
+            Step::Round { lose_answer, refuse } => self.run_round(*lose_answer, *refuse),
             Step::Deliver { which, drop, lose_answer } => {
                 self.deliver(*which, *drop, *lose_answer);
             }
-            Step::Cut { which } => self.cut(*which),
+            Step::Cut { which } => self.cut_connection(*which),
             Step::NotDone { which } => self.not_done(*which),
             Step::Pause { process } => self.processes[*process].paused = true,
-            Step::Wake { process } => self.processes[*process].paused = false,
-            Step::Want { process, weights: bits } => self.want(*process, *bits),
-            Step::Wait { steps } => self.pass(steps * STEP_MS),
+            Step::Resume { process } => self.processes[*process].paused = false,
+            Step::Want { process, weights: bits } => self.set_wanted(*process, *bits),
+            Step::Wait { steps } => self.advance_time(steps * STEP_MS),
         }
     }
 
-    fn pass(&mut self, time_ms: u64) {
+    fn advance_time(&mut self, time_ms: u64) {
         self.now_ms += time_ms;
         let now_ms = self.now_ms;
-        let (over, rest): (Vec<_>, Vec<_>) = std::mem::take(&mut self.on_their_way)
-            .into_iter()
-            .partition(|it| it.until_ms <= now_ms);
-        self.on_their_way = rest;
-        over.iter().for_each(|it| self.end(it, OrderEnd::Unknown));
+        let (expired, rest): (Vec<_>, Vec<_>) =
+            std::mem::take(&mut self.in_transit).into_iter().partition(|it| it.until_ms <= now_ms);
+        self.in_transit = rest;
+        expired.iter().for_each(|it| self.end(it, OrderEnd::Unknown));
     }
 
-    fn want(&mut self, giver: usize, bits: u8) {
+    fn set_wanted(&mut self, leader: usize, bits: u8) {
         for number in 0..self.processes.len() {
             let mut wanted = BTreeMap::new();
-            if number == giver {
+            if number == leader {
                 let checks_fencing = self.checks_fencing;
                 wanted.insert(target(), Wanted { weights: weights(bits), checks_fencing });
             }
@@ -168,8 +148,8 @@
         }
     }
 
-    fn turn(&mut self, lose_answer: bool, refuse: bool) {
-        self.pass(STEP_MS);
+    fn run_round(&mut self, lose_answer: bool, refuse: bool) {
+        self.advance_time(STEP_MS);
         for number in 0..self.processes.len() {
             if self.processes[number].paused {
                 continue;
@@ -188,18 +168,26 @@
                 let mut actions = Vec::new();
                 let now = Now::new(self.now_ms, self.now_ms);
                 self.processes[number].orders.handle(now, input, &mut actions);
-                actions.into_iter().for_each(|it| self.act(number, it, lose_answer, refuse));
+                actions
+                    .into_iter()
+                    .for_each(|it| self.handle_action(number, it, lose_answer, refuse));
             }
         }
     }
 
-    fn act(&mut self, number: usize, action: OrdersAction, lose_answer: bool, refuse: bool) {
+    fn handle_action(
+        &mut self,
+        number: usize,
+        action: OrdersAction,
+        lose_answer: bool,
+        refuse: bool,
+    ) {
         match action {
             OrdersAction::Store { call, op } => {
                 let write = op.is_write();
                 let answer = match refuse {
                     true => StoreAnswer::Unavailable,
-                    false => self.call(op),
+                    false => self.call_store(op),
                 };
                 let lost = lose_answer && write && !refuse;
                 let answer = if lost { StoreAnswer::Unknown } else { answer };
@@ -207,7 +195,7 @@
             }
             OrdersAction::Send { fence, order, .. } => {
                 self.sent += 1;
-                self.on_their_way.push(OnItsWay {
+                self.in_transit.push(InTransit {
                     process: number,
                     number: self.sent,
                     fence,
@@ -219,7 +207,7 @@
         }
     }
 
-    fn call(&mut self, op: StoreOp) -> StoreAnswer {
+    fn call_store(&mut self, op: StoreOp) -> StoreAnswer {
         let current = |objects: &BTreeMap<Name, Stored>, name: &Name| objects.get(name).cloned();
         match op {
             StoreOp::Get { key } => match current(&self.objects, &key.name) {
@@ -256,17 +244,17 @@
     }
 
     fn deliver(&mut self, which: usize, drop: bool, lose_answer: bool) {
-        if self.on_their_way.is_empty() {
+        if self.in_transit.is_empty() {
             return;
         }
-        let sent = self.on_their_way.remove(which % self.on_their_way.len());
+        let sent = self.in_transit.remove(which % self.in_transit.len());
         let end = if drop { OrderEnd::Unknown } else { self.take_effect(&sent) };
         self.end(&sent, if lose_answer { OrderEnd::Unknown } else { end });
     }
 
-    fn cut(&mut self, which: usize) {
-        let count = self.on_their_way.len().max(1);
-        let Some(sent) = self.on_their_way.get_mut(which % count) else { return };
+    fn cut_connection(&mut self, which: usize) {
+        let count = self.in_transit.len().max(1);
+        let Some(sent) = self.in_transit.get_mut(which % count) else { return };
         if sent.cut {
             return;
         }
@@ -277,17 +265,17 @@
     }
 
     fn not_done(&mut self, which: usize) {
-        if !self.on_their_way.is_empty() {
-            let sent = self.on_their_way.remove(which % self.on_their_way.len());
+        if !self.in_transit.is_empty() {
+            let sent = self.in_transit.remove(which % self.in_transit.len());
             self.end(&sent, OrderEnd::NotDone);
         }
     }
 
-    fn take_effect(&mut self, sent: &OnItsWay) -> OrderEnd {
+    fn take_effect(&mut self, sent: &InTransit) -> OrderEnd {
         if self.checks_fencing && sent.fence < self.highest_fence {
             return OrderEnd::Fenced;
         }
-        assert!(sent.fence >= self.highest_fence, "a late order undid a newer giver's");
+        assert!(sent.fence >= self.highest_fence, "a late order undid one of a newer leader");
         let mut later = self.effects.iter().filter(|(number, _)| *number > sent.number);
         assert!(later.all(|(_, order)| *order == sent.order), "a late order undid a later one");
         self.effects.push((sent.number, sent.order.clone()));
@@ -299,7 +287,7 @@
         OrderEnd::Done
     }
 
-    fn end(&mut self, sent: &OnItsWay, end: OrderEnd) {
+    fn end(&mut self, sent: &InTransit, end: OrderEnd) {
         if sent.cut {
             return;
         }
@@ -308,36 +296,36 @@
     }
 
     fn deliver_uncut(&mut self) {
-        if let Some(which) = self.on_their_way.iter().position(|it| !it.cut) {
+        if let Some(which) = self.in_transit.iter().position(|it| !it.cut) {
             self.deliver(which, false, false);
         }
     }
 
     fn deliver_cut_after_another(&mut self) {
-        let other = |it: &OnItsWay| self.effects.iter().any(|(_, order)| *order != it.order);
-        if let Some(which) = self.on_their_way.iter().position(|it| it.cut && other(it)) {
+        let other = |it: &InTransit| self.effects.iter().any(|(_, order)| *order != it.order);
+        if let Some(which) = self.in_transit.iter().position(|it| it.cut && other(it)) {
             self.deliver(which, false, false);
         }
     }
 
-    fn turn_until_sent(&mut self, orders: u64) {
+    fn run_until_sent(&mut self, orders: u64) {
         for _ in 0..100 {
             if self.sent >= orders {
                 return;
             }
-            self.turn(false, false);
+            self.run_round(false, false);
         }
         panic!("order {orders} was never sent");
     }
 
-    /// Lets all go well until nothing changes any more.
-    fn settle(&mut self, bits: u8) {
+    /// Runs all processes without faults until nothing changes any more.
+    fn run_until_stable(&mut self, bits: u8) {
         for process in &mut self.processes {
             process.paused = false;
         }
-        self.want(0, bits);
+        self.set_wanted(0, bits);
         for _ in 0..400 {
-            self.turn(false, false);
+            self.run_round(false, false);
             self.deliver(0, false, false);
         }
     }
@@ -346,13 +334,13 @@
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
         6 => (prop::bool::weighted(0.2), prop::bool::weighted(0.1))
-            .prop_map(|(lose_answer, refuse)| Step::Turn { lose_answer, refuse }),
+            .prop_map(|(lose_answer, refuse)| Step::Round { lose_answer, refuse }),
         3 => (0..4_usize, prop::bool::weighted(0.2), prop::bool::weighted(0.2))
             .prop_map(|(which, drop, lose_answer)| Step::Deliver { which, drop, lose_answer }),
         1 => (0..4_usize).prop_map(|which| Step::Cut { which }),
         1 => (0..4_usize).prop_map(|which| Step::NotDone { which }),
         1 => (0..3_usize).prop_map(|process| Step::Pause { process }),
-        1 => (0..3_usize).prop_map(|process| Step::Wake { process }),
+        1 => (0..3_usize).prop_map(|process| Step::Resume { process }),
         1 => (0..3_usize, 0..8_u8).prop_map(|(process, weights)| Step::Want { process, weights }),
         1 => (0..60_u64).prop_map(|steps| Step::Wait { steps }),
     ]
@@ -371,9 +359,9 @@
 proptest! {
     #![proptest_config(config())]
 
-    /// A kitchen's engine answers with last week's menus: its giver was paused, another one loaded this week's, and the
-    /// first one's order, sent on waking, undid that. Whatever is paused, lost or taken over, no order takes effect
-    /// after one with a higher fencing number, and in the end the target holds what is wanted.
+    /// Guards against an engine that serves outdated weights: its leader was paused, another one loaded new weights, and
+    /// the first one's order, sent when it resumed, undid that. Whatever is paused, lost or taken over, no order takes
+    /// effect after one with a higher fencing number, and in the end the target holds the desired weights.
     #[test]
     fn no_late_order_undoes_a_newer_one(
         checks_fencing: bool,
@@ -384,81 +372,81 @@
         for step in &steps {
             world.apply(step);
         }
-        world.settle(wanted);
+        world.run_until_stable(wanted);
         prop_assert_eq!(&world.held, &weights(wanted));
     }
 }
 
-/// An engine answers with last week's menus. Its giver was told that the target did nothing, was paused before it tried
-/// again, and woke after another giver had loaded this week's; its order, sent on waking, would undo that.
+/// A leader is paused after the target reported that it did nothing and before the retry. It resumes after another
+/// leader has loaded new weights; its order, sent without reading the record again, would undo that.
 #[test]
-fn a_paused_giver_reads_again_before_it_sends() {
+fn a_paused_leader_reads_the_record_again_before_it_sends() {
     let mut world = World::new(false);
-    world.want(1, 1);
-    world.turn_until_sent(1);
+    world.set_wanted(1, 1);
+    world.run_until_sent(1);
     world.not_done(0);
-    world.turn(false, false);
+    world.run_round(false, false);
     world.processes[1].paused = true;
-    world.want(0, 2);
-    let lapsed = OrdersInput::Lapsed { process: "door-1".into(), incarnation: 1 };
+    world.set_wanted(0, 2);
+    let lapsed = OrdersInput::Lapsed { process: "gateway-1".into(), incarnation: 1 };
     world.processes[0].ends.push_back(lapsed);
     for _ in 0..150 {
-        world.turn(false, false);
+        world.run_round(false, false);
         world.deliver(0, false, false);
     }
     assert_eq!(world.held, weights(2));
-    // Nobody told the paused process that it is not to be the giver any more.
+    // The paused process has not been notified that the target is not assigned to it any more.
     world.processes[1].ends.clear();
     world.processes[1].paused = false;
-    world.turn(false, false);
+    world.run_round(false, false);
     world.deliver(0, false, false);
     assert_eq!(world.held, weights(2));
 }
 
-/// An engine drops the menus it has just been told to load. The answer to the first load was cut, the second load and a
-/// later unload were answered, and then the first one, still on its way, takes effect.
+/// The connection of a first load order breaks, a second load order and a later unload order are answered, and then the
+/// first one, still in transit, takes effect and undoes the unload.
 #[test]
-fn a_cut_order_is_waited_out_before_another_one() {
+fn a_different_order_waits_until_an_order_with_unknown_outcome_cannot_take_effect() {
     for checks_fencing in [false, true] {
         let mut world = World::new(checks_fencing);
-        world.want(0, 1);
-        world.turn_until_sent(1);
-        world.cut(0);
-        world.turn_until_sent(2);
+        world.set_wanted(0, 1);
+        world.run_until_sent(1);
+        world.cut_connection(0);
+        world.run_until_sent(2);
         world.deliver_uncut();
-        world.want(0, 0);
+        world.set_wanted(0, 0);
         for _ in 0..30 {
-            world.turn(false, false);
+            world.run_round(false, false);
             world.deliver_uncut();
             world.deliver_cut_after_another();
         }
-        world.settle(0);
+        world.run_until_stable(0);
         assert_eq!(world.held, weights(0));
     }
 }
 
-/// An engine answers with last week's menus. Its giver sent the order to load them and was lost; another one took over
-/// and loaded this week's at once, and then the first order, still on its way, took effect.
+/// A leader sends an order and dies; another one takes over and sends a different order at once, and then the first
+/// order, still in transit, takes effect and undoes that one.
 #[test]
-fn a_new_giver_waits_out_the_orders_of_the_former() {
+fn a_new_leader_waits_until_orders_of_the_previous_one_cannot_take_effect() {
     let mut world = World::new(false);
-    world.want(1, 1);
-    world.turn_until_sent(1);
-    world.cut(0);
+    world.set_wanted(1, 1);
+    world.run_until_sent(1);
+    world.cut_connection(0);
     world.processes[1].paused = true;
-    world.want(0, 0);
-    let lapsed = OrdersInput::Lapsed { process: "door-1".into(), incarnation: 1 };
+    world.set_wanted(0, 0);
+    let lapsed = OrdersInput::Lapsed { process: "gateway-1".into(), incarnation: 1 };
     world.processes[0].ends.push_back(lapsed);
     for _ in 0..150 {
-        world.turn(false, false);
+        world.run_round(false, false);
         world.deliver_uncut();
         world.deliver_cut_after_another();
     }
     assert_eq!(world.held, weights(0));
 }
 
-/// Two kitchens deploy at once and the weight store, which is rate-limited, refuses both. Only one slot is declared:
-/// the second load must wait until the first has ended.
+/// The weight store is rate-limited and refuses requests if too many loads run at once. Only one slot is declared, so the
+/// second load must wait until the first has ended.
 #[test]
 fn loads_wait_for_a_slot() {
     let mut world = World::new(true);
@@ -468,40 +456,41 @@
         world.processes[number].ends.push_back(OrdersInput::Wanted(wanted));
     }
     for _ in 0..60 {
-        world.turn(false, false);
-        assert!(world.on_their_way.len() <= 1, "two loads ran at once");
+        world.run_round(false, false);
+        assert!(world.in_transit.len() <= 1, "two loads ran at once");
     }
 }
 
-/// An engine never gets its weights: every slot for loads is taken by a door that has long finished. It waited for one
-/// more slot when its last wish was withdrawn, and did not look at the slots again, so that those it had stayed its own.
+/// An engine never gets its weights because all load slots are held by a process that does not need them any more. That
+/// process was waiting for one more slot when its last target was removed, and did not read the slots again, so it never
+/// released those that it had.
 #[test]
-fn slots_are_given_back_by_one_who_waited_for_more() {
+fn a_process_that_waited_for_more_slots_releases_those_it_has() {
     let mut world = World::new(true);
     let wanted = |bits| Wanted { weights: weights(bits), checks_fencing: true };
     let both = BTreeMap::from([(target(), wanted(1)), (Name::from("engine-1"), wanted(1))]);
     world.processes[0].ends.push_back(OrdersInput::Wanted(both));
-    world.turn_until_sent(1);
+    world.run_until_sent(1);
     world.processes[0].ends.push_back(OrdersInput::Wanted(BTreeMap::new()));
-    world.turn(false, false);
+    world.run_round(false, false);
     world.deliver(0, false, false);
-    (0..5).for_each(|_| world.turn(false, false));
-    world.want(1, 3);
-    world.turn_until_sent(2);
+    (0..5).for_each(|_| world.run_round(false, false));
+    world.set_wanted(1, 3);
+    world.run_until_sent(2);
 }
 
-/// An engine never gets its weights although its giver is alive: the giver's lease is long enough only at the moment of
-/// its renewal, and by the next event, when the order was to be sent, it began anew.
+/// An engine never gets its weights although its leader is live: the leader's lease is long enough only at the moment of
+/// its renewal, and if the order is sent only with the next event, the sequence starts again.
 #[test]
 fn an_order_is_sent_as_soon_as_the_lease_allows() {
     let mut world = World::new(false);
-    world.want(1, 1);
-    world.turn_until_sent(1);
+    world.set_wanted(1, 1);
+    world.run_until_sent(1);
     world.processes[1].paused = true;
-    world.want(0, 1);
-    let lapsed = OrdersInput::Lapsed { process: "door-1".into(), incarnation: 1 };
+    world.set_wanted(0, 1);
+    let lapsed = OrdersInput::Lapsed { process: "gateway-1".into(), incarnation: 1 };
     world.processes[0].ends.push_back(lapsed);
     world.lease_is_short = true;
-    (0..100).for_each(|_| world.turn(false, false));
+    (0..100).for_each(|_| world.run_round(false, false));
     assert!(world.sent >= 2, "the order was never sent");
 }
