--- a/crates/samphiredoor-core/src/dispatch/admission.rs
+++ b/crates/samphiredoor-core/src/dispatch/admission.rs
@@ -1,7 +1,6 @@
 //! Admission control: whether a request is dispatched, queued or refused.
 //!
-//! A request is refused as soon as it is certain that it cannot be served in time, together with the time after which
-//! the caller may retry.
+//! A request is refused as soon as the refusal is certain, together with the time after which the caller may retry.
 
 use smallvec::SmallVec;
 
@@ -152,7 +151,7 @@
     ) -> Result<(), Refusal> {
         let Some(waiting) = self.requests.get_mut(&request) else { return Ok(()) };
         let ask = &waiting.ask;
-        if !self.targets.any_may_accept_work_soon(now_ms, &ask.service, &waiting.tried_targets) {
+        if !self.targets.any_available_soon(now_ms, &ask.service, &waiting.tried_targets) {
             return Err(Refusal::NoTarget);
         }
         let weight = self.manifest.workspaces.get(&ask.workspace).map_or(1, |it| it.weight);
@@ -196,7 +195,7 @@
                 break;
             }
         }
-        if !self.targets.any_may_accept_work_soon(now_ms, service, &[]) {
+        if !self.targets.any_available_soon(now_ms, service, &[]) {
             self.refuse_all_queued(now_ms, service, Refusal::NoTarget, out);
         }
     }
--- a/crates/samphiredoor-core/src/dispatch/attempts.rs
+++ b/crates/samphiredoor-core/src/dispatch/attempts.rs
@@ -122,7 +122,7 @@
         }
     }
 
-    /// Removes a request at any stage and frees its queue place, target slot and workspace quota.
+    /// Removes a request at any stage and frees its queue position, target slot and workspace quota.
     pub(super) fn remove_request(&mut self, now_ms: u64, request: RequestId) -> Option<Request> {
         self.release_target(now_ms, request);
         self.remove_from_queue(request);
@@ -244,11 +244,7 @@
         let earliest_ms = now_ms as f64 + state.stats.fast_latency_ms(now_ms);
         let in_time = earliest_ms < failed.ask.deadline_ms as f64;
         if !in_time
-            || !self.targets.any_may_accept_work_soon(
-                now_ms,
-                &failed.ask.service,
-                &failed.tried_targets,
-            )
+            || !self.targets.any_available_soon(now_ms, &failed.ask.service, &failed.tried_targets)
         {
             return false;
         }
--- a/crates/samphiredoor-core/src/dispatch/batch_scheduling.rs
+++ b/crates/samphiredoor-core/src/dispatch/batch_scheduling.rs
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Preempts the most recently started items above the number of slots of a target: they lose the least work.
+    /// Preempts the newest items above the number of slots of a target: they lose the least work.
     pub(super) fn preempt_above_slots(
         &mut self,
         now_ms: u64,
@@ -107,17 +107,17 @@
         &mut self,
         now_ms: u64,
         target: &Name,
-        lender: &Name,
+        allocator: &Name,
         (slots, epoch): (u32, u64),
         out: &mut Vec<Action>,
     ) {
         let Some(id) = self.targets.find(target) else { return };
         if let Some(target) = self.targets.get_mut(id)
             && let region = &target.declared.region
-            && allocator_of(&target.declared.name, region, &self.live_gateways) == Some(lender)
+            && allocator_of(&target.declared.name, region, &self.live_gateways) == Some(allocator)
             && let Role::Leaseholder(lease) = target.batch_capacity.role_mut()
         {
-            lease.update(now_ms, lender, slots, epoch);
+            lease.update(now_ms, allocator, slots, epoch);
         }
         self.preempt_above_slots(now_ms, id, out);
     }
@@ -165,7 +165,8 @@
         let demand =
             Demand { online: in_flight.online, batch: in_flight.batch, wanted: own_demand };
         if target.batch_capacity.mark_demand_sent_if_due(now_ms, demand)
-            && let Some(lender) = allocator_of(&name, &target.declared.region, &self.live_gateways)
+            && let Some(allocator) =
+                allocator_of(&name, &target.declared.region, &self.live_gateways)
         {
             let load = TargetLoad {
                 target: name,
@@ -174,7 +175,7 @@
                 batch_in_flight: in_flight.batch,
                 batch_wanted: wanted,
             };
-            out.push(Action::Demand { lender: Name::clone(lender), load });
+            out.push(Action::Demand { lender: Name::clone(allocator), load });
         }
     }
 }
--- a/crates/samphiredoor-core/src/dispatch/lender.rs
+++ b/crates/samphiredoor-core/src/dispatch/lender.rs
@@ -202,23 +202,23 @@
 pub struct SlotLease {
     slots: u32,
     epoch: u64,
-    lender: Option<Name>,
+    allocator: Option<Name>,
     expires_at_ms: u64,
     reported: Demand,
     reported_ms: u64,
 }
 
 impl SlotLease {
-    /// Handles a grant from `lender`, which must be the gateway that this one considers the target's allocator. A grant
-    /// older than the current one is ignored.
-    pub fn update(&mut self, now_ms: u64, lender: &Name, slots: u32, epoch: u64) {
-        let same_lender = self.lender.as_ref() == Some(lender);
-        if same_lender && epoch <= self.epoch {
+    /// Handles a grant from `allocator`, which must be the gateway that this one considers the target's allocator. A
+    /// grant older than the current one is ignored.
+    pub fn update(&mut self, now_ms: u64, allocator: &Name, slots: u32, epoch: u64) {
+        let same_allocator = self.allocator.as_ref() == Some(allocator);
+        if same_allocator && epoch <= self.epoch {
             return;
         }
         self.slots = slots;
         self.epoch = epoch;
-        self.lender = Some(Name::clone(lender));
+        self.allocator = Some(Name::clone(allocator));
         self.expires_at_ms = now_ms + LEASE_TTL_MS;
     }
 
--- a/crates/samphiredoor-core/src/dispatch/mod.rs
+++ b/crates/samphiredoor-core/src/dispatch/mod.rs
@@ -1,9 +1,10 @@
 //! Dispatcher: chooses which target runs each request and when. Covers routing, concurrency limits, queues, retries,
 //! load shedding and the capacity that batch work may use.
 //!
-//! The dispatcher receives every request that needs a target, online or batch. Each ends in exactly one of two ways: an
-//! attempt at a target ended it, or it was refused. A single task owns the dispatcher and passes events to
-//! [`Dispatcher::handle`], which appends actions in the order in which they are to be carried out.
+//! The dispatcher receives every request that needs a target, online or batch. Unless it is cancelled, each request ends
+//! in exactly one of two ways: with the end of an attempt at a target, or by a refusal. A single task owns the
+//! dispatcher and passes events to [`Dispatcher::handle`], which appends actions in the order in which they are to be
+//! carried out.
 //!
 //! No event scans all requests or all targets: requests are found by identity, each service has its own short queue,
 //! and this process uses a bounded subset of a service's targets. Only a new manifest is processed in full.
--- a/crates/samphiredoor-core/src/dispatch/targets.rs
+++ b/crates/samphiredoor-core/src/dispatch/targets.rs
@@ -115,12 +115,12 @@
     }
 
     /// Whether the target can be expected to accept work soon, though it may be full or in backoff now.
-    pub(super) fn may_accept_work_soon(&self, now_ms: u64) -> bool {
+    pub(super) fn is_available_soon(&self, now_ms: u64) -> bool {
         self.in_use && !self.declared.drained && !self.health.is_ejected(now_ms)
     }
 
     fn accepts_work(&self, now_ms: u64) -> bool {
-        self.may_accept_work_soon(now_ms) && self.health.accepts_work(now_ms)
+        self.is_available_soon(now_ms) && self.health.accepts_work(now_ms)
     }
 
     /// The preemptible batch item that arrived last: it has the least work to lose.
@@ -193,8 +193,8 @@
 pub(super) struct Targets {
     place: Place,
     process: u64,
-    slots: Vec<Option<Target>>,
-    free: Vec<usize>,
+    entries: Vec<Option<Target>>,
+    free_entries: Vec<usize>,
     by_name: BTreeMap<Name, TargetId>,
     groups: BTreeMap<Name, Groups>,
 }
@@ -204,8 +204,8 @@
         Targets {
             place,
             process,
-            slots: Vec::new(),
-            free: Vec::new(),
+            entries: Vec::new(),
+            free_entries: Vec::new(),
             by_name: BTreeMap::new(),
             groups: BTreeMap::new(),
         }
@@ -213,7 +213,7 @@
 
     /// Applies a manifest. The only operation that visits every declared target.
     pub(super) fn apply_manifest(&mut self, now_ms: u64, manifest: &Manifest) {
-        for target in self.slots.iter_mut().flatten() {
+        for target in self.entries.iter_mut().flatten() {
             target.in_use = false;
         }
         let previous_groups = std::mem::take(&mut self.groups);
@@ -229,22 +229,22 @@
             });
             self.groups.insert(service, groups);
         }
-        for id in 0..self.slots.len() {
+        for id in 0..self.entries.len() {
             self.remove_if_unused(now_ms, TargetId(id), manifest);
         }
     }
 
     pub(super) fn get(&self, id: TargetId) -> Option<&Target> {
-        self.slots.get(id.0)?.as_ref()
+        self.entries.get(id.0)?.as_ref()
     }
 
     pub(super) fn get_mut(&mut self, id: TargetId) -> Option<&mut Target> {
-        self.slots.get_mut(id.0)?.as_mut()
+        self.entries.get_mut(id.0)?.as_mut()
     }
 
     /// All targets. Not to be used for every event.
     pub(super) fn all_mut(&mut self) -> impl Iterator<Item = &mut Target> {
-        self.slots.iter_mut().flatten()
+        self.entries.iter_mut().flatten()
     }
 
     pub(super) fn find(&self, name: &Name) -> Option<TargetId> {
@@ -263,25 +263,20 @@
     }
 
     /// Whether a target of the service, other than those in `tried`, can be expected to accept work soon.
-    pub(super) fn any_may_accept_work_soon(
-        &self,
-        now_ms: u64,
-        service: &Name,
-        tried: &[Name],
-    ) -> bool {
+    pub(super) fn any_available_soon(&self, now_ms: u64, service: &Name, tried: &[Name]) -> bool {
         let mut targets = self.of_service(service);
-        targets.any(|(_, it)| it.may_accept_work_soon(now_ms) && !tried.contains(&it.declared.name))
+        targets.any(|(_, it)| it.is_available_soon(now_ms) && !tried.contains(&it.declared.name))
     }
 
     /// All targets in use: name, address, and whether this process has work running there.
     pub(super) fn in_use(&self) -> impl Iterator<Item = (&Name, SocketAddr, bool)> {
-        let targets = self.slots.iter().flatten().filter(|it| it.in_use);
+        let targets = self.entries.iter().flatten().filter(|it| it.in_use);
         targets.map(|it| (&it.declared.name, it.declared.address, !it.is_idle()))
     }
 
     /// State of all targets in use, for operators.
     pub(super) fn views(&self, now_ms: u64) -> impl Iterator<Item = TargetView> {
-        let targets = self.slots.iter().flatten().filter(|it| it.in_use);
+        let targets = self.entries.iter().flatten().filter(|it| it.in_use);
         targets.map(move |it| TargetView {
             name: Name::clone(&it.declared.name),
             online: it.load.own().saturating_sub(it.batch),
@@ -436,14 +431,14 @@
         }
         let health = if slow_start { Health::slow_start(now_ms) } else { Health::default() };
         let target = Target::new(declared, distance, health, BatchCapacity::new(now_ms, service));
-        let id = match self.free.pop() {
-            Some(slot) => slot,
+        let id = match self.free_entries.pop() {
+            Some(index) => index,
             None => {
-                self.slots.push(None);
-                self.slots.len() - 1
+                self.entries.push(None);
+                self.entries.len() - 1
             }
         };
-        self.slots[id] = Some(target);
+        self.entries[id] = Some(target);
         self.by_name.insert(Name::clone(&declared.name), TargetId(id));
         TargetId(id)
     }
@@ -459,9 +454,9 @@
     }
 
     fn remove(&mut self, id: TargetId) {
-        if let Some(target) = self.slots[id.0].take() {
+        if let Some(target) = self.entries[id.0].take() {
             self.by_name.remove(&target.declared.name);
-            self.free.push(id.0);
+            self.free_entries.push(id.0);
         }
     }
 }
