--- a/crates/samphiredoor-core/examples/dispatch_slope.rs
+++ b/crates/samphiredoor-core/examples/dispatch_slope.rs
@@ -11,7 +11,7 @@
 
 use samphiredoor_core::{
     Name,
-    dispatch::{Action, Ask, AttemptEnd, Class, Dispatcher, Input, Place, RequestId},
+    dispatch::{Action, AttemptEnd, Class, Dispatcher, Input, Location, RequestId, RequestSpec},
     manifest::Manifest,
     time::Now,
 };
@@ -45,15 +45,15 @@
     Arc::new(Manifest::new(revision, &declared).expect("the declarations make sense"))
 }
 
-fn place(zone: usize) -> Place {
-    Place {
+fn location(zone: usize) -> Location {
+    Location {
         region: REGIONS[zone % ZONES].into(),
         availability_zone: format!("zone-{}", zone % ZONES).into(),
     }
 }
 
-fn ask(request: u64, class: Class) -> Ask {
-    Ask {
+fn ask(request: u64, class: Class) -> RequestSpec {
+    RequestSpec {
         request: RequestId(request),
         class,
         service: "small".into(),
@@ -84,7 +84,7 @@
 impl Run {
     fn new(targets: usize, in_flight: usize) -> Run {
         let mut run = Run {
-            dispatcher: Dispatcher::new(place(0), PROCESS),
+            dispatcher: Dispatcher::new(location(0), PROCESS),
             in_flight: VecDeque::new(),
             next: 0,
             out: Vec::new(),
@@ -106,13 +106,16 @@
     fn online(&mut self) {
         let request = self.next;
         self.next += 1;
-        self.handle(Input::Ask(ask(request, Class::Online)));
+        self.handle(Input::Request(ask(request, Class::Online)));
         self.in_flight.push_back(request);
     }
 
     fn end(&mut self) {
         if let Some(request) = self.in_flight.pop_front() {
-            self.handle(Input::Ended { request: RequestId(request), end: AttemptEnd::Done });
+            self.handle(Input::AttemptEnded {
+                request: RequestId(request),
+                end: AttemptEnd::Completed,
+            });
         }
     }
 
@@ -161,7 +164,7 @@
     println!("bytes of a declared target: {:.0}", manifest_bytes / TARGETS as f64);
     let shared = manifest(1, TARGETS, 8);
     let dispatcher_bytes = bytes_each(200, || {
-        let mut dispatcher = Dispatcher::new(place(0), PROCESS);
+        let mut dispatcher = Dispatcher::new(location(0), PROCESS);
         dispatcher.handle(NOW, Input::Manifest(Arc::clone(&shared)), &mut Vec::new());
         dispatcher
     });
@@ -178,7 +181,7 @@
         for item in 0..ITEMS {
             let mut ask = ask(item, Class::Batch);
             ask.job = format!("job-{}", item / 500).into();
-            run.handle(Input::Ask(ask));
+            run.handle(Input::Request(ask));
         }
     });
     println!("bytes of an item that waits: {:.0}", batch_bytes / ITEMS as f64);
@@ -194,12 +197,12 @@
     let target = name.expect("a target is in use");
     let load_ns = run.time(ROUNDS, |it| {
         let target = Name::clone(&target);
-        it.handle(Input::Load { target, running: 1, waiting: 0 });
+        it.handle(Input::LoadReport { target, running: 1, waiting: 0 });
     });
     let tick_ns = run.time(ROUNDS, |it| it.handle(Input::Tick));
     // Items wait beside: no event may look at all of them.
     for request in 0..400 {
-        run.handle(Input::Ask(ask(1_000_000_000 + request, Class::Batch)));
+        run.handle(Input::Request(ask(1_000_000_000 + request, Class::Batch)));
     }
     let batch_ns = run.time(ROUNDS, |it| {
         it.online();
@@ -216,7 +219,7 @@
     let shared = manifest(1, 1_125, 8);
     let mut users = BTreeMap::<Name, usize>::new();
     for process in 0..PROCESSES {
-        let mut dispatcher = Dispatcher::new(place(process), process as u64);
+        let mut dispatcher = Dispatcher::new(location(process), process as u64);
         dispatcher.handle(NOW, Input::Manifest(Arc::clone(&shared)), &mut Vec::new());
         for (name, ..) in dispatcher.targets_in_use() {
             *users.entry(Name::clone(name)).or_default() += 1;
--- a/crates/samphiredoor-core/src/dispatch/attempt.rs
+++ b/crates/samphiredoor-core/src/dispatch/attempt.rs
@@ -1,12 +1,12 @@
 //! Outcomes of an attempt at a target.
 
-use crate::verdict::Doubt;
+use crate::verdict::MayHaveRunReason;
 
 /// Outcome of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptEnd {
     /// The complete answer arrived.
-    Done,
+    Completed,
     /// The complete answer arrived and reports that the target failed; the caller gets it unchanged.
     Failed,
     /// No byte of the request reached the target.
@@ -17,27 +17,28 @@
         retry_after_ms: u64,
     },
     /// The request was sent, but its answer was lost before any of it reached the caller.
-    Lost(Doubt),
+    AnswerLost(MayHaveRunReason),
     /// The answer was truncated after part of it had reached the caller, who has been notified.
-    Cut(Doubt),
+    AnswerTruncated(MayHaveRunReason),
     /// The gateway aborted the attempt to free the capacity; the request ends.
     Aborted,
     /// The gateway aborted the attempt to free the capacity, and the request waits for a slot again: another action
     /// for it follows. Batch requests only.
-    Yielded,
+    Preempted,
 }
 
 impl AttemptEnd {
     /// Whether the request ends with this attempt, so that the dispatcher sends no further action for it.
-    pub fn closes(self) -> bool {
+    pub fn is_final(self) -> bool {
         match self {
-            AttemptEnd::Done | AttemptEnd::Failed | AttemptEnd::Cut(_) | AttemptEnd::Aborted => {
-                true
-            }
+            AttemptEnd::Completed
+            | AttemptEnd::Failed
+            | AttemptEnd::AnswerTruncated(_)
+            | AttemptEnd::Aborted => true,
             AttemptEnd::NotSent
             | AttemptEnd::Pushback { .. }
-            | AttemptEnd::Lost(_)
-            | AttemptEnd::Yielded => false,
+            | AttemptEnd::AnswerLost(_)
+            | AttemptEnd::Preempted => false,
         }
     }
 
@@ -45,13 +46,15 @@
     /// sent with little time left.
     pub fn is_failure(self) -> bool {
         match self {
-            AttemptEnd::Lost(doubt) | AttemptEnd::Cut(doubt) => doubt != Doubt::DeadlinePassed,
+            AttemptEnd::AnswerLost(doubt) | AttemptEnd::AnswerTruncated(doubt) => {
+                doubt != MayHaveRunReason::DeadlinePassed
+            }
             AttemptEnd::Failed => true,
-            AttemptEnd::Done
+            AttemptEnd::Completed
             | AttemptEnd::NotSent
             | AttemptEnd::Pushback { .. }
             | AttemptEnd::Aborted
-            | AttemptEnd::Yielded => false,
+            | AttemptEnd::Preempted => false,
         }
     }
 }
--- a/crates/samphiredoor-core/src/dispatch/attempts.rs
+++ b/crates/samphiredoor-core/src/dispatch/attempts.rs
@@ -1,14 +1,14 @@
 //! Attempts at targets: starting and ending them, recording their outcome, and retries.
 
 use super::{
-    Action, Ask, AttemptEnd, Class, Dispatcher, Ejection, Request, RequestId, RetryReason,
+    Action, AttemptEnd, Class, Dispatcher, Ejection, Request, RequestId, RequestSpec, RetryReason,
     RunningAttempt, Stage,
     targets::{Distance, TargetId},
 };
 use crate::{
     Name,
     manifest::Manifest,
-    verdict::{Doubt, Refusal},
+    verdict::{MayHaveRunReason, Refusal},
 };
 
 impl Dispatcher {
@@ -78,7 +78,7 @@
         let Stage::Running(attempt) = &mut running.stage else { return false };
         attempt.preempted = true;
         self.targets.attempt_preempted(now_ms, attempt.target, item);
-        self.counters.recalls += 1;
+        self.counters.preemptions += 1;
         out.push(Action::Abort { request: item });
         true
     }
@@ -98,10 +98,13 @@
         self.release_target(now_ms, request);
         self.record_outcome(now_ms, attempt, class, end);
         match end {
-            AttemptEnd::Done | AttemptEnd::Failed | AttemptEnd::Cut(_) | AttemptEnd::Aborted => {
+            AttemptEnd::Completed
+            | AttemptEnd::Failed
+            | AttemptEnd::AnswerTruncated(_)
+            | AttemptEnd::Aborted => {
                 self.remove_request(now_ms, request);
             }
-            AttemptEnd::Yielded => self.requeue_preempted(now_ms, request, out),
+            AttemptEnd::Preempted => self.requeue_preempted(now_ms, request, out),
             AttemptEnd::NotSent => {
                 let (retry, reason) = (RetryReason::ConnectFailed, Refusal::ConnectFailed);
                 self.retry_or_fail(now_ms, request, retry, reason, out);
@@ -110,7 +113,7 @@
                 let (retry, reason) = (RetryReason::Pushback, Refusal::Overloaded);
                 self.retry_or_fail(now_ms, request, retry, reason, out);
             }
-            AttemptEnd::Lost(doubt) => self.answer_lost(now_ms, request, doubt, out),
+            AttemptEnd::AnswerLost(doubt) => self.answer_lost(now_ms, request, doubt, out),
         }
         self.schedule(now_ms, &service, out);
     }
@@ -205,12 +208,12 @@
         &mut self,
         now_ms: u64,
         request: RequestId,
-        doubt: Doubt,
+        doubt: MayHaveRunReason,
         out: &mut Vec<Action>,
     ) {
         let Some(lost) = self.requests.get_mut(&request) else { return };
         lost.doubt.get_or_insert(doubt);
-        if lost.ask.repeatable && doubt != Doubt::DeadlinePassed {
+        if lost.ask.repeatable && doubt != MayHaveRunReason::DeadlinePassed {
             let (retry, reason) = (RetryReason::AnswerLost, Refusal::NoTarget);
             self.retry_or_fail(now_ms, request, retry, reason, out);
         } else {
@@ -269,7 +272,7 @@
             min_failures = state.stats.failures_beyond_chance();
         }
         match end {
-            AttemptEnd::Done => {
+            AttemptEnd::Completed => {
                 target.health.record_success(now_ms);
                 let in_flight = target.load.own() + 1;
                 target.limit.record_success(now_ms, latency_ms, in_flight);
@@ -289,10 +292,11 @@
                 target.limit.refused(now_ms);
                 target.health.back_off(now_ms, retry_after_ms);
             }
-            AttemptEnd::Lost(Doubt::DeadlinePassed) | AttemptEnd::Cut(Doubt::DeadlinePassed) => {
+            AttemptEnd::AnswerLost(MayHaveRunReason::DeadlinePassed)
+            | AttemptEnd::AnswerTruncated(MayHaveRunReason::DeadlinePassed) => {
                 target.limit.timed_out(now_ms, latency_ms);
             }
-            AttemptEnd::Failed | AttemptEnd::Lost(_) | AttemptEnd::Cut(_) => {
+            AttemptEnd::Failed | AttemptEnd::AnswerLost(_) | AttemptEnd::AnswerTruncated(_) => {
                 if end != AttemptEnd::Failed {
                     target.limit.answer_lost(now_ms);
                 }
@@ -302,11 +306,11 @@
                     self.counters.ejected(Ejection::Failing);
                 }
             }
-            AttemptEnd::Aborted | AttemptEnd::Yielded => {}
+            AttemptEnd::Aborted | AttemptEnd::Preempted => {}
         }
     }
 }
 
-fn weight(manifest: &Manifest, ask: &Ask) -> u32 {
+fn weight(manifest: &Manifest, ask: &RequestSpec) -> u32 {
     manifest.workspaces.get(&ask.workspace).map_or(1, |it| it.weight)
 }
--- a/crates/samphiredoor-core/src/dispatch/batch_capacity.rs
+++ b/crates/samphiredoor-core/src/dispatch/batch_capacity.rs
@@ -7,8 +7,8 @@
 use smallvec::SmallVec;
 
 use super::{
-    lender::{Demand, ShareChange, SlotAllocator, SlotLease},
     online_demand::OnlineDemand,
+    slot_allocator::{Demand, SlotAllocator, SlotGrant, SlotLease},
     step_model::StepModel,
 };
 use crate::manifest::{Lending as Rule, Service, ServiceKind, Target};
@@ -148,15 +148,15 @@
         target: &Target,
         in_flight: InFlight,
         own_demand: u32,
-    ) -> SmallVec<[ShareChange; 4]> {
+    ) -> SmallVec<[SlotGrant; 4]> {
         let reserved = self.reserved_slots(now_ms, self.total_online(in_flight));
         let slots = self.total_slots(now_ms, target, in_flight).saturating_sub(reserved);
-        let mut changes = Vec::new();
+        let mut grants = Vec::new();
         if let Role::Allocator(allocator) = &mut self.role {
             let slots = if allocator.may_grant(now_ms) { slots } else { 0 };
-            allocator.allocate(now_ms, slots, own_demand, &mut changes);
+            allocator.allocate(now_ms, slots, own_demand, &mut grants);
         }
-        changes.into()
+        grants.into()
     }
 
     /// Whether `demand` is to be sent to the gateway that allocates the target's slots; if so, records it as sent. Never
--- a/crates/samphiredoor-core/src/dispatch/batch_queue.rs
+++ b/crates/samphiredoor-core/src/dispatch/batch_queue.rs
@@ -12,7 +12,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use super::messages::{Ask, RequestId};
+use super::messages::{RequestId, RequestSpec};
 use crate::Name;
 
 /// A job gets priority this long before it is due.
@@ -63,7 +63,7 @@
     }
 
     /// Adds a new item. Returns `false` if the bounds do not allow it.
-    pub(super) fn push(&mut self, ask: &Ask) -> bool {
+    pub(super) fn push(&mut self, ask: &RequestSpec) -> bool {
         if self.waiting >= MAX_WAITING || self.waiting_of(ask) >= MAX_WAITING_PER_JOB {
             return false;
         }
@@ -72,7 +72,7 @@
     }
 
     /// Adds an item that has been admitted before, regardless of the bounds.
-    pub(super) fn requeue(&mut self, ask: &Ask) {
+    pub(super) fn requeue(&mut self, ask: &RequestSpec) {
         let min_time_ms = self.min_virtual_time_ms();
         let workspace = self.workspaces.entry(Name::clone(&ask.workspace)).or_default();
         if workspace.jobs.is_empty() {
@@ -102,7 +102,7 @@
     }
 
     /// Removes a waiting item that is about to run, and returns the estimated slot time that it is charged.
-    pub(super) fn start(&mut self, ask: &Ask, weight: u32) -> f64 {
+    pub(super) fn start(&mut self, ask: &RequestSpec, weight: u32) -> f64 {
         let Some(workspace) = self.workspaces.get_mut(&ask.workspace) else { return 0.0 };
         let Some(job) = workspace.jobs.get_mut(&ask.job) else { return 0.0 };
         let estimate_ms = job.estimate_ms.unwrap_or(INITIAL_ESTIMATE_MS);
@@ -114,7 +114,13 @@
     }
 
     /// Replaces the estimate that was charged at the start of an attempt by the time that it took.
-    pub(super) fn attempt_ended(&mut self, ask: &Ask, charged_ms: f64, took_ms: u64, weight: u32) {
+    pub(super) fn attempt_ended(
+        &mut self,
+        ask: &RequestSpec,
+        charged_ms: f64,
+        took_ms: u64,
+        weight: u32,
+    ) {
         let Some(workspace) = self.workspaces.get_mut(&ask.workspace) else { return };
         let Some(job) = workspace.jobs.get_mut(&ask.job) else { return };
         let took_ms = took_ms as f64;
@@ -127,7 +133,7 @@
     }
 
     /// Removes a waiting item.
-    pub(super) fn remove(&mut self, ask: &Ask) {
+    pub(super) fn remove(&mut self, ask: &RequestSpec) {
         let Some(workspace) = self.workspaces.get_mut(&ask.workspace) else { return };
         let Some(job) = workspace.jobs.get_mut(&ask.job) else { return };
         let removed = usize::from(job.waiting.remove(&ask.request));
@@ -136,7 +142,7 @@
         self.remove_if_empty(ask);
     }
 
-    fn waiting_of(&self, ask: &Ask) -> usize {
+    fn waiting_of(&self, ask: &RequestSpec) -> usize {
         let workspace = self.workspaces.get(&ask.workspace);
         workspace.and_then(|it| it.jobs.get(&ask.job)).map_or(0, |it| it.waiting.len())
     }
@@ -147,7 +153,7 @@
 
     /// Removes the item's job, and then its workspace, if nothing of it waits or runs, so that the state is bounded by
     /// the work in progress.
-    fn remove_if_empty(&mut self, ask: &Ask) {
+    fn remove_if_empty(&mut self, ask: &RequestSpec) {
         let Some(workspace) = self.workspaces.get_mut(&ask.workspace) else { return };
         if let Some(job) = workspace.jobs.get(&ask.job)
             && job.running == 0
--- a/crates/samphiredoor-core/src/dispatch/batch_scheduling.rs
+++ b/crates/samphiredoor-core/src/dispatch/batch_scheduling.rs
@@ -10,10 +10,10 @@
 use super::{
     Action, Dispatcher, RequestId,
     batch_capacity::Role,
-    lender::{Demand, LEASE_TTL_MS, LiveDoor, SlotAllocator, allocator_of},
+    slot_allocator::{Demand, LEASE_TTL_MS, LiveGateway, SlotAllocator, allocator_of},
     targets::{Distance, Target, TargetId},
 };
-use crate::{Name, news::TargetLoad};
+use crate::{Name, hints::TargetLoad};
 
 impl Dispatcher {
     /// Dispatches waiting batch items to free slots, unless an online request of the service waits.
@@ -71,7 +71,7 @@
         &mut self,
         now_ms: u64,
         own_name: Name,
-        live: Vec<LiveDoor>,
+        live: Vec<LiveGateway>,
         out: &mut Vec<Action>,
     ) {
         if live == self.live_gateways && own_name == self.own_name {
@@ -126,7 +126,7 @@
     pub(super) fn update_demand(
         &mut self,
         now_ms: u64,
-        door: &Name,
+        gateway: &Name,
         load: &TargetLoad,
         out: &mut Vec<Action>,
     ) {
@@ -139,7 +139,7 @@
                 batch: load.batch_in_flight,
                 wanted: load.batch_in_flight.saturating_add(load.batch_wanted),
             };
-            allocator.record_demand(now_ms, door, demand);
+            allocator.record_demand(now_ms, gateway, demand);
         }
         self.preempt_above_slots(now_ms, id, out);
     }
@@ -157,10 +157,9 @@
         // Slots above the loan limit could not be granted anyway.
         let wanted = waiting.min(target.declared.loan_limit);
         let own_demand = in_flight.batch + wanted;
-        for change in
-            target.batch_capacity.allocate(now_ms, &target.declared, in_flight, own_demand)
+        for grant in target.batch_capacity.allocate(now_ms, &target.declared, in_flight, own_demand)
         {
-            out.push(Action::Share { target: Name::clone(&name), change });
+            out.push(Action::SlotGrant { target: Name::clone(&name), grant });
         }
         let demand =
             Demand { online: in_flight.online, batch: in_flight.batch, wanted: own_demand };
@@ -175,7 +174,7 @@
                 batch_in_flight: in_flight.batch,
                 batch_wanted: wanted,
             };
-            out.push(Action::Demand { lender: Name::clone(allocator), load });
+            out.push(Action::Demand { allocator: Name::clone(allocator), load });
         }
     }
 }
--- a/crates/samphiredoor-core/src/dispatch/counters.rs
+++ b/crates/samphiredoor-core/src/dispatch/counters.rs
@@ -15,7 +15,7 @@
     /// Times that a target's load reports were found to be frozen or wrong.
     pub reports_distrusted: u64,
     /// Batch items preempted.
-    pub recalls: u64,
+    pub preemptions: u64,
     /// Bytes of request bodies sent to targets in another region.
     pub bytes_to_other_regions: u64,
 }
--- a/crates/samphiredoor-core/src/dispatch/messages.rs
+++ b/crates/samphiredoor-core/src/dispatch/messages.rs
@@ -4,13 +4,13 @@
 
 use super::{
     attempt::AttemptEnd,
-    lender::{LiveDoor, ShareChange},
+    slot_allocator::{LiveGateway, SlotGrant},
 };
-use crate::{Name, manifest::Manifest, news::TargetLoad, verdict::Verdict};
+use crate::{Name, hints::TargetLoad, manifest::Manifest, verdict::Verdict};
 
 /// Location of a process.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Place {
+pub struct Location {
     /// Region, as named in the manifest.
     pub region: Name,
     /// Availability zone within the region.
@@ -32,7 +32,7 @@
 
 /// A request to be dispatched to a target.
 #[derive(Debug, Clone)]
-pub struct Ask {
+pub struct RequestSpec {
     /// Identifier; never reused by this process.
     pub request: RequestId,
     /// Scheduling class.
@@ -63,21 +63,21 @@
     /// A manifest was received; ignored if its revision is older than the current one.
     Manifest(Arc<Manifest>),
     /// A new request arrived.
-    Ask(Ask),
+    Request(RequestSpec),
     /// The running attempt of a request ended. Sent once for each [`Action::Dispatch`].
-    Ended {
+    AttemptEnded {
         /// Request that the attempt belongs to.
         request: RequestId,
         /// Outcome of the attempt.
         end: AttemptEnd,
     },
     /// The request was cancelled: nobody waits for its answer any more.
-    Gone {
+    Cancelled {
         /// Cancelled request.
         request: RequestId,
     },
     /// A target was reached and reported its load.
-    Load {
+    LoadReport {
         /// Reporting target.
         target: Name,
         /// Running sequences.
@@ -86,7 +86,7 @@
         waiting: u32,
     },
     /// A target reported the work that it has done since its start.
-    Work {
+    ProgressReport {
         /// Reporting target.
         target: Name,
         /// Total steps.
@@ -95,18 +95,18 @@
         tokens: u64,
     },
     /// The set of live gateways, including this one unless it is stopping.
-    Doors {
+    LiveGateways {
         /// Name of this gateway.
         own_name: Name,
         /// Live gateways, sorted by name.
-        live: Vec<LiveDoor>,
+        live: Vec<LiveGateway>,
     },
     /// The allocator of a target grants this gateway some of the target's batch slots.
-    Share {
+    SlotGrant {
         /// Target that the slots belong to.
         target: Name,
         /// Gateway that granted the slots.
-        lender: Name,
+        allocator: Name,
         /// Granted slots; replaces the previous grant.
         slots: u32,
         /// Sequence number of the grant; the highest one of an allocator is in force.
@@ -115,7 +115,7 @@
     /// Another gateway reports its traffic at a target whose batch slots this gateway allocates.
     Demand {
         /// Reporting gateway.
-        door: Name,
+        gateway: Name,
         /// Traffic of that gateway at the target.
         load: TargetLoad,
     },
@@ -131,7 +131,7 @@
     },
     /// The host list or a peer reports that a target is leaving. It gets no new work for `for_ms`, whatever it reports
     /// itself.
-    ToldLeaving {
+    ReportedLeaving {
         /// Target that is leaving.
         target: Name,
         /// Time for which the report counts, unless it is repeated.
@@ -154,22 +154,22 @@
         address: SocketAddr,
     },
     /// Abort the running attempt to free its capacity. Its end must be reported as [`AttemptEnd::Aborted`], or as
-    /// [`AttemptEnd::Yielded`] if the request is to run again later.
+    /// [`AttemptEnd::Preempted`] if the request is to run again later.
     Abort {
         /// Request whose attempt is aborted.
         request: RequestId,
     },
     /// Grant another gateway batch slots of a target whose slots this gateway allocates.
-    Share {
+    SlotGrant {
         /// Target that the slots belong to.
         target: Name,
         /// Grant to send.
-        change: ShareChange,
+        grant: SlotGrant,
     },
     /// Report this gateway's traffic and demand at a target to the gateway that allocates its batch slots.
     Demand {
         /// Gateway that allocates the target's batch slots.
-        lender: Name,
+        allocator: Name,
         /// Traffic and demand of this gateway.
         load: TargetLoad,
     },
--- a/crates/samphiredoor-core/src/dispatch/mod.rs
+++ b/crates/samphiredoor-core/src/dispatch/mod.rs
@@ -19,7 +19,6 @@
 mod decayed_histogram;
 mod decrease_trial;
 mod health;
-pub mod lender;
 mod limits;
 mod load;
 mod messages;
@@ -30,6 +29,7 @@
 mod retry_after;
 mod routing;
 mod service_stats;
+pub mod slot_allocator;
 mod step_model;
 mod targets;
 
@@ -41,7 +41,7 @@
 pub use attempt::AttemptEnd;
 pub use counters::{Counters, Gauges, TargetView};
 pub use health::Ejection;
-pub use messages::{Action, Ask, Class, Input, Place, RequestId};
+pub use messages::{Action, Class, Input, Location, RequestId, RequestSpec};
 pub use policy::Policy;
 pub use retry::RetryReason;
 
@@ -49,14 +49,14 @@
     Name,
     manifest::Manifest,
     time::Now,
-    verdict::{Doubt, Refusal},
+    verdict::{MayHaveRunReason, Refusal},
 };
 use batch_queue::BatchQueue;
-use lender::LiveDoor;
 use online_queue::{OnlineQueue, Tag};
 use retry::RetryBudget;
 use retry_after::RetryAfterSchedule;
 use service_stats::ServiceStats;
+use slot_allocator::LiveGateway;
 use targets::{TargetId, Targets};
 
 /// Lifecycle stage of a request.
@@ -84,15 +84,15 @@
 
 #[derive(Debug)]
 struct Request {
-    ask: Ask,
+    ask: RequestSpec,
     stage: Stage,
     tried_targets: SmallVec<[Name; 2]>,
     /// Set when the answer of an earlier attempt was lost, so the request may have run.
-    doubt: Option<Doubt>,
+    doubt: Option<MayHaveRunReason>,
 }
 
 impl Request {
-    fn new(ask: Ask, stage: Stage) -> Request {
+    fn new(ask: RequestSpec, stage: Stage) -> Request {
         Request { ask, stage, tried_targets: SmallVec::new(), doubt: None }
     }
 }
@@ -138,7 +138,7 @@
     online_by_workspace: BTreeMap<Name, u32>,
     counters: Counters,
     own_name: Name,
-    live_gateways: Vec<LiveDoor>,
+    live_gateways: Vec<LiveGateway>,
     /// Wall-clock time of the event that is being handled.
     unix_ms: u64,
     rng: SmallRng,
@@ -147,11 +147,11 @@
 impl Dispatcher {
     /// Creates a dispatcher without a manifest: it refuses everything until the first [`Input::Manifest`]. Besides
     /// seeding random choices, `seed` determines which subset of the targets this process uses.
-    pub fn new(place: Place, seed: u64) -> Dispatcher {
+    pub fn new(location: Location, seed: u64) -> Dispatcher {
         Dispatcher {
             policy: Policy::default(),
             manifest: Arc::default(),
-            targets: Targets::new(place, seed),
+            targets: Targets::new(location, seed),
             services: BTreeMap::new(),
             requests: BTreeMap::new(),
             online_by_workspace: BTreeMap::new(),
@@ -176,25 +176,25 @@
         self.unix_ms = now.unix_ms;
         match input {
             Input::Manifest(manifest) => self.apply_manifest(now_ms, manifest, out),
-            Input::Ask(ask) => self.admit(now_ms, ask, out),
-            Input::Ended { request, end } => self.attempt_ended(now_ms, request, end, out),
-            Input::Gone { request } => self.cancel(now_ms, request, out),
-            Input::Load { target, running, waiting } => {
+            Input::Request(ask) => self.admit(now_ms, ask, out),
+            Input::AttemptEnded { request, end } => self.attempt_ended(now_ms, request, end, out),
+            Input::Cancelled { request } => self.cancel(now_ms, request, out),
+            Input::LoadReport { target, running, waiting } => {
                 self.update_load(now_ms, &target, running.saturating_add(waiting), out);
             }
-            Input::Work { target, steps, tokens } => {
+            Input::ProgressReport { target, steps, tokens } => {
                 self.update_progress(now_ms, &target, steps, tokens)
             }
-            Input::Doors { own_name, live } => {
+            Input::LiveGateways { own_name, live } => {
                 self.update_live_gateways(now_ms, own_name, live, out)
             }
-            Input::Share { target, lender, slots, epoch } => {
-                self.update_slot_lease(now_ms, &target, &lender, (slots, epoch), out);
+            Input::SlotGrant { target, allocator, slots, epoch } => {
+                self.update_slot_lease(now_ms, &target, &allocator, (slots, epoch), out);
             }
-            Input::Demand { door, load } => self.update_demand(now_ms, &door, &load, out),
+            Input::Demand { gateway, load } => self.update_demand(now_ms, &gateway, &load, out),
             Input::Unreachable { target } => self.eject(now_ms, &target, Ejection::Unreachable),
             Input::Leaving { target } => self.eject(now_ms, &target, Ejection::Leaving),
-            Input::ToldLeaving { target, for_ms } => {
+            Input::ReportedLeaving { target, for_ms } => {
                 self.targets.reported_leaving(&target, now_ms + for_ms);
             }
             Input::Tick => self.tick(now_ms, out),
--- a/crates/samphiredoor-core/src/dispatch/lender.rs
+++ b/crates/samphiredoor-core/src/dispatch/slot_allocator.rs
@@ -34,7 +34,7 @@
 
 /// Gateway that is considered live.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct LiveDoor {
+pub struct LiveGateway {
     /// Name of the gateway.
     pub name: Name,
     /// Region that the gateway runs in.
@@ -43,25 +43,29 @@
 
 /// Gateway that allocates the batch slots of `target`, which runs in `region`. A gateway of the same region is preferred,
 /// so that slots are granted on both sides of a partition between regions. `None` if no gateway is live.
-pub fn allocator_of<'a>(target: &str, region: &str, doors: &'a [LiveDoor]) -> Option<&'a Name> {
-    let names = |it: &'a LiveDoor| &it.name;
-    let same_region = doors.iter().filter(|it| &*it.region == region).map(names);
+pub fn allocator_of<'a>(
+    target: &str,
+    region: &str,
+    gateways: &'a [LiveGateway],
+) -> Option<&'a Name> {
+    let names = |it: &'a LiveGateway| &it.name;
+    let same_region = gateways.iter().filter(|it| &*it.region == region).map(names);
     let by_weight = |it: &&Name| (rendezvous_weight(target, it), Name::clone(it));
-    same_region.max_by_key(by_weight).or_else(|| doors.iter().map(names).max_by_key(by_weight))
+    same_region.max_by_key(by_weight).or_else(|| gateways.iter().map(names).max_by_key(by_weight))
 }
 
-fn rendezvous_weight(target: &str, door: &str) -> u64 {
+fn rendezvous_weight(target: &str, gateway: &str) -> u64 {
     let mut hasher = RapidHasher::default_const();
     target.hash(&mut hasher);
-    door.hash(&mut hasher);
+    gateway.hash(&mut hasher);
     hasher.finish()
 }
 
 /// Grant of a target's batch slots to another gateway.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct ShareChange {
+pub struct SlotGrant {
     /// Gateway that the slots are granted to.
-    pub door: Name,
+    pub gateway: Name,
     /// Granted slots; replaces the previous grant.
     pub slots: u32,
     /// Sequence number, increasing across restarts of the allocator; the highest one is in force.
@@ -103,11 +107,11 @@
     }
 
     /// Records the demand of another gateway.
-    pub fn record_demand(&mut self, now_ms: u64, door: &Name, demand: Demand) {
-        if !self.leaseholders.contains_key(door) && self.leaseholders.len() >= MAX_LEASEHOLDERS {
+    pub fn record_demand(&mut self, now_ms: u64, gateway: &Name, demand: Demand) {
+        if !self.leaseholders.contains_key(gateway) && self.leaseholders.len() >= MAX_LEASEHOLDERS {
             return;
         }
-        let leaseholder = self.leaseholders.entry(Name::clone(door)).or_default();
+        let leaseholder = self.leaseholders.entry(Name::clone(gateway)).or_default();
         leaseholder.demand = demand;
         leaseholder.reported_ms = now_ms;
     }
@@ -134,20 +138,14 @@
 
     /// Divides `slots` among the other gateways and this one, which could use `own_demand`. Appends the grants to send.
     /// Slots that are not granted are left to this gateway.
-    pub fn allocate(
-        &mut self,
-        now_ms: u64,
-        slots: u32,
-        own_demand: u32,
-        out: &mut Vec<ShareChange>,
-    ) {
+    pub fn allocate(&mut self, now_ms: u64, slots: u32, own_demand: u32, out: &mut Vec<SlotGrant>) {
         self.remove_expired(now_ms);
         if self.leaseholders.is_empty() {
             return;
         }
         let wanted = self.leaseholders.values().map(|it| it.demand.wanted);
         let shares = max_min_shares(slots, wanted.chain([own_demand]));
-        for ((door, leaseholder), share) in self.leaseholders.iter_mut().zip(shares) {
+        for ((gateway, leaseholder), share) in self.leaseholders.iter_mut().zip(shares) {
             let renew = leaseholder.slots > 0 && now_ms >= leaseholder.sent_ms + RENEW_MS;
             if share == leaseholder.slots && !renew {
                 continue;
@@ -162,8 +160,8 @@
             leaseholder.slots = share;
             leaseholder.sent_ms = now_ms;
             self.epoch += 1;
-            let door = Name::clone(door);
-            out.push(ShareChange { door, slots: share, epoch: self.epoch });
+            let gateway = Name::clone(gateway);
+            out.push(SlotGrant { gateway, slots: share, epoch: self.epoch });
         }
     }
 
--- a/crates/samphiredoor-core/src/dispatch/targets.rs
+++ b/crates/samphiredoor-core/src/dispatch/targets.rs
@@ -18,7 +18,7 @@
     health::{Ejection, Health},
     limits::Limit,
     load::Load,
-    messages::{Class, Place, RequestId},
+    messages::{Class, Location, RequestId},
 };
 use crate::{
     Name,
@@ -191,7 +191,7 @@
 /// The targets of this process, in use or still busy.
 #[derive(Debug)]
 pub(super) struct Targets {
-    place: Place,
+    location: Location,
     process: u64,
     entries: Vec<Option<Target>>,
     free_entries: Vec<usize>,
@@ -200,9 +200,9 @@
 }
 
 impl Targets {
-    pub(super) fn new(place: Place, process: u64) -> Targets {
+    pub(super) fn new(location: Location, process: u64) -> Targets {
         Targets {
-            place,
+            location,
             process,
             entries: Vec::new(),
             free_entries: Vec::new(),
@@ -371,10 +371,10 @@
     }
 
     fn distance(&self, target: &manifest::Target) -> Distance {
-        if target.region != self.place.region {
+        if target.region != self.location.region {
             return Distance::OtherRegion;
         }
-        match target.availability_zone == self.place.availability_zone {
+        match target.availability_zone == self.location.availability_zone {
             true => Distance::SameZone,
             false => Distance::SameRegion,
         }
--- a/crates/samphiredoor-core/tests/dispatch/routing.rs
+++ b/crates/samphiredoor-core/tests/dispatch/routing.rs
@@ -7,10 +7,10 @@
     dispatch::{AttemptEnd, Dispatcher, Ejection, Input, RequestId},
     manifest::Target,
     time::Now,
-    verdict::Doubt,
+    verdict::MayHaveRunReason,
 };
 
-use crate::harness::{Harness, manifest, place, sent_to, target};
+use crate::harness::{Harness, location, manifest, sent_to, target};
 
 fn zones() -> Vec<Target> {
     vec![
@@ -68,7 +68,7 @@
                 assert!(sent_to_target.is_some(), "another target is tried at once");
             } else {
                 assert!(target.starts_with("zone"), "the other region is not used");
-                harness.end(request, AttemptEnd::Done);
+                harness.end(request, AttemptEnd::Completed);
             }
         }
     }
@@ -80,7 +80,7 @@
     while harness.gauges().ejected == 0 {
         let (request, target) = harness.online();
         let fails = target.is_some_and(|it| &*it == bad);
-        harness.end(request, if fails { AttemptEnd::Failed } else { AttemptEnd::Done });
+        harness.end(request, if fails { AttemptEnd::Failed } else { AttemptEnd::Completed });
     }
 }
 
@@ -130,9 +130,9 @@
         let (request, target) = harness.ask(|it| it.repeatable = false);
         if sent_to(&target, request).as_ref() == Some(&bad) {
             sent += 1;
-            harness.end(request, AttemptEnd::Lost(Doubt::ConnectionLost));
+            harness.end(request, AttemptEnd::AnswerLost(MayHaveRunReason::ConnectionLost));
         } else {
-            harness.end(request, AttemptEnd::Done);
+            harness.end(request, AttemptEnd::Completed);
         }
     }
     assert!((3..=10).contains(&sent), "{sent}");
@@ -162,7 +162,7 @@
         for _ in 0..160 {
             let (request, target) = harness.online();
             let fails = target.is_some_and(|it| bad.contains(&&*it));
-            harness.end(request, if fails { AttemptEnd::Failed } else { AttemptEnd::Done });
+            harness.end(request, if fails { AttemptEnd::Failed } else { AttemptEnd::Completed });
         }
     };
     fail_all(&mut harness, &["target-0", "target-1"]);
@@ -220,7 +220,7 @@
         harness.report("target-0", 17);
         for _ in 0..4 {
             let (request, _) = harness.online();
-            harness.end(request, AttemptEnd::Done);
+            harness.end(request, AttemptEnd::Completed);
         }
     }
     assert_eq!(harness.dispatcher.counters().reports_distrusted, 1);
@@ -250,7 +250,7 @@
     for _ in 0..20 {
         let (request, actions) = one_by_one.ask(|it| it.prefix_hash = 42);
         assert_eq!(sent_to(&actions, request), first);
-        one_by_one.end(request, AttemptEnd::Done);
+        one_by_one.end(request, AttemptEnd::Completed);
     }
 }
 
@@ -259,7 +259,7 @@
     let declared = Arc::new(manifest(1, targets(300, 4)));
     let mut used = BTreeMap::<Name, u32>::new();
     for process in 0..100 {
-        let mut dispatcher = Dispatcher::new(place(), process);
+        let mut dispatcher = Dispatcher::new(location(), process);
         let input = Input::Manifest(Arc::clone(&declared));
         dispatcher.handle(Now::new(0, 0), input, &mut Vec::new());
         let names: Vec<Name> = dispatcher.targets_in_use().map(|it| Name::clone(it.0)).collect();
@@ -275,11 +275,15 @@
 fn late_and_duplicated_ends_of_unknown_requests_change_nothing() {
     let mut harness = Harness::new(targets(1, 1));
     let (request, _) = harness.online();
-    harness.end(request, AttemptEnd::Done);
-    for end in [AttemptEnd::Done, AttemptEnd::NotSent, AttemptEnd::Lost(Doubt::AnswerCut)] {
+    harness.end(request, AttemptEnd::Completed);
+    for end in [
+        AttemptEnd::Completed,
+        AttemptEnd::NotSent,
+        AttemptEnd::AnswerLost(MayHaveRunReason::AnswerCut),
+    ] {
         assert!(harness.end(request, end).is_empty());
         assert!(harness.end(RequestId(99), end).is_empty());
-        assert!(harness.handle(Input::Gone { request }).is_empty());
+        assert!(harness.handle(Input::Cancelled { request }).is_empty());
     }
     assert_eq!(harness.gauges().known, 0);
     assert!(harness.online().1.is_some());
--- a/crates/samphiredoor-core/tests/lending/division.rs
+++ b/crates/samphiredoor-core/tests/lending/division.rs
@@ -7,8 +7,8 @@
 };
 use samphiredoor_core::{
     Name,
-    dispatch::lender::{
-        Demand, LEASE_TTL_MS, LiveDoor, ShareChange, SlotAllocator, SlotLease, allocator_of,
+    dispatch::slot_allocator::{
+        Demand, LEASE_TTL_MS, LiveGateway, SlotAllocator, SlotGrant, SlotLease, allocator_of,
     },
 };
 
@@ -34,10 +34,10 @@
     format!("gateway-{gateway}").into()
 }
 
-fn deliver(now_ms: u64, allocator: &str, changes: &[ShareChange], leases: &mut [SlotLease]) {
-    for change in changes {
-        let gateway = (0..GATEWAYS).find(|it| name(*it) == change.door).expect("a known gateway");
-        leases[gateway].update(now_ms, &allocator.into(), change.slots, change.epoch);
+fn deliver(now_ms: u64, allocator: &str, grants: &[SlotGrant], leases: &mut [SlotLease]) {
+    for grant in grants {
+        let gateway = (0..GATEWAYS).find(|it| name(*it) == grant.gateway).expect("a known gateway");
+        leases[gateway].update(now_ms, &allocator.into(), grant.slots, grant.epoch);
     }
 }
 
@@ -64,9 +64,9 @@
                 Step::Slots { slots: now } => slots = now,
                 Step::Pass { ms } => now_ms += ms,
             }
-            let mut changes = Vec::new();
-            allocator.allocate(now_ms, slots, 3, &mut changes);
-            deliver(now_ms, "allocator", &changes, &mut leases);
+            let mut grants = Vec::new();
+            allocator.allocate(now_ms, slots, 3, &mut grants);
+            deliver(now_ms, "allocator", &grants, &mut leases);
             let leased = leased_slots(now_ms, &leases);
             prop_assert!(leased <= slots, "{leased} of {slots}");
             prop_assert!(
@@ -90,7 +90,7 @@
     let mut first = SlotAllocator::new(0, 0);
     let mut second = SlotAllocator::new(100 + LEASE_TTL_MS, 0);
     for now_ms in (0..10_000).step_by(50) {
-        let mut changes = Vec::new();
+        let mut grants = Vec::new();
         let (allocator, allocator_name) =
             if now_ms < 100 { (&mut first, "first") } else { (&mut second, "second") };
         // Gateways 0 and 1 have not noticed the change yet and still use the slots that the first allocator granted.
@@ -99,8 +99,8 @@
             allocator.record_demand(now_ms, &name(gateway), wants);
         }
         let slots = if allocator.may_grant(now_ms) { SLOTS } else { 0 };
-        allocator.allocate(now_ms, slots, 0, &mut changes);
-        deliver(now_ms, allocator_name, &changes, &mut leases);
+        allocator.allocate(now_ms, slots, 0, &mut grants);
+        deliver(now_ms, allocator_name, &grants, &mut leases);
         assert!(leased_slots(now_ms, &leases) <= SLOTS, "at {now_ms}");
     }
     assert_eq!(leased_slots(9_950, &leases), SLOTS);
@@ -115,14 +115,14 @@
     let wants = Demand { online: 0, batch: 0, wanted: 9 };
     for now_ms in (0..10_000).step_by(50) {
         for (index, allocator) in allocators.iter_mut().enumerate() {
-            let mut changes = Vec::new();
+            let mut grants = Vec::new();
             for gateway in 0..GATEWAYS {
                 allocator.record_demand(now_ms, &name(gateway), wants);
             }
-            allocator.allocate(now_ms, SLOTS, 0, &mut changes);
+            allocator.allocate(now_ms, SLOTS, 0, &mut grants);
             // Each gateway accepts only the grants of the allocator that it considers the right one.
-            changes.retain(|it| (it.door == name(0) || it.door == name(1)) == (index == 0));
-            deliver(now_ms, ["first", "second"][index], &changes, &mut leases);
+            grants.retain(|it| (it.gateway == name(0) || it.gateway == name(1)) == (index == 0));
+            deliver(now_ms, ["first", "second"][index], &grants, &mut leases);
         }
         assert!(leased_slots(now_ms, &leases) <= 2 * SLOTS);
     }
@@ -130,9 +130,9 @@
 
 #[test]
 fn only_targets_of_a_removed_gateway_change_their_allocator() {
-    let gateway = |it: usize| LiveDoor { name: name(it), region: "brisbane".into() };
-    let all: Vec<LiveDoor> = (0..9).map(gateway).collect();
-    let without: Vec<LiveDoor> = (0..8).map(gateway).collect();
+    let gateway = |it: usize| LiveGateway { name: name(it), region: "brisbane".into() };
+    let all: Vec<LiveGateway> = (0..9).map(gateway).collect();
+    let without: Vec<LiveGateway> = (0..8).map(gateway).collect();
     let mut of_each = [0; 9];
     for target in 0..900 {
         let target = format!("engine-{target}");
@@ -147,7 +147,8 @@
 
 #[test]
 fn the_allocator_is_in_the_region_of_the_target_if_a_gateway_is_live_there() {
-    let gateway = |name: &str, region: &str| LiveDoor { name: name.into(), region: region.into() };
+    let gateway =
+        |name: &str, region: &str| LiveGateway { name: name.into(), region: region.into() };
     let gateways = [gateway("a", "brisbane"), gateway("b", "brisbane"), gateway("c", "cairns")];
     for target in 0..50 {
         let target = format!("engine-{target}");
--- a/crates/samphiredoor-core/tests/lending/situations.rs
+++ b/crates/samphiredoor-core/tests/lending/situations.rs
@@ -4,7 +4,7 @@
 
 use samphiredoor_core::{
     Name,
-    dispatch::{Action, AttemptEnd, Class, Input, RequestId, lender::LEASE_TTL_MS},
+    dispatch::{Action, AttemptEnd, Class, Input, RequestId, slot_allocator::LEASE_TTL_MS},
 };
 
 use crate::world::{IDLE_MS, LOAN_LIMIT, World, dispatched, live, preempted};
@@ -26,7 +26,7 @@
     assert_eq!(preempted(&actions).len(), LOAN_LIMIT as usize);
     assert_eq!(world.running_items("engine"), []);
     for request in preempted(&actions) {
-        world.end(request, AttemptEnd::Yielded);
+        world.end(request, AttemptEnd::Preempted);
     }
     assert_eq!(dispatched(&world.advance(5_000)), []);
     world.reclaim("engine", false);
@@ -58,11 +58,11 @@
     let online: Vec<RequestId> = (0..4).map(|_| world.online().0).collect();
     world.advance(200);
     for request in online {
-        world.end(request, AttemptEnd::Done);
+        world.end(request, AttemptEnd::Completed);
     }
     for request in world.tracked.keys().copied().collect::<Vec<_>>() {
         if world.tracked[&request].preempted {
-            world.end(request, AttemptEnd::Yielded);
+            world.end(request, AttemptEnd::Preempted);
         }
     }
     world.advance(IDLE_MS + 1_000);
@@ -82,9 +82,9 @@
     let (online, actions) = world.online();
     let lost = preempted(&actions);
     for request in &lost {
-        world.end(*request, AttemptEnd::Yielded);
+        world.end(*request, AttemptEnd::Preempted);
     }
-    world.end(online, AttemptEnd::Done);
+    world.end(online, AttemptEnd::Completed);
     let again = dispatched(&world.advance(IDLE_MS + 1_000));
     let mut expected = lost;
     expected.sort();
@@ -102,7 +102,7 @@
     world.manifest.targets.clear();
     world.handle(Input::Manifest(Arc::new(world.manifest.clone())));
     for request in lost {
-        let actions = world.end(request, AttemptEnd::Yielded);
+        let actions = world.end(request, AttemptEnd::Preempted);
         let refused =
             |it: &Action| matches!(it, Action::Refuse { request: it, .. } if *it == request);
         assert!(actions.iter().any(refused), "{actions:?}");
@@ -116,13 +116,17 @@
     let mut world = World::new(&["engine"]);
     let others: Vec<String> = (1..9).map(|it| format!("gateway-{it}")).collect();
     let names: Vec<&str> = others.iter().map(String::as_str).collect();
-    world.handle(Input::Doors { own_name: "gateway-0".into(), live: live(&names) });
+    world.handle(Input::LiveGateways { own_name: "gateway-0".into(), live: live(&names) });
     world.submit_items(20, "list", "light");
     assert_eq!(dispatched(&world.advance(5_000)), [], "nothing without a lease");
     let mut granted = false;
-    for lender in &names {
-        let share =
-            Input::Share { target: "engine".into(), lender: (*lender).into(), slots: 2, epoch: 1 };
+    for allocator in &names {
+        let share = Input::SlotGrant {
+            target: "engine".into(),
+            allocator: (*allocator).into(),
+            slots: 2,
+            epoch: 1,
+        };
         granted |= !dispatched(&world.handle(share)).is_empty();
         world.advance(100);
     }
@@ -138,11 +142,11 @@
 #[test]
 fn a_smaller_grant_preempts_items_at_once_and_an_older_grant_is_ignored() {
     let mut world = World::new(&["engine"]);
-    world.handle(Input::Doors { own_name: "gateway-0".into(), live: live(&["gateway-1"]) });
+    world.handle(Input::LiveGateways { own_name: "gateway-0".into(), live: live(&["gateway-1"]) });
     world.submit_items(20, "list", "light");
-    let share = |slots, epoch| Input::Share {
+    let share = |slots, epoch| Input::SlotGrant {
         target: "engine".into(),
-        lender: "gateway-1".into(),
+        allocator: "gateway-1".into(),
         slots,
         epoch,
     };
@@ -161,10 +165,11 @@
 #[test]
 fn a_leaseholder_preempts_items_for_its_own_online_request_at_once() {
     let mut world = World::new(&["engine"]);
-    world.handle(Input::Doors { own_name: "gateway-0".into(), live: live(&["gateway-1"]) });
+    world.handle(Input::LiveGateways { own_name: "gateway-0".into(), live: live(&["gateway-1"]) });
     world.submit_items(20, "list", "light");
     let (slots, epoch) = (3, 1);
-    let share = Input::Share { target: "engine".into(), lender: "gateway-1".into(), slots, epoch };
+    let share =
+        Input::SlotGrant { target: "engine".into(), allocator: "gateway-1".into(), slots, epoch };
     world.handle(share);
     world.advance(500);
     assert_eq!(world.running_items("engine").len(), 3);
@@ -211,7 +216,7 @@
     world.submit_items(400, "many", "heavy");
     world.submit_items(400, "few", "light");
     world.advance(IDLE_MS);
-    let slot_ms = run(&mut world, 20_000, |_| (200, AttemptEnd::Done));
+    let slot_ms = run(&mut world, 20_000, |_| (200, AttemptEnd::Completed));
     assert_share(&slot_ms, "many", 0.75);
 }
 
@@ -222,8 +227,8 @@
     world.submit_items(400, "short", "light");
     world.advance(IDLE_MS);
     let slot_ms = run(&mut world, 20_000, |job| match job {
-        "long" => (1_000, AttemptEnd::Done),
-        _ => (100, AttemptEnd::Done),
+        "long" => (1_000, AttemptEnd::Completed),
+        _ => (100, AttemptEnd::Completed),
     });
     assert_share(&slot_ms, "long", 0.5);
 }
@@ -238,7 +243,7 @@
     world.advance(IDLE_MS);
     let slot_ms = run(&mut world, 10_000, |job| match job {
         "broken" => (20, AttemptEnd::Failed),
-        _ => (200, AttemptEnd::Done),
+        _ => (200, AttemptEnd::Completed),
     });
     let sheets = slot_ms.get("sheets").copied().unwrap_or(0);
     let broken = slot_ms.get("broken").copied().unwrap_or(0);
@@ -258,7 +263,7 @@
         });
     }
     world.advance(IDLE_MS);
-    let slot_ms = run(&mut world, 5_000, |_| (200, AttemptEnd::Done));
+    let slot_ms = run(&mut world, 5_000, |_| (200, AttemptEnd::Completed));
     assert_eq!(slot_ms.get("later").copied().unwrap_or(0), 0, "{slot_ms:?}");
     assert_share(&slot_ms, "coach", 0.5);
 }
--- a/crates/samphiredoor-gateway/src/front/mod.rs
+++ b/crates/samphiredoor-gateway/src/front/mod.rs
@@ -15,7 +15,7 @@
 };
 use samphiredoor_core::{
     ordered::JobName,
-    routes::{BatchRule, Route, RouteKind, RouteTable},
+    routes::{BatchTimes, Route, RouteKind, RouteTable},
     verdict::Refusal,
 };
 use samphiredoor_net::{
@@ -25,13 +25,13 @@
     pool::within,
 };
 
-pub use answers::{plain, refused};
+pub use answers::{json_message, refusal_response};
 
 use crate::{
-    edge::Dialect,
-    jobs::{Acceptors, Jobs, Submitted, pass_on},
+    jobs::{Forwarding, Jobs, SubmittedJob, forward},
     metrics::Metrics,
-    placement::Placer,
+    placement::PlacementHandle,
+    platform_api::Dialect,
     routes::Routes,
     target_client::TargetClient,
 };
@@ -49,7 +49,7 @@
     /// Routes in force.
     pub routes: Routes,
     /// Places at targets.
-    pub placer: Placer,
+    pub placement: PlacementHandle,
     /// Connections to targets.
     pub targets: TargetClient,
     /// Batch jobs.
@@ -75,16 +75,16 @@
 async fn dispatch(front: &Rc<Front>, request: Request<Incoming>) -> Response<Body> {
     if let Some(call) = front.dialect.job_call(request.method(), request.uri()) {
         let wait = wait_of(&*front.dialect, request.headers());
-        return front.jobs.answer(call, wait).await;
+        return front.jobs.handle(call, wait).await;
     }
     let Some(table) = front.routes.current() else {
         front.metrics.refused(Refusal::NotReady);
-        return refused(Refusal::NotReady, NOT_READY_RETRY_MS);
+        return refusal_response(Refusal::NotReady, NOT_READY_RETRY_MS);
     };
     let host = host_of(&request).unwrap_or_default().to_owned();
     let Some(route) = table.find(&host, request.uri().path()).cloned() else {
         log::info!(host, path = request.uri().path(), routes_version = table.version; "front: no route");
-        return plain(StatusCode::NOT_FOUND, "no route serves this host and path");
+        return json_message(StatusCode::NOT_FOUND, "no route serves this host and path");
     };
     let (parts, body) = request.into_parts();
     let body = match read_body(&table, body).await {
@@ -96,7 +96,7 @@
             let path = parts.uri.path().to_owned();
             let Some(job) = job_of(front, &parts.headers) else { return without_id() };
             let submitted = submission(&table, (&route, rule), job, (host, path), body);
-            front.jobs.submit(submitted, Acceptors::Any).await
+            front.jobs.submit(submitted, Forwarding::Allowed).await
         }
         RouteKind::Repeatable | RouteKind::Once | RouteKind::Stream { .. } => {
             Online::new(Rc::clone(front), route, parts, body).answer().await
@@ -105,22 +105,23 @@
 }
 
 /// Answers a submission that another gateway passes on, as the store does not answer that one.
-pub async fn passed_on(front: Rc<Front>, request: Request<Incoming>) -> Response<Body> {
+pub async fn answer_forwarded(front: Rc<Front>, request: Request<Incoming>) -> Response<Body> {
     let host = host_of(&request).unwrap_or_default().to_owned();
-    let path = request.uri().path().strip_prefix(pass_on::ROOT).unwrap_or_default().to_owned();
+    let path =
+        request.uri().path().strip_prefix(forward::PATH_PREFIX).unwrap_or_default().to_owned();
     let table = front.routes.current();
     let found = table.as_ref().and_then(|it| Some((it, it.find(&host, &path)?)));
     let Some((table, route)) = found else {
-        return plain(StatusCode::NOT_FOUND, "no route serves this host and path");
+        return json_message(StatusCode::NOT_FOUND, "no route serves this host and path");
     };
     let RouteKind::Batch(rule) = route.kind else {
-        return plain(StatusCode::NOT_FOUND, "no batch route serves this host and path");
+        return json_message(StatusCode::NOT_FOUND, "no batch route serves this host and path");
     };
     let Some(job) = job_of(&front, request.headers()) else { return without_id() };
     match read_body(table, request.into_body()).await {
         Ok(body) => {
             let submitted = submission(table, (route, rule), job, (host, path), body);
-            front.jobs.submit(submitted, Acceptors::ThisOne).await
+            front.jobs.submit(submitted, Forwarding::Forbidden).await
         }
         Err(answer) => *answer,
     }
@@ -131,31 +132,34 @@
 }
 
 fn without_id() -> Response<Body> {
-    plain(StatusCode::BAD_REQUEST, "a submission needs an id")
+    json_message(StatusCode::BAD_REQUEST, "a submission needs an id")
 }
 
 fn submission(
     table: &RouteTable,
-    (route, rule): (&Route, BatchRule),
+    (route, rule): (&Route, BatchTimes),
     job: JobName,
     (host, path): (String, String),
     body: Bytes,
-) -> Submitted {
+) -> SubmittedJob {
     let (attempts, routes_version) = (route.attempts, table.version);
-    Submitted { job, host, path, rule, attempts, routes_version, body }
+    SubmittedJob { job, host, path, rule, attempts, routes_version, body }
 }
 
 async fn read_body(table: &RouteTable, body: Incoming) -> Result<Bytes, Box<Response<Body>>> {
     match within(BODY_TIMEOUT, read_whole(body, table.limits.body_bytes)).await {
         Some(Ok(body)) => Ok(body),
-        Some(Err(ReadError::TooLarge)) => {
-            Err(Box::new(plain(StatusCode::PAYLOAD_TOO_LARGE, "the body is above the limit")))
-        }
+        Some(Err(ReadError::TooLarge)) => Err(Box::new(json_message(
+            StatusCode::PAYLOAD_TOO_LARGE,
+            "the body is above the limit",
+        ))),
         Some(Err(ReadError::Cut(err))) => {
             log::info!(problem:% = err; "front: body cut");
-            Err(Box::new(plain(StatusCode::BAD_REQUEST, "the body was cut")))
+            Err(Box::new(json_message(StatusCode::BAD_REQUEST, "the body was cut")))
+        }
+        None => {
+            Err(Box::new(json_message(StatusCode::REQUEST_TIMEOUT, "the body came too slowly")))
         }
-        None => Err(Box::new(plain(StatusCode::REQUEST_TIMEOUT, "the body came too slowly"))),
     }
 }
 
--- a/crates/samphiredoor-gateway/src/jobs/reads.rs
+++ b/crates/samphiredoor-gateway/src/jobs/reads.rs
@@ -13,7 +13,7 @@
 
 use hyper::{Method, Response, StatusCode, Uri, header};
 use samphiredoor_core::{
-    ordered::{JobHeader, JobName, end_key},
+    ordered::{JobHeader, JobName, cancellation_key},
     store::{Labels, StoreOp, Value},
     verdict::Refusal,
 };
@@ -25,13 +25,13 @@
     job_task::{JobMessage, ReadReply},
     peer_call::{PeerCall, exchange},
     stored::{StoredJobs, Unread},
-    submit::{self, Acceptors, Submitted},
+    submit::{self, Forwarding, SubmittedJob},
     sweep,
 };
 use crate::{
-    edge::{JobCall, ResultsPage},
-    front::{plain, refused},
-    peers::{Liveness, Owner, STORE_LOST, registered_address},
+    front::{json_message, refusal_response},
+    peers::{Liveness, Owner, STORE_LOST_AFTER, registered_address},
+    platform_api::{JobCall, ResultsPage},
 };
 
 /// Longest wait for a result, whatever the caller asks for.
@@ -78,25 +78,25 @@
     }
 
     /// Accepts a submission.
-    pub async fn submit(&self, submitted: Submitted, acceptors: Acceptors) -> Response<Body> {
+    pub async fn submit(&self, submitted: SubmittedJob, acceptors: Forwarding) -> Response<Body> {
         submit::submit(&self.env, &self.directory, submitted, acceptors).await
     }
 
     /// Answers a caller.
-    pub async fn answer(&self, call: JobCall, wait: Duration) -> Response<Body> {
+    pub async fn handle(&self, call: JobCall, wait: Duration) -> Response<Body> {
         let wait = wait.min(LONGEST_WAIT);
         let until = Instant::now() + wait;
         match call {
             JobCall::Read { job, after } => self.read(&job, after, until).await,
             JobCall::Body { job, item } => self.body(&job, &item).await,
-            JobCall::End { job } => self.end(&job).await,
+            JobCall::Cancel { job } => self.end(&job).await,
         }
     }
 
     /// Answers another gateway: from what is here, or from the store.
-    pub async fn answer_peer(&self, method: &Method, uri: &Uri) -> Response<Body> {
+    pub async fn handle_peer(&self, method: &Method, uri: &Uri) -> Response<Body> {
         let Some(call) = PeerCall::parse(method, uri) else {
-            return plain(StatusCode::NOT_FOUND, "no such call");
+            return json_message(StatusCode::NOT_FOUND, "no such call");
         };
         match call {
             PeerCall::Read { job, after, wait_ms } => {
@@ -118,21 +118,21 @@
                     sweep::take_if_free(&env, &directory, &stored, &job).await;
                 })
                 .detach();
-                plain(StatusCode::OK, "heard")
+                json_message(StatusCode::OK, "heard")
             }
             PeerCall::Works { incarnation } => {
                 match incarnation == self.env.incarnation
-                    && !self.env.health.is_lost_for(STORE_LOST)
+                    && !self.env.health.is_lost_for(STORE_LOST_AFTER)
                 {
-                    true => plain(StatusCode::OK, "works"),
-                    false => plain(StatusCode::NOT_FOUND, "does not work"),
+                    true => json_message(StatusCode::OK, "works"),
+                    false => json_message(StatusCode::NOT_FOUND, "does not work"),
                 }
             }
         }
     }
 
     /// Hands all jobs over, and waits until that is done or `limit` is over.
-    pub async fn release(&self, limit: Duration) {
+    pub async fn hand_over_all(&self, limit: Duration) {
         self.directory.release_all();
         let until = Instant::now() + limit;
         while self.directory.len() > 0 && Instant::now() < until {
@@ -220,7 +220,7 @@
         let item = answer.recv_async().await.ok()?;
         Some(match item {
             Some(item) => self.item_answer(&item),
-            None => plain(StatusCode::NOT_FOUND, "no such item, or its result stands"),
+            None => json_message(StatusCode::NOT_FOUND, "no such item, or its result stands"),
         })
     }
 
@@ -234,7 +234,7 @@
     fn item_answer(&self, item: &samphiredoor_core::ordered::Item) -> Response<Body> {
         match self.env.platform.dialect.item_body(item) {
             Ok(body) => Response::new(Body::full(body)),
-            Err(problem) => plain(StatusCode::INTERNAL_SERVER_ERROR, &problem),
+            Err(problem) => json_message(StatusCode::INTERNAL_SERVER_ERROR, &problem),
         }
     }
 
@@ -244,14 +244,20 @@
         }
         if !self.write_end(job).await {
             log::warn!(job = &**job; "job: its end could not be written");
-            return plain(StatusCode::GATEWAY_TIMEOUT, "the end may not stand; send it again");
+            return json_message(
+                StatusCode::GATEWAY_TIMEOUT,
+                "the end may not stand; send it again",
+            );
         }
         let Some(by) = self.tell_end(job).await else {
             log::warn!(job = &**job; "job: its end stands, but its owner could not be told");
-            return plain(StatusCode::GATEWAY_TIMEOUT, "the job may still run; send the end again");
+            return json_message(
+                StatusCode::GATEWAY_TIMEOUT,
+                "the job may still run; send the end again",
+            );
         };
         log::info!(job = &**job, by:? = by; "job: ended by its caller");
-        plain(StatusCode::OK, "ended")
+        json_message(StatusCode::OK, "ended")
     }
 
     /// Tells the owner of a job that it is ended; `None` if somebody may still run the job.
@@ -282,9 +288,9 @@
     fn is_gone(&self, owner: &Owner) -> bool {
         let (process, incarnation) = (&*owner.process, owner.incarnation);
         let roster = &self.env.roster;
-        let is_heard = roster.heard_address(process, incarnation).is_some();
+        let is_heard = roster.live_address(process, incarnation).is_some();
         let liveness = roster.liveness(process, incarnation);
-        !is_heard && liveness == Liveness::Gone && roster.hears_most()
+        !is_heard && liveness == Liveness::Dead && roster.at_least_half_live()
     }
 
     /// Has an owner end its job, also one that stops, misses the store or is not heard: its runs go on. `None` if it does not
@@ -304,7 +310,7 @@
     /// Where an owner listens: one that is heard, or else where the store has it now.
     async fn owner_address(&self, owner: &Owner) -> Option<SocketAddr> {
         let roster = &self.env.roster;
-        let heard = roster.heard_address(&owner.process, owner.incarnation);
+        let heard = roster.live_address(&owner.process, owner.incarnation);
         if heard.is_some() {
             return heard;
         }
@@ -315,11 +321,11 @@
     /// Answers a gateway that takes one start of this process for the owner of a job that is ended.
     async fn answer_ended(&self, job: &str, incarnation: u64) -> Response<Body> {
         match self.end_here(job).await {
-            true => plain(StatusCode::OK, "ended"),
+            true => json_message(StatusCode::OK, "ended"),
             false if incarnation != self.env.incarnation => {
-                plain(StatusCode::GONE, "that start is over")
+                json_message(StatusCode::GONE, "that start is over")
             }
-            false => plain(StatusCode::NOT_FOUND, "not here"),
+            false => json_message(StatusCode::NOT_FOUND, "not here"),
         }
     }
 
@@ -334,13 +340,13 @@
 
     async fn write_end(&self, job: &JobName) -> bool {
         let value: Value = b"{}".as_slice().into();
-        let create = StoreOp::Create { key: end_key(job), labels: Labels::new(), value };
+        let create = StoreOp::Create { key: cancellation_key(job), labels: Labels::new(), value };
         self.env.create_known(create).await
     }
 
     /// Last known owner of a job; the store is asked only where nobody has told it.
     async fn owner_of(&self, job: &JobName) -> Result<Owner, Unread> {
-        match self.env.owners.of(job) {
+        match self.env.owners.get(job) {
             Some(owner) => Ok(owner),
             None => Ok(owner_in(&self.stored.header(job).await?)),
         }
@@ -351,7 +357,7 @@
         if owner.process == self.env.name {
             return None;
         }
-        let alive = self.env.roster.liveness(&owner.process, owner.incarnation) == Liveness::Works;
+        let alive = self.env.roster.liveness(&owner.process, owner.incarnation) == Liveness::Alive;
         alive.then(|| self.env.roster.address(&owner.process)).flatten()
     }
 
@@ -386,7 +392,7 @@
 
 fn unread_answer(unread: Unread) -> Response<Body> {
     match unread {
-        Unread::Absent => plain(StatusCode::NOT_FOUND, "no such job or item"),
-        Unread::Unavailable => refused(Refusal::StoreUnavailable, RETRY_AFTER_MS),
+        Unread::Absent => json_message(StatusCode::NOT_FOUND, "no such job or item"),
+        Unread::Unavailable => refusal_response(Refusal::StoreUnavailable, RETRY_AFTER_MS),
     }
 }
--- a/crates/samphiredoor-gateway/src/process.rs
+++ b/crates/samphiredoor-gateway/src/process.rs
@@ -18,19 +18,22 @@
 use crate::{
     config::{CommonConfig, GatewayConfig},
     discovery::{RoutesTask, TargetsTask},
-    edge::{Dialect, Platform},
     fleet::Fleet,
-    front::{self, Front, plain},
-    jobs::{self, Gaps, JobEnv, Jobs},
+    front::{self, Front, json_message},
+    jobs::{self, JobEnv, Jobs, LivenessGaps},
     metrics::Metrics,
     mirror::Mirrors,
-    peers::{self, Followed, Mates, Own, Owners, Roster, Speaker, Teller, relay::RoutesRelay},
-    placement::{PlacementTask, Placer},
+    peers::{
+        self, CellStatuses, JobOwners, LocalGateway, Roster, StatusSender, SummarySender,
+        WatchRelay, routes_relay::RoutesRelay,
+    },
+    placement::{PlacementHandle, PlacementTask},
+    platform_api::{Dialect, Platform},
     routes::Routes,
-    sightings::Sighting,
+    seen_versions::SeenVersion,
     store_health::StoreHealth,
     target_client::TargetClient,
-    watch::Follower,
+    watch::Watcher,
 };
 
 /// Connections of callers held at once; with two sockets a request this stays below common descriptor limits.
@@ -65,7 +68,7 @@
     jobs: Jobs,
     metrics: Rc<Metrics>,
     routes: Routes,
-    followed: Followed,
+    watch_relay: WatchRelay,
     targets_known: Rc<Cell<Option<usize>>>,
     stopping: Rc<Cell<bool>>,
 }
@@ -125,10 +128,10 @@
     let common = &config.common;
     let clock = Clock::new();
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-    let own = Own {
+    let own = LocalGateway {
         name: common.name.clone(),
         incarnation: since.as_micros() as u64,
-        place: common.place.clone(),
+        location: common.location.clone(),
         address: peers,
     };
     let metrics = Metrics::new();
@@ -137,23 +140,24 @@
     let stopping = Rc::new(Cell::new(false));
     let (told, tell) = flume::unbounded();
     let seed = rand::random();
-    let placement = Placement::new(own.name.clone(), own.place.clone(), seed);
+    let placement = Placement::new(own.name.clone(), own.location.clone(), seed);
     let metrics_of_task = Rc::clone(&metrics);
-    let placer = Placer::start(PlacementTask { clock, placement, metrics: metrics_of_task, told });
+    let placement =
+        PlacementHandle::start(PlacementTask { clock, placement, metrics: metrics_of_task, told });
     let client = TargetClient::new(platform.dialect.headers().request_id.clone());
     let targets_known = Rc::new(Cell::new(None));
     let mirrors = Mirrors::new(&common.mirrors);
-    let followed = Followed::new(roster.clone());
-    let follow = |kind, within, sighting: &Sighting| {
-        let fleet = Fleet::new(roster.clone(), within, sighting.clone());
-        Follower::new(Rc::clone(&platform.store), kind, common.watch)
+    let watch_relay = WatchRelay::new(roster.clone());
+    let follow = |kind, within, seen_version: &SeenVersion| {
+        let fleet = Fleet::new(roster.clone(), within, seen_version.clone());
+        Watcher::new(Rc::clone(&platform.store), kind, common.watch)
             .with_metrics(Rc::clone(&metrics))
             .with_mirrors(mirrors.clone())
             .with_health(health.clone())
             .with_fleet(fleet)
-            .with_followed(followed.clone(), within)
+            .with_watch_relay(watch_relay.clone(), within)
     };
-    let sightings = roster.sightings();
+    let seen_versions = roster.seen_versions();
 
     let routes_task = Rc::new(RoutesTask {
         platform: platform.clone(),
@@ -161,95 +165,102 @@
         health: health.clone(),
         metrics: Rc::clone(&metrics),
     });
-    let follow_routes = follow(Kind::Routes, common.routes_within, &sightings.routes)
+    let follow_routes = follow(Kind::Routes, common.routes_within, &seen_versions.routes)
         .with_stale_start()
         .with_rest_after_changes(common.routes_within);
     let (relayed, relay) = flume::unbounded();
     compio::runtime::spawn(Rc::clone(&routes_task).run_relay(relay)).detach();
     compio::runtime::spawn(routes_task.run(follow_routes)).detach();
-    let asking =
-        peers::relay::run(roster.clone(), routes.clone(), Rc::clone(&platform.store), relayed);
+    let asking = peers::routes_relay::run(
+        roster.clone(),
+        routes.clone(),
+        Rc::clone(&platform.store),
+        relayed,
+    );
     compio::runtime::spawn(asking).detach();
     let targets_task = TargetsTask {
         platform: platform.clone(),
-        placer: placer.clone(),
+        placement: placement.clone(),
         roster: roster.clone(),
         client: client.clone(),
         known: Rc::clone(&targets_known),
         metrics: Rc::clone(&metrics),
     };
-    let follow_targets = follow(Kind::Targets, common.targets_within, &sightings.targets)
+    let follow_targets = follow(Kind::Targets, common.targets_within, &seen_versions.targets)
         .with_stale_start()
         .with_gate(health.clone())
         .with_rest_after_changes(common.targets_within);
     compio::runtime::spawn(targets_task.run(follow_targets)).detach();
 
-    let follow_gateways = follow(Kind::Door, GATEWAYS_WITHIN, &sightings.gateways)
+    let follow_gateways = follow(Kind::Door, GATEWAYS_WITHIN, &seen_versions.gateways)
         .with_stale_start()
         .with_gate(health.clone());
     let registration = peers::registration::run(
         roster.clone(),
-        placer.clone(),
+        placement.clone(),
         Rc::clone(&platform.store),
         follow_gateways,
     );
     compio::runtime::spawn(registration).detach();
-    let (owners, mates) = (Owners::default(), Mates::default());
+    let (owners, cell_statuses) = (JobOwners::default(), CellStatuses::default());
     let listener = peers::Listener {
         socket: Rc::clone(&socket),
         roster: roster.clone(),
-        mates: mates.clone(),
-        placer: placer.clone(),
+        cell_statuses: cell_statuses.clone(),
+        placement: placement.clone(),
         owners: owners.clone(),
         health: health.clone(),
         metrics: Rc::clone(&metrics),
     };
     compio::runtime::spawn(listener.run()).detach();
-    let speaker =
-        Speaker { socket: Rc::clone(&socket), roster: roster.clone(), mates: mates.clone() };
-    compio::runtime::spawn(speaker.run()).detach();
-    let (owned, tell_owned) = flume::unbounded();
-    let teller = Teller {
-        own: own.clone(),
+    let summary_sender = SummarySender {
+        socket: Rc::clone(&socket),
+        roster: roster.clone(),
+        cell_statuses: cell_statuses.clone(),
+    };
+    compio::runtime::spawn(summary_sender.run()).detach();
+    let (announcements, announced) = flume::unbounded();
+    let status_sender = StatusSender {
+        local: own.clone(),
         socket,
         roster: roster.clone(),
-        mates,
+        cell_statuses,
         routes: routes.clone(),
         health: health.clone(),
         stopping: Rc::clone(&stopping),
     };
-    compio::runtime::spawn(teller.run(tell, tell_owned)).detach();
+    compio::runtime::spawn(status_sender.run(tell, announced)).detach();
 
-    let gaps = Gaps::new(clock, roster.clone(), health.clone());
+    let liveness_gaps = LivenessGaps::new(clock, roster.clone(), health.clone());
     let env = JobEnv {
         name: own.name.clone(),
         incarnation: own.incarnation,
         platform: platform.clone(),
         routes: routes.clone(),
-        placer: placer.clone(),
+        placement: placement.clone(),
         targets: client.clone(),
         roster,
         owners,
         health,
-        gaps,
-        owned,
+        liveness_gaps,
+        announcements,
         metrics: Rc::clone(&metrics),
         clock,
-        keep: config.keep_jobs,
+        retention: config.keep_jobs,
         stopping: Rc::clone(&stopping),
     };
     let jobs = jobs::start(env);
     let front = Front {
         dialect: Rc::clone(&platform.dialect),
         routes: routes.clone(),
-        placer,
+        placement,
         targets: client,
         jobs: jobs.clone(),
         metrics: Rc::clone(&metrics),
         clock,
         open: Rc::default(),
     };
-    Parts { front: Rc::new(front), jobs, metrics, routes, followed, targets_known, stopping }
+    Parts { front: Rc::new(front), jobs, metrics, routes, watch_relay, targets_known, stopping }
 }
 
 async fn serve_side(
@@ -271,21 +282,21 @@
         async move { ready.answer(&request) }
     };
     compio::runtime::spawn(readiness.run(answer_readiness)).detach();
-    let (front, followed) = (Rc::clone(&parts.front), parts.followed.clone());
+    let (front, watch_relay) = (Rc::clone(&parts.front), parts.watch_relay.clone());
     let relay = RoutesRelay::new(parts.routes.clone());
     let answer_peers = move |request: Request<Incoming>| {
-        let (front, relay, followed) = (Rc::clone(&front), relay.clone(), followed.clone());
+        let (front, relay, watch_relay) = (Rc::clone(&front), relay.clone(), watch_relay.clone());
         async move {
             let jobs = &front.jobs;
             match request.uri().path() {
-                peers::relay::PATH => relay.answer(),
-                path if path.starts_with(peers::followed::ROOT) => {
-                    followed.answer(request.uri()).await
+                peers::routes_relay::PATH => relay.answer(),
+                path if path.starts_with(peers::watch_relay::PATH_PREFIX) => {
+                    watch_relay.answer(request.uri()).await
                 }
-                path if path.starts_with(jobs::pass_on::ROOT) => {
-                    front::passed_on(Rc::clone(&front), request).await
+                path if path.starts_with(jobs::forward::PATH_PREFIX) => {
+                    front::answer_forwarded(Rc::clone(&front), request).await
                 }
-                _ => jobs.answer_peer(request.method(), request.uri()).await,
+                _ => jobs.handle_peer(request.method(), request.uri()).await,
             }
         }
     };
@@ -312,12 +323,12 @@
 
 impl Ready {
     fn answer(&self, request: &Request<Incoming>) -> Response<Body> {
-        if !self.dialect.is_readiness(request.method(), request.uri().path()) {
-            return plain(StatusCode::NOT_FOUND, "only readiness is asked for here");
+        if !self.dialect.is_readiness_check(request.method(), request.uri().path()) {
+            return json_message(StatusCode::NOT_FOUND, "only readiness is asked for here");
         }
         match self.problem() {
-            None => plain(StatusCode::OK, "ready"),
-            Some(problem) => plain(StatusCode::SERVICE_UNAVAILABLE, problem),
+            None => json_message(StatusCode::OK, "ready"),
+            Some(problem) => json_message(StatusCode::SERVICE_UNAVAILABLE, problem),
         }
     }
 
@@ -362,7 +373,7 @@
         callers.drain();
     }
     let (jobs, limit) = (parts.jobs.clone(), config.unready + config.finish);
-    let releasing = compio::runtime::spawn(async move { jobs.release(limit).await });
+    let releasing = compio::runtime::spawn(async move { jobs.hand_over_all(limit).await });
     compio::time::sleep(config.unready).await;
     drop(callers);
     let all = async {
--- a/crates/samphiredoor-standin/src/emulate/world/gateways.rs
+++ b/crates/samphiredoor-standin/src/emulate/world/gateways.rs
@@ -5,8 +5,8 @@
 use rand::Rng;
 use samphiredoor_core::{
     Name,
-    dispatch::Place,
-    placement::{CellId, Cells, DoorState, Input, Margins, Placement, TargetEntry, key_of},
+    dispatch::Location,
+    placement::{CellId, Cells, GatewayState, Input, Margins, Placement, TargetEntry, name_hash},
 };
 
 use super::{
@@ -21,18 +21,18 @@
 #[derive(Debug)]
 pub struct Gateway {
     pub name: Name,
-    pub place: Place,
+    pub location: Location,
     pub placement: Placement,
     /// Faults that keep it down.
     down: u32,
     start: u64,
     ticked_ms: u64,
     pub told_ms: u64,
-    pub told: Rc<DoorState>,
+    pub told: Rc<GatewayState>,
     pub audiences: [Audience; 3],
     pub told_cells: BTreeMap<CellId, ToldCell>,
     /// What the gateways of its cell told it last and when, its own word among them.
-    pub heard: BTreeMap<Name, (u64, Rc<DoorState>)>,
+    pub heard: BTreeMap<Name, (u64, Rc<GatewayState>)>,
 }
 
 fn name_of(number: usize) -> Name {
@@ -53,17 +53,18 @@
                 Gateway::new(name_of(number), zone(&scenario.gateways.zones, number, count))
             })
             .collect();
-        let places = gateways.iter().map(|it| (Name::clone(&it.name), it.place.clone())).collect();
-        let keys = targets.iter().map(|it| (key_of(&it.name), it.place.clone())).collect();
-        let cells = Cells::new(&places, &keys);
+        let locations =
+            gateways.iter().map(|it| (Name::clone(&it.name), it.location.clone())).collect();
+        let keys = targets.iter().map(|it| (name_hash(&it.name), it.location.clone())).collect();
+        let cells = Cells::new(&locations, &keys);
         (gateways, cells)
     }
 
-    fn new(name: Name, place: Place) -> Gateway {
+    fn new(name: Name, location: Location) -> Gateway {
         Gateway {
-            placement: Placement::new(Name::clone(&name), place.clone(), 0),
+            placement: Placement::new(Name::clone(&name), location.clone(), 0),
             name,
-            place,
+            location,
             down: 0,
             start: 0,
             ticked_ms: 0,
@@ -92,18 +93,18 @@
         let seed = self.rng.random();
         let margins = self.margins();
         let gateway = &mut self.gateways[number];
-        let (name, place) = (Name::clone(&gateway.name), gateway.place.clone());
-        let before = std::mem::replace(gateway, Gateway::new(Name::clone(&name), place.clone()));
+        let (name, location) = (Name::clone(&gateway.name), gateway.location.clone());
+        let before = std::mem::replace(gateway, Gateway::new(Name::clone(&name), location.clone()));
         gateway.down = before.down;
         gateway.start = before.start;
-        let placement = Placement::new(Name::clone(&name), place, seed);
+        let placement = Placement::new(Name::clone(&name), location, seed);
         gateway.placement = placement.with_margins(margins);
         let start = gateway.start;
         let entries = self.entries(number);
         self.input(number, Input::Targets(entries));
-        if let Some(cell) = self.cells.of_door(&name) {
+        if let Some(cell) = self.cells.cell_of_gateway(&name) {
             let own = self.cells.targets(cell).collect();
-            self.input(number, Input::OwnTargets(own));
+            self.input(number, Input::CellTargets(own));
         }
         let phase_us = (number as u64 * 1_013) % (TELL_PAUSE_MS * 1_000);
         self.events.push(self.now_us + phase_us, Event::Tick { gateway: number, start });
@@ -132,8 +133,8 @@
         let slots = self.scenario.targets.slots;
         let up = self.targets.iter().filter(|it| it.is_up());
         up.map(|it| match self.has(Mechanism::NearestFirst) {
-            true => it.entry(slots, &it.place),
-            false => it.entry(slots, &self.gateways[number].place),
+            true => it.entry(slots, &it.location),
+            false => it.entry(slots, &self.gateways[number].location),
         })
         .collect()
     }
--- a/crates/samphiredoor/src/keyed.rs
+++ b/crates/samphiredoor/src/keyed.rs
@@ -10,9 +10,9 @@
 use hyper::{HeaderMap, Response, StatusCode, header};
 use samphiredoor_core::{
     Name,
-    dispatch::{Ask, Class},
+    dispatch::{Class, RequestSpec},
     keys::{Arrival, KeptAnswer, KeyOutcome, MAX_BODY_BYTES, key_id},
-    verdict::{Doubt, Refusal, Verdict},
+    verdict::{MayHaveRunReason, Refusal, Verdict},
 };
 use samphiredoor_net::{Body, BoxError, pool::within};
 
@@ -45,7 +45,7 @@
 }
 
 /// Answers a request under a key.
-pub async fn answer(mut online: Online, mut ask: Ask, key: Name) -> Response<Body> {
+pub async fn answer(mut online: Online, mut ask: RequestSpec, key: Name) -> Response<Body> {
     // A run that outlived the memory of its key could meet a second one.
     let longest = online.door.config.remember_keys / 2;
     online.deadline = online.deadline.min(Instant::now() + longest);
@@ -66,7 +66,7 @@
             Some(KeyDecision::Replay(answer)) => return replay(&online, answer),
             Some(KeyDecision::Refused(verdict)) => return online.refused(verdict),
             None if joined => {
-                let reason = Doubt::StillRunning;
+                let reason = MayHaveRunReason::StillRunning;
                 return online.refused(Verdict::MayHaveRun { reason });
             }
             None => {
@@ -90,7 +90,7 @@
 }
 
 /// Runs in a task of its own: the caller may go away, the run and its record go on.
-async fn run(online: Online, ask: Ask, ticket: KeyTicket) -> Response<Body> {
+async fn run(online: Online, ask: RequestSpec, ticket: KeyTicket) -> Response<Body> {
     let (sender, receiver) = oneshot::channel();
     compio::runtime::spawn(async move {
         let response = record(online.run(ask).await, ticket);
@@ -99,7 +99,7 @@
     .detach();
     match receiver.await {
         Ok(response) => response,
-        Err(_) => verdict_answer(Verdict::MayHaveRun { reason: Doubt::ConnectionLost }),
+        Err(_) => verdict_answer(Verdict::MayHaveRun { reason: MayHaveRunReason::ConnectionLost }),
     }
 }
 
@@ -179,7 +179,7 @@
                 self.ticket.ended(KeyOutcome::MayHaveRun(reason));
             }
             Some(Verdict::NotRun { .. }) | None => {
-                self.ticket.ended(KeyOutcome::MayHaveRun(Doubt::AnswerCut));
+                self.ticket.ended(KeyOutcome::MayHaveRun(MayHaveRunReason::AnswerCut));
             }
         }
     }
@@ -187,7 +187,7 @@
 
 fn replay(online: &Online, answer: KeptAnswer) -> Response<Body> {
     let Some(body) = answer.body else {
-        return online.refused(Verdict::MayHaveRun { reason: Doubt::AnswerNotKept });
+        return online.refused(Verdict::MayHaveRun { reason: MayHaveRunReason::AnswerNotKept });
     };
     let elapsed_s = online.started.elapsed().as_secs_f64();
     online.door.metrics.ended(Class::Online, Verdict::Done, elapsed_s);
