--- a/crates/samphiredoor-core/src/dispatch/admission.rs
+++ b/crates/samphiredoor-core/src/dispatch/admission.rs
@@ -43,67 +43,67 @@
 
 impl Dispatcher {
     /// Handles a new request. One whose identifier is already in use is ignored.
-    pub(super) fn admit(&mut self, now_ms: u64, ask: RequestSpec, out: &mut Vec<Action>) {
-        if self.requests.contains_key(&ask.request) {
+    pub(super) fn admit(&mut self, now_ms: u64, spec: RequestSpec, out: &mut Vec<Action>) {
+        if self.requests.contains_key(&spec.request) {
             return;
         }
-        let admitted = match ask.class {
-            Class::Online => self.admit_online(now_ms, &ask),
-            Class::Batch => self.admit_batch(now_ms, &ask),
+        let admitted = match spec.class {
+            Class::Online => self.admit_online(now_ms, &spec),
+            Class::Batch => self.admit_batch(now_ms, &spec),
         };
         if let Err(reason) = admitted {
-            return self.refuse(now_ms, &ask, reason, out);
+            return self.refuse(now_ms, &spec, reason, out);
         }
-        let (request, service) = (ask.request, Name::clone(&ask.service));
-        match ask.class {
+        let (request, service) = (spec.request, Name::clone(&spec.service));
+        match spec.class {
             Class::Online => {
-                *self.online_by_workspace.entry(Name::clone(&ask.workspace)).or_default() += 1;
-                self.requests.insert(request, Request::new(ask, Stage::Unassigned));
+                *self.online_by_workspace.entry(Name::clone(&spec.workspace)).or_default() += 1;
+                self.requests.insert(request, Request::new(spec, Stage::Unassigned));
                 self.dispatch_or_queue(now_ms, request, out);
             }
             Class::Batch => {
-                self.requests.insert(request, Request::new(ask, Stage::WaitingForSlot));
+                self.requests.insert(request, Request::new(spec, Stage::WaitingForSlot));
                 self.schedule_batch(now_ms, &service, out);
             }
         }
     }
 
-    fn admit_online(&mut self, now_ms: u64, ask: &RequestSpec) -> Result<(), Refusal> {
-        self.check_request(now_ms, ask)?;
-        let in_flight = self.online_by_workspace.get(&ask.workspace).copied().unwrap_or(0);
-        let declared = self.manifest.workspaces.get(&ask.workspace);
+    fn admit_online(&mut self, now_ms: u64, spec: &RequestSpec) -> Result<(), Refusal> {
+        self.check_request(now_ms, spec)?;
+        let in_flight = self.online_by_workspace.get(&spec.workspace).copied().unwrap_or(0);
+        let declared = self.manifest.workspaces.get(&spec.workspace);
         if declared.is_some_and(|it| it.max_in_flight > 0 && in_flight >= it.max_in_flight) {
             return Err(Refusal::WorkspaceLimit);
         }
-        let Some(state) = self.services.get_mut(&ask.service) else {
+        let Some(state) = self.services.get_mut(&spec.service) else {
             return Err(Refusal::UnknownService);
         };
         state.retry_budget.request_arrived();
-        if ask.deadline_ms as f64 <= now_ms as f64 + state.stats.fast_latency_ms(now_ms) {
+        if spec.deadline_ms as f64 <= now_ms as f64 + state.stats.fast_latency_ms(now_ms) {
             return Err(Refusal::DeadlineTooShort);
         }
         Ok(())
     }
 
-    fn admit_batch(&mut self, now_ms: u64, ask: &RequestSpec) -> Result<(), Refusal> {
-        self.check_request(now_ms, ask)?;
-        let Some(state) = self.services.get_mut(&ask.service) else {
+    fn admit_batch(&mut self, now_ms: u64, spec: &RequestSpec) -> Result<(), Refusal> {
+        self.check_request(now_ms, spec)?;
+        let Some(state) = self.services.get_mut(&spec.service) else {
             return Err(Refusal::UnknownService);
         };
-        match state.batch_queue.push(ask) {
+        match state.batch_queue.push(spec) {
             true => Ok(()),
             false => Err(Refusal::Overloaded),
         }
     }
 
-    fn check_request(&self, now_ms: u64, ask: &RequestSpec) -> Result<(), Refusal> {
+    fn check_request(&self, now_ms: u64, spec: &RequestSpec) -> Result<(), Refusal> {
         if self.manifest.revision == 0 {
             return Err(Refusal::NotReady);
         }
-        if !self.manifest.services.contains_key(&ask.service) {
+        if !self.manifest.services.contains_key(&spec.service) {
             return Err(Refusal::UnknownService);
         }
-        if ask.deadline_ms <= now_ms {
+        if spec.deadline_ms <= now_ms {
             return Err(Refusal::DeadlineTooShort);
         }
         Ok(())
@@ -117,7 +117,7 @@
         request: RequestId,
         out: &mut Vec<Action>,
     ) {
-        let Some(service) = self.requests.get(&request).map(|it| Name::clone(&it.ask.service))
+        let Some(service) = self.requests.get(&request).map(|it| Name::clone(&it.spec.service))
         else {
             return;
         };
@@ -150,29 +150,29 @@
         out: &mut Vec<Action>,
     ) -> Result<(), Refusal> {
         let Some(waiting) = self.requests.get_mut(&request) else { return Ok(()) };
-        let ask = &waiting.ask;
-        if !self.targets.any_available_soon(now_ms, &ask.service, &waiting.tried_targets) {
+        let spec = &waiting.spec;
+        if !self.targets.any_available_soon(now_ms, &spec.service, &waiting.tried_targets) {
             return Err(Refusal::NoTarget);
         }
-        let weight = self.manifest.workspaces.get(&ask.workspace).map_or(1, |it| it.weight);
-        let Some(state) = self.services.get_mut(&ask.service) else {
+        let weight = self.manifest.workspaces.get(&spec.workspace).map_or(1, |it| it.weight);
+        let Some(state) = self.services.get_mut(&spec.service) else {
             return Err(Refusal::UnknownService);
         };
         let fast_latency_ms = state.stats.fast_latency_ms(now_ms);
-        let wait_ms = state.expected_wait_ms(now_ms, &ask.workspace);
-        if now_ms as f64 + wait_ms + fast_latency_ms >= ask.deadline_ms as f64 {
+        let wait_ms = state.expected_wait_ms(now_ms, &spec.workspace);
+        if now_ms as f64 + wait_ms + fast_latency_ms >= spec.deadline_ms as f64 {
             return Err(Refusal::DeadlineTooShort);
         }
         let full = state.online_queue.len() >= state.queue_bound(now_ms, &self.policy);
-        if full && !state.online_queue.goes_before_last(&ask.workspace, weight) {
+        if full && !state.online_queue.goes_before_last(&spec.workspace, weight) {
             return Err(Refusal::Overloaded);
         }
         let displaced = if full { state.online_queue.last() } else { None };
         // The wait was estimated from the current completion rate; if that falls, the request is refused after twice
         // the allowed wait.
         let latest_ms = now_ms.saturating_add(self.policy.queue_wait_ms.saturating_mul(2));
-        let expires_ms = latest_ms.min(ask.deadline_ms.saturating_sub(fast_latency_ms as u64));
-        let tag = state.online_queue.push(request, &ask.workspace, weight, expires_ms);
+        let expires_ms = latest_ms.min(spec.deadline_ms.saturating_sub(fast_latency_ms as u64));
+        let tag = state.online_queue.push(request, &spec.workspace, weight, expires_ms);
         waiting.stage = Stage::Queued(tag);
         if let Some(displaced) = displaced {
             self.fail_request(now_ms, displaced, Refusal::Overloaded, out);
@@ -206,7 +206,7 @@
             self.services.get(service).and_then(|it| it.online_queue.expired(now_ms))
         {
             let Some(queued) = self.requests.get(&request) else { return };
-            let in_time = queued.ask.deadline_ms > now_ms;
+            let in_time = queued.spec.deadline_ms > now_ms;
             let reason = if in_time { Refusal::Overloaded } else { Refusal::DeadlineTooShort };
             self.fail_request(now_ms, request, reason, out);
         }
@@ -247,22 +247,22 @@
         out: &mut Vec<Action>,
     ) {
         let Some(closed) = self.remove_request(now_ms, request) else { return };
-        match closed.doubt {
+        match closed.may_have_run {
             Some(reason) => {
                 out.push(Action::Refuse { request, verdict: Verdict::MayHaveRun { reason } });
             }
-            None => self.refuse(now_ms, &closed.ask, reason, out),
+            None => self.refuse(now_ms, &closed.spec, reason, out),
         }
     }
 
-    fn refuse(&mut self, now_ms: u64, ask: &RequestSpec, reason: Refusal, out: &mut Vec<Action>) {
-        let retry_after_ms = self.retry_after_ms(now_ms, ask, reason);
+    fn refuse(&mut self, now_ms: u64, spec: &RequestSpec, reason: Refusal, out: &mut Vec<Action>) {
+        let retry_after_ms = self.retry_after_ms(now_ms, spec, reason);
         let verdict = Verdict::NotRun { retry_after_ms, reason };
-        out.push(Action::Refuse { request: ask.request, verdict });
+        out.push(Action::Refuse { request: spec.request, verdict });
     }
 
-    fn retry_after_ms(&mut self, now_ms: u64, ask: &RequestSpec, reason: Refusal) -> u64 {
-        let Some(state) = self.services.get_mut(&ask.service) else {
+    fn retry_after_ms(&mut self, now_ms: u64, spec: &RequestSpec, reason: Refusal) -> u64 {
+        let Some(state) = self.services.get_mut(&spec.service) else {
             return jittered(DEFAULT_RETRY_AFTER_MS, &mut self.rng);
         };
         let completions_per_ms = state.completions_per_ms(now_ms);
@@ -274,14 +274,14 @@
             // Neither of these two takes a time from the retry schedule: a request above its workspace's limit does not
             // wait for other workspaces, and one with too short a deadline would not have been queued.
             Refusal::WorkspaceLimit => {
-                let in_flight = self.online_by_workspace.get(&ask.workspace).copied().unwrap_or(0);
+                let in_flight = self.online_by_workspace.get(&spec.workspace).copied().unwrap_or(0);
                 state.stats.mean_ms() / f64::from(in_flight.max(1))
             }
             Refusal::DeadlineTooShort if completions_per_ms > 0.0 => {
                 state.online_queue.len() as f64 / completions_per_ms
             }
             _ => {
-                let targets = self.targets.of_service(&ask.service);
+                let targets = self.targets.of_service(&spec.service);
                 let available_at_ms =
                     targets.filter_map(|(_, it)| it.health.available_at_ms(now_ms)).min();
                 available_at_ms
--- a/crates/samphiredoor-core/src/dispatch/attempt.rs
+++ b/crates/samphiredoor-core/src/dispatch/attempt.rs
@@ -46,8 +46,8 @@
     /// sent with little time left.
     pub fn is_failure(self) -> bool {
         match self {
-            AttemptEnd::AnswerLost(doubt) | AttemptEnd::AnswerTruncated(doubt) => {
-                doubt != MayHaveRunReason::DeadlinePassed
+            AttemptEnd::AnswerLost(cause) | AttemptEnd::AnswerTruncated(cause) => {
+                cause != MayHaveRunReason::DeadlinePassed
             }
             AttemptEnd::Failed => true,
             AttemptEnd::Completed
--- a/crates/samphiredoor-core/src/dispatch/attempts.rs
+++ b/crates/samphiredoor-core/src/dispatch/attempts.rs
@@ -26,14 +26,14 @@
         let name = Name::clone(&chosen.declared.name);
         let address = chosen.declared.address;
         if chosen.distance == Distance::OtherRegion {
-            self.counters.bytes_to_other_regions += u64::from(running.ask.body_bytes);
+            self.counters.bytes_to_other_regions += u64::from(running.spec.body_bytes);
         }
         let attempt = RunningAttempt { target, started_ms: now_ms, preempted: false, charged_ms };
         running.stage = Stage::Running(attempt);
         running.tried_targets.push(Name::clone(&name));
-        let (class, preemptible) = (running.ask.class, running.ask.repeatable);
+        let (class, preemptible) = (running.spec.class, running.spec.repeatable);
         if class == Class::Online
-            && let Some(state) = self.services.get_mut(&running.ask.service)
+            && let Some(state) = self.services.get_mut(&running.spec.service)
         {
             state.online_running += 1;
         }
@@ -47,9 +47,9 @@
     /// Target for an online request; `None` if no target that it has not tried has free capacity.
     pub(super) fn pick_target(&mut self, now_ms: u64, request: RequestId) -> Option<TargetId> {
         let unassigned = self.requests.get(&request)?;
-        let ask = &unassigned.ask;
-        let (service, tried) = (&ask.service, &unassigned.tried_targets);
-        self.targets.pick_online(now_ms, service, ask.prefix_hash, tried, &mut self.rng)
+        let spec = &unassigned.spec;
+        let (service, tried) = (&spec.service, &unassigned.tried_targets);
+        self.targets.pick_online(now_ms, service, spec.prefix_hash, tried, &mut self.rng)
     }
 
     /// Preempts a batch item to free capacity for an online request. The capacity counts as free at once: the item's
@@ -63,7 +63,7 @@
         let Some(unassigned) = self.requests.get(&request) else { return false };
         let Some(target) = self.targets.pick_preemption(
             now_ms,
-            &unassigned.ask.service,
+            &unassigned.spec.service,
             &unassigned.tried_targets,
         ) else {
             return false;
@@ -93,8 +93,8 @@
     ) {
         let Some(ended) = self.requests.get(&request) else { return };
         let Stage::Running(attempt) = ended.stage else { return };
-        let service = Name::clone(&ended.ask.service);
-        let class = ended.ask.class;
+        let service = Name::clone(&ended.spec.service);
+        let class = ended.spec.class;
         self.release_target(now_ms, request);
         self.record_outcome(now_ms, attempt, class, end);
         match end {
@@ -113,7 +113,7 @@
                 let (retry, reason) = (RetryReason::Pushback, Refusal::Overloaded);
                 self.retry_or_fail(now_ms, request, retry, reason, out);
             }
-            AttemptEnd::AnswerLost(doubt) => self.answer_lost(now_ms, request, doubt, out),
+            AttemptEnd::AnswerLost(cause) => self.answer_lost(now_ms, request, cause, out),
         }
         self.schedule(now_ms, &service, out);
     }
@@ -121,7 +121,7 @@
     /// Handles the cancellation of a request, whether it waits or runs.
     pub(super) fn cancel(&mut self, now_ms: u64, request: RequestId, out: &mut Vec<Action>) {
         if let Some(closed) = self.remove_request(now_ms, request) {
-            self.schedule(now_ms, &closed.ask.service, out);
+            self.schedule(now_ms, &closed.spec.service, out);
         }
     }
 
@@ -130,12 +130,12 @@
         self.release_target(now_ms, request);
         self.remove_from_queue(request);
         let closed = self.requests.remove(&request)?;
-        if closed.ask.class == Class::Online
-            && let Some(in_flight) = self.online_by_workspace.get_mut(&closed.ask.workspace)
+        if closed.spec.class == Class::Online
+            && let Some(in_flight) = self.online_by_workspace.get_mut(&closed.spec.workspace)
         {
             *in_flight -= 1;
             if *in_flight == 0 {
-                self.online_by_workspace.remove(&closed.ask.workspace);
+                self.online_by_workspace.remove(&closed.spec.workspace);
             }
         }
         Some(closed)
@@ -146,16 +146,16 @@
         let Some(running) = self.requests.get_mut(&request) else { return };
         let Stage::Running(attempt) = running.stage else { return };
         running.stage = Stage::Unassigned;
-        if running.ask.class == Class::Batch
-            && let Some(state) = self.services.get_mut(&running.ask.service)
+        if running.spec.class == Class::Batch
+            && let Some(state) = self.services.get_mut(&running.spec.service)
         {
-            let weight = weight(&self.manifest, &running.ask);
+            let weight = weight(&self.manifest, &running.spec);
             let took_ms = now_ms.saturating_sub(attempt.started_ms);
-            state.batch_queue.attempt_ended(&running.ask, attempt.charged_ms, took_ms, weight);
+            state.batch_queue.attempt_ended(&running.spec, attempt.charged_ms, took_ms, weight);
         }
-        let class = running.ask.class;
+        let class = running.spec.class;
         if class == Class::Online
-            && let Some(state) = self.services.get_mut(&running.ask.service)
+            && let Some(state) = self.services.get_mut(&running.spec.service)
         {
             state.online_running = state.online_running.saturating_sub(1);
         }
@@ -165,14 +165,14 @@
     /// Removes a request that is about to run from its queue. Returns the slot time that a batch item is charged.
     fn dequeue(&mut self, request: RequestId) -> f64 {
         let Some(waiting) = self.requests.get(&request) else { return 0.0 };
-        let Some(state) = self.services.get_mut(&waiting.ask.service) else { return 0.0 };
+        let Some(state) = self.services.get_mut(&waiting.spec.service) else { return 0.0 };
         let charged_ms = match waiting.stage {
             Stage::Queued(tag) => {
-                state.online_queue.advance_virtual_time(tag, &waiting.ask.workspace);
+                state.online_queue.advance_virtual_time(tag, &waiting.spec.workspace);
                 0.0
             }
             Stage::WaitingForSlot => {
-                state.batch_queue.start(&waiting.ask, weight(&self.manifest, &waiting.ask))
+                state.batch_queue.start(&waiting.spec, weight(&self.manifest, &waiting.spec))
             }
             Stage::Unassigned | Stage::Running(_) => 0.0,
         };
@@ -184,20 +184,20 @@
     /// the service is left and its job would wait for it forever, so the item is refused.
     fn requeue_preempted(&mut self, now_ms: u64, request: RequestId, out: &mut Vec<Action>) {
         let Some(preempted) = self.requests.get_mut(&request) else { return };
-        let Some(state) = self.services.get_mut(&preempted.ask.service) else {
+        let Some(state) = self.services.get_mut(&preempted.spec.service) else {
             return self.fail_request(now_ms, request, Refusal::UnknownService, out);
         };
         preempted.stage = Stage::WaitingForSlot;
         preempted.tried_targets.clear();
-        state.batch_queue.requeue(&preempted.ask);
+        state.batch_queue.requeue(&preempted.spec);
     }
 
     fn remove_from_queue(&mut self, request: RequestId) {
         let Some(waiting) = self.requests.get_mut(&request) else { return };
-        let Some(state) = self.services.get_mut(&waiting.ask.service) else { return };
+        let Some(state) = self.services.get_mut(&waiting.spec.service) else { return };
         match waiting.stage {
-            Stage::Queued(tag) => state.online_queue.remove(tag, &waiting.ask.workspace),
-            Stage::WaitingForSlot => state.batch_queue.remove(&waiting.ask),
+            Stage::Queued(tag) => state.online_queue.remove(tag, &waiting.spec.workspace),
+            Stage::WaitingForSlot => state.batch_queue.remove(&waiting.spec),
             Stage::Unassigned | Stage::Running(_) => return,
         }
         waiting.stage = Stage::Unassigned;
@@ -208,12 +208,12 @@
         &mut self,
         now_ms: u64,
         request: RequestId,
-        doubt: MayHaveRunReason,
+        cause: MayHaveRunReason,
         out: &mut Vec<Action>,
     ) {
         let Some(lost) = self.requests.get_mut(&request) else { return };
-        lost.doubt.get_or_insert(doubt);
-        if lost.ask.repeatable && doubt != MayHaveRunReason::DeadlinePassed {
+        lost.may_have_run.get_or_insert(cause);
+        if lost.spec.repeatable && cause != MayHaveRunReason::DeadlinePassed {
             let (retry, reason) = (RetryReason::AnswerLost, Refusal::NoTarget);
             self.retry_or_fail(now_ms, request, retry, reason, out);
         } else {
@@ -240,14 +240,14 @@
 
     fn may_retry(&mut self, now_ms: u64, request: RequestId) -> bool {
         let Some(failed) = self.requests.get(&request) else { return false };
-        let Some(state) = self.services.get_mut(&failed.ask.service) else { return false };
-        if failed.ask.class == Class::Batch {
+        let Some(state) = self.services.get_mut(&failed.spec.service) else { return false };
+        if failed.spec.class == Class::Batch {
             return false;
         }
         let earliest_ms = now_ms as f64 + state.stats.fast_latency_ms(now_ms);
-        let in_time = earliest_ms < failed.ask.deadline_ms as f64;
+        let in_time = earliest_ms < failed.spec.deadline_ms as f64;
         if !in_time
-            || !self.targets.any_available_soon(now_ms, &failed.ask.service, &failed.tried_targets)
+            || !self.targets.any_available_soon(now_ms, &failed.spec.service, &failed.tried_targets)
         {
             return false;
         }
@@ -311,6 +311,6 @@
     }
 }
 
-fn weight(manifest: &Manifest, ask: &RequestSpec) -> u32 {
-    manifest.workspaces.get(&ask.workspace).map_or(1, |it| it.weight)
+fn weight(manifest: &Manifest, spec: &RequestSpec) -> u32 {
+    manifest.workspaces.get(&spec.workspace).map_or(1, |it| it.weight)
 }
--- a/crates/samphiredoor-core/src/dispatch/batch_queue.rs
+++ b/crates/samphiredoor-core/src/dispatch/batch_queue.rs
@@ -63,28 +63,28 @@
     }
 
     /// Adds a new item. Returns `false` if the bounds do not allow it.
-    pub(super) fn push(&mut self, ask: &RequestSpec) -> bool {
-        if self.waiting >= MAX_WAITING || self.waiting_of(ask) >= MAX_WAITING_PER_JOB {
+    pub(super) fn push(&mut self, spec: &RequestSpec) -> bool {
+        if self.waiting >= MAX_WAITING || self.waiting_of(spec) >= MAX_WAITING_PER_JOB {
             return false;
         }
-        self.requeue(ask);
+        self.requeue(spec);
         true
     }
 
     /// Adds an item that has been admitted before, regardless of the bounds.
-    pub(super) fn requeue(&mut self, ask: &RequestSpec) {
+    pub(super) fn requeue(&mut self, spec: &RequestSpec) {
         let min_time_ms = self.min_virtual_time_ms();
-        let workspace = self.workspaces.entry(Name::clone(&ask.workspace)).or_default();
+        let workspace = self.workspaces.entry(Name::clone(&spec.workspace)).or_default();
         if workspace.jobs.is_empty() {
             workspace.virtual_time_ms = min_time_ms;
         }
         let min_job_time_ms = workspace.jobs.values().map(|it| it.virtual_time_ms).reduce(f64::min);
-        let job = workspace.jobs.entry(Name::clone(&ask.job)).or_insert_with(|| JobQueue {
+        let job = workspace.jobs.entry(Name::clone(&spec.job)).or_insert_with(|| JobQueue {
             virtual_time_ms: min_job_time_ms.unwrap_or(0.0),
             ..JobQueue::default()
         });
-        job.due_unix_ms = ask.due_unix_ms;
-        job.waiting.insert(ask.request);
+        job.due_unix_ms = spec.due_unix_ms;
+        job.waiting.insert(spec.request);
         workspace.waiting += 1;
         self.waiting += 1;
     }
@@ -102,49 +102,49 @@
     }
 
     /// Removes a waiting item that is about to run, and returns the estimated slot time that it is charged.
-    pub(super) fn start(&mut self, ask: &RequestSpec, weight: u32) -> f64 {
-        let Some(workspace) = self.workspaces.get_mut(&ask.workspace) else { return 0.0 };
-        let Some(job) = workspace.jobs.get_mut(&ask.job) else { return 0.0 };
+    pub(super) fn start(&mut self, spec: &RequestSpec, weight: u32) -> f64 {
+        let Some(workspace) = self.workspaces.get_mut(&spec.workspace) else { return 0.0 };
+        let Some(job) = workspace.jobs.get_mut(&spec.job) else { return 0.0 };
         let estimate_ms = job.estimate_ms.unwrap_or(INITIAL_ESTIMATE_MS);
         job.running += 1;
         job.virtual_time_ms += estimate_ms;
         workspace.virtual_time_ms += estimate_ms / f64::from(weight.max(1));
-        self.remove(ask);
+        self.remove(spec);
         estimate_ms
     }
 
     /// Replaces the estimate that was charged at the start of an attempt by the time that it took.
     pub(super) fn attempt_ended(
         &mut self,
-        ask: &RequestSpec,
+        spec: &RequestSpec,
         charged_ms: f64,
         took_ms: u64,
         weight: u32,
     ) {
-        let Some(workspace) = self.workspaces.get_mut(&ask.workspace) else { return };
-        let Some(job) = workspace.jobs.get_mut(&ask.job) else { return };
+        let Some(workspace) = self.workspaces.get_mut(&spec.workspace) else { return };
+        let Some(job) = workspace.jobs.get_mut(&spec.job) else { return };
         let took_ms = took_ms as f64;
         job.virtual_time_ms += took_ms - charged_ms;
         workspace.virtual_time_ms += (took_ms - charged_ms) / f64::from(weight.max(1));
         let estimate_ms = job.estimate_ms.unwrap_or(took_ms);
         job.estimate_ms = Some(estimate_ms + ESTIMATE_WEIGHT * (took_ms - estimate_ms));
         job.running = job.running.saturating_sub(1);
-        self.remove_if_empty(ask);
+        self.remove_if_empty(spec);
     }
 
     /// Removes a waiting item.
-    pub(super) fn remove(&mut self, ask: &RequestSpec) {
-        let Some(workspace) = self.workspaces.get_mut(&ask.workspace) else { return };
-        let Some(job) = workspace.jobs.get_mut(&ask.job) else { return };
-        let removed = usize::from(job.waiting.remove(&ask.request));
+    pub(super) fn remove(&mut self, spec: &RequestSpec) {
+        let Some(workspace) = self.workspaces.get_mut(&spec.workspace) else { return };
+        let Some(job) = workspace.jobs.get_mut(&spec.job) else { return };
+        let removed = usize::from(job.waiting.remove(&spec.request));
         workspace.waiting -= removed;
         self.waiting -= removed;
-        self.remove_if_empty(ask);
+        self.remove_if_empty(spec);
     }
 
-    fn waiting_of(&self, ask: &RequestSpec) -> usize {
-        let workspace = self.workspaces.get(&ask.workspace);
-        workspace.and_then(|it| it.jobs.get(&ask.job)).map_or(0, |it| it.waiting.len())
+    fn waiting_of(&self, spec: &RequestSpec) -> usize {
+        let workspace = self.workspaces.get(&spec.workspace);
+        workspace.and_then(|it| it.jobs.get(&spec.job)).map_or(0, |it| it.waiting.len())
     }
 
     fn min_virtual_time_ms(&self) -> f64 {
@@ -153,16 +153,16 @@
 
     /// Removes the item's job, and then its workspace, if nothing of it waits or runs, so that the state is bounded by
     /// the work in progress.
-    fn remove_if_empty(&mut self, ask: &RequestSpec) {
-        let Some(workspace) = self.workspaces.get_mut(&ask.workspace) else { return };
-        if let Some(job) = workspace.jobs.get(&ask.job)
+    fn remove_if_empty(&mut self, spec: &RequestSpec) {
+        let Some(workspace) = self.workspaces.get_mut(&spec.workspace) else { return };
+        if let Some(job) = workspace.jobs.get(&spec.job)
             && job.running == 0
             && job.waiting.is_empty()
         {
-            workspace.jobs.remove(&ask.job);
+            workspace.jobs.remove(&spec.job);
         }
         if workspace.jobs.is_empty() {
-            self.workspaces.remove(&ask.workspace);
+            self.workspaces.remove(&spec.workspace);
         }
     }
 }
--- a/crates/samphiredoor-core/src/dispatch/mod.rs
+++ b/crates/samphiredoor-core/src/dispatch/mod.rs
@@ -84,16 +84,16 @@
 
 #[derive(Debug)]
 struct Request {
-    ask: RequestSpec,
+    spec: RequestSpec,
     stage: Stage,
     tried_targets: SmallVec<[Name; 2]>,
     /// Set when the answer of an earlier attempt was lost, so the request may have run.
-    doubt: Option<MayHaveRunReason>,
+    may_have_run: Option<MayHaveRunReason>,
 }
 
 impl Request {
-    fn new(ask: RequestSpec, stage: Stage) -> Request {
-        Request { ask, stage, tried_targets: SmallVec::new(), doubt: None }
+    fn new(spec: RequestSpec, stage: Stage) -> Request {
+        Request { spec, stage, tried_targets: SmallVec::new(), may_have_run: None }
     }
 }
 
@@ -176,7 +176,7 @@
         self.unix_ms = now.unix_ms;
         match input {
             Input::Manifest(manifest) => self.apply_manifest(now_ms, manifest, out),
-            Input::Request(ask) => self.admit(now_ms, ask, out),
+            Input::Request(spec) => self.admit(now_ms, spec, out),
             Input::AttemptEnded { request, end } => self.attempt_ended(now_ms, request, end, out),
             Input::Cancelled { request } => self.cancel(now_ms, request, out),
             Input::LoadReport { target, running, waiting } => {
--- a/crates/samphiredoor-core/src/dispatch/slot_allocator.rs
+++ b/crates/samphiredoor-core/src/dispatch/slot_allocator.rs
@@ -41,8 +41,8 @@
     pub region: Name,
 }
 
-/// Gateway that allocates the batch slots of `target`, which runs in `region`. A gateway of the same region is preferred,
-/// so that slots are granted on both sides of a partition between regions. `None` if no gateway is live.
+/// Gateway that allocates the batch slots of `target`, which runs in `region`. A gateway of the same region is
+/// preferred, so that slots are granted on both sides of a partition between regions. `None` if no gateway is live.
 pub fn allocator_of<'a>(
     target: &str,
     region: &str,
--- a/crates/samphiredoor-core/src/orders/ring.rs
+++ b/crates/samphiredoor-core/src/orders/ring.rs
@@ -30,7 +30,7 @@
     }
 
     /// Process that is to lead `target`; `None` if the ring is empty.
-    pub fn giver(&self, target: &str) -> Option<&Name> {
+    pub fn leader(&self, target: &str) -> Option<&Name> {
         let position = hash(target, POINTS_PER_PROCESS);
         let next = self.points.partition_point(|(point, _)| *point < position);
         self.points.get(next).or(self.points.first()).map(|(_, process)| process)
--- a/crates/samphiredoor-core/tests/dispatch/harness.rs
+++ b/crates/samphiredoor-core/tests/dispatch/harness.rs
@@ -58,7 +58,7 @@
     Manifest { revision, services, targets, workspaces, ..Manifest::default() }
 }
 
-pub fn ask(request: u64, class: Class) -> RequestSpec {
+pub fn request_spec(request: u64, class: Class) -> RequestSpec {
     RequestSpec {
         request: RequestId(request),
         class,
@@ -99,22 +99,22 @@
     }
 
     /// Submits a request with a new identifier; returns the identifier and the immediate actions.
-    pub fn ask(&mut self, change: impl FnOnce(&mut RequestSpec)) -> (RequestId, Vec<Action>) {
-        let mut ask = ask(self.next, Class::Online);
+    pub fn submit(&mut self, change: impl FnOnce(&mut RequestSpec)) -> (RequestId, Vec<Action>) {
+        let mut spec = request_spec(self.next, Class::Online);
         self.next += 1;
-        change(&mut ask);
-        let request = ask.request;
-        (request, self.handle(Input::Request(ask)))
+        change(&mut spec);
+        let request = spec.request;
+        (request, self.handle(Input::Request(spec)))
     }
 
     /// Submits an online request; returns its identifier and the target that it was sent to at once, if any.
     pub fn online(&mut self) -> (RequestId, Option<Name>) {
-        let (request, actions) = self.ask(|_| {});
+        let (request, actions) = self.submit(|_| {});
         (request, sent_to(&actions, request))
     }
 
     pub fn batch(&mut self) -> (RequestId, Option<Name>) {
-        let (request, actions) = self.ask(|it| {
+        let (request, actions) = self.submit(|it| {
             it.class = Class::Batch;
             it.job = "job".into();
         });
--- a/crates/samphiredoor-core/tests/dispatch/limits.rs
+++ b/crates/samphiredoor-core/tests/dispatch/limits.rs
@@ -52,23 +52,23 @@
         harness.batch();
     }
     for online in 0..8 {
-        let (request, actions) = harness.ask(|_| {});
+        let (request, actions) = harness.submit(|_| {});
         assert!(matches!(actions[0], Action::Abort { .. }), "{actions:?}");
         assert!(sent_to(&actions, request).is_some(), "online request {online} waits");
     }
     assert_eq!(harness.dispatcher.counters().preemptions, 8);
-    let (_, actions) = harness.ask(|_| {});
+    let (_, actions) = harness.submit(|_| {});
     assert!(actions.is_empty(), "every slot is occupied by an online request; it is queued");
 }
 
 #[test]
 fn an_item_that_may_run_only_once_is_not_preempted() {
     let mut harness = Harness::new(targets(1, 1));
-    let (item, _) = harness.ask(|it| {
+    let (item, _) = harness.submit(|it| {
         it.class = Class::Batch;
         it.repeatable = false;
     });
-    let (online, actions) = harness.ask(|_| {});
+    let (online, actions) = harness.submit(|_| {});
     assert!(actions.is_empty());
     let actions = harness.end(item, AttemptEnd::Completed);
     assert!(sent_to(&actions, online).is_some());
@@ -89,7 +89,7 @@
     let mut harness = Harness::new(targets(1, 1));
     let (first, _) = harness.online();
     harness.end(first, AttemptEnd::Pushback { retry_after_ms: 500 });
-    let (queued, actions) = harness.ask(|_| {});
+    let (queued, actions) = harness.submit(|_| {});
     assert!(actions.is_empty());
     harness.now_ms += 500;
     assert_eq!(harness.batch().1, None);
@@ -101,7 +101,7 @@
 fn items_are_bounded_for_each_job() {
     let mut harness = Harness::new(vec![]);
     let refusals = (0..600).filter(|_| {
-        let (request, actions) = harness.ask(|it| it.class = Class::Batch);
+        let (request, actions) = harness.submit(|it| it.class = Class::Batch);
         reason(refused(&actions, request)) == Some(Refusal::Overloaded)
     });
     assert_eq!(refusals.count(), 600 - 512);
@@ -113,7 +113,7 @@
     // Four slots of 100 ms each serve 40 requests per second; the queue holds those of half a second.
     let mut verdicts = Vec::new();
     for _ in 0..40 {
-        let (request, actions) = harness.ask(|_| {});
+        let (request, actions) = harness.submit(|_| {});
         verdicts.push(refused(&actions, request));
     }
     let refusals: Vec<_> = verdicts.into_iter().flatten().collect();
@@ -144,13 +144,17 @@
 fn a_deadline_that_cannot_be_met_is_refused_at_once() {
     let in_ms = |harness: &mut Harness, ms| {
         let deadline_ms = harness.now_ms + ms;
-        let (request, actions) = harness.ask(|it| it.deadline_ms = deadline_ms);
+        let (request, actions) = harness.submit(|it| it.deadline_ms = deadline_ms);
         reason(refused(&actions, request))
     };
     let mut harness = with_full_targets(4);
     harness.now_ms += 100;
     harness.end(RequestId(21), AttemptEnd::Completed);
-    assert_eq!(in_ms(&mut harness, 90), Some(Refusal::DeadlineTooShort), "though there is room");
+    assert_eq!(
+        in_ms(&mut harness, 90),
+        Some(Refusal::DeadlineTooShort),
+        "though there is free capacity"
+    );
     harness.online();
     assert_eq!(in_ms(&mut harness, 200), None);
     for _ in 0..8 {
@@ -167,7 +171,7 @@
     for _ in 0..40 {
         harness.online();
     }
-    let (quiet, actions) = harness.ask(|it| it.workspace = "rounds".into());
+    let (quiet, actions) = harness.submit(|it| it.workspace = "rounds".into());
     assert_eq!(actions.len(), 1, "{actions:?}");
     assert_eq!(refused(&actions, quiet), None, "a request of the busy workspace is dropped for it");
     harness.end(RequestId(21), AttemptEnd::Completed);
@@ -178,13 +182,13 @@
 #[test]
 fn a_workspace_has_its_own_limit() {
     let mut harness = Harness::new(targets(1, 10));
-    let mut ask = || harness.ask(|it| it.workspace = "capped".into());
-    let (first, _) = ask();
-    ask();
-    let (third, actions) = ask();
+    let mut submit = || harness.submit(|it| it.workspace = "capped".into());
+    let (first, _) = submit();
+    submit();
+    let (third, actions) = submit();
     assert_eq!(reason(refused(&actions, third)), Some(Refusal::WorkspaceLimit));
     harness.end(first, AttemptEnd::Completed);
-    let (fourth, actions) = harness.ask(|it| it.workspace = "capped".into());
+    let (fourth, actions) = harness.submit(|it| it.workspace = "capped".into());
     assert!(sent_to(&actions, fourth).is_some());
 }
 
@@ -193,18 +197,18 @@
 #[test]
 fn refusals_that_are_not_for_lack_of_capacity_do_not_delay_the_retries_of_others() {
     let mut harness = with_full_targets(4);
-    harness.ask(|it| it.workspace = "capped".into());
-    harness.ask(|it| it.workspace = "capped".into());
+    harness.submit(|it| it.workspace = "capped".into());
+    harness.submit(|it| it.workspace = "capped".into());
     for _ in 0..100 {
-        let (request, actions) = harness.ask(|it| it.workspace = "capped".into());
+        let (request, actions) = harness.submit(|it| it.workspace = "capped".into());
         assert_eq!(reason(refused(&actions, request)), Some(Refusal::WorkspaceLimit));
         let deadline_ms = harness.now_ms + 1;
-        let (request, actions) = harness.ask(|it| it.deadline_ms = deadline_ms);
+        let (request, actions) = harness.submit(|it| it.deadline_ms = deadline_ms);
         assert_eq!(reason(refused(&actions, request)), Some(Refusal::DeadlineTooShort));
     }
     let verdicts: Vec<_> = (0..40)
         .filter_map(|_| {
-            let (request, actions) = harness.ask(|_| {});
+            let (request, actions) = harness.submit(|_| {});
             refused(&actions, request)
         })
         .collect();
@@ -232,7 +236,7 @@
 fn a_request_with_a_lost_answer_is_retried_only_if_it_may_run_twice() {
     for repeatable in [true, false] {
         let mut harness = Harness::new(targets(2, 10));
-        let (request, _) = harness.ask(|it| it.repeatable = repeatable);
+        let (request, _) = harness.submit(|it| it.repeatable = repeatable);
         let actions =
             harness.end(request, AttemptEnd::AnswerLost(MayHaveRunReason::ConnectionLost));
         assert_eq!(sent_to(&actions, request).is_some(), repeatable);
@@ -360,7 +364,7 @@
         let mut at = BTreeMap::<Name, usize>::new();
         let mut ends = Vec::new();
         for _ in 0..40 {
-            let (request, target) = harness.ask(|it| it.repeatable = false);
+            let (request, target) = harness.submit(|it| it.repeatable = false);
             let Some(target) = sent_to(&target, request) else {
                 harness.handle(Input::Cancelled { request });
                 continue;
--- a/crates/samphiredoor-core/tests/dispatch/promises.rs
+++ b/crates/samphiredoor-core/tests/dispatch/promises.rs
@@ -17,7 +17,7 @@
     verdict::{MayHaveRunReason, Verdict},
 };
 
-use crate::harness::{SEED, ask, location, manifest, target};
+use crate::harness::{SEED, location, manifest, request_spec, target};
 
 const TARGETS: usize = 6;
 const RETRY_RESERVE: u64 = 10;
@@ -131,21 +131,21 @@
     fn step(&mut self, step: &Step) {
         match *step {
             Step::Online { large, repeatable, deadline_ms, prefix_hash, capped } => {
-                let mut ask = ask(self.requests.len() as u64, Class::Online);
-                ask.service = if large { "large".into() } else { "small".into() };
-                ask.repeatable = repeatable;
-                ask.deadline_ms = self.now_ms + deadline_ms;
-                ask.prefix_hash = prefix_hash;
-                ask.workspace = if capped { "capped".into() } else { "tours".into() };
-                *self.submitted.entry(ask.service.to_string()).or_default() += 1;
-                self.submit(ask);
+                let mut spec = request_spec(self.requests.len() as u64, Class::Online);
+                spec.service = if large { "large".into() } else { "small".into() };
+                spec.repeatable = repeatable;
+                spec.deadline_ms = self.now_ms + deadline_ms;
+                spec.prefix_hash = prefix_hash;
+                spec.workspace = if capped { "capped".into() } else { "tours".into() };
+                *self.submitted.entry(spec.service.to_string()).or_default() += 1;
+                self.submit(spec);
             }
             Step::Batch { large, repeatable, job } => {
-                let mut ask = ask(self.requests.len() as u64, Class::Batch);
-                ask.service = if large { "large".into() } else { "small".into() };
-                ask.repeatable = repeatable;
-                ask.job = format!("job-{job}").into();
-                self.submit(ask);
+                let mut spec = request_spec(self.requests.len() as u64, Class::Batch);
+                spec.service = if large { "large".into() } else { "small".into() };
+                spec.repeatable = repeatable;
+                spec.job = format!("job-{job}").into();
+                self.submit(spec);
             }
             Step::End { which, end } => {
                 let running = self.running();
@@ -196,16 +196,16 @@
         self.requests.iter().filter(|(_, it)| it.running.is_some()).map(|(id, _)| *id).collect()
     }
 
-    fn submit(&mut self, ask: samphiredoor_core::dispatch::RequestSpec) {
+    fn submit(&mut self, spec: samphiredoor_core::dispatch::RequestSpec) {
         let tracked = TrackedRequest {
-            class: Some(ask.class),
-            service: ask.service.to_string(),
-            repeatable: ask.repeatable,
-            deadline_ms: ask.deadline_ms,
+            class: Some(spec.class),
+            service: spec.service.to_string(),
+            repeatable: spec.repeatable,
+            deadline_ms: spec.deadline_ms,
             ..TrackedRequest::default()
         };
-        self.requests.insert(ask.request, tracked);
-        self.handle(Input::Request(ask));
+        self.requests.insert(spec.request, tracked);
+        self.handle(Input::Request(spec));
     }
 
     fn end(&mut self, request: RequestId, end: AttemptEnd) {
--- a/crates/samphiredoor-core/tests/dispatch/routing.rs
+++ b/crates/samphiredoor-core/tests/dispatch/routing.rs
@@ -127,7 +127,7 @@
     let bad = Name::from("target-0");
     let mut sent = 0;
     for _ in 0..60 {
-        let (request, target) = harness.ask(|it| it.repeatable = false);
+        let (request, target) = harness.submit(|it| it.repeatable = false);
         if sent_to(&target, request).as_ref() == Some(&bad) {
             sent += 1;
             harness.end(request, AttemptEnd::AnswerLost(MayHaveRunReason::ConnectionLost));
@@ -239,8 +239,8 @@
     let mut counts = BTreeMap::<Name, usize>::new();
     let mut first = None;
     for sent in 1..=80 {
-        let (request, actions) = harness.ask(|it| it.prefix_hash = 42);
-        let target = sent_to(&actions, request).expect("there is room");
+        let (request, actions) = harness.submit(|it| it.prefix_hash = 42);
+        let target = sent_to(&actions, request).expect("there is free capacity");
         let preferred = Name::clone(first.get_or_insert(Name::clone(&target)));
         *counts.entry(target).or_default() += 1;
         let bound = sent as f64 / 8.0 * 1.25 + 1.0;
@@ -248,7 +248,7 @@
     }
     let mut one_by_one = Harness::new(targets(8, 100));
     for _ in 0..20 {
-        let (request, actions) = one_by_one.ask(|it| it.prefix_hash = 42);
+        let (request, actions) = one_by_one.submit(|it| it.prefix_hash = 42);
         assert_eq!(sent_to(&actions, request), first);
         one_by_one.end(request, AttemptEnd::Completed);
     }
--- a/crates/samphiredoor-core/tests/lending/promises.rs
+++ b/crates/samphiredoor-core/tests/lending/promises.rs
@@ -92,7 +92,7 @@
                     it.job = format!("job-{job}").into();
                     it.repeatable = repeatable;
                 };
-                self.world.ask(Class::Batch, change).1
+                self.world.submit(Class::Batch, change).1
             }
             Step::End { which, end } => self.end(which, end),
             Step::Cancel { which } => {
--- a/crates/samphiredoor-core/tests/lending/situations.rs
+++ b/crates/samphiredoor-core/tests/lending/situations.rs
@@ -257,7 +257,7 @@
     world.submit_items(200, "later", "light");
     for _ in 0..200 {
         let due_unix_ms = Some(world.now_ms + 60_000);
-        world.ask(Class::Batch, |it| {
+        world.submit(Class::Batch, |it| {
             it.job = "coach".into();
             it.due_unix_ms = due_unix_ms;
         });
--- a/crates/samphiredoor-core/tests/lending/world.rs
+++ b/crates/samphiredoor-core/tests/lending/world.rs
@@ -143,14 +143,14 @@
         }
     }
 
-    pub fn ask(
+    pub fn submit(
         &mut self,
         class: Class,
         change: impl FnOnce(&mut RequestSpec),
     ) -> (RequestId, Vec<Action>) {
         let request = RequestId(self.next);
         self.next += 1;
-        let mut ask = RequestSpec {
+        let mut spec = RequestSpec {
             request,
             class,
             service: "small".into(),
@@ -163,25 +163,25 @@
             job: if class == Class::Batch { "job".into() } else { "".into() },
             due_unix_ms: None,
         };
-        change(&mut ask);
+        change(&mut spec);
         let tracked = TrackedRequest {
             class,
-            job: Name::clone(&ask.job),
-            repeatable: ask.repeatable,
+            job: Name::clone(&spec.job),
+            repeatable: spec.repeatable,
             running: None,
             preempted: false,
         };
         self.tracked.insert(request, tracked);
-        (request, self.handle(Input::Request(ask)))
+        (request, self.handle(Input::Request(spec)))
     }
 
     pub fn online(&mut self) -> (RequestId, Vec<Action>) {
-        self.ask(Class::Online, |_| {})
+        self.submit(Class::Online, |_| {})
     }
 
     pub fn submit_items(&mut self, count: usize, job: &str, workspace: &str) {
         for _ in 0..count {
-            self.ask(Class::Batch, |it| {
+            self.submit(Class::Batch, |it| {
                 it.job = job.into();
                 it.workspace = workspace.into();
             });
--- a/crates/samphiredoor-core/tests/orders.rs
+++ b/crates/samphiredoor-core/tests/orders.rs
@@ -445,8 +445,8 @@
     assert_eq!(world.held, weights(0));
 }
 
-/// The weight store is rate-limited and refuses requests if too many loads run at once. Only one slot is declared, so the
-/// second load must wait until the first has ended.
+/// The weight store is rate-limited and refuses requests if too many loads run at once. Only one slot is declared, so
+/// the second load must wait until the first has ended.
 #[test]
 fn loads_wait_for_a_slot() {
     let mut world = World::new(true);
--- a/crates/samphiredoor/src/orders_task.rs
+++ b/crates/samphiredoor/src/orders_task.rs
@@ -148,12 +148,12 @@
 }
 
 fn wanted(own: &Name, manifest: &Manifest, live: &[Member]) -> BTreeMap<Name, Wanted> {
-    let givers = live.iter().filter(|it| it.state == MemberState::Live).map(|it| &it.name);
-    let ring = Ring::new(givers);
+    let processes = live.iter().filter(|it| it.state == MemberState::Live).map(|it| &it.name);
+    let ring = Ring::new(processes);
     let mut wanted = BTreeMap::new();
     for (name, target) in &manifest.targets {
         let Some(weights) = &target.weights else { continue };
-        if ring.giver(name).is_some_and(|it| it == own) {
+        if ring.leader(name).is_some_and(|it| it == own) {
             let checks_fencing = target.checks_fencing;
             let weights = weights.clone();
             wanted.insert(Arc::clone(name), Wanted { weights, checks_fencing });
