--- a/crates/samphiredoor-core/src/dispatch/health.rs
+++ b/crates/samphiredoor-core/src/dispatch/health.rs
@@ -189,7 +189,7 @@
         if let Some(ejected) = &mut self.ejected
             && now_ms < ejected.until_ms
         {
-            // Failures during an ejection belong to it and extend it.
+            // Failures during an ejection count as part of it; it lasts for some time after the last of them.
             ejected.until_ms = ejected.until_ms.max(now_ms + FIRST_EJECTION_MS);
             return false;
         }
--- a/crates/samphiredoor-core/src/dispatch/messages.rs
+++ b/crates/samphiredoor-core/src/dispatch/messages.rs
@@ -109,7 +109,7 @@
         allocator: Name,
         /// Granted slots; replaces the previous grant.
         slots: u32,
-        /// Sequence number of the grant; the highest one of an allocator is in force.
+        /// Sequence number of the grant; the highest one of an allocator is active.
         epoch: u64,
     },
     /// Another gateway reports its traffic at a target whose batch slots this gateway allocates.
--- a/crates/samphiredoor-core/src/dispatch/slot_allocator.rs
+++ b/crates/samphiredoor-core/src/dispatch/slot_allocator.rs
@@ -68,7 +68,7 @@
     pub gateway: Name,
     /// Granted slots; replaces the previous grant.
     pub slots: u32,
-    /// Sequence number, increasing across restarts of the allocator; the highest one is in force.
+    /// Sequence number, increasing across restarts of the allocator; the highest one is active.
     pub epoch: u64,
 }
 
--- a/crates/samphiredoor-core/tests/lending/situations.rs
+++ b/crates/samphiredoor-core/tests/lending/situations.rs
@@ -133,7 +133,7 @@
     assert_eq!(
         world.running_items("engine").len(),
         2,
-        "one of them is the allocator, whatever {granted}"
+        "one of them is the allocator; items dispatched with its grant: {granted}"
     );
     world.advance(LEASE_TTL_MS + 1_000);
     assert_eq!(world.running_items("engine"), []);
