--- a/crates/samphiredoor-gateway/src/front/answers.rs
+++ b/crates/samphiredoor-gateway/src/front/answers.rs
@@ -1,4 +1,4 @@
-//! Answers of the gateway itself, as opposed to those of targets.
+//! Error answers that the gateway creates itself, as opposed to answers forwarded from targets.
 
 use hyper::{
     Response, StatusCode,
@@ -8,13 +8,13 @@
 use samphiredoor_net::{Body, answers};
 use serde_json::json;
 
-/// Answer with a short text.
+/// Answer with the JSON body `{"error": message}`.
 pub fn plain(status: StatusCode, message: &str) -> Response<Body> {
     let text = json!({ "error": message }).to_string();
     answers::json(status, text)
 }
 
-/// Answer that promises that the request has not run, with the time to come back, in milliseconds.
+/// 503 answer to a request that has certainly not run, with a `Retry-After` header in seconds to three decimals.
 pub fn refused(reason: Refusal, retry_after_ms: u64) -> Response<Body> {
     let mut response = plain(StatusCode::SERVICE_UNAVAILABLE, reason.label());
     let seconds = format!("{}.{:03}", retry_after_ms / 1_000, retry_after_ms % 1_000);
@@ -24,7 +24,7 @@
     response
 }
 
-/// Answer to a request that may have run.
+/// Answer to a request that may have run: 504 if the deadline passed, otherwise 502.
 pub fn in_doubt(reason: Doubt) -> Response<Body> {
     let status = match reason {
         Doubt::DeadlinePassed => StatusCode::GATEWAY_TIMEOUT,
--- a/crates/samphiredoor-gateway/src/front/attempt.rs
+++ b/crates/samphiredoor-gateway/src/front/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt of a request at one target, up to its first piece.
+//! One attempt of a request at one target, up to the first event or the whole body of its answer.
 
 use std::{
     net::SocketAddr,
@@ -19,126 +19,130 @@
     target_client::{self, TargetClient},
 };
 
-/// Bytes of an answer that is held whole before it is passed on.
+/// Size limit of answers that are buffered before they are forwarded: all but event streams.
 pub const MAX_WHOLE_BYTES: usize = 16 * 1024 * 1024;
 
-/// A stream that has begun.
-pub struct Begun {
-    /// Rest of the answer.
+/// An event stream of which the first event has arrived.
+pub struct StartedStream {
+    /// Body of the answer that is not read yet.
     pub body: Answer,
-    /// What has arrived, at least one whole event.
+    /// Received bytes, at least one whole event.
     pub events: EventBuffer,
 }
 
-/// What became of an attempt.
-pub enum Attempt {
-    /// A stream of events has begun.
-    Stream(Box<response::Parts>, Begun),
-    /// A whole answer.
+/// Outcome of an attempt.
+pub enum AttemptOutcome {
+    /// The target started an event stream.
+    Stream(Box<response::Parts>, StartedStream),
+    /// The target sent a whole answer.
     Whole(Box<response::Parts>, bytes::Bytes),
-    /// It is certain that the target did not run it.
+    /// The target certainly did not run the request.
     NotRun(AttemptEnd),
-    /// The target may have run it.
+    /// The target may have run the request, but its answer was lost.
     Doubt(AttemptEnd, Doubt),
 }
 
-/// How long an attempt may take.
+/// Time limits of an attempt.
 #[derive(Debug, Clone, Copy)]
-pub struct Patience {
-    /// When the request is of no use any more.
+pub struct Timeouts {
+    /// When the caller stops waiting.
     pub deadline: Instant,
-    /// Longest silence of the target, where the request can be sent to another one.
-    pub silence: Duration,
+    /// How long the target may send nothing before the attempt fails.
+    pub idle: Duration,
 }
 
-impl Patience {
+impl Timeouts {
     /// Time until the deadline.
-    pub fn left(&self) -> Duration {
+    pub fn remaining(&self) -> Duration {
         self.deadline.saturating_duration_since(Instant::now())
     }
 
-    /// What a wait that was too long means.
-    pub fn over(&self) -> (AttemptEnd, Doubt) {
-        match self.left().is_zero() {
+    /// Outcome of a wait that timed out: the deadline has passed, or the target sent nothing for too long.
+    pub fn expired(&self) -> (AttemptEnd, Doubt) {
+        match self.remaining().is_zero() {
             true => (AttemptEnd::Cut, Doubt::DeadlinePassed),
             false => (AttemptEnd::Silent, Doubt::ConnectionLost),
         }
     }
 
-    /// Longest wait for the next piece.
-    pub fn wait(&self) -> Duration {
-        self.left().min(self.silence)
+    /// Time limit for the next part of the answer.
+    pub fn next_read(&self) -> Duration {
+        self.remaining().min(self.idle)
     }
 }
 
-/// Sends a call to a target and waits for the beginning of its answer.
-pub async fn attempt(
+/// Sends a call to a target and waits for the first event of its answer, or for the whole answer if it is no stream.
+pub async fn run_attempt(
     client: &TargetClient,
     names: &HeaderNames,
     (target, address): (&Name, SocketAddr),
     call: &mut Call,
-    patience: Patience,
-) -> Attempt {
-    target_client::address(call, names, target, patience.left());
-    let response = match within(patience.wait(), client.send(target, address, call)).await {
+    timeouts: Timeouts,
+) -> AttemptOutcome {
+    target_client::address(call, names, target, timeouts.remaining());
+    let response = match within(timeouts.next_read(), client.send(target, address, call)).await {
         Some(Ok(response)) => response,
         Some(Err(SendError::NotSent(err))) => {
-            log::info!(target = &**target, problem:% = err; "target: not reached");
-            return Attempt::NotRun(AttemptEnd::Unreachable);
+            log::info!(target = &**target, problem:% = err; "target: connection failed");
+            return AttemptOutcome::NotRun(AttemptEnd::Unreachable);
         }
         Some(Err(SendError::MayHaveRun(err))) => {
             log::info!(target = &**target, problem:% = err; "target: answer lost");
-            return Attempt::Doubt(AttemptEnd::Lost, Doubt::ConnectionLost);
+            return AttemptOutcome::Doubt(AttemptEnd::Lost, Doubt::ConnectionLost);
         }
         None => {
-            let (end, doubt) = patience.over();
-            return Attempt::Doubt(end, doubt);
+            let (end, doubt) = timeouts.expired();
+            return AttemptOutcome::Doubt(end, doubt);
         }
     };
     if let Some(end) = target_client::not_run(names, &response) {
-        return Attempt::NotRun(end);
+        return AttemptOutcome::NotRun(end);
     }
-    read(response, patience).await
+    read_answer(response, timeouts).await
 }
 
-async fn read(response: Response<Answer>, patience: Patience) -> Attempt {
+async fn read_answer(response: Response<Answer>, timeouts: Timeouts) -> AttemptOutcome {
     let (parts, body) = response.into_parts();
     if parts.status.is_success() && is_event_stream(&parts.headers) {
-        return first_event(Box::new(parts), body, patience).await;
+        return read_first_event(Box::new(parts), body, timeouts).await;
     }
     let whole = read_whole(body, MAX_WHOLE_BYTES);
-    match within(patience.left(), whole).await {
-        Some(Ok(body)) => Attempt::Whole(Box::new(parts), body),
-        Some(Err(_)) => Attempt::Doubt(AttemptEnd::Lost, Doubt::AnswerCut),
-        None => Attempt::Doubt(AttemptEnd::Cut, Doubt::DeadlinePassed),
+    match within(timeouts.remaining(), whole).await {
+        Some(Ok(body)) => AttemptOutcome::Whole(Box::new(parts), body),
+        Some(Err(_)) => AttemptOutcome::Doubt(AttemptEnd::Lost, Doubt::AnswerCut),
+        None => AttemptOutcome::Doubt(AttemptEnd::Cut, Doubt::DeadlinePassed),
     }
 }
 
-/// Waits for a stream's first event. Until then nothing has reached the caller, so that a request that may run twice
-/// can still be sent to another target.
-async fn first_event(parts: Box<response::Parts>, mut body: Answer, patience: Patience) -> Attempt {
+/// Reads a stream up to its first event. Nothing is sent to the caller before that, so a repeatable request can still
+/// be retried at another target.
+async fn read_first_event(
+    parts: Box<response::Parts>,
+    mut body: Answer,
+    timeouts: Timeouts,
+) -> AttemptOutcome {
     let mut events = EventBuffer::default();
     loop {
-        match next_piece(&mut body, patience).await {
+        match next_piece(&mut body, timeouts).await {
             Ok(Some(data)) => {
                 events.push(&data);
                 if events.has_event() {
-                    return Attempt::Stream(parts, Begun { body, events });
+                    return AttemptOutcome::Stream(parts, StartedStream { body, events });
                 }
             }
-            Ok(None) => return Attempt::Whole(parts, events.take_rest()),
-            Err((end, doubt)) => return Attempt::Doubt(end, doubt),
+            Ok(None) => return AttemptOutcome::Whole(parts, events.take_rest()),
+            Err((end, doubt)) => return AttemptOutcome::Doubt(end, doubt),
         }
     }
 }
 
-/// Next piece of an answer; `None` at the end of its framing.
+/// Reads the next bytes of an answer; `None` after its last byte.
 pub async fn next_piece(
     answer: &mut Answer,
-    patience: Patience,
+    timeouts: Timeouts,
 ) -> Result<Option<bytes::Bytes>, (AttemptEnd, Doubt)> {
-    body::next_piece(answer, patience.wait()).await.map_err(|err| match err {
+    body::next_piece(answer, timeouts.next_read()).await.map_err(|err| match err {
         PieceError::Cut => (AttemptEnd::Lost, Doubt::AnswerCut),
-        PieceError::Late => patience.over(),
+        PieceError::Late => timeouts.expired(),
     })
 }
--- /dev/null
+++ b/crates/samphiredoor-gateway/src/front/forwarded_stream.rs
@@ -0,0 +1,118 @@
+//! Forwards an event stream from a target to a caller. If the stream is interrupted and its route is resumable, another
+//! target continues it after the last event that was forwarded.
+
+use bytes::{Bytes, BytesMut};
+use futures_util::Stream;
+use samphiredoor_core::{placement::AttemptEnd, routes::RouteKind, verdict::Doubt};
+use samphiredoor_net::BoxError;
+
+use super::{
+    attempt::next_piece,
+    online::{ActiveStream, NoAnswer, Online},
+};
+
+/// A stream that is being forwarded. Dropping it, as when the caller disconnects, closes the connection to the target.
+pub struct ForwardedStream {
+    request: Online,
+    /// `None` after the end of the stream.
+    active: Option<ActiveStream>,
+    /// Number of the last event that was forwarded.
+    last_event: Option<u64>,
+}
+
+type Piece = Result<Bytes, BoxError>;
+
+impl ForwardedStream {
+    /// Creates a stream of which nothing has been forwarded.
+    pub fn new(request: Online, active: ActiveStream) -> ForwardedStream {
+        ForwardedStream { request, active: Some(active), last_event: None }
+    }
+
+    /// Body for the caller. An interrupted stream ends with an error, so that it never looks complete.
+    pub fn into_stream(self) -> impl Stream<Item = Piece> {
+        futures_util::stream::unfold(self, |mut this| async move {
+            let piece = this.next().await?;
+            Some((piece, this))
+        })
+    }
+
+    async fn next(&mut self) -> Option<Piece> {
+        loop {
+            let active = self.active.as_mut()?;
+            if let Some(piece) = take_events(active, &mut self.last_event) {
+                return Some(Ok(piece));
+            }
+            let timeouts = self.request.timeouts();
+            match next_piece(&mut active.started.body, timeouts).await {
+                Ok(Some(data)) => active.started.events.push(&data),
+                Ok(None) => return self.finish(),
+                Err((end, doubt)) => {
+                    if let Some(err) = self.resume_or_fail(end, doubt).await {
+                        return Some(Err(err));
+                    }
+                }
+            }
+        }
+    }
+
+    fn finish(&mut self) -> Option<Piece> {
+        let mut active = self.active.take()?;
+        active.ticket.ended(AttemptEnd::Answered);
+        self.request.front.metrics.whole(self.request.started.elapsed());
+        self.request.log_end("streamed", 200);
+        let rest = active.started.events.take_rest();
+        (!rest.is_empty()).then_some(Ok(rest))
+    }
+
+    /// Resumes an interrupted stream at another target; returns the error that ends the answer if it cannot be resumed.
+    async fn resume_or_fail(&mut self, end: AttemptEnd, doubt: Doubt) -> Option<BoxError> {
+        let mut active = self.active.take()?;
+        active.ticket.ended(end);
+        log::info!(
+            request = self.request.id, target = &*active.target, after = self.last_event.unwrap_or(0),
+            reason = doubt.label();
+            "front: stream interrupted"
+        );
+        // Closes the connection, so that the target stops before another one continues the stream.
+        drop(active);
+        let resumable = matches!(self.request.route.kind, RouteKind::Stream { resumable: true });
+        let why = match (resumable, self.last_event) {
+            (true, Some(last)) => match self.request.resume(last, doubt).await {
+                Ok(active) => {
+                    self.active = Some(active);
+                    return None;
+                }
+                Err(why) => why,
+            },
+            _ => NoAnswer::Doubt(doubt),
+        };
+        let outcome = match why {
+            NoAnswer::Refused { reason, .. } => reason.label(),
+            NoAnswer::Doubt(doubt) => doubt.label(),
+        };
+        self.request.log_end(outcome, 0);
+        Some(format!("the stream was cut: {outcome}").into())
+    }
+}
+
+/// Takes all whole events that have arrived; events up to number `last` were forwarded before and are skipped.
+fn take_events(active: &mut ActiveStream, last: &mut Option<u64>) -> Option<Bytes> {
+    let mut first: Option<Bytes> = None;
+    let mut more = BytesMut::new();
+    while let Some(event) = active.started.events.next() {
+        if event.id.is_some() && event.id <= *last {
+            continue;
+        }
+        *last = event.id.or(*last);
+        match &first {
+            None => first = Some(event.raw),
+            Some(first) => {
+                if more.is_empty() {
+                    more.extend_from_slice(first);
+                }
+                more.extend_from_slice(&event.raw);
+            }
+        }
+    }
+    if more.is_empty() { first } else { Some(more.freeze()) }
+}
--- a/crates/samphiredoor-gateway/src/front/mod.rs
+++ b/crates/samphiredoor-gateway/src/front/mod.rs
@@ -1,9 +1,9 @@
-//! The callers' door: reads a request, finds its route, and hands it to whatever answers it.
+//! HTTP handlers for callers: each reads a request, finds its route, and passes it to the code for that kind of route.
 
 mod answers;
 mod attempt;
+mod forwarded_stream;
 mod online;
-mod passing;
 
 use std::{cell::Cell, rc::Rc, time::Duration};
 
@@ -37,53 +37,53 @@
 };
 use online::Online;
 
-/// Longest wait for a whole body, beyond the operators' bound on the pauses within it.
+/// Time limit for reading a whole request body, in addition to the configured idle timeout between its parts.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
-/// When to come back to a process that knows no routes yet: it asks the store more often than this.
+/// `Retry-After` of a gateway that has no routes yet: it retries the store more often than this.
 const NOT_READY_RETRY_MS: u64 = 300;
 
-/// What answers callers.
+/// State that all request handlers share.
 pub struct Front {
-    /// Names and formats.
+    /// Header names and body formats of the platform.
     pub dialect: Rc<dyn Dialect>,
-    /// Routes in force.
+    /// Active routes.
     pub routes: Routes,
-    /// Places at targets.
+    /// Chooses targets for requests.
     pub placer: Placer,
     /// Connections to targets.
     pub targets: TargetClient,
     /// Batch jobs.
     pub jobs: Jobs,
-    /// Counters.
+    /// Metrics of the process.
     pub metrics: Rc<Metrics>,
     /// Clock of the process.
     pub clock: Clock,
-    /// Online requests that are being answered.
-    pub open: Rc<Cell<usize>>,
+    /// Number of online requests in progress.
+    pub open_requests: Rc<Cell<usize>>,
 }
 
-/// Answers one request of a caller.
+/// Answers one request of a caller, and echoes its request id.
 pub async fn answer(front: Rc<Front>, request: Request<Incoming>) -> Response<Body> {
     let id = request.headers().get(&front.dialect.headers().request_id).cloned();
-    let mut response = dispatch(&front, request).await;
+    let mut response = route_request(&front, request).await;
     if let Some(id) = id {
         response.headers_mut().insert(front.dialect.headers().request_id.clone(), id);
     }
     response
 }
 
-async fn dispatch(front: &Rc<Front>, request: Request<Incoming>) -> Response<Body> {
+async fn route_request(front: &Rc<Front>, request: Request<Incoming>) -> Response<Body> {
     if let Some(call) = front.dialect.job_call(request.method(), request.uri()) {
-        let wait = wait_of(&*front.dialect, request.headers());
+        let wait = requested_wait(&*front.dialect, request.headers());
         return front.jobs.answer(call, wait).await;
     }
     let Some(table) = front.routes.current() else {
         front.metrics.refused(Refusal::NotReady);
         return refused(Refusal::NotReady, NOT_READY_RETRY_MS);
     };
-    let host = host_of(&request).unwrap_or_default().to_owned();
+    let host = request_host(&request).unwrap_or_default().to_owned();
     let Some(route) = table.find(&host, request.uri().path()).cloned() else {
-        log::info!(host, path = request.uri().path(), routes_version = table.version; "front: no route");
+        log::info!(host, path = request.uri().path(), routes_version = table.version; "front: no matching route");
         return plain(StatusCode::NOT_FOUND, "no route serves this host and path");
     };
     let (parts, body) = request.into_parts();
@@ -94,7 +94,7 @@
     match route.kind {
         RouteKind::Batch(rule) => {
             let path = parts.uri.path().to_owned();
-            let Some(job) = job_of(front, &parts.headers) else { return without_id() };
+            let Some(job) = job_name(front, &parts.headers) else { return missing_id() };
             let submitted = submission(&table, (&route, rule), job, (host, path), body);
             front.jobs.submit(submitted, Acceptors::Any).await
         }
@@ -104,9 +104,9 @@
     }
 }
 
-/// Answers a submission that another gateway passes on, as the store does not answer that one.
+/// Answers a submission that another gateway forwards because it cannot reach the store.
 pub async fn passed_on(front: Rc<Front>, request: Request<Incoming>) -> Response<Body> {
-    let host = host_of(&request).unwrap_or_default().to_owned();
+    let host = request_host(&request).unwrap_or_default().to_owned();
     let path = request.uri().path().strip_prefix(pass_on::ROOT).unwrap_or_default().to_owned();
     let table = front.routes.current();
     let found = table.as_ref().and_then(|it| Some((it, it.find(&host, &path)?)));
@@ -116,7 +116,7 @@
     let RouteKind::Batch(rule) = route.kind else {
         return plain(StatusCode::NOT_FOUND, "no batch route serves this host and path");
     };
-    let Some(job) = job_of(&front, request.headers()) else { return without_id() };
+    let Some(job) = job_name(&front, request.headers()) else { return missing_id() };
     match read_body(table, request.into_body()).await {
         Ok(body) => {
             let submitted = submission(table, (route, rule), job, (host, path), body);
@@ -126,11 +126,12 @@
     }
 }
 
-fn job_of(front: &Front, headers: &HeaderMap) -> Option<JobName> {
+/// The request id of a submission is the job's name.
+fn job_name(front: &Front, headers: &HeaderMap) -> Option<JobName> {
     Some(headers.get(&front.dialect.headers().request_id)?.to_str().ok()?.into())
 }
 
-fn without_id() -> Response<Body> {
+fn missing_id() -> Response<Body> {
     plain(StatusCode::BAD_REQUEST, "a submission needs an id")
 }
 
@@ -152,24 +153,25 @@
             Err(Box::new(plain(StatusCode::PAYLOAD_TOO_LARGE, "the body is above the limit")))
         }
         Some(Err(ReadError::Cut(err))) => {
-            log::info!(problem:% = err; "front: body cut");
+            log::info!(problem:% = err; "front: request body incomplete");
             Err(Box::new(plain(StatusCode::BAD_REQUEST, "the body was cut")))
         }
         None => Err(Box::new(plain(StatusCode::REQUEST_TIMEOUT, "the body came too slowly"))),
     }
 }
 
-fn host_of<B>(request: &Request<B>) -> Option<&str> {
+fn request_host<B>(request: &Request<B>) -> Option<&str> {
     let header = request.headers().get(header::HOST).and_then(|it| it.to_str().ok());
     header.or_else(|| request.uri().host())
 }
 
-fn wait_of(dialect: &dyn Dialect, headers: &HeaderMap) -> Duration {
+/// How long a caller lets a read wait for new results; zero if it does not say.
+fn requested_wait(dialect: &dyn Dialect, headers: &HeaderMap) -> Duration {
     let wait_ms = header_number(headers.get(&dialect.headers().wait_ms));
     Duration::from_millis(wait_ms.unwrap_or(0))
 }
 
-/// Number that a header holds, if it does.
+/// Parses a header value as a number; `None` if it is missing or not a number.
 fn header_number(value: Option<&HeaderValue>) -> Option<u64> {
     value?.to_str().ok()?.trim().parse().ok()
 }
--- a/crates/samphiredoor-gateway/src/front/online.rs
+++ b/crates/samphiredoor-gateway/src/front/online.rs
@@ -1,4 +1,6 @@
-//! One online request: its attempts at targets, and the answer to its caller.
+//! Online requests: retries at other targets until one answers, and the answer to the caller.
+//!
+//! A request that may have run is sent again only on a repeatable route.
 
 use std::{
     cell::Cell,
@@ -26,27 +28,27 @@
 use super::{
     Front,
     answers::{in_doubt, refused},
-    attempt::{Attempt, Begun, Patience, attempt},
+    attempt::{AttemptOutcome, StartedStream, Timeouts, run_attempt},
+    forwarded_stream::ForwardedStream,
     header_number,
-    passing::Passing,
 };
 use crate::placement::{Placed, Ticket};
 
-/// Deadline of a caller that names none.
+/// Deadline of a request that has no deadline header.
 const DEFAULT_DEADLINE_MS: u64 = 60_000;
-/// Part of the objective that a request may wait for room: one that is refused by then is still served in time by the
-/// next attempt of its caller.
-const QUEUE_PART: u64 = 5;
-/// Shortest time that makes a send worth while; a target needs about as long for the first piece.
-const SHORTEST_SEND: Duration = Duration::from_millis(30);
-/// Sends of one request that no target ran; a guard against targets that all refuse.
+/// A request may wait for a free slot for the route's latency objective divided by this: a caller that is refused then
+/// can still be served within the objective when it retries.
+const QUEUE_WAIT_DIVISOR: u64 = 5;
+/// A request is not sent when less time than this is left: a target takes about as long to produce its first output.
+const MIN_TIME_TO_SEND: Duration = Duration::from_millis(30);
+/// Most times that one request is sent, in case every target refuses it.
 const MAX_SENDS: u32 = 8;
-/// Silence after which a repeatable request is sent to another target. Pieces come each 25 ms, and a full target begins
-/// within 300 ms, so this is long past what a working target takes.
-const SILENCE: Duration = Duration::from_millis(1_000);
+/// A repeatable request is sent to another target when its target sends nothing for this time. A working target sends
+/// output every 25 ms and a full one starts within 300 ms.
+const IDLE_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// Headers that concern one connection only.
-const HOP_HEADERS: [HeaderName; 6] = [
+/// Hop-by-hop headers, which are not forwarded.
+const HOP_BY_HOP_HEADERS: [HeaderName; 6] = [
     header::CONNECTION,
     header::TE,
     header::TRAILER,
@@ -55,64 +57,68 @@
     HeaderName::from_static("keep-alive"),
 ];
 
-/// One online request.
+/// An online request and the state of its retries.
 pub struct Online {
     pub(super) front: Rc<Front>,
     pub(super) route: Arc<Route>,
     pub(super) id: String,
     pub(super) started: Instant,
+    /// Number of targets that ran the request or may have run it.
     pub(super) runs: u32,
     call: Call,
     service: Option<Name>,
     affinity: u64,
     deadline: Instant,
+    /// Number of times that the request was sent.
     sends: u32,
     tried: SmallVec<[Name; 2]>,
+    /// Why it is unknown whether an earlier attempt ran, if one may have.
     doubt: Option<Doubt>,
-    /// What a target answered that ran it and failed.
-    failed: Option<(Box<response::Parts>, Bytes)>,
-    _open: Open,
+    /// The last 5xx answer of a target; it becomes the answer if no other target answers.
+    server_error: Option<(Box<response::Parts>, Bytes)>,
+    _open: OpenRequestGuard,
 }
 
-/// Counts a request as open until it is dropped.
-struct Open(Rc<Cell<usize>>);
+/// Counts the request among those in progress until it is dropped.
+struct OpenRequestGuard(Rc<Cell<usize>>);
 
-impl Open {
-    fn new(open: &Rc<Cell<usize>>) -> Open {
+impl OpenRequestGuard {
+    fn new(open: &Rc<Cell<usize>>) -> OpenRequestGuard {
         open.set(open.get() + 1);
-        Open(Rc::clone(open))
+        OpenRequestGuard(Rc::clone(open))
     }
 }
 
-impl Drop for Open {
+impl Drop for OpenRequestGuard {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
 }
 
-/// A stream that a target has begun, with the place that it holds there.
-pub(super) struct Streaming {
-    pub(super) begun: Begun,
+/// A stream in progress, and the slot that it holds at its target.
+pub(super) struct ActiveStream {
+    pub(super) started: StartedStream,
     pub(super) ticket: Ticket,
     pub(super) target: Name,
 }
 
-enum Next {
-    Stream(Box<response::Parts>, Streaming),
+/// Result of sending a request to one target after another.
+enum Outcome {
+    Stream(Box<response::Parts>, ActiveStream),
     Whole(Box<response::Parts>, Bytes),
-    /// No target has it any more; final.
-    Over(Over),
+    /// No target answered, and the request is not sent again.
+    NoAnswer(NoAnswer),
 }
 
-/// Why a request ends without an answer of a target.
+/// Why a request ends without an answer from a target.
 #[derive(Debug, Clone, Copy)]
-pub(super) enum Over {
+pub(super) enum NoAnswer {
     Refused { reason: Refusal, retry_after_ms: u64 },
     Doubt(Doubt),
 }
 
 impl Online {
-    /// Request as it was read, with its route.
+    /// Creates a request from its parts as received; hop-by-hop headers are removed.
     pub fn new(
         front: Rc<Front>,
         route: Arc<Route>,
@@ -125,13 +131,13 @@
         let deadline_ms = header_number(parts.headers.get(&names.deadline_ms));
         let deadline_ms = deadline_ms.unwrap_or(DEFAULT_DEADLINE_MS).min(route.timeout_ms);
         let affinity = front.dialect.affinity(&parts.headers);
-        strip_hop_headers(&mut parts.headers);
+        strip_hop_by_hop_headers(&mut parts.headers);
         parts.headers.remove(header::CONTENT_LENGTH);
         let started = Instant::now();
         Online {
             service: route.service(rand::random()).cloned(),
             call: Call { method: parts.method, uri: parts.uri, headers: parts.headers, body },
-            _open: Open::new(&front.open),
+            _open: OpenRequestGuard::new(&front.open_requests),
             front,
             route,
             id,
@@ -142,48 +148,48 @@
             sends: 0,
             tried: SmallVec::new(),
             doubt: None,
-            failed: None,
+            server_error: None,
         }
     }
 
-    /// Serves the request.
+    /// Sends the request to targets and returns the answer for the caller.
     pub async fn answer(mut self) -> Response<Body> {
-        match self.next().await {
-            Next::Stream(mut parts, streaming) => {
-                strip_hop_headers(&mut parts.headers);
+        match self.try_targets().await {
+            Outcome::Stream(mut parts, stream) => {
+                strip_hop_by_hop_headers(&mut parts.headers);
                 parts.headers.remove(header::CONTENT_LENGTH);
                 self.front.metrics.first_piece(self.started.elapsed());
-                let pieces = Passing::new(self, streaming).into_stream();
+                let pieces = ForwardedStream::new(self, stream).into_stream();
                 Response::from_parts(*parts, Body::stream(pieces))
             }
-            Next::Whole(mut parts, body) => {
-                strip_hop_headers(&mut parts.headers);
+            Outcome::Whole(mut parts, body) => {
+                strip_hop_by_hop_headers(&mut parts.headers);
                 parts.headers.remove(header::CONTENT_LENGTH);
                 self.log_end("answered", parts.status.as_u16());
                 self.front.metrics.whole(self.started.elapsed());
                 Response::from_parts(*parts, Body::full(body))
             }
-            Next::Over(over) => self.give_up(over),
+            Outcome::NoAnswer(why) => self.give_up(why),
         }
     }
 
-    fn give_up(&self, over: Over) -> Response<Body> {
-        let response = match over {
-            Over::Refused { reason, retry_after_ms } => {
+    fn give_up(&self, why: NoAnswer) -> Response<Body> {
+        let response = match why {
+            NoAnswer::Refused { reason, retry_after_ms } => {
                 self.front.metrics.refused(reason);
                 refused(reason, retry_after_ms)
             }
-            Over::Doubt(doubt) => in_doubt(doubt),
+            NoAnswer::Doubt(doubt) => in_doubt(doubt),
         };
-        let outcome = match over {
-            Over::Refused { reason, .. } => reason.label(),
-            Over::Doubt(doubt) => doubt.label(),
+        let outcome = match why {
+            NoAnswer::Refused { reason, .. } => reason.label(),
+            NoAnswer::Doubt(doubt) => doubt.label(),
         };
         self.log_end(outcome, response.status().as_u16());
         response
     }
 
-    /// Writes the line that tells what became of the request.
+    /// Counts and logs the outcome of the request. `status` is 0 if the answer was cut after its headers.
     pub(super) fn log_end(&self, outcome: &'static str, status: u16) {
         self.front.metrics.ended(outcome);
         log::info!(
@@ -193,27 +199,32 @@
         );
     }
 
-    /// How long the target in hand may be silent.
-    pub(super) fn patience(&self) -> Patience {
-        let silence =
-            if self.route.kind.is_repeatable() { SILENCE } else { Duration::from_secs(3_600) };
-        Patience { deadline: self.deadline, silence }
+    /// Time limits of the next attempt or read. A request that must not run twice has no other target to go to, so its
+    /// target may send nothing until the deadline.
+    pub(super) fn timeouts(&self) -> Timeouts {
+        let idle =
+            if self.route.kind.is_repeatable() { IDLE_TIMEOUT } else { Duration::from_secs(3_600) };
+        Timeouts { deadline: self.deadline, idle }
     }
 
-    /// Continues a stream that was cut after an event at another target.
-    pub(super) async fn resume(&mut self, after: u64, doubt: Doubt) -> Result<Streaming, Over> {
+    /// Resumes an interrupted stream at another target, after the event with number `after`.
+    pub(super) async fn resume(
+        &mut self,
+        after: u64,
+        doubt: Doubt,
+    ) -> Result<ActiveStream, NoAnswer> {
         self.doubt = Some(doubt);
         if !self.may_run_again() {
-            return Err(Over::Doubt(doubt));
+            return Err(NoAnswer::Doubt(doubt));
         }
         self.front.metrics.retried("stream_cut");
         let name = self.front.dialect.headers().last_event_id.clone();
         self.call.headers.insert(name, HeaderValue::from(after));
-        match self.next().await {
-            Next::Stream(_, streaming) => Ok(streaming),
-            // Headers are with the caller already: any other answer cannot be told any more.
-            Next::Whole(..) => Err(Over::Doubt(doubt)),
-            Next::Over(over) => Err(over),
+        match self.try_targets().await {
+            Outcome::Stream(_, stream) => Ok(stream),
+            // The headers of the stream have been sent to the caller, so another answer cannot be forwarded.
+            Outcome::Whole(..) => Err(NoAnswer::Doubt(doubt)),
+            Outcome::NoAnswer(why) => Err(why),
         }
     }
 
@@ -221,76 +232,82 @@
         self.route.kind.is_repeatable() && self.runs < self.route.attempts
     }
 
-    /// Attempts until a target answers or none is left to try.
-    async fn next(&mut self) -> Next {
+    /// Sends the request to one target after another until one answers or a limit is reached.
+    async fn try_targets(&mut self) -> Outcome {
         loop {
-            if self.sends >= MAX_SENDS || self.patience().left() < SHORTEST_SEND {
-                let over = self.no_more(Refusal::DeadlineTooShort);
-                return self.over(over);
+            if self.sends >= MAX_SENDS || self.timeouts().remaining() < MIN_TIME_TO_SEND {
+                let why = self.refused_or_doubt(Refusal::DeadlineTooShort);
+                return self.final_outcome(why);
             }
             let mut ticket = self.front.placer.ask(self.ask());
             let (target, address) = match ticket.placed().await {
                 Placed::Go { target, address } => (target, address),
                 Placed::Refused { reason, retry_after_ms } => {
-                    let over = match self.doubt {
-                        Some(doubt) => Over::Doubt(doubt),
-                        None => Over::Refused { reason, retry_after_ms },
+                    let why = match self.doubt {
+                        Some(doubt) => NoAnswer::Doubt(doubt),
+                        None => NoAnswer::Refused { reason, retry_after_ms },
                     };
-                    return self.over(over);
+                    return self.final_outcome(why);
                 }
-                // Only items of jobs are recalled.
+                // Not reached: only items of batch jobs are preempted.
                 Placed::Recalled => continue,
             };
             self.sends += 1;
             let names = self.front.dialect.headers();
-            let patience = self.patience();
+            let timeouts = self.timeouts();
             let at = (&target, address);
-            let attempt = attempt(&self.front.targets, names, at, &mut self.call, patience).await;
-            match self.learn(attempt, ticket, target) {
-                Some(next) => return next,
+            let outcome =
+                run_attempt(&self.front.targets, names, at, &mut self.call, timeouts).await;
+            match self.handle_attempt(outcome, ticket, target) {
+                Some(outcome) => return outcome,
                 None => continue,
             }
         }
     }
 
-    /// Takes the outcome of an attempt; `None` if the request can be sent again.
-    fn learn(&mut self, attempt: Attempt, mut ticket: Ticket, target: Name) -> Option<Next> {
-        match attempt {
-            Attempt::Stream(parts, begun) => {
+    /// Records the outcome of an attempt; `None` if the request can be sent to another target.
+    fn handle_attempt(
+        &mut self,
+        outcome: AttemptOutcome,
+        mut ticket: Ticket,
+        target: Name,
+    ) -> Option<Outcome> {
+        match outcome {
+            AttemptOutcome::Stream(parts, started) => {
                 self.runs += 1;
                 self.report_load(&target, &parts.headers);
-                Some(Next::Stream(parts, Streaming { begun, ticket, target }))
+                Some(Outcome::Stream(parts, ActiveStream { started, ticket, target }))
             }
-            Attempt::Whole(parts, body) => {
+            AttemptOutcome::Whole(parts, body) => {
                 self.runs += 1;
                 ticket.ended(AttemptEnd::Answered);
                 self.report_load(&target, &parts.headers);
                 if parts.status.is_server_error() && self.may_run_again() {
                     self.front.metrics.retried("target_failed");
                     self.tried.push(target);
-                    self.failed = Some((parts, body));
+                    self.server_error = Some((parts, body));
                     return None;
                 }
-                Some(Next::Whole(parts, body))
+                Some(Outcome::Whole(parts, body))
             }
-            Attempt::NotRun(end) => {
+            AttemptOutcome::NotRun(end) => {
                 ticket.ended(end);
-                self.log_retry(&target, end);
+                self.log_attempt_end(&target, end);
                 self.tried.push(target);
                 None
             }
-            Attempt::Doubt(end, doubt) => {
+            AttemptOutcome::Doubt(end, doubt) => {
                 self.runs += 1;
                 ticket.ended(end);
                 self.doubt = Some(doubt);
-                self.log_retry(&target, end);
+                self.log_attempt_end(&target, end);
                 self.tried.push(target);
-                (!self.may_run_again()).then_some(Next::Over(Over::Doubt(doubt)))
+                (!self.may_run_again()).then_some(Outcome::NoAnswer(NoAnswer::Doubt(doubt)))
             }
         }
     }
 
-    fn log_retry(&self, target: &Name, end: AttemptEnd) {
+    fn log_attempt_end(&self, target: &Name, end: AttemptEnd) {
         let label = match end {
             AttemptEnd::Answered => "answered",
             AttemptEnd::Refused => "refused",
@@ -313,24 +330,25 @@
         }
     }
 
-    /// End of a request that no target has any more. One that ran and failed is told so: it is no longer true that it did
-    /// not run.
-    fn over(&mut self, over: Over) -> Next {
-        match self.failed.take() {
-            Some((parts, body)) => Next::Whole(parts, body),
-            None => Next::Over(over),
+    /// Outcome of a request that is not sent again. If a target ran it and failed, the caller gets that answer: a refusal
+    /// would claim that the request did not run.
+    fn final_outcome(&mut self, why: NoAnswer) -> Outcome {
+        match self.server_error.take() {
+            Some((parts, body)) => Outcome::Whole(parts, body),
+            None => Outcome::NoAnswer(why),
         }
     }
 
-    fn no_more(&self, reason: Refusal) -> Over {
+    /// A refusal, unless an earlier attempt may have run.
+    fn refused_or_doubt(&self, reason: Refusal) -> NoAnswer {
         match self.doubt {
-            Some(doubt) => Over::Doubt(doubt),
-            None => Over::Refused { reason, retry_after_ms: 0 },
+            Some(doubt) => NoAnswer::Doubt(doubt),
+            None => NoAnswer::Refused { reason, retry_after_ms: 0 },
         }
     }
 
     fn ask(&self) -> Ask {
-        let queue_ms = self.route.objective_ms / QUEUE_PART;
+        let queue_ms = self.route.objective_ms / QUEUE_WAIT_DIVISOR;
         Ask {
             request: self.front.placer.next_request(),
             class: Class::Online,
@@ -344,7 +362,8 @@
     }
 }
 
-fn strip_hop_headers(headers: &mut HeaderMap) {
+/// Removes the hop-by-hop headers, and those that the `Connection` header lists.
+fn strip_hop_by_hop_headers(headers: &mut HeaderMap) {
     let listed: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
         .iter()
@@ -352,7 +371,7 @@
         .flat_map(|it| it.split(','))
         .filter_map(|it| it.trim().parse().ok())
         .collect();
-    for name in listed.iter().chain(&HOP_HEADERS) {
+    for name in listed.iter().chain(&HOP_BY_HOP_HEADERS) {
         headers.remove(name);
     }
 }
--- a/crates/samphiredoor-gateway/src/process.rs
+++ b/crates/samphiredoor-gateway/src/process.rs
@@ -247,7 +247,7 @@
         jobs: jobs.clone(),
         metrics: Rc::clone(&metrics),
         clock,
-        open: Rc::default(),
+        open_requests: Rc::default(),
     };
     Parts { front: Rc::new(front), jobs, metrics, routes, followed, targets_known, stopping }
 }
@@ -356,7 +356,7 @@
     callers: Option<StopHandle>,
     serving: JoinHandle<()>,
 ) {
-    log::info!(open = parts.front.open.get(); "gateway: stopping");
+    log::info!(open = parts.front.open_requests.get(); "gateway: stopping");
     parts.stopping.set(true);
     if let Some(callers) = &callers {
         callers.drain();
@@ -371,7 +371,7 @@
         let _ = releasing.await;
     };
     let finished = compio::time::timeout(config.finish, all).await.is_ok();
-    log::info!(finished, open = parts.front.open.get(); "gateway: stopped");
+    log::info!(finished, open = parts.front.open_requests.get(); "gateway: stopped");
     // The log's thread writes in pauses; this lets it write the last lines.
     compio::time::sleep(Duration::from_millis(120)).await;
 }
