--- a/crates/samphiredoor-gateway/src/front/mod.rs
+++ b/crates/samphiredoor-gateway/src/front/mod.rs
@@ -37,7 +37,7 @@
 };
 use online::Online;
 
-/// Time limit for reading a whole request body, in addition to the configured idle timeout between its parts.
+/// Time limit for reading a whole request body. The operators' limits bound only the waits for a request and its head.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 /// `Retry-After` of a gateway that has no routes yet: it retries the store more often than this.
 const NOT_READY_RETRY_MS: u64 = 300;
--- a/crates/samphiredoor-gateway/src/lib.rs
+++ b/crates/samphiredoor-gateway/src/lib.rs
@@ -1,18 +1,18 @@
-//! The gateway: callers' requests and batch jobs, routed to targets that register themselves.
+//! The gateway: routes requests and batch jobs of callers to targets that register themselves in the store.
 //!
-//! Where a thing goes:
+//! Where to find what:
 //!
-//! - a **request** comes in at `front`, gets its target from `placement`, goes out through `target_client`, and comes
-//!   back event by event through `front::passing`;
-//! - a **job** comes in at `jobs::submit`, is owned by a `jobs::job_task`, its items run through `jobs::item_run`, and
-//!   its results are read through `jobs::reads` at any gateway;
-//! - **routes** and **targets** come from the store through `discovery`, which watches it (`watch`, in turns with other
-//!   gateways: `fleet`); `store_health` knows whether it answers;
-//! - **other gateways** are met in `peers`;
-//! - what a process needs to start while the store is lost comes from `mirror`, which `storage` runs.
+//! - a **request** arrives at `front`, gets its target from `placement`, is sent by `target_client`, and its answer is
+//!   forwarded event by event by `front::forwarded_stream`;
+//! - a **job** arrives at `jobs::submit`, is owned by a `jobs::job_task`, its items run through `jobs::item_run`, and
+//!   its results can be read through `jobs::reads` at any gateway;
+//! - **routes** and **targets** come from the store through `discovery`, which follows them by `watch`; `watch_schedule`
+//!   staggers the watches of all gateways, and `store_health` tracks whether the store answers;
+//! - `peers` exchanges load, routes and job owners with **other gateways**;
+//! - `mirror` serves what a gateway needs to start during an outage of the store; `storage` runs it.
 //!
-//! `edge` holds the traits by which the platform is met; no name of the platform stands in this package. `process` puts
-//! all parts together from a [`config::GatewayConfig`]. `settings` reads settings files of any process.
+//! `edge` has the traits that connect the gateway to its platform; nothing in this package is specific to one platform.
+//! `process` starts all parts from a [`config::GatewayConfig`], and `settings` reads the settings files of any process.
 
 pub mod config;
 pub mod edge;
@@ -23,7 +23,6 @@
 
 mod discovery;
 mod events;
-mod fleet;
 mod front;
 mod jobs;
 mod metrics;
@@ -35,3 +34,4 @@
 mod store_health;
 mod target_client;
 mod watch;
+mod watch_schedule;
--- a/crates/samphiredoor-gateway/src/metrics.rs
+++ b/crates/samphiredoor-gateway/src/metrics.rs
@@ -175,7 +175,7 @@
     }
 
     /// Notes that the store has answered a list or watch.
-    pub fn store_heard(&self, kind: Kind) {
+    pub fn store_answered(&self, kind: Kind) {
         self.heard.borrow_mut().insert(kind.path(), Instant::now());
     }
 
--- a/crates/samphiredoor-gateway/src/placement.rs
+++ b/crates/samphiredoor-gateway/src/placement.rs
@@ -1,4 +1,4 @@
-//! The task that owns the placement, and the handles by which requests speak to it.
+//! The task that owns the placement of requests at targets, and the handles by which the rest of the process uses it.
 
 use std::{
     cell::Cell,
@@ -18,32 +18,33 @@
 
 use crate::metrics::Metrics;
 
-/// Shortest time between two messages on the own loads. Requests that arrive together are told together; a place that
-/// others do not know to be taken for this long is rarely chosen twice.
-const TELL_PAUSE: Duration = Duration::from_millis(20);
-/// Time between two ticks while something waits; queues and messages are late by no more.
+/// Shortest time between two reports of the own load to peers, so that requests that arrive together share one report.
+/// A slot that peers do not yet see as taken for this long is rarely chosen twice.
+const MIN_REPORT_INTERVAL: Duration = Duration::from_millis(20);
+/// Time between two ticks while online requests or a load report wait; neither is delayed by more than this.
 const BUSY_TICK: Duration = Duration::from_millis(20);
-/// Time between two ticks of an idle process; other gateways take one for gone that is silent for thrice as long.
+/// Time between two ticks of an idle process, and between two heartbeats. Peers treat a gateway as gone that has sent
+/// nothing for three times as long.
 const IDLE_TICK: Duration = Duration::from_millis(500);
 
-/// What the placement decided for a request.
+/// A decision of the placement about a request.
 #[derive(Debug, Clone)]
 pub enum Placed {
-    /// Send it there.
+    /// Send the request to this target.
     Go {
-        /// Which target.
+        /// Name of the target.
         target: Name,
-        /// Where it listens.
+        /// Address at which it listens.
         address: SocketAddr,
     },
-    /// It gets no target.
+    /// The request gets no target.
     Refused {
-        /// Why.
+        /// Reason, as sent to the caller.
         reason: Refusal,
-        /// When to come back, in milliseconds.
+        /// Time after which a retry may succeed, in milliseconds.
         retry_after_ms: u64,
     },
-    /// Cut the attempt in hand: online requests need its room.
+    /// Preempted: abort the running attempt, as online requests need its slot.
     Recalled,
 }
 
@@ -52,57 +53,61 @@
     Input(Input),
 }
 
-/// Handle to the placement's task.
+/// Handle to the placement task.
 #[derive(Clone)]
 pub struct Placer {
     messages: flume::Sender<Message>,
     next_request: Rc<Cell<u64>>,
 }
 
-/// The own requests, as other gateways are told.
+/// Load of this gateway, as reported to its peers.
 #[derive(Debug, Clone, Default)]
 pub struct Told {
-    /// Requests at targets, and items that wait.
+    /// Requests at targets, and waiting items.
     pub state: DoorState,
-    /// Whether others hold places that online requests of this gateway wait for.
+    /// Whether online requests of this gateway wait for slots that peers hold.
     pub urgent: bool,
 }
 
-/// What the task needs beside its state.
+/// Configuration and initial state of the placement task.
 pub struct PlacementTask {
     /// Clock of the process.
     pub clock: Clock,
-    /// State.
+    /// Algorithm and its state.
     pub placement: Placement,
-    /// Counters.
+    /// Metrics of the process.
     pub metrics: Rc<Metrics>,
-    /// Where changes of the own loads go, for other gateways.
-    pub told: flume::Sender<Told>,
+    /// Channel for load reports to peers.
+    pub load_reports: flume::Sender<Told>,
 }
 
 impl Placer {
-    /// Starts the task.
+    /// Spawns the task on the runtime of the calling thread.
     pub fn start(task: PlacementTask) -> Placer {
         let (messages, inbox) = flume::unbounded();
-        let running =
-            Running { task, waiting: HashMap::new(), told_at: Instant::now(), told: false };
+        let running = Running {
+            task,
+            reply_channels: HashMap::new(),
+            reported_at: Instant::now(),
+            is_reported: false,
+        };
         compio::runtime::spawn(running.run(inbox)).detach();
         Placer { messages, next_request: Rc::new(Cell::new(1)) }
     }
 
-    /// New identity for a request.
+    /// Returns an unused request id.
     pub fn next_request(&self) -> RequestId {
         let id = self.next_request.get();
         self.next_request.set(id + 1);
         RequestId(id)
     }
 
-    /// Asks for a target.
+    /// Requests a target. Decisions arrive through the ticket.
     pub fn ask(&self, ask: Ask) -> Ticket {
-        let (sender, placements) = flume::unbounded();
+        let (sender, decisions) = flume::unbounded();
         let ticket = Ticket {
             request: ask.request,
-            placements,
+            decisions,
             messages: self.messages.clone(),
             stage: Stage::Waiting,
         };
@@ -110,27 +115,27 @@
         ticket
     }
 
-    /// Tells all targets that are known now.
+    /// Replaces the list of all known targets.
     pub fn targets(&self, targets: Vec<TargetEntry>) {
         self.send(Message::Input(Input::Targets(targets)));
     }
 
-    /// Tells which targets the own cell shares.
+    /// Sets the targets that the own cell shares, by their hashed names.
     pub fn own_targets(&self, targets: HashSet<u64>) {
         self.send(Message::Input(Input::OwnTargets(targets)));
     }
 
-    /// Tells the load that a target reported.
+    /// Updates the load that a target reported in an answer.
     pub fn reported(&self, target: &Name, load: ReportedLoad) {
         self.send(Message::Input(Input::Load { target: Name::clone(target), load }));
     }
 
-    /// Tells the requests of another gateway, or of a cell.
+    /// Updates the load of a peer, or the total load of another cell.
     pub fn peer(&self, door: Name, state: DoorState) {
         self.send(Message::Input(Input::Peer { door, state }));
     }
 
-    // The task ends only with the process.
+    // The task runs until the process ends, so the channel is never closed.
     fn send(&self, message: Message) {
         let _ = self.messages.send(message);
     }
@@ -140,35 +145,36 @@
 enum Stage {
     Waiting,
     AtTarget,
-    Over,
+    Ended,
 }
 
-/// A request as the placement knows it. Dropping it says that its attempt was cut, or that nobody waits any more.
+/// A request that waits for a slot at a target or holds one. Dropping it frees the slot and records the attempt as cut,
+/// or removes the request from the queue.
 pub struct Ticket {
     request: RequestId,
-    placements: flume::Receiver<Placed>,
+    decisions: flume::Receiver<Placed>,
     messages: flume::Sender<Message>,
     stage: Stage,
 }
 
 impl Ticket {
-    /// Waits for the decision; after [`Placed::Go`] for the recall.
+    /// Waits for the next decision: first for a target or a refusal, then for a preemption.
     pub async fn placed(&mut self) -> Placed {
-        let Ok(placed) = self.placements.recv_async().await else {
-            self.stage = Stage::Over;
+        let Ok(decision) = self.decisions.recv_async().await else {
+            self.stage = Stage::Ended;
             return Placed::Refused { reason: Refusal::Stopping, retry_after_ms: 0 };
         };
-        match placed {
+        match decision {
             Placed::Go { .. } => self.stage = Stage::AtTarget,
-            Placed::Refused { .. } => self.stage = Stage::Over,
+            Placed::Refused { .. } => self.stage = Stage::Ended,
             Placed::Recalled => {}
         }
-        placed
+        decision
     }
 
-    /// Says how the attempt ended.
+    /// Frees the slot and records how the attempt ended. Only the first call after a dispatch counts.
     pub fn ended(&mut self, end: AttemptEnd) {
-        if std::mem::replace(&mut self.stage, Stage::Over) == Stage::AtTarget {
+        if std::mem::replace(&mut self.stage, Stage::Ended) == Stage::AtTarget {
             let _ = self.messages.send(Message::Input(Input::Ended { request: self.request, end }));
         }
     }
@@ -182,16 +188,19 @@
                 let input = Input::Gone { request: self.request };
                 let _ = self.messages.send(Message::Input(input));
             }
-            Stage::Over => {}
+            Stage::Ended => {}
         }
     }
 }
 
+/// The placement task and the state of its channels.
 struct Running {
     task: PlacementTask,
-    waiting: HashMap<RequestId, flume::Sender<Placed>>,
-    told_at: Instant,
-    told: bool,
+    /// Where to send decisions, for each request that is queued or at a target.
+    reply_channels: HashMap<RequestId, flume::Sender<Placed>>,
+    reported_at: Instant,
+    /// Whether the last event was followed by a check for changes to report; `MIN_REPORT_INTERVAL` may delay that check.
+    is_reported: bool,
 }
 
 impl Running {
@@ -201,36 +210,36 @@
             let tick = if self.is_busy() { BUSY_TICK } else { IDLE_TICK };
             let input = match within(tick, inbox.recv_async()).await {
                 Some(Ok(Message::Ask(ask, reply))) => {
-                    self.waiting.insert(ask.request, reply);
+                    self.reply_channels.insert(ask.request, reply);
                     Input::Ask(ask)
                 }
                 Some(Ok(Message::Input(input))) => input,
                 Some(Err(_)) => return,
                 None => Input::Tick,
             };
-            self.forget(&input);
+            self.remove_ended(&input);
             let now_ms = self.task.clock.now().mono_ms;
             self.task.placement.handle(now_ms, input, &mut actions);
             for action in actions.drain(..) {
-                self.act(action);
+                self.send_decision(action);
             }
-            self.tell();
+            self.report_load();
         }
     }
 
     fn is_busy(&self) -> bool {
         let (online, _) = self.task.placement.waiting();
-        online > 0 || !self.told
+        online > 0 || !self.is_reported
     }
 
-    fn forget(&mut self, input: &Input) {
+    fn remove_ended(&mut self, input: &Input) {
         if let Input::Gone { request } | Input::Ended { request, .. } = input {
-            self.waiting.remove(request);
+            self.reply_channels.remove(request);
         }
     }
 
-    fn act(&mut self, action: Action) {
-        let (request, placed) = match action {
+    fn send_decision(&mut self, action: Action) {
+        let (request, decision) = match action {
             Action::Dispatch { request, target, address } => {
                 (request, Placed::Go { target, address })
             }
@@ -239,32 +248,34 @@
                 (request, Placed::Refused { reason, retry_after_ms })
             }
         };
-        let is_last = matches!(placed, Placed::Refused { .. });
-        if let Some(reply) = self.waiting.get(&request) {
-            // A reply to a ticket that was just dropped finds nobody; its end is on the way here.
-            let _ = reply.send(placed);
+        let is_last = matches!(decision, Placed::Refused { .. });
+        if let Some(reply) = self.reply_channels.get(&request) {
+            // Fails if the ticket was just dropped; its message about that is already in the queue.
+            let _ = reply.send(decision);
         }
         if is_last {
-            self.waiting.remove(&request);
+            self.reply_channels.remove(&request);
         }
     }
 
-    fn tell(&mut self) {
-        let pause_over = self.told_at.elapsed() >= TELL_PAUSE;
-        if !pause_over {
-            self.told = false;
+    /// Reports the load to peers after a change, at most every `MIN_REPORT_INTERVAL`, and as a heartbeat every
+    /// `IDLE_TICK`.
+    fn report_load(&mut self) {
+        let interval_over = self.reported_at.elapsed() >= MIN_REPORT_INTERVAL;
+        if !interval_over {
+            self.is_reported = false;
             return;
         }
         let changed = self.task.placement.take_changed_state();
-        let heartbeat = self.told_at.elapsed() >= IDLE_TICK;
+        let heartbeat = self.reported_at.elapsed() >= IDLE_TICK;
         let state = changed.or_else(|| heartbeat.then(|| self.task.placement.state()));
         if let Some(state) = state {
-            self.told_at = Instant::now();
+            self.reported_at = Instant::now();
             let urgent = self.task.placement.take_needs_others();
-            let _ = self.task.told.send(Told { state, urgent });
+            let _ = self.task.load_reports.send(Told { state, urgent });
             let (online, batch) = self.task.placement.waiting();
             self.task.metrics.placement(self.task.placement.counters(), online, batch);
         }
-        self.told = true;
+        self.is_reported = true;
     }
 }
--- a/crates/samphiredoor-gateway/src/process.rs
+++ b/crates/samphiredoor-gateway/src/process.rs
@@ -1,4 +1,4 @@
-//! The whole gateway: its parts, its listeners, and its planned stop.
+//! Starts the parts of a gateway and its listeners, and performs its graceful shutdown.
 
 use std::{
     cell::Cell,
@@ -19,7 +19,6 @@
     config::{CommonConfig, GatewayConfig},
     discovery::{RoutesTask, TargetsTask},
     edge::{Dialect, Platform},
-    fleet::Fleet,
     front::{self, Front, plain},
     jobs::{self, Gaps, JobEnv, Jobs},
     metrics::Metrics,
@@ -31,24 +30,25 @@
     store_health::StoreHealth,
     target_client::TargetClient,
     watch::Follower,
+    watch_schedule::WatchSchedule,
 };
 
-/// Connections of callers held at once; with two sockets a request this stays below common descriptor limits.
+/// Most connections of callers at once. With two sockets for each request this stays below common file descriptor limits.
 const MAX_CALLER_CONNECTIONS: usize = 1_500;
-/// Time within which listeners of other processes and of the balancer answer slow clients.
-const SIDE_HEADER_TIMEOUT: Duration = Duration::from_secs(30);
-/// How often the operators' bounds on callers are taken over by the listener.
-const LIMITS_PAUSE: Duration = Duration::from_secs(1);
-/// Within which time a gateway that starts has to be known to the others.
+/// Time limit for request heads on the internal listeners: those for peers, health checks, metrics and mirrors.
+const INTERNAL_HEADER_TIMEOUT: Duration = Duration::from_secs(30);
+/// How often the limits on callers are copied from the active routes to the listener.
+const LIMITS_UPDATE_INTERVAL: Duration = Duration::from_secs(1);
+/// Time within which a gateway that starts has to be known to its peers.
 const GATEWAYS_WITHIN: Duration = Duration::from_secs(5);
 pub(crate) const SIGHUP: i32 = 1;
 const SIGTERM: i32 = 15;
 
-/// Runs a gateway until it is told to stop. `reload` reads the settings again.
+/// Runs a gateway until it gets a signal to stop. `reload` reads the settings file again.
 ///
 /// # Errors
 ///
-/// What keeps it from starting.
+/// The runtime does not start, or a listener cannot be bound.
 pub fn run(
     config: GatewayConfig,
     platform: impl FnOnce(&CommonConfig) -> Platform,
@@ -59,7 +59,7 @@
     runtime.block_on(serve(config, platform, reload))
 }
 
-/// All parts of a gateway.
+/// The parts of a gateway that its listeners and its shutdown use.
 struct Parts {
     front: Rc<Front>,
     jobs: Jobs,
@@ -77,13 +77,13 @@
 ) -> anyhow::Result<()> {
     let limits = ServeLimits { max_connections: MAX_CALLER_CONNECTIONS, ..ServeLimits::default() };
     let mut callers = bind("callers", config.callers, limits).await?;
-    let readiness = bind("readiness", config.readiness, side_limits()).await?;
-    let peer_calls = bind("peers", config.peers, side_limits()).await?;
-    // Ports may be left to the system; others have to know which they are.
+    let readiness = bind("readiness", config.readiness, internal_limits()).await?;
+    let peer_calls = bind("peers", config.peers, internal_limits()).await?;
+    // The system may have chosen the port, and peers need the actual one.
     let peers = peer_calls.local_addr()?;
     let socket = UdpSocket::bind(peers)
         .await
-        .with_context(|| format!("peers.address: {peers} takes no datagrams"))?;
+        .with_context(|| format!("peers.address: cannot bind {peers} for UDP"))?;
     let stop_callers = callers.stop_handle();
     let parts = start(&config, &platform, peers, Rc::new(socket));
     log::info!(
@@ -91,7 +91,7 @@
         readiness:% = readiness.local_addr()?, peers:% = peers;
         "gateway: started"
     );
-    serve_side(&config, &parts, Rc::clone(&platform.dialect), readiness, peer_calls).await?;
+    serve_internal(&config, &parts, Rc::clone(&platform.dialect), readiness, peer_calls).await?;
     compio::runtime::spawn(follow_limits(parts.routes.clone(), callers.limits())).detach();
     let front = Rc::clone(&parts.front);
     let serving = compio::runtime::spawn(
@@ -109,13 +109,15 @@
     limits: ServeLimits,
 ) -> anyhow::Result<Server> {
     let bound = Server::bind(address, limits).await;
-    bound.with_context(|| format!("{key}.address: {address} cannot be listened on"))
+    bound.with_context(|| format!("{key}.address: cannot listen on {address}"))
 }
 
-pub(crate) fn side_limits() -> ServeLimits {
-    ServeLimits { header_read_timeout: SIDE_HEADER_TIMEOUT, ..ServeLimits::default() }
+/// Limits of the internal listeners.
+pub(crate) fn internal_limits() -> ServeLimits {
+    ServeLimits { header_read_timeout: INTERNAL_HEADER_TIMEOUT, ..ServeLimits::default() }
 }
 
+/// Creates the parts of a gateway and spawns their tasks.
 fn start(
     config: &GatewayConfig,
     platform: &Platform,
@@ -135,22 +137,23 @@
     let (routes, health) = (Routes::default(), StoreHealth::default());
     let roster = Roster::new(own.clone());
     let stopping = Rc::new(Cell::new(false));
-    let (told, tell) = flume::unbounded();
+    let (load_reports, loads_to_send) = flume::unbounded();
     let seed = rand::random();
     let placement = Placement::new(own.name.clone(), own.place.clone(), seed);
     let metrics_of_task = Rc::clone(&metrics);
-    let placer = Placer::start(PlacementTask { clock, placement, metrics: metrics_of_task, told });
+    let placer =
+        Placer::start(PlacementTask { clock, placement, metrics: metrics_of_task, load_reports });
     let client = TargetClient::new(platform.dialect.headers().request_id.clone());
     let targets_known = Rc::new(Cell::new(None));
     let mirrors = Mirrors::new(&common.mirrors);
     let followed = Followed::new(roster.clone());
     let follow = |kind, within, sighting: &Sighting| {
-        let fleet = Fleet::new(roster.clone(), within, sighting.clone());
+        let schedule = WatchSchedule::new(roster.clone(), within, sighting.clone());
         Follower::new(Rc::clone(&platform.store), kind, common.watch)
             .with_metrics(Rc::clone(&metrics))
             .with_mirrors(mirrors.clone())
             .with_health(health.clone())
-            .with_fleet(fleet)
+            .with_schedule(schedule)
             .with_followed(followed.clone(), within)
     };
     let sightings = roster.sightings();
@@ -163,13 +166,13 @@
     });
     let follow_routes = follow(Kind::Routes, common.routes_within, &sightings.routes)
         .with_stale_start()
-        .with_rest_after_changes(common.routes_within);
-    let (relayed, relay) = flume::unbounded();
-    compio::runtime::spawn(Rc::clone(&routes_task).run_relay(relay)).detach();
+        .with_pause_after_changes(common.routes_within);
+    let (peer_routes, routes_from_peers) = flume::unbounded();
+    compio::runtime::spawn(Rc::clone(&routes_task).run_peer_routes(routes_from_peers)).detach();
     compio::runtime::spawn(routes_task.run(follow_routes)).detach();
-    let asking =
-        peers::relay::run(roster.clone(), routes.clone(), Rc::clone(&platform.store), relayed);
-    compio::runtime::spawn(asking).detach();
+    let fetch_routes =
+        peers::relay::run(roster.clone(), routes.clone(), Rc::clone(&platform.store), peer_routes);
+    compio::runtime::spawn(fetch_routes).detach();
     let targets_task = TargetsTask {
         platform: platform.clone(),
         placer: placer.clone(),
@@ -180,13 +183,13 @@
     };
     let follow_targets = follow(Kind::Targets, common.targets_within, &sightings.targets)
         .with_stale_start()
-        .with_gate(health.clone())
-        .with_rest_after_changes(common.targets_within);
+        .with_recovery_by_another(health.clone())
+        .with_pause_after_changes(common.targets_within);
     compio::runtime::spawn(targets_task.run(follow_targets)).detach();
 
     let follow_gateways = follow(Kind::Door, GATEWAYS_WITHIN, &sightings.gateways)
         .with_stale_start()
-        .with_gate(health.clone());
+        .with_recovery_by_another(health.clone());
     let registration = peers::registration::run(
         roster.clone(),
         placer.clone(),
@@ -208,7 +211,7 @@
     let speaker =
         Speaker { socket: Rc::clone(&socket), roster: roster.clone(), mates: mates.clone() };
     compio::runtime::spawn(speaker.run()).detach();
-    let (owned, tell_owned) = flume::unbounded();
+    let (owned, owned_to_send) = flume::unbounded();
     let teller = Teller {
         own: own.clone(),
         socket,
@@ -218,7 +221,7 @@
         health: health.clone(),
         stopping: Rc::clone(&stopping),
     };
-    compio::runtime::spawn(teller.run(tell, tell_owned)).detach();
+    compio::runtime::spawn(teller.run(loads_to_send, owned_to_send)).detach();
 
     let gaps = Gaps::new(clock, roster.clone(), health.clone());
     let env = JobEnv {
@@ -252,14 +255,15 @@
     Parts { front: Rc::new(front), jobs, metrics, routes, followed, targets_known, stopping }
 }
 
-async fn serve_side(
+/// Serves the internal listeners: health checks, calls of peers, and metrics if configured.
+async fn serve_internal(
     config: &GatewayConfig,
     parts: &Parts,
     dialect: Rc<dyn Dialect>,
     readiness: Server,
     peer_calls: Server,
 ) -> anyhow::Result<()> {
-    let ready = Ready {
+    let ready = Readiness {
         dialect,
         routes: parts.routes.clone(),
         targets_known: Rc::clone(&parts.targets_known),
@@ -291,7 +295,7 @@
     };
     compio::runtime::spawn(peer_calls.run(answer_peers)).detach();
     if let Some(address) = config.common.metrics {
-        let server = bind("metrics", address, side_limits()).await?;
+        let server = bind("metrics", address, internal_limits()).await?;
         let metrics = Rc::clone(&parts.metrics);
         let answer_metrics = move |_: Request<Incoming>| {
             let text = metrics.text();
@@ -302,15 +306,15 @@
     Ok(())
 }
 
-/// What the balancer is told.
-struct Ready {
+/// State behind the readiness checks of the load balancer.
+struct Readiness {
     dialect: Rc<dyn Dialect>,
     routes: Routes,
     targets_known: Rc<Cell<Option<usize>>>,
     stopping: Rc<Cell<bool>>,
 }
 
-impl Ready {
+impl Readiness {
     fn answer(&self, request: &Request<Incoming>) -> Response<Body> {
         if !self.dialect.is_readiness(request.method(), request.uri().path()) {
             return plain(StatusCode::NOT_FOUND, "only readiness is asked for here");
@@ -321,6 +325,7 @@
         }
     }
 
+    /// Why the gateway is not ready; `None` if it is.
     fn problem(&self) -> Option<&'static str> {
         if self.stopping.get() {
             Some("stopping")
@@ -334,22 +339,22 @@
     }
 }
 
-/// Keeps the listener's bounds at what the operators say.
+/// Copies the limits on callers from the active routes to the listener, for as long as the process runs.
 async fn follow_limits(routes: Routes, limits: Rc<std::cell::RefCell<ServeLimits>>) {
     loop {
         if let Some(table) = routes.current() {
             let mut limits = limits.borrow_mut();
             limits.max_header_bytes = table.limits.header_bytes;
-            // The same timer covers the wait for a request and that for the rest of its head.
+            // One timer covers both the idle time before a request and the time to read its head.
             let wait_ms = table.limits.idle_ms.max(table.limits.header_ms);
             limits.header_read_timeout = Duration::from_millis(wait_ms);
         }
-        compio::time::sleep(LIMITS_PAUSE).await;
+        compio::time::sleep(LIMITS_UPDATE_INTERVAL).await;
     }
 }
 
-/// A planned stop, in an order that cuts no request: the balancer is told first and given time, while callers are still
-/// answered; the listener closes last, and what runs then is finished.
+/// Graceful shutdown, in an order that interrupts no request: readiness fails first, and callers are still served while
+/// the load balancer reacts; then the listener closes, and running requests are finished.
 async fn stop(
     config: &GatewayConfig,
     parts: &Parts,
@@ -366,13 +371,13 @@
     compio::time::sleep(config.unready).await;
     drop(callers);
     let all = async {
-        // A task that panicked has nothing left to wait for.
+        // Errors mean that the task panicked; there is nothing left to wait for.
         let _ = serving.await;
         let _ = releasing.await;
     };
     let finished = compio::time::timeout(config.finish, all).await.is_ok();
     log::info!(finished, open = parts.front.open_requests.get(); "gateway: stopped");
-    // The log's thread writes in pauses; this lets it write the last lines.
+    // The log thread writes in batches with pauses; this leaves it time for the last lines.
     compio::time::sleep(Duration::from_millis(120)).await;
 }
 
@@ -387,29 +392,29 @@
                 let listeners = |it: &GatewayConfig| (it.callers, it.readiness, it.peers);
                 let moved = listeners(&new) != listeners(&config);
                 log::set_max_level(new.common.log.level);
-                log::info!(listeners_change_at_next_start = moved; "gateway: settings read again");
+                log::info!(listeners_change_at_next_start = moved; "gateway: settings reloaded");
                 config = new;
             }
             Err(err) => {
-                log::error!(problem:% = err; "gateway: settings kept, the new ones are wrong")
+                log::error!(problem:% = err; "gateway: new settings are invalid, keeping the current ones")
             }
         }
     }
 }
 
-/// Waits for one signal; for ever if that is not possible.
+/// Waits for one signal; waits forever if the signal handler cannot be installed.
 pub(crate) async fn wait_for(signal: i32) {
     if let Err(err) = compio::signal::unix::signal(signal).await {
-        log::error!(signal, problem:% = err; "gateway: signal cannot be waited for");
+        log::error!(signal, problem:% = err; "gateway: cannot wait for signal");
         std::future::pending::<()>().await;
     }
 }
 
-/// Waits until the process is told to stop, by whichever of the usual signals.
+/// Waits for SIGTERM or SIGINT.
 pub(crate) async fn wait_for_stop() {
     let terminate = pin!(wait_for(SIGTERM));
     let interrupt = pin!(compio::signal::ctrl_c());
     if let Either::Right((Err(err), _)) = select(terminate, interrupt).await {
-        log::error!(problem:% = err; "process: interrupts cannot be waited for");
+        log::error!(problem:% = err; "process: cannot wait for SIGINT");
     }
 }
--- a/crates/samphiredoor-gateway/src/routes.rs
+++ b/crates/samphiredoor-gateway/src/routes.rs
@@ -1,4 +1,4 @@
-//! The routes in force, as all parts of the process read them.
+//! The active routes, shared by all parts of the process.
 
 use std::{cell::RefCell, rc::Rc, sync::Arc};
 
@@ -7,7 +7,7 @@
     store::Stored,
 };
 
-/// Handle to the routes in force; written by discovery alone.
+/// Handle to the active routes; only `discovery` updates them.
 #[derive(Clone, Default)]
 pub struct Routes {
     log: Rc<RefCell<RouteLog>>,
@@ -15,26 +15,27 @@
 }
 
 impl Routes {
-    /// Table in force; `None` before the first.
+    /// Active route table; `None` before the first one is received.
     pub fn current(&self) -> Option<Arc<RouteTable>> {
         self.log.borrow().current().map(Arc::clone)
     }
 
-    /// Version in force; 0 before the first.
+    /// Version of the active route table; 0 before the first one is received.
     pub fn version(&self) -> u64 {
         self.log.borrow().current().map_or(0, |it| it.version)
     }
 
-    /// Puts a table in force if it is newer; says whether it did. `source` is the object that it was read from.
+    /// Activates a table if it is newer than the active one, and returns whether it did. `source` is the stored object
+    /// that it was parsed from.
     pub fn offer(&self, table: RouteTable, source: &Stored) -> bool {
-        let taken = self.log.borrow_mut().offer(table);
-        if taken {
+        let activated = self.log.borrow_mut().offer(table);
+        if activated {
             *self.source.borrow_mut() = Some(source.clone());
         }
-        taken
+        activated
     }
 
-    /// Object that the table in force was read from, for other gateways.
+    /// Stored object that the active table was parsed from, to be served to peers.
     pub fn source(&self) -> Option<Stored> {
         self.source.borrow().clone()
     }
--- a/crates/samphiredoor-gateway/src/sightings.rs
+++ b/crates/samphiredoor-gateway/src/sightings.rs
@@ -1,24 +1,25 @@
-//! Newest changes of the store that this process has seen, and that others tell.
+//! Newest store versions that this process and its peers have seen.
 //!
-//! A watch that is deaf hears nothing, and so learns nothing of its deafness. The other processes' statuses tell it: a
-//! change that one of them has seen stands in the store, and whoever has not seen it by then has to ask.
+//! A watch that the store has dropped never completes, and its process cannot tell it from one without changes. The status
+//! messages of peers reveal it: a change that a peer has seen is in the store, so a process that has not seen it has to
+//! query the store.
 
 use std::{cell::Cell, rc::Rc};
 
 use samphiredoor_core::store::Version;
 
-/// What a process tells others of the newest changes that it has seen.
+/// Versions of the newest changes that a process has seen, as sent in its status messages.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct SeenChanges {
-    /// Of the operators' routes.
+    /// Newest change of the routes.
     pub routes: Version,
-    /// Of targets.
+    /// Newest change of a target's entry.
     pub targets: Version,
-    /// Of gateways.
+    /// Newest change of a gateway's entry.
     pub gateways: Version,
 }
 
-/// Newest changes of one kind.
+/// Newest changes of one kind of objects; clones share the same state.
 #[derive(Debug, Clone, Default)]
 pub struct Sighting {
     own: Rc<Cell<Version>>,
@@ -26,40 +27,40 @@
 }
 
 impl Sighting {
-    /// Notes a change that this process has seen.
+    /// Records a change that this process has seen.
     pub fn saw(&self, version: Version) {
         self.own.set(self.own.get().max(version));
     }
 
-    /// Notes a change that another process says it has seen.
+    /// Records a change that a peer reports to have seen.
     pub fn told(&self, version: Version) {
         self.others.set(self.others.get().max(version));
     }
 
-    /// The newest change that this process has seen.
+    /// Newest version that this process has seen.
     pub fn own(&self) -> Version {
         self.own.get()
     }
 
-    /// The newest change that others have seen.
+    /// Newest version that any peer has seen.
     pub fn others(&self) -> Version {
         self.others.get()
     }
 }
 
-/// Newest changes of all kinds that every gateway follows.
+/// Newest changes of all kinds that every gateway watches.
 #[derive(Debug, Clone, Default)]
 pub struct Sightings {
-    /// The operators' routes.
+    /// Configuration objects with the routes.
     pub routes: Sighting,
-    /// Targets.
+    /// Entries of targets.
     pub targets: Sighting,
-    /// Gateways.
+    /// Entries of gateways.
     pub gateways: Sighting,
 }
 
 impl Sightings {
-    /// What this process has seen.
+    /// Versions that this process has seen, to be sent to peers.
     pub fn own(&self) -> SeenChanges {
         SeenChanges {
             routes: self.routes.own(),
@@ -68,7 +69,7 @@
         }
     }
 
-    /// Notes what another process says it has seen.
+    /// Records the versions that a peer reports to have seen.
     pub fn told(&self, seen: &SeenChanges) {
         self.routes.told(seen.routes);
         self.targets.told(seen.targets);
--- a/crates/samphiredoor-gateway/src/storage.rs
+++ b/crates/samphiredoor-gateway/src/storage.rs
@@ -18,7 +18,7 @@
     config::{CommonConfig, StorageConfig},
     edge::{Change, Platform},
     mirror::Mirror,
-    process::{SIGHUP, bind, side_limits, wait_for, wait_for_stop},
+    process::{SIGHUP, bind, internal_limits, wait_for, wait_for_stop},
     watch::{Follower, Seen},
 };
 
@@ -61,7 +61,7 @@
 
 /// Looks at what gateways need, and tells it; returns the address.
 async fn serve_mirror(platform: &Platform, address: SocketAddr) -> anyhow::Result<SocketAddr> {
-    let server = bind("mirror", address, side_limits()).await?;
+    let server = bind("mirror", address, internal_limits()).await?;
     let address = server.local_addr()?;
     let mirror = Mirror::default();
     compio::runtime::spawn(mirror.clone().run(Rc::clone(&platform.store))).detach();
--- a/crates/samphiredoor-gateway/src/store_health.rs
+++ b/crates/samphiredoor-gateway/src/store_health.rs
@@ -1,10 +1,10 @@
-//! Whether the store answers this process, and whether it answers others.
+//! Tracks whether the store answers this process, and whether it answers other processes meanwhile.
 //!
-//! A process that alone misses the store has to stop its items: others take its jobs, and it hears neither of that nor of
-//! the jobs' ends. Where the store is silent for all, nobody can take them, and to stop them throws away what they have put
-//! out. The processes notice a silence one after the other, so what the others last said of the store does not tell the two
-//! apart. This does: another process was answered after this one had lost the store, and a call that this one made later
-//! than that was lost again.
+//! A process that is cut off from the store alone must stop its batch items: other processes take over its jobs, and it
+//! learns neither of that nor of the end of a job. If the store answers no process, no job can be taken over, and stopping
+//! the items would only discard their output. The last reports of other processes do not tell the two cases apart, because
+//! processes detect an outage at different times. A process therefore counts as cut off alone once the store has answered
+//! another process after this one lost it, and a call that this one made later than that has failed as well.
 
 use std::{
     cell::Cell,
@@ -14,6 +14,7 @@
 
 #[derive(Default)]
 struct State {
+    /// When the store last answered a call of this process.
     heard: Cell<Option<Instant>>,
     lost_since: Cell<Option<Instant>>,
     /// When the store first answered another process after this one had lost it.
@@ -23,24 +24,24 @@
     regains: Cell<u64>,
 }
 
-/// Handle to what is known of the store.
+/// Handle to the store's health as this process sees it; clones share the same state.
 #[derive(Clone, Default)]
 pub struct StoreHealth {
     state: Rc<State>,
 }
 
 impl StoreHealth {
-    /// Whether the store does not answer now.
+    /// Whether the store is unreachable now.
     pub fn is_lost(&self) -> bool {
         self.state.lost_since.get().is_some()
     }
 
-    /// Whether the store has not answered for some time.
+    /// Whether the store has been unreachable for at least some time.
     pub fn is_lost_for(&self, at_least: Duration) -> bool {
         self.state.lost_since.get().is_some_and(|it| it.elapsed() >= at_least)
     }
 
-    /// Whether the store answers others while it does not answer this process.
+    /// Whether the store answers other processes while this one cannot reach it.
     pub fn is_alone(&self) -> bool {
         self.state.alone.get()
     }
@@ -50,12 +51,12 @@
         Some(self.state.heard.get()?.elapsed())
     }
 
-    /// Notes that the store has answered a call.
+    /// Records that the store has answered a call.
     pub fn heard(&self) {
         self.state.heard.set(Some(Instant::now()));
     }
 
-    /// Notes that the store has answered another process at some moment.
+    /// Records that the store answered another process at some time.
     pub fn others_heard(&self, at: Instant) {
         let since_loss = self.state.lost_since.get().is_some_and(|it| at > it);
         if since_loss && self.state.others_heard.get().is_none() {
@@ -63,29 +64,29 @@
         }
     }
 
-    /// Notes that a call got no usable answer that was made at some moment.
-    pub fn failed(&self, asked: Instant) {
-        if self.state.others_heard.get().is_some_and(|it| asked > it) {
+    /// Records that a call that was sent at some time got no usable answer.
+    pub fn failed(&self, sent: Instant) {
+        if self.state.others_heard.get().is_some_and(|it| sent > it) {
             self.state.alone.set(true);
         }
     }
 
-    /// Notes a reason to doubt that the store answers.
+    /// Records that a call got no answer. Waiting watches are then issued again, as the store may have dropped them too.
     pub fn doubt(&self) {
         self.state.doubts.set(self.state.doubts.get() + 1);
     }
 
-    /// Number of doubts so far.
+    /// Number of calls of [`StoreHealth::doubt`] so far.
     pub fn doubts(&self) -> u64 {
         self.state.doubts.get()
     }
 
-    /// Number of times that the store was lost and answered again.
+    /// Number of times that the store became reachable again.
     pub fn regains(&self) -> u64 {
         self.state.regains.get()
     }
 
-    /// Notes that the store does not answer.
+    /// Marks the store as unreachable.
     pub fn lost(&self) {
         if self.state.lost_since.get().is_none() {
             log::warn!("store: lost");
@@ -93,7 +94,7 @@
         }
     }
 
-    /// Notes that the store answers again.
+    /// Marks the store as reachable again.
     pub fn regained(&self) {
         if let Some(since) = self.state.lost_since.take() {
             let alone = self.state.alone.take();
--- a/crates/samphiredoor-gateway/src/target_client.rs
+++ b/crates/samphiredoor-gateway/src/target_client.rs
@@ -1,6 +1,6 @@
 //! Connections to targets.
 //!
-//! Connections belong to a target, not to its address: the address of one that is gone is used again by another.
+//! Connections are pooled by target name, not by address: the address of a target that is gone may be reused by another.
 
 use std::{
     cell::RefCell,
@@ -22,14 +22,14 @@
 
 use crate::edge::HeaderNames;
 
-/// Longest wait for a connection. A round trip between regions takes 24 ms; a target that does not answer in this time
-/// has lost its power or its link, and another one can still answer within the caller's objective.
+/// Connect timeout. A round trip between regions takes 24 ms; a target that does not answer in this time is down or
+/// disconnected, and another one can still answer within the latency objective.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
-/// How long a connection is kept idle towards targets that announce no time of their own; they count in whole seconds,
-/// so it may be shorter than one.
+/// How long an idle connection is kept if the target announces no keep-alive timeout. Targets count in whole seconds, so
+/// their actual timeout may be less than one second.
 const IDLE_LIMIT: Duration = Duration::from_millis(700);
 
-/// Addresses a call to one target: which one is meant, and how long it may work.
+/// Sets the headers that name the expected target and the remaining time of the call.
 pub fn address(call: &mut Call, names: &HeaderNames, target: &Name, left: Duration) {
     let left_ms = left.as_millis() as u64;
     call.headers.insert(names.deadline_ms.clone(), HeaderValue::from(left_ms));
@@ -37,12 +37,14 @@
         Ok(target) => {
             call.headers.insert(names.expect_target.clone(), target);
         }
-        // Names come from the store; one that fits into no header is refused where entries are read.
-        Err(err) => log::error!(target = &**target, problem:% = err; "target: name not sent"),
+        // Target names come from the store and may hold characters that a header value may not.
+        Err(err) => {
+            log::error!(target = &**target, problem:% = err; "target: name is no valid header value, not sent")
+        }
     }
 }
 
-/// Whether a target says that it did not run the request, and why.
+/// Why a target did not run the request, if its answer says so.
 pub fn not_run(names: &HeaderNames, response: &Response<Answer>) -> Option<AttemptEnd> {
     if response.status() == StatusCode::MISDIRECTED_REQUEST {
         return Some(AttemptEnd::WrongTarget);
@@ -50,7 +52,7 @@
     response.headers().contains_key(&names.not_run).then_some(AttemptEnd::Refused)
 }
 
-/// Pools of connections, one for each target.
+/// Connection pools, one for each target.
 #[derive(Clone)]
 pub struct TargetClient {
     echoed: HeaderName,
@@ -58,7 +60,7 @@
 }
 
 impl TargetClient {
-    /// Client without connections; `echoed` names the header by which answers tell their request.
+    /// Client without connections. Targets echo the header `echoed`, which matches an answer to its request.
     pub fn new(echoed: HeaderName) -> TargetClient {
         TargetClient { echoed, pools: Rc::default() }
     }
@@ -67,7 +69,7 @@
     ///
     /// # Errors
     ///
-    /// Whether the call can have reached the target.
+    /// No answer was received; the error tells whether the call may have reached the target.
     pub async fn send(
         &self,
         target: &Name,
@@ -78,7 +80,7 @@
         pool.send(call.request()).await
     }
 
-    /// Closes the idle connections to all other targets. Calls that run keep theirs.
+    /// Closes the idle connections to all other targets. Running calls keep their connections.
     pub fn keep_only(&self, targets: &HashSet<Name>) {
         self.pools.borrow_mut().retain(|target, _| targets.contains(target));
     }
--- a/crates/samphiredoor-gateway/src/watch.rs
+++ b/crates/samphiredoor-gateway/src/watch.rs
@@ -1,13 +1,14 @@
-//! Following all objects of one kind in the store.
+//! Follows all objects of one kind in the store by a list and watches.
 //!
-//! A follower lists a kind once and then watches it. Whenever the history that it needs is gone, or the store did not
-//! answer, it goes on from what it has, or lists anew; so it may miss changes in between, but never the state that
-//! stands after them.
+//! After a failed call the follower continues from the last version that it has, and if the store has dropped that part of
+//! its history, it lists the kind again. It may therefore miss intermediate changes, but never the state after them.
 //!
-//! A watch that was asked while the store was silent is never answered. It ends in its turn (`renewal`), or sooner when
-//! another call of the process gets no answer, or when another process has seen a change that this one has not.
+//! A watch that is sent during an outage of the store is never answered. It ends after a time that is staggered among all
+//! gateways (`watch_schedule`), or earlier when another call of the process gets no answer or when a peer has seen a newer
+//! change.
 //!
-//! In a large fleet most processes watch through another one, and ask the store as soon as that one fails them.
+//! In a large deployment most gateways watch through a peer of their cell, and query the store themselves as soon as that
+//! peer fails.
 
 use std::{
     net::SocketAddr,
@@ -25,7 +26,6 @@
 
 use crate::{
     edge::{Change, Freshness, ObjectStore, WatchAnswer},
-    fleet::Fleet,
     metrics::Metrics,
     mirror::Mirrors,
     peers::{
@@ -33,44 +33,45 @@
         followed::{self, Told},
     },
     store_health::StoreHealth,
+    watch_schedule::WatchSchedule,
 };
 
-/// First pause after a call that got no usable answer.
-const FIRST_PAUSE: Duration = Duration::from_millis(100);
-/// Longest pause: what was accepted while the store could not be reached has to be in force soon after.
-const LONGEST_PAUSE: Duration = Duration::from_millis(800);
-
-/// Wait of the first watch after failures. An answer is what shows that the store is back, and a watch gives none while
-/// nothing changes.
-const RETURNING_WAIT: Duration = Duration::from_millis(50);
-/// Part of the time within which a change has to be in force for which a follower rests after changes. Changes come in
-/// rows, as when all targets of a service are replaced, and each watch is a call that is paid for.
-const REST_PART: f64 = 0.4;
-/// How often a follower that waits for another one to reach the store looks.
-const GATE_PAUSE: Duration = Duration::from_millis(100);
-/// Longest wait for that.
-const GATE_LIMIT: Duration = Duration::from_secs(3);
-/// Wait of a watch in the place of one through another process that did not answer; by then another one speaks for the
+/// Base of the exponential backoff after calls without a usable answer; the first pause is twice as long.
+const BACKOFF_BASE: Duration = Duration::from_millis(100);
+/// Longest pause between retries. Changes that were written during an outage have to take effect soon after it.
+const MAX_BACKOFF: Duration = Duration::from_millis(800);
+
+/// How long the first watch after failures waits for changes. Only an answer shows that the store is reachable again, and
+/// a watch without changes is answered only at its end.
+const PROBE_WAIT: Duration = Duration::from_millis(50);
+/// Pause after changes, as a part of the time within which a change has to take effect. Changes come in bursts, as when
+/// all targets of a service are replaced, and the store charges for each call.
+const PAUSE_AFTER_CHANGES_PART: f64 = 0.4;
+/// How often a follower that waits for another one to reach the store again checks for that.
+const LOST_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// Longest wait for another follower to reach the store again.
+const MAX_LOST_WAIT: Duration = Duration::from_secs(3);
+/// How long a watch at the store waits after a watch through a peer has failed. By then another gateway watches for the
 /// cell.
-const INSTEAD_WAIT: Duration = Duration::from_millis(1_500);
-/// Part of the time within which a change has to be in force for which a watch through another process waits; one that is
-/// silent is found out in it.
-const RELAYED_PART: f64 = 0.4;
-/// How often a watch that waits looks whether it may be deaf.
-const DOUBT_PAUSE: Duration = Duration::from_millis(250);
-/// Looks in a row at which others have to be ahead; the word of a change may come from them a little sooner than from the
-/// store.
-const LOOKS_BEHIND: u32 = 2;
-/// How long the first list is waited for before others are asked what they saw last. The store answers in a few
-/// milliseconds, and a caller that is refused comes back within some hundred.
-const FIRST_LIST_PATIENCE: Duration = Duration::from_millis(250);
-
-/// What a follower learns.
+const FALLBACK_WAIT: Duration = Duration::from_millis(1_500);
+/// How long a watch through a peer waits, as a part of the time within which a change has to take effect; a peer that has
+/// failed is detected within it.
+const PEER_WATCH_PART: f64 = 0.4;
+/// How often a waiting watch is checked for signs that the store has dropped it.
+const STALL_CHECK_INTERVAL: Duration = Duration::from_millis(250);
+/// Consecutive checks in which peers must be ahead before a watch counts as stalled; their reports of a change may arrive
+/// slightly before the store's.
+const CHECKS_BEHIND: u32 = 2;
+/// How long the first list may send nothing before mirrors are queried. The store answers in a few milliseconds, and a
+/// caller that is refused retries after some hundred.
+const FIRST_LIST_IDLE_TIMEOUT: Duration = Duration::from_millis(250);
+
+/// What a follower reports.
 #[derive(Debug, Clone)]
 pub enum Seen {
-    /// All objects of the kind, as they stood at one moment.
+    /// All objects of the kind; replaces everything that was reported before.
     All(Vec<Stored>),
-    /// Changes since, in order.
+    /// Changes since the last report, in order.
     Changes(Vec<Change>),
     /// The store gives no usable answers from now on.
     Lost,
@@ -78,281 +79,287 @@
     Regained,
 }
 
-/// Why a watch that waits may be deaf.
+/// Why the store may have dropped a watch that waits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Doubt {
+enum StallReason {
     /// Another call of the process got no answer.
     CallLost,
-    /// Another process has seen a change that this one has not.
-    OthersAhead,
+    /// A peer has seen a change that this process has not.
+    PeersAhead,
 }
 
-/// What became of a watch through another process.
-enum Relayed {
-    /// It told this.
+/// Result of a watch through a peer.
+enum PeerWatch {
+    /// The peer answered.
     Seen(Seen),
-    /// It may be deaf.
-    Doubted(Doubt),
-    /// There is none, or it did not answer, or the store has to be asked.
-    Not,
+    /// The watch may have stalled.
+    Stalled(StallReason),
+    /// No peer watches for this process, or it did not answer, or the store has to be queried directly.
+    Unavailable,
 }
 
 /// Follows one kind of objects.
 pub struct Follower {
     store: Rc<dyn ObjectStore>,
     kind: Kind,
-    wait: Duration,
+    /// Longest wait of a watch.
+    max_wait: Duration,
+    /// Version from which the next watch starts; `None` if a list is needed.
     since: Option<Version>,
-    /// How current the first list has to be; later ones are read because history was missed.
-    first_list: Freshness,
+    /// How current the next list has to be. Lists after the first one follow a loss of history and are always current.
+    list_freshness: Freshness,
+    /// Consecutive calls without a usable answer.
     failures: u32,
+    /// Event to return by the next call of `next`.
     queued: Option<Seen>,
-    changed: bool,
-    rest: Duration,
-    gate: Option<StoreHealth>,
+    /// Whether the last event had changes, so that the next watch starts after a pause.
+    had_changes: bool,
+    pause_after_changes: Duration,
+    /// Health that another follower updates; while it shows the store as lost, this one does not retry.
+    recovery_by: Option<StoreHealth>,
     health: Option<StoreHealth>,
-    /// The other processes that follow the kind.
-    fleet: Option<Fleet>,
-    /// Whether the last watch was given up because another process is ahead.
-    behind: bool,
-    /// What this process has seen, and the one through which it may watch.
+    /// Staggers the watches with those of the peers.
+    schedule: Option<WatchSchedule>,
+    /// Whether the last watch was cancelled because a peer is ahead.
+    is_behind: bool,
+    /// Cache of what this process has seen, and access to the peer through which it may watch.
     followed: Option<Followed>,
-    relayed_wait: Duration,
-    /// Process that was last watched through.
-    relay: Option<SocketAddr>,
-    /// Who told the last changes that came through another process.
-    told_by: Option<followed::Source>,
-    /// Whether that one has missed the store since, or is another one.
-    relay_regained: bool,
-    /// Whether the process that was to be watched through has just not answered.
-    relay_silent: bool,
-    /// Who is asked for the first list if the store does not answer; nobody after it.
+    peer_watch_wait: Duration,
+    /// Peer of the last watch through a peer.
+    peer: Option<SocketAddr>,
+    /// Source of the last answer of a peer.
+    peer_source: Option<followed::Source>,
+    /// Whether the last answer came from another peer than the one before, or from one that has restarted or lost the store
+    /// in between.
+    peer_source_changed: bool,
+    /// Whether the last watch through a peer got no answer.
+    peer_failed: bool,
+    /// Sources of the first list if the store does not answer; `None` after the first list.
     mirrors: Option<Mirrors>,
     metrics: Option<Rc<Metrics>>,
     /// When the store last answered.
-    heard: Instant,
+    answered_at: Instant,
 }
 
 impl Follower {
-    /// Follower that has seen nothing. A watch waits for events at most for `wait`.
-    pub fn new(store: Rc<dyn ObjectStore>, kind: Kind, wait: Duration) -> Follower {
+    /// Creates a follower; its first event is a list. A watch waits for changes for at most `max_wait`.
+    pub fn new(store: Rc<dyn ObjectStore>, kind: Kind, max_wait: Duration) -> Follower {
         Follower {
             store,
             kind,
-            wait,
+            max_wait,
             since: None,
-            first_list: Freshness::Current,
+            list_freshness: Freshness::Current,
             failures: 0,
             queued: None,
-            changed: false,
-            rest: Duration::ZERO,
-            gate: None,
+            had_changes: false,
+            pause_after_changes: Duration::ZERO,
+            recovery_by: None,
             health: None,
-            fleet: None,
-            behind: false,
+            schedule: None,
+            is_behind: false,
             followed: None,
-            relayed_wait: Duration::ZERO,
-            relay: None,
-            told_by: None,
-            relay_regained: false,
-            relay_silent: false,
+            peer_watch_wait: Duration::ZERO,
+            peer: None,
+            peer_source: None,
+            peer_source_changed: false,
+            peer_failed: false,
             mirrors: None,
             metrics: None,
-            heard: Instant::now(),
+            answered_at: Instant::now(),
         }
     }
 
-    /// Has the follower count what it hears of the store.
+    /// Counts answers and failures of the store in `metrics`.
     pub fn with_metrics(mut self, metrics: Rc<Metrics>) -> Follower {
         self.metrics = Some(metrics);
         self
     }
 
-    /// Has the first list be one that may be stale, and costs little. The watch from its version on tells what has changed
-    /// since.
+    /// Allows the first list to be stale, which costs less. The watch from its version on reports what has changed since.
     pub fn with_stale_start(mut self) -> Follower {
-        self.first_list = Freshness::MayBeStale;
+        self.list_freshness = Freshness::MayBeStale;
         self
     }
 
-    /// Has a watch that waits be asked anew when another call of the process got no answer.
+    /// Reports answers and failures to `health`, and sends a waiting watch again when another call of the process got no
+    /// answer.
     pub fn with_health(mut self, health: StoreHealth) -> Follower {
         self.health = Some(health);
         self
     }
 
-    /// Has the first list come from a mirror if the store does not answer.
+    /// Takes the first list from a mirror if the store does not answer.
     pub fn with_mirrors(mut self, mirrors: Mirrors) -> Follower {
         self.mirrors = Some(mirrors).filter(|it| !it.is_empty());
         self
     }
 
-    /// Has the follower take turns with the other processes that follow the kind, and ask anew when one of them has seen
-    /// more. Without it a watch that the store has swallowed hides all changes for as long as it may wait, from every process
-    /// at once: callers are served by routes that were replaced, and targets that leave get new requests.
-    pub fn with_fleet(mut self, fleet: Fleet) -> Follower {
-        self.fleet = Some(fleet);
+    /// Staggers the watches with those of the peers, and queries the store when a peer has seen a newer change. Otherwise a
+    /// watch that the store has dropped hides all changes until its wait is over, possibly in all processes at once: callers
+    /// are served by replaced routes, and draining targets get new requests.
+    pub fn with_schedule(mut self, schedule: WatchSchedule) -> Follower {
+        self.schedule = Some(schedule);
         self
     }
 
-    /// Has the follower watch through the process that follows the store for its cell, and keep what it sees for others. A
-    /// change has to be in force `within` some time.
+    /// Watches through the peer that follows the store for the cell, and keeps what this process sees for its peers. Changes
+    /// have to take effect `within` some time.
     pub fn with_followed(mut self, followed: Followed, within: Duration) -> Follower {
         self.followed = Some(followed);
-        self.relayed_wait = within.mul_f64(RELAYED_PART);
+        self.peer_watch_wait = within.mul_f64(PEER_WATCH_PART);
         self
     }
 
-    /// Has the follower rest after changes, for a part of the time within which a change has to be in force.
-    pub fn with_rest_after_changes(mut self, within: Duration) -> Follower {
-        self.rest = within.mul_f64(REST_PART);
+    /// Pauses after changes, for a part of the time `within` which a change has to take effect.
+    pub fn with_pause_after_changes(mut self, within: Duration) -> Follower {
+        self.pause_after_changes = within.mul_f64(PAUSE_AFTER_CHANGES_PART);
         self
     }
 
-    /// Has the follower wait while the store is known to be lost: one follower that tries is enough.
-    pub fn with_gate(mut self, gate: StoreHealth) -> Follower {
-        self.gate = Some(gate);
+    /// Delays retries while `health`, which another follower updates, shows the store as lost: one follower that retries is
+    /// enough.
+    pub fn with_recovery_by_another(mut self, health: StoreHealth) -> Follower {
+        self.recovery_by = Some(health);
         self
     }
 
-    /// Waits for the next thing to learn.
+    /// Waits for the next event.
     pub async fn next(&mut self) -> Seen {
         if let Some(seen) = self.queued.take() {
             return seen;
         }
         loop {
-            if std::mem::take(&mut self.changed) {
-                compio::time::sleep(self.rest).await;
+            if std::mem::take(&mut self.had_changes) {
+                compio::time::sleep(self.pause_after_changes).await;
             }
             let seen = match self.since {
-                None if self.failures == 0 && self.mirrors.is_some() => {
-                    self.list_while_it_comes().await
-                }
+                None if self.failures == 0 && self.mirrors.is_some() => self.first_list().await,
                 None => self.list().await,
                 Some(since) => self.watch(since).await,
             };
             let Some(seen) = seen else {
                 self.failures += 1;
-                if let Some(seen) = self.mirrored().await {
+                if let Some(seen) = self.list_from_mirror().await {
                     if self.failures > 1 {
                         return seen;
                     }
                     self.queued = Some(seen);
                     return Seen::Lost;
                 }
-                compio::time::sleep(self.pause()).await;
-                self.wait_at_gate().await;
+                compio::time::sleep(self.backoff()).await;
+                self.wait_while_lost().await;
                 if self.failures == 1 {
                     return Seen::Lost;
                 }
                 continue;
             };
-            let news = !matches!(&seen, Seen::Changes(changes) if changes.is_empty());
-            self.changed = news && matches!(seen, Seen::Changes(_));
-            // News that only others told of had been missed: entries may have lapsed with the store, as after a failure.
-            let was_deaf = std::mem::take(&mut self.behind) && news;
-            let relay_regained = std::mem::take(&mut self.relay_regained);
-            if std::mem::take(&mut self.failures) > 0 || was_deaf || relay_regained {
-                self.queued = news.then_some(seen);
+            let has_news = !matches!(&seen, Seen::Changes(changes) if changes.is_empty());
+            self.had_changes = has_news && matches!(seen, Seen::Changes(_));
+            // Changes that only peers had seen were missed here as during an outage, and entries may have expired since.
+            let missed_changes = std::mem::take(&mut self.is_behind) && has_news;
+            let peer_source_changed = std::mem::take(&mut self.peer_source_changed);
+            if std::mem::take(&mut self.failures) > 0 || missed_changes || peer_source_changed {
+                self.queued = has_news.then_some(seen);
                 return Seen::Regained;
             }
-            if news {
+            if has_news {
                 return seen;
             }
         }
     }
 
-    /// What a mirror tells in the place of the first list; the store tells what has changed since.
-    async fn mirrored(&mut self) -> Option<Seen> {
+    /// Lists the kind at a mirror, in place of the first list; later changes come from the store.
+    async fn list_from_mirror(&mut self) -> Option<Seen> {
         let list = self.mirrors.as_ref()?.list(self.kind).await?;
         self.mirrors = None;
         self.since = Some(list.version);
-        self.first_list = Freshness::Current;
-        self.note_listed(&list.objects, list.version);
+        self.list_freshness = Freshness::Current;
+        self.record_list(&list.objects, list.version);
         Some(Seen::All(list.objects))
     }
 
-    /// The first list, given up as soon as nothing of it comes, so that a mirror is asked. A large one comes for a while, and a
-    /// mirror's would only share the line with it.
-    async fn list_while_it_comes(&mut self) -> Option<Seen> {
+    /// Lists the kind, and gives up as soon as the store sends nothing for a while, so that a mirror can be queried. A large
+    /// list takes longer to arrive, and the list of a mirror would only compete with it for bandwidth.
+    async fn first_list(&mut self) -> Option<Seen> {
         let store = Rc::clone(&self.store);
         let mut list = pin!(self.list());
         loop {
-            match within(FIRST_LIST_PATIENCE, &mut list).await {
+            match within(FIRST_LIST_IDLE_TIMEOUT, &mut list).await {
                 Some(listed) => return listed,
-                None if was_heard(&*store, FIRST_LIST_PATIENCE) => {}
+                None if was_heard(&*store, FIRST_LIST_IDLE_TIMEOUT) => {}
                 None => return None,
             }
         }
     }
 
-    async fn wait_at_gate(&self) {
-        let Some(gate) = &self.gate else { return };
-        let until = Instant::now() + GATE_LIMIT;
-        while gate.is_lost_for(Duration::ZERO) && Instant::now() < until {
-            compio::time::sleep(GATE_PAUSE).await;
+    async fn wait_while_lost(&self) {
+        let Some(health) = &self.recovery_by else { return };
+        let until = Instant::now() + MAX_LOST_WAIT;
+        while health.is_lost_for(Duration::ZERO) && Instant::now() < until {
+            compio::time::sleep(LOST_CHECK_INTERVAL).await;
         }
     }
 
-    fn pause(&self) -> Duration {
-        FIRST_PAUSE.saturating_mul(1 << self.failures.min(4)).min(LONGEST_PAUSE)
+    fn backoff(&self) -> Duration {
+        BACKOFF_BASE.saturating_mul(1 << self.failures.min(4)).min(MAX_BACKOFF)
     }
 
     async fn list(&mut self) -> Option<Seen> {
-        let asked = Instant::now();
-        let listed = list_all(&*self.store, self.kind, self.first_list).await;
+        let sent = Instant::now();
+        let listed = list_all(&*self.store, self.kind, self.list_freshness).await;
         if let (None, Some(health)) = (&listed, &self.health) {
-            health.failed(asked);
+            health.failed(sent);
         }
         let (all, version) = listed?;
         self.since = Some(version);
-        self.first_list = Freshness::Current;
+        self.list_freshness = Freshness::Current;
         self.mirrors = None;
-        self.note_listed(&all, version);
-        self.heard();
+        self.record_list(&all, version);
+        self.record_answer();
         Some(Seen::All(all))
     }
 
-    /// Notes that the store has answered. A store that falls silent cuts no connection, and nothing else shows a follower
-    /// that hears nothing any more.
-    fn heard(&mut self) {
-        let silent = std::mem::replace(&mut self.heard, Instant::now()).elapsed();
+    /// Records that the store has answered. During an outage it may keep connections open, so the time since its last answer
+    /// is the only sign of a follower that receives nothing.
+    fn record_answer(&mut self) {
+        let silent = std::mem::replace(&mut self.answered_at, Instant::now()).elapsed();
         if self.failures > 0 {
             let silent_ms = silent.as_millis() as u64;
-            log::info!(kind = self.kind.path(), silent_ms; "store: heard again");
+            log::info!(kind = self.kind.path(), silent_ms; "store: answers again");
         }
         if let Some(metrics) = &self.metrics {
-            metrics.store_heard(self.kind);
+            metrics.store_answered(self.kind);
         }
         if let Some(health) = &self.health {
             health.heard();
         }
     }
 
-    /// Notes how a watch ended that was asked at some moment.
-    fn watch_ended(&mut self, asked: Instant, answer: &WatchAnswer) {
+    /// Records the answer to a watch that was sent at some time.
+    fn record_watch_end(&mut self, sent: Instant, answer: &WatchAnswer) {
         match answer {
             WatchAnswer::Changes { .. } | WatchAnswer::HistoryGone => {
                 if let Some(metrics) = &self.metrics {
                     metrics.watch_ended(self.kind, answer.label());
                 }
-                self.heard();
+                self.record_answer();
             }
             WatchAnswer::Refused | WatchAnswer::NoAnswer => {
                 if let Some(health) = &self.health {
-                    health.failed(asked);
-                    // What swallowed this watch may have swallowed the others of the process.
+                    health.failed(sent);
+                    // The outage in which this watch was lost may have stalled the other watches of the process.
                     if self.failures == 0 && matches!(answer, WatchAnswer::NoAnswer) {
                         health.doubt();
                     }
                 }
-                self.watch_failed(asked, answer.label());
+                self.record_watch_failure(sent, answer.label());
             }
         }
     }
 
-    /// Notes that a watch ended without a usable answer; the first of a row is logged.
-    fn watch_failed(&self, asked: Instant, end: &'static str) {
+    /// Counts a watch that ended without a usable answer, and logs the first of several consecutive ones.
+    fn record_watch_failure(&self, sent: Instant, end: &'static str) {
         if let Some(metrics) = &self.metrics {
             metrics.watch_ended(self.kind, end);
         }
@@ -360,26 +367,26 @@
             return;
         }
         log::warn!(
-            kind = self.kind.path(), end, waited_ms = asked.elapsed().as_millis() as u64,
-            heard_ms_ago = self.heard.elapsed().as_millis() as u64;
+            kind = self.kind.path(), end, waited_ms = sent.elapsed().as_millis() as u64,
+            heard_ms_ago = self.answered_at.elapsed().as_millis() as u64;
             "store: watch failed"
         );
     }
 
     async fn watch(&mut self, since: Version) -> Option<Seen> {
-        let mut asked = match self.watch_relayed(since).await {
-            Relayed::Seen(seen) => return Some(seen),
-            Relayed::Doubted(doubt) => Err(doubt),
-            Relayed::Not => self.watch_store(since).await,
+        let mut result = match self.watch_through_peer(since).await {
+            PeerWatch::Seen(seen) => return Some(seen),
+            PeerWatch::Stalled(reason) => Err(reason),
+            PeerWatch::Unavailable => self.watch_store(since).await,
         };
-        if matches!(asked, Err(Doubt::OthersAhead)) {
-            self.behind = true;
-            asked = self.watch_store(since).await;
+        if matches!(result, Err(StallReason::PeersAhead)) {
+            self.is_behind = true;
+            result = self.watch_store(since).await;
         }
-        let answer = asked.unwrap_or(WatchAnswer::NoAnswer);
+        let answer = result.unwrap_or(WatchAnswer::NoAnswer);
         match answer {
             WatchAnswer::Changes { changes, version } => {
-                self.note_changes(&changes, version);
+                self.record_changes(&changes, version);
                 Some(Seen::Changes(changes))
             }
             WatchAnswer::HistoryGone => {
@@ -390,36 +397,36 @@
         }
     }
 
-    /// Watches through the process that follows the store for this one, unless there is a reason to ask the store.
-    async fn watch_relayed(&mut self, since: Version) -> Relayed {
-        if self.failures > 0 || self.behind {
-            return Relayed::Not;
+    /// Watches through the peer that follows the store for the cell, unless the store has to be queried directly.
+    async fn watch_through_peer(&mut self, since: Version) -> PeerWatch {
+        if self.failures > 0 || self.is_behind {
+            return PeerWatch::Unavailable;
         }
-        let Some(followed) = self.followed.clone() else { return Relayed::Not };
-        let Some(address) = followed.follower() else { return Relayed::Not };
-        if self.relay.replace(address) != Some(address) {
+        let Some(followed) = self.followed.clone() else { return PeerWatch::Unavailable };
+        let Some(address) = followed.follower() else { return PeerWatch::Unavailable };
+        if self.peer.replace(address) != Some(address) {
             log::info!(kind = self.kind.path(), peer:% = address; "store: followed through another gateway");
         }
-        let (asked, wait) = (Instant::now(), self.relayed_wait);
+        let (sent, wait) = (Instant::now(), self.peer_watch_wait);
         let watch = followed.watch(address, self.kind, since, wait);
-        match self.until_doubted(since, watch).await {
-            Ok(Some(told)) => Relayed::Seen(self.take_told(told)),
+        match self.until_stalled(since, watch).await {
+            Ok(Some(told)) => PeerWatch::Seen(self.apply_peer_answer(told)),
             Ok(None) => {
-                self.watch_failed(asked, "relay_silent");
-                self.relay_silent = true;
-                Relayed::Not
+                self.record_watch_failure(sent, "relay_silent");
+                self.peer_failed = true;
+                PeerWatch::Unavailable
             }
-            Err(doubt) => {
-                self.doubted(asked, doubt);
-                Relayed::Doubted(doubt)
+            Err(reason) => {
+                self.record_stall(sent, reason);
+                PeerWatch::Stalled(reason)
             }
         }
     }
 
-    /// Takes what another process has seen. One that has missed the store meanwhile may tell of entries that have lapsed.
-    fn take_told(&mut self, told: Told) -> Seen {
-        let before = self.told_by.replace(told.by);
-        self.relay_regained = before.is_some_and(|it| it != told.by);
+    /// Converts the answer of a peer. If the peer lost the store since its last answer, entries may have expired meanwhile.
+    fn apply_peer_answer(&mut self, told: Told) -> Seen {
+        let before = self.peer_source.replace(told.by);
+        self.peer_source_changed = before.is_some_and(|it| it != told.by);
         match told.news {
             News::None => Seen::Changes(Vec::new()),
             News::Touched { objects, version } => {
@@ -428,114 +435,116 @@
                     None => Change::Deleted(name),
                 });
                 let changes: Vec<Change> = changes.collect();
-                self.note_changes(&changes, version);
+                self.record_changes(&changes, version);
                 Seen::Changes(changes)
             }
             News::All { objects, version } => {
-                self.note_listed(&objects, version);
+                self.record_list(&objects, version);
                 self.since = Some(version);
                 Seen::All(objects)
             }
         }
     }
 
-    fn note_listed(&self, all: &[Stored], version: Version) {
-        if let Some(fleet) = &self.fleet {
-            fleet.listed(all);
+    /// Passes a list to the schedule and to the cache for peers.
+    fn record_list(&self, all: &[Stored], version: Version) {
+        if let Some(schedule) = &self.schedule {
+            schedule.record_list(all);
         }
         if let Some(followed) = &self.followed {
-            self.note_regained(followed);
+            self.record_recovery(followed);
             followed.listed(self.kind, all, version);
         }
     }
 
-    fn note_changes(&mut self, changes: &[Change], version: Version) {
+    /// Passes changes to the schedule and to the cache for peers, and continues from `version`.
+    fn record_changes(&mut self, changes: &[Change], version: Version) {
         self.since = Some(version);
-        if let Some(fleet) = &self.fleet {
-            fleet.watched(changes, version);
+        if let Some(schedule) = &self.schedule {
+            schedule.record_changes(changes, version);
         }
         if let Some(followed) = &self.followed {
-            self.note_regained(followed);
+            self.record_recovery(followed);
             followed.changed(self.kind, changes, version);
         }
     }
 
-    /// Those that watch through this process have to know that it had missed the store, before they see what has lapsed.
-    fn note_regained(&self, followed: &Followed) {
-        if self.failures > 0 || self.behind || self.relay_regained {
+    /// Lets peers that watch through this process see that it had lost the store, before they see entries as expired.
+    fn record_recovery(&self, followed: &Followed) {
+        if self.failures > 0 || self.is_behind || self.peer_source_changed {
             followed.regained(self.kind);
         }
     }
 
-    async fn watch_store(&mut self, since: Version) -> Result<WatchAnswer, Doubt> {
-        let asked = Instant::now();
+    async fn watch_store(&mut self, since: Version) -> Result<WatchAnswer, StallReason> {
+        let sent = Instant::now();
         let store = Rc::clone(&self.store);
-        let watch = store.watch(self.kind, since, self.wait());
-        let answer = self.until_doubted(since, watch).await;
+        let watch = store.watch(self.kind, since, self.next_wait());
+        let answer = self.until_stalled(since, watch).await;
         match &answer {
-            Ok(answer) => self.watch_ended(asked, answer),
-            Err(doubt) => self.doubted(asked, *doubt),
+            Ok(answer) => self.record_watch_end(sent, answer),
+            Err(reason) => self.record_stall(sent, *reason),
         }
         answer
     }
 
-    /// Waits for the end of a watch, until it may be deaf.
-    async fn until_doubted<T>(
+    /// Waits for the answer to a watch; fails if there are signs that the store has dropped it.
+    async fn until_stalled<T>(
         &self,
         since: Version,
         watch: impl Future<Output = T>,
-    ) -> Result<T, Doubt> {
+    ) -> Result<T, StallReason> {
         let doubts = self.health.as_ref().map(StoreHealth::doubts);
         let mut watch = pin!(watch);
-        let mut looks_behind = 0;
+        let mut checks_behind = 0;
         loop {
-            if let Some(answer) = within(DOUBT_PAUSE, &mut watch).await {
+            if let Some(answer) = within(STALL_CHECK_INTERVAL, &mut watch).await {
                 return Ok(answer);
             }
             if self.health.as_ref().map(StoreHealth::doubts) != doubts {
-                return Err(Doubt::CallLost);
+                return Err(StallReason::CallLost);
             }
-            let behind = self.fleet.as_ref().is_some_and(|it| it.is_ahead_of(since));
-            looks_behind = if behind { looks_behind + 1 } else { 0 };
-            if looks_behind >= LOOKS_BEHIND {
-                return Err(Doubt::OthersAhead);
+            let behind = self.schedule.as_ref().is_some_and(|it| it.peers_ahead_of(since));
+            checks_behind = if behind { checks_behind + 1 } else { 0 };
+            if checks_behind >= CHECKS_BEHIND {
+                return Err(StallReason::PeersAhead);
             }
         }
     }
 
     /// How long the next watch may wait for a change.
-    fn wait(&mut self) -> Duration {
-        let relay_silent = std::mem::take(&mut self.relay_silent);
-        if self.failures > 0 || self.behind {
-            return RETURNING_WAIT;
+    fn next_wait(&mut self) -> Duration {
+        let peer_failed = std::mem::take(&mut self.peer_failed);
+        if self.failures > 0 || self.is_behind {
+            return PROBE_WAIT;
         }
-        if relay_silent {
-            return INSTEAD_WAIT.min(self.wait);
+        if peer_failed {
+            return FALLBACK_WAIT.min(self.max_wait);
         }
-        self.fleet.as_ref().map_or(self.wait, |it| it.wait().min(self.wait))
+        self.schedule.as_ref().map_or(self.max_wait, |it| it.next_wait().min(self.max_wait))
     }
 
-    /// Notes that a watch is given up that was asked at some moment.
-    fn doubted(&self, asked: Instant, doubt: Doubt) {
-        match (doubt, &self.fleet) {
-            (Doubt::CallLost, _) => self.watch_failed(asked, "call_lost"),
-            (Doubt::OthersAhead, fleet) => {
-                self.watch_failed(asked, "others_ahead");
-                fleet.iter().for_each(Fleet::ask);
+    /// Records that a watch that was sent at some time is cancelled.
+    fn record_stall(&self, sent: Instant, reason: StallReason) {
+        match (reason, &self.schedule) {
+            (StallReason::CallLost, _) => self.record_watch_failure(sent, "call_lost"),
+            (StallReason::PeersAhead, schedule) => {
+                self.record_watch_failure(sent, "others_ahead");
+                schedule.iter().for_each(WatchSchedule::record_query);
             }
         }
     }
 }
 
-/// Whether something of an answer of the store has come lately.
+/// Whether bytes of an answer of the store have arrived within the last `lately`.
 pub fn was_heard(store: &dyn ObjectStore, lately: Duration) -> bool {
     store.heard().is_some_and(|it| it.elapsed() < lately)
 }
 
-/// Reads all pages of a kind, and the version from which a watch goes on; `None` if a page could not be read.
+/// Reads all pages of a kind, and the version from which a watch has to start; `None` if a page could not be read.
 ///
-/// Changes between the pages are seen again from the oldest page's version on: those of a list that may be stale can be of
-/// any age.
+/// That version is the one of the oldest page, so that a watch also reports changes between the pages; pages of a stale
+/// list can be of any age.
 pub async fn list_all(
     store: &dyn ObjectStore,
     kind: Kind,
