--- a/crates/samphiredoor-gateway/src/discovery.rs
+++ b/crates/samphiredoor-gateway/src/discovery.rs
@@ -1,4 +1,4 @@
-//! Routes and targets, as the store tells them.
+//! Keeps the routes and the table of targets up to date with the store.
 
 use std::{
     cell::Cell,
@@ -21,40 +21,41 @@
     watch::{Follower, Seen},
 };
 
-/// How long an entry that is missing after an outage of the store still counts. Entries lapse while the store is away,
-/// and targets that live are back about two seconds after its return; dropping all at once would leave none to use.
-const LAPSED_GRACE: Duration = Duration::from_millis(2_200);
+/// How long an entry that is missing after an outage of the store is kept. Entries expire during an outage, and running
+/// targets register again about two seconds after it; removing all entries at once would leave no target to use.
+const EXPIRY_GRACE: Duration = Duration::from_millis(2_200);
+/// Wait while no entry is about to expire; any event ends it.
 const FOREVER: Duration = Duration::from_secs(3_600);
 
-/// Keeps the operators' routes in force.
+/// Keeps the active routes up to date.
 pub struct RoutesTask {
-    /// The platform.
+    /// Store and formats of the platform.
     pub platform: Platform,
-    /// Routes in force.
+    /// Active routes.
     pub routes: Routes,
-    /// Whether the store answers.
+    /// Updated with the state of the store that the follower of the routes reports.
     pub health: StoreHealth,
-    /// Counters.
+    /// Metrics of the process.
     pub metrics: Rc<Metrics>,
 }
 
 impl RoutesTask {
-    /// Puts in force what other gateways have, for as long as the process runs.
-    pub async fn run_relay(self: Rc<Self>, relayed: flume::Receiver<Stored>) {
-        while let Ok(stored) = relayed.recv_async().await {
-            self.offer(stored);
+    /// Activates newer routes that peers send, for as long as the process runs.
+    pub async fn run_peer_routes(self: Rc<Self>, from_peers: flume::Receiver<Stored>) {
+        while let Ok(stored) = from_peers.recv_async().await {
+            self.activate(stored);
         }
     }
 
-    /// Follows the routes for as long as the process runs.
+    /// Follows the routes in the store for as long as the process runs.
     pub async fn run(self: Rc<Self>, mut follower: Follower) {
         loop {
             match follower.next().await {
-                Seen::All(all) => all.into_iter().for_each(|it| self.offer(it)),
+                Seen::All(all) => all.into_iter().for_each(|it| self.activate(it)),
                 Seen::Changes(changes) => changes.into_iter().for_each(|it| match it {
-                    Change::Written(stored) => self.offer(stored),
+                    Change::Written(stored) => self.activate(stored),
                     Change::Deleted(name) => {
-                        log::warn!(object = &*name; "routes: object deleted, keeping what is in force");
+                        log::warn!(object = &*name; "routes: object deleted, keeping the active routes");
                     }
                 }),
                 Seen::Lost => self.health.lost(),
@@ -63,59 +64,60 @@
         }
     }
 
-    fn offer(&self, stored: Stored) {
+    /// Activates the routes of a stored object if they are newer than the active ones.
+    fn activate(&self, stored: Stored) {
         match self.platform.dialect.routes(&stored) {
             Ok(Some(table)) => {
                 let (version, before, count) = (table.version, self.routes.version(), table.len());
                 if self.routes.offer(table, &stored) {
                     self.metrics.routes_version(version);
-                    log::info!(version, before, routes = count; "routes: in force");
+                    log::info!(version, before, routes = count; "routes: activated");
                 }
             }
             Ok(None) => {}
             Err(problem) => {
                 self.metrics.foreign("routes");
-                log::warn!(object = &*stored.name, problem; "routes: cannot be read, ignored");
+                log::warn!(object = &*stored.name, problem; "routes: invalid object ignored");
             }
         }
     }
 }
 
-/// Keeps the table of targets.
+/// Keeps the table of targets up to date.
 pub struct TargetsTask {
-    /// The platform.
+    /// Store and formats of the platform.
     pub platform: Platform,
-    /// Where the targets are told.
+    /// Placement, which gets every new version of the table.
     pub placer: Placer,
-    /// Other gateways, which share the targets out.
+    /// Known gateways, from which the targets of the own cell are computed.
     pub roster: Roster,
-    /// Connections to targets.
+    /// Connections to targets; those to removed targets are closed.
     pub client: TargetClient,
-    /// Number of targets that are known; `None` before the first list.
+    /// Number of known targets; `None` before the first list.
     pub known: Rc<Cell<Option<usize>>>,
-    /// Counters.
+    /// Metrics of the process.
     pub metrics: Rc<Metrics>,
 }
 
 impl TargetsTask {
-    /// Follows the targets for as long as the process runs.
+    /// Follows the targets in the store for as long as the process runs.
     pub async fn run(self, mut follower: Follower) {
         let mut table = TargetTable::default();
         loop {
             let left = table
-                .next_lapse()
+                .next_expiry()
                 .map_or(FOREVER, |it| it.saturating_duration_since(Instant::now()));
             match within(left, follower.next()).await {
                 Some(Seen::All(all)) => table.replace(self.read_all(all)),
-                Some(Seen::Changes(changes)) => self.change(&mut table, changes),
+                Some(Seen::Changes(changes)) => self.apply_changes(&mut table, changes),
                 Some(Seen::Lost) => continue,
                 Some(Seen::Regained) => {
-                    table.regained();
+                    table.start_grace();
                     continue;
                 }
-                None => table.drop_lapsed(),
+                None => table.remove_expired(),
             }
-            self.tell(&table);
+            self.publish(&table);
         }
     }
 
@@ -125,7 +127,7 @@
         entries.map(|it| (Name::clone(&it.name), it)).collect()
     }
 
-    fn change(&self, table: &mut TargetTable, changes: Vec<Change>) {
+    fn apply_changes(&self, table: &mut TargetTable, changes: Vec<Change>) {
         for change in changes {
             match change {
                 Change::Written(stored) => {
@@ -139,7 +141,7 @@
         }
     }
 
-    fn tell(&self, table: &TargetTable) {
+    fn publish(&self, table: &TargetTable) {
         let targets: Vec<TargetEntry> = table.entries.values().cloned().collect();
         self.metrics.targets(targets.len());
         self.known.set(Some(targets.len()));
@@ -156,32 +158,33 @@
         Ok(entry) => Some(entry),
         Err(problem) => {
             metrics.foreign("target");
-            log::warn!(target = &*stored.name, problem; "targets: entry ignored");
+            log::warn!(target = &*stored.name, problem; "targets: invalid entry ignored");
             None
         }
     }
 }
 
-/// All targets as discovery knows them, with those that may only have lapsed.
+/// All known targets, with those whose entries may only have expired during an outage of the store.
 #[derive(Debug, Default)]
 struct TargetTable {
     entries: BTreeMap<Name, TargetEntry>,
-    /// Missing entries, and until when they still count.
-    lapsed: BTreeMap<Name, Instant>,
+    /// Entries that are missing in the store, and when they are removed.
+    expiring: BTreeMap<Name, Instant>,
     grace_until: Option<Instant>,
 }
 
 impl TargetTable {
-    fn regained(&mut self) {
-        self.grace_until = Some(Instant::now() + LAPSED_GRACE);
+    /// Starts the grace period, in which missing entries are kept.
+    fn start_grace(&mut self) {
+        self.grace_until = Some(Instant::now() + EXPIRY_GRACE);
     }
 
-    fn grace(&self) -> Option<Instant> {
+    fn grace_end(&self) -> Option<Instant> {
         self.grace_until.filter(|it| Instant::now() < *it)
     }
 
     fn insert(&mut self, entry: TargetEntry) {
-        self.lapsed.remove(&entry.name);
+        self.expiring.remove(&entry.name);
         let before = self.entries.insert(Name::clone(&entry.name), entry.clone());
         if before.as_ref().is_none_or(|it| it.state != entry.state) {
             let state = format!("{:?}", entry.state).to_lowercase();
@@ -189,19 +192,20 @@
         }
     }
 
+    /// Removes an entry, at the end of the grace period if there is one.
     fn remove(&mut self, name: &Name) {
-        match self.grace() {
+        match self.grace_end() {
             Some(until) if self.entries.contains_key(name) => {
-                self.lapsed.insert(Name::clone(name), until);
+                self.expiring.insert(Name::clone(name), until);
             }
-            _ => self.drop(name),
+            _ => self.remove_now(name),
         }
     }
 
-    fn drop(&mut self, name: &Name) {
-        self.lapsed.remove(name);
+    fn remove_now(&mut self, name: &Name) {
+        self.expiring.remove(name);
         if self.entries.remove(name).is_some() {
-            log::info!(target = &**name; "targets: gone");
+            log::info!(target = &**name; "targets: removed");
         }
     }
 
@@ -216,20 +220,20 @@
         }
     }
 
-    fn next_lapse(&self) -> Option<Instant> {
-        self.lapsed.values().min().copied()
+    fn next_expiry(&self) -> Option<Instant> {
+        self.expiring.values().min().copied()
     }
 
-    fn drop_lapsed(&mut self) {
+    fn remove_expired(&mut self) {
         let now = Instant::now();
-        let over: Vec<Name> = self
-            .lapsed
+        let expired: Vec<Name> = self
+            .expiring
             .iter()
             .filter(|(_, until)| **until <= now)
             .map(|(it, _)| it.clone())
             .collect();
-        for name in &over {
-            self.drop(name);
+        for name in &expired {
+            self.remove_now(name);
         }
     }
 }
--- a/crates/samphiredoor/tests/it/platform/narrow_line.rs
+++ b/crates/samphiredoor/tests/it/platform/narrow_line.rs
@@ -62,11 +62,11 @@
     platform.signal(turned_away, "STOP");
     platform.put_routes(2, 1);
     for holder in [0, 1] {
-        platform.wait_logged(holder, "routes: in force version=2 ");
+        platform.wait_logged(holder, "routes: activated version=2 ");
     }
     std::thread::sleep(TOLD_BY);
     platform.signal(turned_away, "CONT");
-    platform.wait_logged(turned_away, "routes: in force version=2 ");
+    platform.wait_logged(turned_away, "routes: activated version=2 ");
     let taken = "routes: taken from another gateway version=2 peer=127.0.0.1:";
     assert_eq!(platform.times_logged(turned_away, taken), 1, "taken from its own region");
 }
