--- a/crates/samphiredoor-gateway/src/config.rs
+++ b/crates/samphiredoor-gateway/src/config.rs
@@ -1,4 +1,4 @@
-//! All that was decided before the process starts.
+//! Checked settings of a process.
 
 use std::{collections::BTreeMap, net::SocketAddr, time::Duration};
 
@@ -10,54 +10,54 @@
 
 use crate::settings::{SettingError, address};
 
-/// How logs are written.
+/// Level and volume of the log.
 #[derive(Debug, Clone, Copy)]
 pub struct LogConfig {
-    /// Least severe level.
+    /// Least severe level that is written.
     pub level: LevelFilter,
-    /// Most lines a second.
+    /// Most lines that are written in one second.
     pub lines_per_s: u32,
 }
 
-/// What every process of the system needs.
+/// Settings that every process has.
 #[derive(Debug, Clone)]
 pub struct CommonConfig {
     /// Name of the process.
     pub name: Name,
-    /// Where its host stands.
+    /// Region and availability zone of its host.
     pub place: Place,
     /// Region of each availability zone.
     pub regions: BTreeMap<Name, Name>,
-    /// The platform's store.
+    /// Address of the platform's object store.
     pub store: SocketAddr,
-    /// Processes that tell what they saw last of the store.
+    /// Processes that serve a recent copy of the store's objects during an outage.
     pub mirrors: Vec<SocketAddr>,
-    /// Longest wait for the store's answer.
+    /// Time limit for the calls to the store.
     pub store_timeout: Duration,
-    /// How long a watch waits for an event.
+    /// Longest wait of a watch for a change.
     pub watch: Duration,
-    /// Within which time new routes have to be in force.
+    /// Time within which new routes have to be active.
     pub routes_within: Duration,
-    /// Within which time a leaving target may get no new work.
+    /// Time after which a leaving target gets no new requests.
     pub targets_within: Duration,
     /// Listener for metrics.
     pub metrics: Option<SocketAddr>,
-    /// Logs.
+    /// Level and volume of the log.
     pub log: LogConfig,
 }
 
-/// Options of a gateway.
+/// Settings of a gateway.
 #[derive(Debug, Clone)]
 pub struct GatewayConfig {
-    /// What every process needs.
+    /// Settings that every process has.
     pub common: CommonConfig,
     /// Listener for callers.
     pub callers: SocketAddr,
-    /// Listener for the balancer's questions.
+    /// Listener for the readiness checks of the load balancer.
     pub readiness: SocketAddr,
-    /// Listener for other gateways, for TCP and UDP.
+    /// Listener for peers, for TCP and UDP.
     pub peers: SocketAddr,
-    /// Time between failing readiness and closing the callers' listener.
+    /// Time between failing the readiness checks and closing the callers' listener.
     pub unready: Duration,
     /// Longest wait for running requests after that.
     pub finish: Duration,
@@ -66,14 +66,14 @@
 }
 
 impl CommonConfig {
-    /// Checks the settings that every process needs.
+    /// Checks the settings that every process has.
     ///
     /// # Errors
     ///
-    /// The first setting that makes no sense.
+    /// The first invalid setting.
     pub fn new(settings: &GatewaySettings) -> Result<CommonConfig, SettingError> {
         if settings.name.is_empty() {
-            return Err(SettingError::new("name", "is empty; name the process"));
+            return Err(SettingError::new("name", "is empty; set a name for the process"));
         }
         let regions = settings.regions.iter();
         let log = settings.log.clone().unwrap_or_else(default_log);
@@ -107,21 +107,21 @@
     }
 }
 
-/// Options of the process on a storage host.
+/// Settings of the process on a storage host.
 #[derive(Debug, Clone)]
 pub struct StorageConfig {
-    /// What every process needs.
+    /// Settings that every process has.
     pub common: CommonConfig,
-    /// Listener for gateways that start while the store is lost.
+    /// Listener for gateways that start during an outage of the store.
     pub mirror: Option<SocketAddr>,
 }
 
 impl StorageConfig {
-    /// Checks settings of the process on a storage host.
+    /// Checks the settings of the process on a storage host.
     ///
     /// # Errors
     ///
-    /// The first setting that makes no sense.
+    /// The first invalid setting.
     pub fn new(settings: &GatewaySettings) -> Result<StorageConfig, SettingError> {
         let mirror = settings.mirror.as_ref().map(|it| address("mirror.address", &it.address));
         Ok(StorageConfig { common: CommonConfig::new(settings)?, mirror: mirror.transpose()? })
@@ -129,11 +129,11 @@
 }
 
 impl GatewayConfig {
-    /// Checks settings of a gateway.
+    /// Checks the settings of a gateway.
     ///
     /// # Errors
     ///
-    /// The first setting that is missing or makes no sense.
+    /// The first setting that is missing or invalid.
     pub fn new(settings: &GatewaySettings) -> Result<GatewayConfig, SettingError> {
         let stopping = settings.stopping.clone().unwrap_or_else(default_stopping);
         let jobs = settings.jobs.clone().unwrap_or_else(default_jobs);
@@ -172,6 +172,6 @@
 ) -> Result<SocketAddr, SettingError> {
     match listener {
         Some(listener) => address(key, &listener.address),
-        None => Err(SettingError::new(key, "is missing; use an address, as 10.0.0.1:8080")),
+        None => Err(SettingError::new(key, "is missing; set an address like 10.0.0.1:8080")),
     }
 }
--- a/crates/samphiredoor-gateway/src/edge.rs
+++ b/crates/samphiredoor-gateway/src/edge.rs
@@ -1,7 +1,7 @@
-//! What the gateway needs of the platform around it: an object store, and the names and formats that callers and targets
-//! speak.
+//! Traits that connect the gateway to its platform: an object store, and the header names and body formats of callers and
+//! targets.
 //!
-//! Implementations translate and decide nothing.
+//! Implementations only translate; all decisions are made by the gateway.
 
 use std::{
     rc::Rc,
@@ -19,64 +19,64 @@
     store::{Kind, ObjectKey, StoreAnswer, StoreOp, Stored, Value, Version},
 };
 
-/// The platform, as one process meets it.
+/// Connection of one process to the platform.
 #[derive(Clone)]
 pub struct Platform {
     /// Object store.
     pub store: Rc<dyn ObjectStore>,
-    /// Names and formats.
+    /// Header names and body formats.
     pub dialect: Rc<dyn Dialect>,
 }
 
 /// How current a list has to be.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Freshness {
-    /// As current as any acknowledged write.
+    /// Includes every acknowledged write.
     Current,
-    /// May be seconds old, and costs little.
+    /// May be seconds old, and costs less.
     MayBeStale,
 }
 
 /// One page of a list.
 #[derive(Debug, Clone)]
 pub struct Page {
-    /// Objects in order of their names.
+    /// Objects, ordered by name.
     pub items: Vec<Stored>,
-    /// Whether there are more after the last one.
+    /// Whether more objects follow after the last one.
     pub has_more: bool,
-    /// Version of the store, from which a watch goes on.
+    /// Version of the store, from which a watch can start.
     pub version: Version,
 }
 
-/// One change that a watch saw.
+/// One change that a watch reports.
 #[derive(Debug, Clone)]
 pub enum Change {
-    /// The object was written, to this.
+    /// An object was created or updated; its new value.
     Written(Stored),
-    /// The object of this name was deleted.
+    /// The object with this name was deleted.
     Deleted(Name),
 }
 
 /// Answer to a watch.
 #[derive(Debug, Clone)]
 pub enum WatchAnswer {
-    /// Changes, none if the wait was over; go on from `version`.
+    /// Changes; none if the wait was over.
     Changes {
-        /// What changed, in order.
+        /// Changes in order.
         changes: Vec<Change>,
-        /// Where to go on.
+        /// Version from which the next watch starts.
         version: Version,
     },
-    /// The history before the given version is gone; list anew.
+    /// The store no longer has the changes after the given version; the kind has to be listed again.
     HistoryGone,
-    /// The store refused.
+    /// The store refused the call.
     Refused,
-    /// There was no answer, or none that can be read.
+    /// There was no answer, or an invalid one.
     NoAnswer,
 }
 
 impl WatchAnswer {
-    /// How the watch ended, as it stands in logs and metrics.
+    /// Label of the answer in logs and metrics.
     pub fn label(&self) -> &'static str {
         match self {
             WatchAnswer::Changes { changes, .. } if changes.is_empty() => "nothing_new",
@@ -90,10 +90,10 @@
 
 /// The platform's object store.
 pub trait ObjectStore {
-    /// Makes one call. Lists go through [`ObjectStore::list`].
+    /// Makes any call but a list, for which there is [`ObjectStore::list`].
     fn call(&self, op: StoreOp) -> LocalBoxFuture<'_, StoreAnswer>;
 
-    /// Reads one page of a kind; `None` if the store gave no usable answer.
+    /// Reads one page of a kind, starting after the name `after`; `None` if the store gave no usable answer.
     fn list(
         &self,
         kind: Kind,
@@ -101,116 +101,116 @@
         freshness: Freshness,
     ) -> LocalBoxFuture<'_, Option<Page>>;
 
-    /// When something of an answer last came that was no refusal; a large one comes for a while.
+    /// When bytes of an answer other than a refusal last arrived. A large answer takes a while to arrive.
     fn heard(&self) -> Option<Instant>;
 
-    /// Waits at most `wait` for changes of a kind after a version.
+    /// Waits for changes of a kind after a version, for at most `wait`.
     fn watch(&self, kind: Kind, since: Version, wait: Duration) -> LocalBoxFuture<'_, WatchAnswer>;
 
-    /// Writes what the system says of an object that others write.
+    /// Writes the status of an object whose specification belongs to another writer.
     fn set_status(&self, key: ObjectKey, status: Value) -> LocalBoxFuture<'_, StoreAnswer>;
 }
 
-/// Names of headers.
+/// Header names of the platform.
 #[derive(Debug, Clone)]
 pub struct HeaderNames {
-    /// Identity of one attempt of a caller; echoed by targets.
+    /// Id of one attempt of a caller; targets and gateways echo it.
     pub request_id: HeaderName,
-    /// Milliseconds that the caller still waits.
+    /// Time that the caller still waits, in milliseconds.
     pub deadline_ms: HeaderName,
-    /// Number of the last event that was received, to go on after it.
+    /// Number of the last event that was received; the stream resumes after it.
     pub last_event_id: HeaderName,
-    /// Name of the target that is meant; any other refuses.
+    /// Name of the target that the request is for; any other target refuses it.
     pub expect_target: HeaderName,
-    /// Stands on an answer of a target that did not run the request.
+    /// Present on the answer of a target that did not run the request.
     pub not_run: HeaderName,
-    /// Milliseconds that a read may wait for a result.
+    /// How long a read may wait for new results, in milliseconds.
     pub wait_ms: HeaderName,
 }
 
-/// A call about a batch job that was submitted before.
+/// A call for a batch job that was submitted before.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum JobCall {
-    /// Read results from a position on.
+    /// Read results after a position.
     Read {
-        /// Which job.
+        /// Name of the job.
         job: JobName,
-        /// Number of results that the caller has.
+        /// Number of results that the caller already has.
         after: usize,
     },
     /// Read the body of an item.
     Body {
-        /// Which job.
+        /// Name of the job.
         job: JobName,
-        /// Which item, by its name.
+        /// Id of the item within the job.
         item: String,
     },
-    /// End the job.
+    /// Cancel the job.
     End {
-        /// Which job.
+        /// Name of the job.
         job: JobName,
     },
 }
 
-/// Results of a job from a position on.
+/// One page of the results of a job.
 #[derive(Debug, Clone)]
 pub struct ResultsPage {
-    /// Number of the job's items.
+    /// Number of items in the job.
     pub total: usize,
     /// Position after the last result of this page.
     pub next: usize,
-    /// Results.
+    /// Results, in the order of the job's result log.
     pub results: Vec<ItemResult>,
 }
 
-/// Names and formats that callers, targets and operators use.
+/// Header names and body formats that callers, targets and operators use.
 pub trait Dialect {
-    /// Names of headers.
+    /// Header names.
     fn headers(&self) -> &HeaderNames;
 
-    /// Whether a request asks for readiness.
+    /// Whether a request is a readiness check.
     fn is_readiness(&self, method: &Method, path: &str) -> bool;
 
-    /// The job call that a request makes, if it is one.
+    /// Parses the method and URI of a job call; `None` for any other request.
     fn job_call(&self, method: &Method, uri: &Uri) -> Option<JobCall>;
 
-    /// Reads a submission.
+    /// Parses the body of a job submission.
     ///
     /// # Errors
     ///
-    /// What is wrong with it.
+    /// The body is invalid, with the problem.
     fn submission(&self, body: &[u8]) -> Result<Vec<Item>, String>;
 
-    /// Decoded body of an item.
+    /// Decodes the body of an item.
     ///
     /// # Errors
     ///
-    /// What is wrong with it.
+    /// The body is invalid, with the problem.
     fn item_body(&self, item: &Item) -> Result<Bytes, String>;
 
-    /// Text of a page of results.
+    /// Serialises a page of results.
     fn results(&self, page: &ResultsPage) -> Bytes;
 
-    /// Load that a target tells in the headers of an answer.
+    /// Load that a target reports in the headers of an answer, if it does.
     fn reported_load(&self, headers: &HeaderMap) -> Option<ReportedLoad>;
 
-    /// Hash of the prompt's beginning that requests share; 0 if there is none.
+    /// Hash of the prompt prefix that a request shares with others; 0 if there is none.
     fn affinity(&self, headers: &HeaderMap) -> u64;
 
-    /// Reads the operators' routes; `None` for an object that is not theirs.
+    /// Parses the routes; `None` for an object that holds no routes.
     ///
     /// # Errors
     ///
-    /// Why they cannot be read.
+    /// The routes are invalid, with the problem.
     fn routes(&self, stored: &Stored) -> Result<Option<RouteTable>, String>;
 
-    /// Reads a target's entry.
+    /// Parses the entry of a target.
     ///
     /// # Errors
     ///
-    /// Why it names no target to use.
+    /// The entry describes no usable target, with the problem.
     fn target(&self, stored: &Stored) -> Result<TargetEntry, String>;
 
-    /// What is said of a storage host that keeps nothing any more.
+    /// Status of a storage host that has no data left.
     fn emptied(&self) -> Value;
 }
--- a/crates/samphiredoor-gateway/src/events.rs
+++ b/crates/samphiredoor-gateway/src/events.rs
@@ -1,7 +1,7 @@
-//! Streams of numbered events, cut into whole events.
+//! Splits server-sent event streams into whole events.
 //!
-//! A target may stop in the middle of an event. Only whole events are passed on, so that another target can continue
-//! after the last one.
+//! A target may fail in the middle of an event. Only whole events are forwarded, so that another target can resume the
+//! stream after the last one.
 
 use bytes::{Bytes, BytesMut};
 use hyper::{HeaderMap, header};
@@ -9,7 +9,7 @@
 /// Content type of an event stream.
 const CONTENT_TYPE: &str = "text/event-stream";
 
-/// Whether an answer is a stream of events.
+/// Whether an answer is an event stream, by its content type.
 pub fn is_event_stream(headers: &HeaderMap) -> bool {
     let content_type = headers.get(header::CONTENT_TYPE).and_then(|it| it.to_str().ok());
     content_type.is_some_and(|it| it.starts_with(CONTENT_TYPE))
@@ -18,9 +18,9 @@
 /// One whole event.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Event {
-    /// Its bytes, the blank line that ends it included.
+    /// Bytes of the event, with the blank line that ends it.
     pub raw: Bytes,
-    /// Its number, if it has one.
+    /// Number in the last `id` field, if there is one.
     pub id: Option<u64>,
 }
 
@@ -31,7 +31,8 @@
         Event { raw, id }
     }
 
-    /// Appends the event's data to a text, after a line feed if the text has some already.
+    /// Appends the data lines of the event to `text`, separated by line feeds. `is_first` tells that no data has been
+    /// appended before, so that no line feed comes first.
     pub fn append_data(&self, text: &mut Vec<u8>, is_first: bool) {
         let mut first = is_first;
         for (_, data) in fields(&self.raw).filter(|(name, _)| *name == b"data") {
@@ -42,13 +43,13 @@
         }
     }
 
-    /// Whether the event carries data.
+    /// Whether the event has a data line.
     pub fn has_data(&self) -> bool {
         fields(&self.raw).any(|(name, _)| name == b"data")
     }
 }
 
-/// Fields of an event: name and value of each line, one space after the colon left out.
+/// Name and value of each line of an event, without the space after the colon.
 fn fields(raw: &[u8]) -> impl Iterator<Item = (&[u8], &[u8])> {
     raw.split(|it| *it == b'\n').filter_map(|line| {
         let line = line.strip_suffix(b"\r").unwrap_or(line);
@@ -58,14 +59,14 @@
     })
 }
 
-/// Cuts bytes as they arrive into whole events.
+/// Collects bytes as they arrive and returns whole events.
 #[derive(Debug, Default)]
 pub struct EventBuffer {
     rest: BytesMut,
 }
 
 impl EventBuffer {
-    /// Adds bytes.
+    /// Appends received bytes.
     pub fn push(&mut self, data: &[u8]) {
         self.rest.extend_from_slice(data);
     }
@@ -75,18 +76,19 @@
         end_of_event(&self.rest).is_some()
     }
 
-    /// Next whole event.
+    /// Takes the next whole event; `None` until it has arrived.
     pub fn next(&mut self) -> Option<Event> {
         let end = end_of_event(&self.rest)?;
         Some(Event::new(self.rest.split_to(end).freeze()))
     }
 
-    /// Takes the bytes after the last whole event.
+    /// Takes all bytes that are left, as at the end of the stream.
     pub fn take_rest(&mut self) -> Bytes {
         self.rest.split().freeze()
     }
 }
 
+/// Index after the blank line that ends the first event.
 fn end_of_event(bytes: &[u8]) -> Option<usize> {
     let feeds = bytes.iter().enumerate().filter(|(_, it)| **it == b'\n').map(|(at, _)| at);
     feeds.into_iter().find_map(|at| match &bytes[at + 1..] {
--- a/crates/samphiredoor-gateway/src/settings.rs
+++ b/crates/samphiredoor-gateway/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings files, and errors that name the place in them.
+//! Reads settings files and reports errors with the line in the file.
 
 use std::{fmt, net::SocketAddr, path::Path};
 
@@ -6,17 +6,17 @@
 use serde::de::DeserializeOwned;
 use toml::de::{DeTable, DeValue};
 
-/// A setting that makes no sense.
+/// An invalid setting.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SettingError {
-    /// Path of the key, as `callers.address`.
+    /// Path of the key, such as `callers.address`.
     pub key: &'static str,
-    /// What is wrong, with a hint.
+    /// What is wrong, and how to correct it.
     pub problem: String,
 }
 
 impl SettingError {
-    /// Error at a key.
+    /// Creates an error for a key.
     pub fn new(key: &'static str, problem: impl Into<String>) -> SettingError {
         SettingError { key, problem: problem.into() }
     }
@@ -30,18 +30,19 @@
 
 impl std::error::Error for SettingError {}
 
-/// Reads a settings file and lets `check` make something of it.
+/// Reads a settings file and converts its content with `check`.
 ///
 /// # Errors
 ///
-/// The file cannot be read, is no TOML, has unknown keys or wrong types, or `check` refuses a setting; with the line.
+/// The file cannot be read, is no valid TOML, has unknown keys or values of the wrong type, or `check` rejects a setting.
+/// The message names the line where one is known.
 pub fn read<S: DeserializeOwned, T>(
     file: &Path,
     check: impl FnOnce(&S) -> Result<T, SettingError>,
 ) -> anyhow::Result<T> {
     let shown = file.display();
     let text = std::fs::read_to_string(file)
-        .with_context(|| format!("{shown}: cannot be read; name a settings file"))?;
+        .with_context(|| format!("{shown}: cannot be read; pass the path of a settings file"))?;
     let settings = toml::from_str(&text).map_err(|err| anyhow::anyhow!("{shown}: {err}"))?;
     check(&settings).map_err(|err| match line_of(&text, err.key) {
         Some(line) => anyhow::anyhow!("{shown}: line {line}: {err}"),
@@ -49,17 +50,17 @@
     })
 }
 
-/// Address that stands at a key.
+/// Parses the value of a key as an address with a port.
 ///
 /// # Errors
 ///
-/// The text is no address with a port.
+/// The text is not an IP address with a port.
 pub fn address(key: &'static str, text: &str) -> Result<SocketAddr, SettingError> {
-    let problem = || format!("`{text}` is not an IP address with a port, as 10.0.0.1:8080");
+    let problem = || format!("`{text}` is not an IP address with a port like 10.0.0.1:8080");
     text.parse().map_err(|_| SettingError::new(key, problem()))
 }
 
-/// Line of a key, from 1; the line of the nearest table around it if the key is left out.
+/// Line of a key in the file, counted from 1. If the key is missing, the line of the innermost table that should hold it.
 fn line_of(text: &str, key: &str) -> Option<usize> {
     let root = DeTable::parse(text).ok()?;
     let mut table = root.get_ref();
