--- a/crates/samphiredoor-gateway/src/logging.rs
+++ b/crates/samphiredoor-gateway/src/logging.rs
@@ -1,8 +1,8 @@
-//! Structured log lines on standard output, bounded in volume and never waited for.
+//! Structured log lines on standard output, limited in volume. Logging never blocks the caller.
 //!
-//! A line is a time, a level, a short sentence with the prefix of its part, and `key=value` pairs. Lines go through a
-//! bounded channel to a thread of their own: where standard output does not take them, or more come than are allowed in
-//! a second, lines are left out, counted, and the count is said with the next line that is written.
+//! A line has a time, a level, a short sentence that starts with the name of the component, and `key=value` pairs. Lines
+//! pass through a bounded channel to a writer thread. Lines are dropped and counted when standard output is too slow or
+//! the limit for a second is reached, and the count is logged with the next line that is written.
 
 use std::{
     io::{self, Write},
@@ -18,22 +18,22 @@
 
 use crate::config::LogConfig;
 
-/// Lines that wait for standard output; some seconds of a busy process.
-const WAITING_LINES: usize = 1_024;
-/// Pause between two writes, so that lines are written together.
+/// Lines buffered for standard output; a busy process writes them in some seconds.
+const BUFFERED_LINES: usize = 1_024;
+/// Pause between two writes, so that lines are written in batches.
 const WRITE_PAUSE: Duration = Duration::from_millis(100);
 const SECOND: Duration = Duration::from_secs(1);
 
-/// Starts logging for the whole process.
+/// Installs the global logger and starts the writer thread. Call it once.
 pub fn start(config: LogConfig) {
-    let (lines, inbox) = sync_channel(WAITING_LINES);
+    let (lines, inbox) = sync_channel(BUFFERED_LINES);
     std::thread::spawn(move || write_lines(&inbox));
-    let bounded = BoundedLines {
+    let bounded = RateLimitedWriter {
         lines,
-        allowed_per_s: config.lines_per_s,
-        second: Instant::now(),
-        in_second: 0,
-        left_out: 0,
+        max_per_s: config.lines_per_s,
+        second_start: Instant::now(),
+        lines_in_second: 0,
+        dropped: 0,
     };
     Builder::new()
         .filter_level(config.level)
@@ -48,7 +48,7 @@
         for line in inbox.try_iter() {
             text.extend_from_slice(&line);
         }
-        // There is no other place to say that standard output is gone.
+        // A closed standard output cannot be reported anywhere else.
         let _ = io::stdout().write_all(&text);
         std::thread::sleep(WRITE_PAUSE);
     }
@@ -67,6 +67,7 @@
     writeln!(out)
 }
 
+/// Writes the key-value pairs of a record.
 struct Pairs<'a>(&'a mut Formatter);
 
 impl<'kvs> VisitSource<'kvs> for Pairs<'_> {
@@ -75,33 +76,35 @@
     }
 }
 
-struct BoundedLines {
+/// Passes lines to the writer thread, and drops lines above the limits.
+struct RateLimitedWriter {
     lines: SyncSender<Vec<u8>>,
-    allowed_per_s: u32,
-    second: Instant,
-    in_second: u32,
-    left_out: u64,
+    max_per_s: u32,
+    second_start: Instant,
+    lines_in_second: u32,
+    /// Lines dropped since the last line that was passed on.
+    dropped: u64,
 }
 
-impl Write for BoundedLines {
+impl Write for RateLimitedWriter {
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
-        if self.second.elapsed() >= SECOND {
-            self.second = Instant::now();
-            self.in_second = 0;
+        if self.second_start.elapsed() >= SECOND {
+            self.second_start = Instant::now();
+            self.lines_in_second = 0;
         }
-        self.in_second += 1;
-        if self.in_second > self.allowed_per_s {
-            self.left_out += 1;
+        self.lines_in_second += 1;
+        if self.lines_in_second > self.max_per_s {
+            self.dropped += 1;
             return Ok(line.len());
         }
         let mut text = Vec::with_capacity(line.len());
-        if self.left_out > 0 {
-            text.extend_from_slice(format!("log: lines left out={}\n", self.left_out).as_bytes());
+        if self.dropped > 0 {
+            text.extend_from_slice(format!("log: lines left out={}\n", self.dropped).as_bytes());
         }
         text.extend_from_slice(line);
         match self.lines.try_send(text) {
-            Ok(()) => self.left_out = 0,
-            Err(TrySendError::Full(_) | TrySendError::Disconnected(_)) => self.left_out += 1,
+            Ok(()) => self.dropped = 0,
+            Err(TrySendError::Full(_) | TrySendError::Disconnected(_)) => self.dropped += 1,
         }
         Ok(line.len())
     }
--- a/crates/samphiredoor-gateway/src/metrics.rs
+++ b/crates/samphiredoor-gateway/src/metrics.rs
@@ -43,7 +43,7 @@
     whole_s: Histogram,
     item_ends: ReasonCounters,
     job_events: ReasonCounters,
-    foreign: ReasonCounters,
+    invalid_entries: ReasonCounters,
     dispatched: Gauge,
     recalled: Gauge,
     waiting_online: Gauge,
@@ -53,12 +53,12 @@
     routes_version: Gauge,
     watch_ends: Family<WatchLabel, Counter>,
     store_silent_ms: Family<KindLabel, Gauge>,
-    /// When the store was last heard of each kind that is followed.
-    heard: RefCell<BTreeMap<&'static str, Instant>>,
+    /// When the store last answered a list or watch, for each kind that is followed.
+    store_answered_at: RefCell<BTreeMap<&'static str, Instant>>,
 }
 
 impl Metrics {
-    /// Metrics with every refusal reason at zero.
+    /// Registers all metrics; each refusal reason starts at zero, so that it is exported from the start.
     pub fn new() -> Rc<Metrics> {
         let mut registry = Registry::with_prefix("samphiredoor_gateway");
         let reasons = Refusal::ALL.map(Refusal::label);
@@ -69,7 +69,7 @@
         let ends = family("ends", "Ends of requests that were sent");
         let item_ends = family("item_ends", "Ends of runs of items");
         let job_events = family("job_events", "What became of jobs");
-        let foreign = family("foreign_entries", "Stored objects that were ignored");
+        let invalid_entries = family("foreign_entries", "Stored objects that were ignored");
         let latency = || Histogram::new(exponential_buckets(0.002, 2.0, 13));
         let (first_piece_s, whole_s) = (latency(), latency());
         registry.register("first_piece_seconds", "Time to the first piece", first_piece_s.clone());
@@ -87,7 +87,7 @@
             whole_s,
             item_ends,
             job_events,
-            foreign,
+            invalid_entries,
             dispatched: gauge(&mut registry, "dispatched", "Requests sent to targets"),
             recalled: gauge(&mut registry, "recalled", "Items recalled for online requests"),
             waiting_online: gauge(&mut registry, "waiting_online", "Online requests in the queue"),
@@ -101,12 +101,12 @@
             ),
             watch_ends,
             store_silent_ms,
-            heard: RefCell::default(),
+            store_answered_at: RefCell::default(),
             registry,
         })
     }
 
-    /// Counts a refusal.
+    /// Counts a refused request.
     pub fn refused(&self, reason: Refusal) {
         self.refusals.count(reason.label());
     }
@@ -121,12 +121,12 @@
         self.ends.count(end);
     }
 
-    /// Takes the time to the first piece of an answer.
+    /// Records the time from a request to the first event of its answer.
     pub fn first_piece(&self, elapsed: Duration) {
         self.first_piece_s.observe(elapsed.as_secs_f64());
     }
 
-    /// Takes the time to a whole answer.
+    /// Records the time from a request to the end of its answer.
     pub fn whole(&self, elapsed: Duration) {
         self.whole_s.observe(elapsed.as_secs_f64());
     }
@@ -136,17 +136,17 @@
         self.item_ends.count(end);
     }
 
-    /// Counts what became of a job.
+    /// Counts an event in the life of a job, such as `accepted` or `handed_over`.
     pub fn job(&self, event: &'static str) {
         self.job_events.count(event);
     }
 
-    /// Counts a stored object that names nothing to use.
+    /// Counts a stored object or a datagram that is invalid and was ignored.
     pub fn foreign(&self, kind: &'static str) {
-        self.foreign.count(kind);
+        self.invalid_entries.count(kind);
     }
 
-    /// Takes what the placement counts.
+    /// Updates the counters and queue lengths of the placement.
     pub fn placement(&self, counters: Counters, waiting_online: usize, waiting_batch: usize) {
         self.dispatched.set(counters.dispatched as i64);
         self.recalled.set(counters.recalled as i64);
@@ -159,12 +159,12 @@
         self.targets.set(targets as i64);
     }
 
-    /// Sets the number of other gateways that are heard.
+    /// Sets the number of live peers.
     pub fn peers(&self, peers: usize) {
         self.peers.set(peers as i64);
     }
 
-    /// Sets the version of the routes in force.
+    /// Sets the version of the active routes.
     pub fn routes_version(&self, version: u64) {
         self.routes_version.set(version as i64);
     }
@@ -174,15 +174,15 @@
         self.watch_ends.get_or_create(&WatchLabel { kind: kind.path(), end }).inc();
     }
 
-    /// Notes that the store has answered a list or watch.
+    /// Records that the store has answered a list or watch.
     pub fn store_answered(&self, kind: Kind) {
-        self.heard.borrow_mut().insert(kind.path(), Instant::now());
+        self.store_answered_at.borrow_mut().insert(kind.path(), Instant::now());
     }
 
-    /// Text in the exposition format.
+    /// All metrics in the Prometheus text format.
     pub fn text(&self) -> String {
-        for (kind, heard) in &*self.heard.borrow() {
-            let silent_ms = heard.elapsed().as_millis() as i64;
+        for (kind, answered_at) in &*self.store_answered_at.borrow() {
+            let silent_ms = answered_at.elapsed().as_millis() as i64;
             self.store_silent_ms.get_or_create(&KindLabel { kind }).set(silent_ms);
         }
         metrics::text(&self.registry)
