--- a/crates/samphiredoor-gateway/src/mirror.rs
+++ b/crates/samphiredoor-gateway/src/mirror.rs
@@ -1,14 +1,14 @@
-//! What a process needs of the store to serve, from whoever saw it last.
+//! Copies of the store's objects from which a gateway can start during an outage of the store.
 //!
-//! A gateway that starts while the store is lost knows neither routes nor targets nor other gateways, and refuses every
-//! caller until the store is back; where many are killed at once no gateway is left that could tell it. So the processes
-//! on storage hosts look at these kinds now and then and tell what they saw last. It is a hint as old as the outage: routes
-//! are put in force by their version only, and a target at an address that is used again refuses by its name. What has
-//! changed since is watched for from the version at which the store stood then, as after any list that may be stale, so
-//! that a large list does not come over the line once more.
+//! A gateway that starts during an outage has no routes, targets or peers, and refuses every caller until the store is
+//! reachable again; if many gateways are killed at once, no peer is left that could send them. The processes on storage
+//! hosts therefore list the needed kinds regularly and serve the last copy. A copy is as old as the outage, which is safe:
+//! routes are activated only if their version is newer, and a target at a reused address refuses requests that name
+//! another target. The gateway then watches for changes from the store version of the copy, as after any stale list, so
+//! that a large list is not transferred again.
 //!
-//! Gain: where all gateways are killed within seconds of an outage, callers are served meanwhile; it costs a few calls a minute for
-//! each storage host, at a tenth of a call's price.
+//! If all gateways are killed within seconds of an outage, callers are served nevertheless. The cost is a few calls a
+//! minute for each storage host, at a tenth of a call's price.
 
 use std::{
     cell::RefCell,
@@ -33,53 +33,53 @@
     watch::list_all,
 };
 
-/// Kinds that a process needs to serve.
+/// Kinds of objects that a gateway needs before it can serve callers.
 pub const KINDS: [Kind; 3] = [Kind::Routes, Kind::Targets, Kind::Door];
-/// Time between two looks, by lists that may be stale and cost a tenth of a call: a start during an outage is rare, and what is
-/// told then is older by as much.
-const LOOK_PAUSE: Duration = Duration::from_secs(3);
+/// Time between two copies. They are made by lists that may be stale and cost a tenth of a call. A gateway rarely starts
+/// during an outage, and then gets a copy that is older by at most this.
+const COPY_INTERVAL: Duration = Duration::from_secs(3);
 const ROOT: &str = "/mirror/";
-/// Longest wait for a connection; a round trip between regions takes 24 ms.
+/// Connect timeout; a round trip between regions takes 24 ms.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(100);
-/// Longest wait for an answer to begin, and longest silence within it.
-const SILENCE: Duration = Duration::from_millis(300);
-/// Entries of a few thousand targets take less than a megabyte, a configuration up to one.
+/// Longest wait for the start of an answer, and between two parts of it.
+const IDLE_TIMEOUT: Duration = Duration::from_millis(300);
+/// Size limit of a copy. Entries of a few thousand targets take less than a megabyte, a configuration up to one.
 const MAX_BYTES: usize = 8 * 1024 * 1024;
 
-/// One object, as it is told.
+/// JSON form of one object.
 #[derive(Debug)]
 #[derive(Serialize, Deserialize)]
-struct Told {
+struct MirroredObject {
     name: Name,
     version: u64,
     value: String,
 }
 
-/// All objects of a kind, as they are told.
+/// JSON form of all objects of a kind.
 #[derive(Debug)]
 #[derive(Serialize, Deserialize)]
-struct ToldList {
+struct MirroredKind {
     version: u64,
-    objects: Vec<Told>,
+    objects: Vec<MirroredObject>,
 }
 
-/// All objects of a kind, and the version of the store from which a watch goes on.
+/// All objects of a kind, at one version of the store.
 #[derive(Debug, Clone)]
 pub struct MirroredList {
-    /// The objects.
+    /// Objects, ordered by name.
     pub objects: Vec<Stored>,
-    /// Where a watch goes on.
+    /// Version of the store, from which a watch can start.
     pub version: Version,
 }
 
-/// Objects of the kinds above, as they stood when the store was last heard.
+/// Last copy of the objects of all [`KINDS`].
 #[derive(Clone, Default)]
 pub struct Mirror {
     kinds: Rc<RefCell<BTreeMap<&'static str, MirroredList>>>,
 }
 
 impl Mirror {
-    /// Looks at all kinds for as long as the process runs.
+    /// Copies all kinds regularly, for as long as the process runs.
     pub async fn run(self, store: Rc<dyn ObjectStore>) {
         loop {
             for kind in KINDS {
@@ -89,57 +89,57 @@
                     self.kinds.borrow_mut().insert(kind.path(), list);
                 }
             }
-            compio::time::sleep(LOOK_PAUSE).await;
+            compio::time::sleep(COPY_INTERVAL).await;
         }
     }
 
-    /// Answers another process.
+    /// Answers a gateway with the copy of one kind.
     pub fn answer(&self, uri: &Uri) -> Response<Body> {
         let kinds = self.kinds.borrow();
         let kind = uri.path().strip_prefix(ROOT).and_then(|it| kinds.get(it));
         let Some(list) = kind else {
             return plain(StatusCode::NOT_FOUND, "nothing is known of this kind");
         };
-        let told = list.objects.iter().map(|it| Told {
+        let objects = list.objects.iter().map(|it| MirroredObject {
             name: Name::clone(&it.name),
             version: it.version.0,
             value: String::from_utf8_lossy(&it.value).into_owned(),
         });
-        let told = ToldList { version: list.version.0, objects: told.collect() };
-        // Plain structs of numbers and text: writing them as JSON cannot fail.
-        Response::new(Body::full(serde_json::to_vec(&told).unwrap_or_default()))
+        let answer = MirroredKind { version: list.version.0, objects: objects.collect() };
+        // Structs of numbers and text can always be serialised as JSON.
+        Response::new(Body::full(serde_json::to_vec(&answer).unwrap_or_default()))
     }
 }
 
-/// The mirrors that a process may ask.
+/// Addresses of the mirrors from which a gateway may start.
 #[derive(Debug, Clone)]
 pub struct Mirrors {
     addresses: Rc<[SocketAddr]>,
 }
 
 impl Mirrors {
-    /// Mirrors at these addresses.
+    /// Creates a client for the mirrors at these addresses.
     pub fn new(addresses: &[SocketAddr]) -> Mirrors {
         Mirrors { addresses: addresses.into() }
     }
 
-    /// Whether there is none to ask.
+    /// Whether no mirror is configured.
     pub fn is_empty(&self) -> bool {
         self.addresses.is_empty()
     }
 
-    /// All objects of a kind, from the first mirror that answers.
+    /// Fetches all objects of a kind from the first mirror that answers, in random order.
     pub async fn list(&self, kind: Kind) -> Option<MirroredList> {
         let mut addresses = self.addresses.to_vec();
         addresses.shuffle(&mut rand::rng());
         for address in addresses {
-            let asked = Instant::now();
+            let sent = Instant::now();
             match fetch(address, kind).await {
                 Some(list) => {
                     log::info!(
                         kind = kind.path(), mirror:% = address, objects = list.objects.len(),
-                        elapsed_ms = asked.elapsed().as_millis() as u64;
-                        "mirror: the store does not answer, taken what another process saw last"
+                        elapsed_ms = sent.elapsed().as_millis() as u64;
+                        "mirror: store does not answer, starting from the last copy of another process"
                     );
                     return Some(list);
                 }
@@ -158,17 +158,17 @@
         .body(Body::empty())
         .ok()?;
     let pool = Pool::new(address).with_connect_timeout(CONNECT_TIMEOUT);
-    let limits = FetchLimits::new(SILENCE, MAX_BYTES);
+    let limits = FetchLimits::new(IDLE_TIMEOUT, MAX_BYTES);
     let fetched = pool.fetch(request, limits).await.ok()?;
     if fetched.status != StatusCode::OK {
         return None;
     }
-    let told: ToldList = serde_json::from_slice(&fetched.body).ok()?;
-    let objects = told.objects.into_iter().map(|it| Stored {
+    let answer: MirroredKind = serde_json::from_slice(&fetched.body).ok()?;
+    let objects = answer.objects.into_iter().map(|it| Stored {
         name: it.name,
         version: Version(it.version),
         labels: Labels::new(),
         value: it.value.into_bytes().into(),
     });
-    Some(MirroredList { objects: objects.collect(), version: Version(told.version) })
+    Some(MirroredList { objects: objects.collect(), version: Version(answer.version) })
 }
--- a/crates/samphiredoor-gateway/src/storage.rs
+++ b/crates/samphiredoor-gateway/src/storage.rs
@@ -1,8 +1,8 @@
 //! The process on a storage host.
 //!
-//! What has to last lives in the platform's store, so a storage host keeps nothing of the system. Its process answers
-//! requests to empty hosts: they are empty at any time, and every process says so for all of them. And it tells gateways
-//! that start while the store is lost what it saw last (`mirror`).
+//! All durable data is in the platform's store, so a storage host holds no data of the system. Its process confirms the
+//! platform's requests to empty a host: hosts are always empty, so every process confirms the requests for all hosts. It
+//! also serves copies of the store's objects to gateways that start during an outage of the store (`mirror`).
 
 use std::{cell::RefCell, collections::HashSet, net::SocketAddr, rc::Rc, time::Duration};
 
@@ -22,19 +22,20 @@
     watch::{Follower, Seen},
 };
 
-/// Longest wait of a watch for requests to empty hosts. A watch that the store has swallowed hides them for as long, and the
-/// platform waits for the answer before it takes a host away; these processes are few, so that turns are not needed.
+/// Longest wait of a watch for requests to empty hosts. A watch that the store has dropped hides requests for this time,
+/// and the platform does not remove a host before the confirmation. There are few of these processes, so their watches
+/// need not be staggered.
 const RETIREMENT_WATCH: Duration = Duration::from_secs(5);
-/// Pause before a status is written again that was not taken.
-const WRITE_PAUSE: Duration = Duration::from_millis(300);
-/// Tries for one status; whatever then fails is tried again at the next list.
-const WRITE_TRIES: u32 = 20;
+/// Pause before a failed write of a status is retried.
+const RETRY_PAUSE: Duration = Duration::from_millis(300);
+/// Attempts to write one status. If all fail, the request is handled again when a later list has it.
+const MAX_WRITE_ATTEMPTS: u32 = 20;
 
-/// Runs until told to stop.
+/// Runs the process until it gets a signal to stop.
 ///
 /// # Errors
 ///
-/// What keeps it from starting.
+/// The runtime does not start, or the listener cannot be bound.
 pub fn run(
     config: &StorageConfig,
     platform: impl FnOnce(&CommonConfig) -> Platform,
@@ -46,8 +47,8 @@
             Some(address) => serve_mirror(&platform, address).await?.to_string(),
             None => "none".to_owned(),
         };
-        log::info!(name = &*config.common.name, mirror; "storage: started, keeps nothing");
-        compio::runtime::spawn(ignore_reloads()).detach();
+        log::info!(name = &*config.common.name, mirror; "storage: started, holds no data");
+        compio::runtime::spawn(ignore_reload_signals()).detach();
         let watch = config.common.watch.min(RETIREMENT_WATCH);
         let follower = Follower::new(Rc::clone(&platform.store), Kind::Retirement, watch);
         let following = std::pin::pin!(follow(platform, follower));
@@ -59,7 +60,7 @@
     })
 }
 
-/// Looks at what gateways need, and tells it; returns the address.
+/// Starts the mirror and its listener; returns the address of the listener.
 async fn serve_mirror(platform: &Platform, address: SocketAddr) -> anyhow::Result<SocketAddr> {
     let server = bind("mirror", address, internal_limits()).await?;
     let address = server.local_addr()?;
@@ -73,56 +74,59 @@
     Ok(address)
 }
 
-/// A signal that nobody waits for would end the process.
-async fn ignore_reloads() {
+/// Handles SIGHUP without effect; without a handler the signal would end the process.
+async fn ignore_reload_signals() {
     loop {
         wait_for(SIGHUP).await;
-        log::info!("storage: told to reload, its settings hold until the next start");
+        log::info!("storage: reload signal ignored, settings change at the next start");
     }
 }
 
+/// Confirms requests to empty hosts for as long as the process runs.
 async fn follow(platform: Platform, mut follower: Follower) {
-    // Requests that were answered; the answer itself is seen as a change of the request.
-    let answered: Rc<RefCell<HashSet<Name>>> = Rc::default();
+    // Confirmed requests. A confirmation is itself a change of the request, and must not be confirmed again.
+    let confirmed: Rc<RefCell<HashSet<Name>>> = Rc::default();
     loop {
         match follower.next().await {
-            Seen::All(all) => all.iter().for_each(|it| answer(&platform, &answered, it)),
+            Seen::All(all) => all.iter().for_each(|it| confirm(&platform, &confirmed, it)),
             Seen::Changes(changes) => changes.iter().for_each(|it| match it {
-                Change::Written(stored) => answer(&platform, &answered, stored),
+                Change::Written(stored) => confirm(&platform, &confirmed, stored),
                 Change::Deleted(name) => {
-                    answered.borrow_mut().remove(name);
+                    confirmed.borrow_mut().remove(name);
                 }
             }),
             Seen::Lost => log::warn!("storage: store lost"),
-            Seen::Regained => log::info!("storage: store regained"),
+            Seen::Regained => log::info!("storage: store answers again"),
         }
     }
 }
 
-fn answer(platform: &Platform, answered: &Rc<RefCell<HashSet<Name>>>, stored: &Stored) {
+/// Spawns a task that confirms one request, unless it was confirmed before.
+fn confirm(platform: &Platform, confirmed: &Rc<RefCell<HashSet<Name>>>, stored: &Stored) {
     let name = Name::clone(&stored.name);
-    if !answered.borrow_mut().insert(Name::clone(&name)) {
+    if !confirmed.borrow_mut().insert(Name::clone(&name)) {
         return;
     }
-    let (platform, answered) = (platform.clone(), Rc::clone(answered));
+    let (platform, confirmed) = (platform.clone(), Rc::clone(confirmed));
     compio::runtime::spawn(async move {
-        if !say_emptied(&platform, &name).await {
-            log::error!(host = &*name; "storage: could not say that the host is empty");
-            answered.borrow_mut().remove(&name);
+        if !write_emptied(&platform, &name).await {
+            log::error!(host = &*name; "storage: could not write that the host is empty");
+            confirmed.borrow_mut().remove(&name);
         }
     })
     .detach();
 }
 
-async fn say_emptied(platform: &Platform, name: &Name) -> bool {
-    for _ in 0..WRITE_TRIES {
+/// Writes that a host is empty, with retries; returns whether it is written or the request was deleted.
+async fn write_emptied(platform: &Platform, name: &Name) -> bool {
+    for _ in 0..MAX_WRITE_ATTEMPTS {
         let key = ObjectKey::new(Kind::Retirement, Name::clone(name));
         match platform.store.set_status(key, platform.dialect.emptied()).await {
             StoreAnswer::Object(_) | StoreAnswer::Absent => {
                 log::info!(host = &**name; "storage: host is empty");
                 return true;
             }
-            _ => compio::time::sleep(WRITE_PAUSE).await,
+            _ => compio::time::sleep(RETRY_PAUSE).await,
         }
     }
     false
