--- a/crates/samphiredoor/tests/it/platform/discovery.rs
+++ b/crates/samphiredoor/tests/it/platform/discovery.rs
@@ -1,4 +1,4 @@
-//! Routes and targets as they change.
+//! Changes of routes and targets, also around outages of the store.
 
 use std::time::Duration;
 
@@ -10,9 +10,9 @@
 
 const FAST: Duration = Duration::from_millis(2);
 
-// A gateway that knows no routes cannot tell a wrong request from a proper one: it must not answer 404.
+// A gateway without routes cannot tell whether a route exists for a request, so it must answer 503 and not 404.
 #[test]
-fn without_routes_nothing_is_refused_for_good() {
+fn a_gateway_without_routes_answers_with_503() {
     let mut platform = Platform::without_routes(BINARY);
     platform.start_target("t-1", FAST);
     platform.spawn_gateway();
@@ -24,9 +24,9 @@
     assert_eq!(platform.send(0, "/stream/check", "id-2", "").status, 200);
 }
 
-// An older configuration is written after a newer one was seen. It must not come back into force.
+// An older configuration is written after a newer one. It must not become active.
 #[test]
-fn an_older_configuration_never_comes_back() {
+fn an_older_configuration_never_replaces_a_newer_one() {
     let mut platform = Platform::new(BINARY);
     platform.start_target("t-1", FAST);
     platform.start_gateway();
@@ -43,8 +43,9 @@
     assert_eq!(platform.send(0, "/old/check", "id-3", "").status, 404);
 }
 
+// A configuration is written during an outage, and the store then drops its history. Gateways must list the routes again.
 #[test]
-fn a_configuration_is_found_where_the_history_is_gone() {
+fn a_configuration_is_activated_although_the_history_is_gone() {
     let mut platform = Platform::new(BINARY);
     platform.start_target("t-1", FAST);
     platform.start_gateway();
@@ -59,32 +60,34 @@
 }
 
 #[test]
-fn a_leaving_target_gets_no_new_work() {
+fn a_leaving_target_gets_no_new_requests() {
     let mut platform = Platform::new(BINARY);
     let leaving = platform.start_target("t-1", FAST);
     platform.start_gateway();
     assert_eq!(platform.send(0, "/stream/check", "id-1", "").status, 200);
     platform.register(&leaving, "draining");
-    wait_until("it gets none", || platform.send(0, "/stream/check", "id-2", "").status == 503);
+    wait_until("it gets no requests", || {
+        platform.send(0, "/stream/check", "id-2", "").status == 503
+    });
     let runs = leaving.runs().len();
     platform.start_target("t-2", FAST);
     wait_until("another serves", || platform.send(0, "/stream/check", "id-3", "").status == 200);
     assert_eq!(leaving.runs().len(), runs);
 }
 
-// Entries of another writer stand among those of targets: fields missing, of another type, a state that nobody knows.
-// They name no target to use, and the others hold.
+// Some entries among those of targets are invalid: missing fields, wrong types, an unknown state. They must be ignored, and
+// valid entries used.
 #[test]
-fn foreign_entries_name_no_target() {
+fn invalid_entries_of_targets_are_ignored() {
     let mut platform = Platform::new(BINARY);
-    let foreign = [
+    let invalid = [
         json!("text"),
         json!({ "service": "reader" }),
         json!({ "service": 7, "addr": "127.0.0.1:1", "zone": "z", "slots": 8, "state": "ready" }),
         json!({ "service": "reader", "addr": "nowhere", "zone": "z", "slots": 8, "state": "ready" }),
         json!({ "service": "reader", "addr": "127.0.0.1:1", "zone": "z", "slots": 8, "state": "asleep" }),
     ];
-    for (number, entry) in foreign.into_iter().enumerate() {
+    for (number, entry) in invalid.into_iter().enumerate() {
         platform.store.put("servers", &format!("foreign-{number}"), entry);
     }
     platform.start_target("t-1", FAST);
@@ -94,10 +97,10 @@
     }
 }
 
-// The store is away, all entries lapse, and the targets write theirs anew about two seconds after its return. To drop
-// them all at once would leave no target to use.
+// Entries of targets expire during an outage of the store, and the targets register again about two seconds after it.
+// Removing all entries at once would leave no target to use.
 #[test]
-fn targets_that_lapsed_with_the_store_still_serve() {
+fn targets_whose_entries_expired_in_an_outage_still_serve() {
     let mut platform = Platform::new(BINARY);
     let target = platform.start_target("t-1", FAST);
     platform.start_gateway();
@@ -115,16 +118,16 @@
     assert_eq!(platform.send(0, "/unsafe/book", "id-9", "").status, 200);
 }
 
-// All gateways are killed while the store answers nothing. They came back knowing neither routes nor targets, and refused
-// every caller until the store was back; now a storage host's process tells them what it saw last.
+// All gateways are killed during an outage of the store. Without routes and targets they would refuse every caller until
+// the outage ends, so they must start from the copy of a storage host.
 #[test]
-fn a_fleet_that_restarts_without_the_store_serves() {
+fn gateways_that_all_restart_in_an_outage_of_the_store_serve() {
     let mut platform = Platform::new(BINARY);
     platform.start_target("t-1", FAST);
     let _storage = platform.start_storage("store-1");
     platform.start_gateway();
     platform.start_gateway();
-    // The storage host's process looks each three seconds.
+    // The storage host's process copies the store's objects every three seconds.
     std::thread::sleep(Duration::from_millis(3_500));
     platform.store.set_fault(StoreFault::Silent);
     for number in 0..2 {
@@ -138,10 +141,10 @@
     platform.wait_logged(1, "version=2");
 }
 
-// A configuration is written while the store does not answer gateways, and one of them starts. What a storage host's process
-// saw last, an older configuration, is in force until the store answers, and never after that.
+// A configuration is written while the store does not answer gateways, and a gateway starts from the copy of a storage host,
+// which has the older configuration. The older one may be active only until the store answers.
 #[test]
-fn what_the_store_says_replaces_what_was_seen_last() {
+fn routes_of_the_store_replace_those_of_a_mirror() {
     let mut platform = Platform::new(BINARY);
     platform.start_target("t-1", FAST);
     let _storage = platform.start_storage("store-1");
@@ -160,55 +163,57 @@
     assert_eq!(platform.send(0, "/stream/check", "id-3", "").status, 404);
 }
 
-// The store falls silent and is back, and cuts no connection; a watch that waited hears nothing any more. A configuration that
-// was written then was in force nowhere until the watch's time was over, half a minute later.
+// The store has an outage without closing connections, and never answers a watch that waited meanwhile. A configuration that
+// is written after the outage must not have to wait for the end of the watch, which took half a minute.
 #[test]
-fn a_watch_that_fell_silent_with_the_store_is_asked_anew() {
+fn a_watch_that_stalled_in_an_outage_is_sent_again() {
     let mut platform = Platform::new(BINARY);
     platform.watch_ms = 300_000;
     platform.start_target("t-1", FAST);
     platform.start_gateway();
     platform.store.set_fault(StoreFault::Silent);
-    // A look for jobs, each two seconds, gets no answer.
+    // Long enough for a scan for jobs, every two seconds, to get no answer.
     std::thread::sleep(Duration::from_millis(4_000));
     platform.store.set_fault(StoreFault::None);
     platform.put_routes(2, 3);
     platform.wait_logged(0, "version=2");
 }
 
-// Callers were served by routes that operators had replaced more than ten seconds before. The store had been silent for less than a
-// second; the watches that gateways asked just then were never answered, and no other call fell into the silence. Cause: a watch
-// that hears nothing cannot tell a silent store from one without changes, and waited for 25 s. Evidence: a gateway's routes' watch
-// failed with waited_ms=16001 while its targets' watch was answered twice.
+// The store has an outage of less than a second, in which it drops the watches that are sent, and no other call fails. A watch
+// without an answer looks like one without changes, so gateways kept waiting for up to 25 s and served callers by routes that
+// had been replaced more than ten seconds before. In one case the watch of the routes failed with waited_ms=16001 while the
+// watch of the targets was answered twice.
 #[test]
-fn deaf_watches_do_not_keep_routes_from_being_in_force() {
+fn stalled_watches_do_not_delay_new_routes() {
     let mut platform = Platform::new(BINARY);
     platform.watch_ms = 300_000;
     platform.start_target("t-1", FAST);
     platform.start_gateway();
-    deafen(&platform);
+    stall_watches(&platform);
     platform.put_routes(2, 3);
     platform.wait_logged(0, "version=2");
 }
 
-// A target says that it leaves after such a silence, and goes on getting requests until it is gone.
+// A target announces after such an outage that it leaves. With a stalled watch, it gets new requests until it has stopped.
 #[test]
-fn deaf_watches_do_not_keep_a_target_from_leaving() {
+fn stalled_watches_do_not_keep_a_target_from_leaving() {
     let mut platform = Platform::new(BINARY);
     platform.watch_ms = 300_000;
     let leaving = platform.start_target("t-1", FAST);
     platform.start_gateway();
     assert_eq!(platform.send(0, "/stream/check", "id-1", "").status, 200);
-    deafen(&platform);
+    stall_watches(&platform);
     platform.register(&leaving, "draining");
-    wait_until("it gets none", || platform.send(0, "/stream/check", "id-2", "").status == 503);
+    wait_until("it gets no requests", || {
+        platform.send(0, "/stream/check", "id-2", "").status == 503
+    });
 }
 
-// One gateway's watch is deaf and the other's is not. The deaf one went on sending requests to a target that leaves for as long as
-// its watch might wait; the other's statuses now tell that there is a change it has not seen. Turns of watches are far too long here
-// to help.
+// The watch of one of two gateways has stalled, and that gateway would send requests to a leaving target until the watch ends.
+// The status messages of the other one show that there is a change that it has not seen. The staggered renewal of watches is
+// set far too long here to help.
 #[test]
-fn a_deaf_watch_is_asked_anew_when_another_gateway_is_ahead() {
+fn a_stalled_watch_is_sent_again_when_a_peer_is_ahead() {
     let mut platform = Platform::new(BINARY);
     platform.watch_ms = 300_000;
     platform.within_ms = 600_000;
@@ -222,34 +227,36 @@
     platform.set_way_fault(1, StoreFault::None);
     platform.register(&leaving, "draining");
     platform.wait_logged(1, "others_ahead");
-    wait_until("it gets none", || platform.send(1, "/stream/check", "id-1", "").status == 503);
+    wait_until("it gets no requests", || {
+        platform.send(1, "/stream/check", "id-1", "").status == 503
+    });
 }
 
-// An operator asks for a storage host to be emptied, and the answer comes half a minute later: the store had been silent for a
-// moment, and the watches of the storage hosts' processes were never answered.
+// An operator requests that a storage host is emptied, after a short outage in which the watches of the storage hosts' processes
+// were dropped. The confirmation took half a minute.
 #[test]
-fn deaf_watches_do_not_keep_a_storage_host_from_being_emptied() {
+fn stalled_watches_do_not_delay_emptying_a_storage_host() {
     let mut platform = Platform::new(BINARY);
     platform.watch_ms = 300_000;
     let _storage = platform.start_storage("store-1");
-    deafen(&platform);
+    stall_watches(&platform);
     platform.store.put("retirements", "store-1", json!({ "overS": 5 }));
-    wait_until("the host is empty", || {
+    wait_until("the storage host is confirmed as empty", || {
         platform.store.status("retirements", "store-1").is_some_and(|it| it["state"] == "completed")
     });
 }
 
-/// Has no watch answered that waits now, and all that are asked later.
-fn deafen(platform: &Platform) {
+/// Has the store drop all watches that wait now; watches that are sent after this are answered.
+fn stall_watches(platform: &Platform) {
     platform.store.set_fault(StoreFault::WatchesSilent);
     std::thread::sleep(Duration::from_millis(1_500));
     platform.store.set_fault(StoreFault::None);
 }
 
-// A gateway starts from a list that is older than a target's leaving. It would send requests to that target for as long as
-// it runs.
+// A gateway starts from a stale list, in which a leaving target is still ready. If it missed the change, it would send
+// requests to that target for as long as it runs.
 #[test]
-fn what_has_changed_since_an_old_list_is_found() {
+fn changes_after_a_stale_list_are_found() {
     let mut platform = Platform::new(BINARY);
     let leaving = platform.start_target("t-1", FAST);
     platform.store.keep_for_stale_lists();
@@ -261,9 +268,10 @@
     assert!(leaving.runs().is_empty());
 }
 
-// The pages of an old list are of different ages. Changes between the oldest and the first one would be missed.
+// The pages of a stale list are of different ages. A watch from the version of the first page would miss changes since the
+// oldest page.
 #[test]
-fn what_has_changed_between_the_pages_of_an_old_list_is_found() {
+fn changes_between_the_pages_of_a_stale_list_are_found() {
     let mut platform = Platform::new(BINARY);
     platform.start_target("t-1", FAST);
     let leaving = platform.start_target("t-2", FAST);
@@ -276,9 +284,10 @@
     assert!(leaving.runs().is_empty());
 }
 
-// All gateways are killed and start again. Each would write its entry, which stands already, and read it.
+// All gateways are killed and restart. Their entries still exist, so writing and reading each of them again would only load
+// the store.
 #[test]
-fn a_gateway_that_starts_again_does_not_register_again() {
+fn a_gateway_that_restarts_does_not_register_again() {
     let mut platform = Platform::new(BINARY);
     platform.start_target("t-1", FAST);
     platform.start_gateway();
--- a/crates/samphiredoor/tests/it/platform/env.rs
+++ b/crates/samphiredoor/tests/it/platform/env.rs
@@ -1,4 +1,4 @@
-//! The fleet of the stand-ins, with the program of this package.
+//! Stand-ins of the platform, and the program that the tests start.
 
 pub use samphiredoor_standin::fleet::{Platform, route, whole_stream};
 
--- a/crates/samphiredoor/tests/it/platform/mod.rs
+++ b/crates/samphiredoor/tests/it/platform/mod.rs
@@ -1,4 +1,4 @@
-//! Tests of gateways on the users' platform, through the real process, with stand-ins of the platform.
+//! Tests of gateway processes on the users' platform, with stand-ins for its store, targets and callers.
 
 mod cells;
 mod discovery;
--- a/crates/samphiredoor/tests/it/platform/narrow_line.rs
+++ b/crates/samphiredoor/tests/it/platform/narrow_line.rs
@@ -1,4 +1,4 @@
-//! Gateways that share a narrow line to the store, as those of a region that is far from it.
+//! Gateways that share a link of low bandwidth to the store, as in a region far from it.
 
 use std::time::Duration;
 
@@ -9,15 +9,15 @@
 use crate::env::wait_until;
 
 const GATEWAYS: usize = 8;
-/// Each route takes some 350 bytes.
+/// Each route has about 350 bytes.
 const ROUTES: usize = 3_000;
-/// Less than the routes take, and more than all else that one gateway is told.
-const FEW_BYTES: usize = 200_000;
-/// The routes take about a second, longer than the time limit of the gateways' calls.
-const LINE_BYTES_PER_S: u64 = 1_000_000;
+/// Less than the size of the routes, and more than everything else that one gateway receives.
+const LESS_THAN_ROUTES_BYTES: usize = 200_000;
+/// The routes take about a second to transfer, longer than the time limit of the gateways' calls.
+const LINK_BYTES_PER_S: u64 = 1_000_000;
 
-/// Gateways tell each other what they have at least twice a second.
-const TOLD_BY: Duration = Duration::from_millis(1_200);
+/// Time after which peers have received a status; gateways send one at least twice a second.
+const STATUS_SENT_WITHIN: Duration = Duration::from_millis(1_200);
 
 fn put_many_routes(platform: &Platform) {
     let routes = (0..ROUTES).map(|number| {
@@ -30,13 +30,14 @@
     platform.store.put("config", "main", config);
 }
 
-// Each would throw away what came of a large answer when its time is over, and ask for it again.
+// Several gateways start at once behind a slow link. If each discarded the part of a large answer that had arrived within
+// the time limit and requested it again, none would ever get the routes.
 #[test]
 fn gateways_that_start_together_all_get_the_routes() {
     let mut platform = Platform::without_routes(BINARY);
     put_many_routes(&platform);
     platform.linked = true;
-    platform.line = Some(SharedRate::new(LINE_BYTES_PER_S));
+    platform.line = Some(SharedRate::new(LINK_BYTES_PER_S));
     for _ in 0..GATEWAYS {
         platform.spawn_gateway();
     }
@@ -45,49 +46,51 @@
     }
 }
 
-// All that are behind would ask the same gateway, beyond the line that they share.
+// Gateways that have missed new routes fetch them from a peer. If all chose the same peer in another region, they would
+// overload the link that they share.
 #[test]
-fn routes_are_taken_from_a_gateway_of_the_own_region() {
+fn routes_are_fetched_from_a_gateway_of_the_own_region() {
     let mut platform = Platform::new(BINARY);
     platform.peers_ip = "127.0.0.9";
     platform.start_gateway();
     (platform.region, platform.peers_ip) = ("cairns", "127.0.0.1");
     platform.start_gateway();
-    let turned_away = platform.start_gateway();
+    let outdated = platform.start_gateway();
     for peer in ["gateway-0", "gateway-1"] {
-        platform.wait_logged(turned_away, &format!("peers: heard peer={peer} "));
+        platform.wait_logged(outdated, &format!("peers: heard peer={peer} "));
     }
-    platform.set_way_fault(turned_away, StoreFault::Busy);
-    // It looks for routes only when both others have told it that they have them.
-    platform.signal(turned_away, "STOP");
+    platform.set_way_fault(outdated, StoreFault::Busy);
+    // Paused until both peers have sent it a status with the new routes, so that it can choose between them.
+    platform.signal(outdated, "STOP");
     platform.put_routes(2, 1);
     for holder in [0, 1] {
         platform.wait_logged(holder, "routes: activated version=2 ");
     }
-    std::thread::sleep(TOLD_BY);
-    platform.signal(turned_away, "CONT");
-    platform.wait_logged(turned_away, "routes: activated version=2 ");
+    std::thread::sleep(STATUS_SENT_WITHIN);
+    platform.signal(outdated, "CONT");
+    platform.wait_logged(outdated, "routes: activated version=2 ");
     let taken = "routes: taken from another gateway version=2 peer=127.0.0.1:";
-    assert_eq!(platform.times_logged(turned_away, taken), 1, "taken from its own region");
+    assert_eq!(platform.times_logged(outdated, taken), 1, "fetched from its own region");
 }
 
-// A gateway that has started from what a storage host saw last would fetch the same once more as soon as the store answers.
+// A gateway starts from the copy of a storage host during an outage. It must not transfer the same objects again when the
+// store is reachable.
 #[test]
-fn what_a_storage_host_has_told_is_not_fetched_from_the_store() {
+fn what_a_mirror_has_sent_is_not_fetched_from_the_store() {
     let mut platform = Platform::without_routes(BINARY);
     put_many_routes(&platform);
     let _storage = platform.start_storage("store-1");
-    let looked = || platform.store.calls().contains_key("GET doors");
-    wait_until("the storage host's process has seen all kinds", looked);
-    let line = SharedRate::new(LINE_BYTES_PER_S);
+    let has_copied = || platform.store.calls().contains_key("GET doors");
+    wait_until("the mirror has copied all kinds", has_copied);
+    let link = SharedRate::new(LINK_BYTES_PER_S);
     platform.linked = true;
-    platform.line = Some(line.clone());
+    platform.line = Some(link.clone());
     platform.store.set_fault(StoreFault::Silent);
     platform.start_gateway();
     platform.store.set_fault(StoreFault::None);
-    let asked = || platform.store.calls()["GET config"];
-    let before = asked();
-    wait_until("the routes are watched", || asked() >= before + 6);
-    let carried = line.carried_bytes();
-    assert!(carried < FEW_BYTES, "bytes that were fetched: {carried}");
+    let calls = || platform.store.calls()["GET config"];
+    let before = calls();
+    wait_until("the routes are watched", || calls() >= before + 6);
+    let transferred = link.carried_bytes();
+    assert!(transferred < LESS_THAN_ROUTES_BYTES, "transferred bytes: {transferred}");
 }
--- a/crates/samphiredoor/tests/it/platform/streams.rs
+++ b/crates/samphiredoor/tests/it/platform/streams.rs
@@ -1,4 +1,5 @@
-//! Online requests: whole, once, and truly refused.
+//! Online requests: answers are complete, requests that must not repeat run at most once, and a refusal means that the
+//! request did not run.
 
 use std::time::Duration;
 
@@ -8,7 +9,7 @@
 
 const FAST: Duration = Duration::from_millis(2);
 
-/// Platform with two replicas and one gateway.
+/// Starts a platform with two targets and one gateway.
 fn two_targets() -> (Platform, [samphiredoor_standin::platform_target::PlatformTarget; 2]) {
     let mut platform = Platform::new(BINARY);
     let targets = [platform.start_target("t-1", FAST), platform.start_target("t-2", FAST)];
@@ -17,7 +18,7 @@
 }
 
 #[test]
-fn a_stream_is_passed_on_whole_with_its_headers() {
+fn a_stream_is_forwarded_whole_with_its_headers() {
     let (platform, targets) = two_targets();
     let answer = platform.send(0, "/stream/check", "id-1", "is it covered?");
     assert_eq!((answer.status, answer.text), (200, whole_stream()));
@@ -37,9 +38,9 @@
     assert_eq!(platform.send(0, "/unknown/check", "id-1", "").status, 404);
 }
 
-// A replica breaks off in the middle of an event. The caller must get each event once, from whichever replica goes on.
+// A target disconnects in the middle of an event and another one resumes the stream. The caller must get each event once.
 #[test]
-fn a_resumable_stream_goes_on_at_another_target() {
+fn a_resumable_stream_is_resumed_at_another_target() {
     let (platform, targets) = two_targets();
     for target in &targets {
         target.fail_next(1, TargetFault::CutAfter(3));
@@ -52,9 +53,10 @@
     assert_eq!(after, [None, Some(3), Some(6)][..after.len()]);
 }
 
-// A replica breaks off, and the request must not run again. An answer that ended in order would look whole.
+// A target disconnects, and the request must not run again. The caller's connection must end with an error: an answer that
+// ended normally would look complete.
 #[test]
-fn a_stream_that_must_not_run_again_is_cut() {
+fn an_interrupted_stream_that_must_not_run_again_ends_with_an_error() {
     let (platform, targets) = two_targets();
     for target in &targets {
         target.fail_next(1, TargetFault::CutAfter(3));
@@ -63,10 +65,10 @@
     assert_eq!(targets.iter().map(|it| it.runs().len()).sum::<usize>(), 1);
 }
 
-// A replica runs a booking and its answer is lost. To send it again would book twice; to say that it did not run would
-// make the caller do so.
+// A target runs a booking and its answer is lost. A retry by the gateway would book twice, and so would a retry by the
+// caller after an answer that claims that the request did not run.
 #[test]
-fn a_lost_answer_of_a_request_that_runs_once_is_in_doubt() {
+fn a_lost_answer_of_a_request_that_must_run_once_is_answered_with_502() {
     let (platform, targets) = two_targets();
     for target in &targets {
         target.fail_next(1, TargetFault::AnswerLost);
@@ -76,7 +78,7 @@
 }
 
 #[test]
-fn a_lost_answer_of_a_repeatable_request_is_tried_elsewhere() {
+fn a_repeatable_request_whose_answer_is_lost_is_retried_at_another_target() {
     let (platform, targets) = two_targets();
     for target in &targets {
         target.fail_next(1, TargetFault::AnswerLost);
@@ -85,9 +87,9 @@
     assert_eq!((answer.status, answer.text), (200, whole_stream()));
 }
 
-// A replica is full and says that it did not run the request: any other may have it, also one that must run once.
+// A full target answers that it did not run the request, so even a request that must run once can go to another target.
 #[test]
-fn what_a_full_target_refused_goes_to_another() {
+fn a_request_that_a_full_target_refused_is_sent_to_another() {
     let (platform, targets) = two_targets();
     targets[0].fail_next(100, TargetFault::Full);
     for number in 0..4 {
@@ -98,7 +100,7 @@
 }
 
 #[test]
-fn a_request_that_no_target_takes_is_refused_with_a_time_to_come_back() {
+fn a_request_that_all_targets_refuse_is_answered_with_503_and_retry_after() {
     let (platform, targets) = two_targets();
     for target in &targets {
         target.fail_next(100, TargetFault::Full);
@@ -109,7 +111,7 @@
     assert!(targets.iter().all(|it| it.runs().is_empty()));
 }
 
-// Guards against a refusal as "not run" of a request that failed at one target and that the others do not take.
+// A request fails at one target and the others refuse it. Its answer must not claim that the request did not run.
 #[test]
 fn a_request_that_ran_and_failed_is_not_refused_as_not_run() {
     let (platform, targets) = two_targets();
@@ -122,10 +124,10 @@
     assert!(![408, 421, 429, 503].contains(&answer.status), "{} {}", answer.status, answer.text);
 }
 
-// On a kept connection a replica first sends a second answer to an earlier request, then the one that is due. Paired by
-// order alone, the caller would get the answer of somebody else.
+// On a reused connection a target sends a second answer to an earlier request before the expected one. If answers were
+// matched by order alone, the caller would get the answer to another request.
 #[test]
-fn a_stray_answer_is_not_taken_for_the_own_one() {
+fn a_second_answer_to_an_earlier_request_is_not_forwarded() {
     let (platform, targets) = two_targets();
     for number in 0..4 {
         platform.send(0, "/safe/ask", &format!("warm-{number}"), "");
@@ -139,7 +141,7 @@
 }
 
 #[test]
-fn an_answer_that_ends_in_order_with_its_connection_is_whole() {
+fn an_answer_that_is_ended_by_closing_the_connection_is_whole() {
     let (platform, targets) = two_targets();
     for target in &targets {
         target.fail_next(1, TargetFault::Unframed);
@@ -148,22 +150,22 @@
     assert_eq!((answer.status, answer.text), (200, whole_stream()));
 }
 
-// The address of a replica that is gone is used again by another one. Its work must not reach the newcomer.
+// The address of a former target is reused by another one. Requests for the former target must not run at the new one.
 #[test]
-fn a_target_at_a_reused_address_gets_nothing() {
+fn a_new_target_at_a_reused_address_runs_no_requests_of_the_former_one() {
     let mut platform = Platform::new(BINARY);
-    let newcomer = platform.start_target("newcomer", FAST);
+    let new_target = platform.start_target("newcomer", FAST);
     platform.store.remove("servers", "newcomer");
-    let entry = newcomer.entry("reader", "brisbane-north", "ready");
+    let entry = new_target.entry("reader", "brisbane-north", "ready");
     platform.store.put("servers", "former", entry);
     platform.start_gateway();
     assert_eq!(platform.send(0, "/unsafe/book", "id-1", "").status, 503);
-    assert!(newcomer.runs().is_empty());
+    assert!(new_target.runs().is_empty());
 }
 
-// The caller's time is over while a replica works. It gets its answer then, and it is in doubt.
+// The deadline passes while a target still works. The caller must get an answer then, and the request may have run.
 #[test]
-fn a_request_whose_time_is_over_gets_its_answer_at_once() {
+fn a_request_whose_deadline_passes_is_answered_with_504() {
     let (platform, targets) = two_targets();
     for target in &targets {
         target.fail_next(1, TargetFault::Silent);
