--- a/crates/samphiredoor/tests/it/platform/mod.rs
+++ b/crates/samphiredoor/tests/it/platform/mod.rs
@@ -5,7 +5,7 @@
 mod ends;
 mod env;
 mod jobs;
-mod narrow_line;
+mod slow_link;
 mod soak;
 mod stops;
 mod streams;
