--- a/crates/samphiredoor-gateway/src/storage.rs
+++ b/crates/samphiredoor-gateway/src/storage.rs
@@ -96,7 +96,7 @@
                 }
             }),
             Seen::Lost => log::warn!("storage: store lost"),
-            Seen::Regained => log::info!("storage: store answers again"),
+            Seen::Regained => log::info!("storage: store recovered"),
         }
     }
 }
