--- a/crates/samphiredoor-gateway/src/front/forwarded_stream.rs
+++ b/crates/samphiredoor-gateway/src/front/forwarded_stream.rs
@@ -8,12 +8,12 @@
 
 use super::{
     attempt::next_piece,
-    online::{ActiveStream, NoAnswer, Online},
+    online::{ActiveStream, NoAnswer, OnlineRequest},
 };
 
 /// A stream that is being forwarded. Dropping it, as when the caller disconnects, closes the connection to the target.
 pub struct ForwardedStream {
-    request: Online,
+    request: OnlineRequest,
     /// `None` after the end of the stream.
     active: Option<ActiveStream>,
     /// Number of the last event that was forwarded.
@@ -24,7 +24,7 @@
 
 impl ForwardedStream {
     /// Creates a stream of which nothing has been forwarded.
-    pub fn new(request: Online, active: ActiveStream) -> ForwardedStream {
+    pub fn new(request: OnlineRequest, active: ActiveStream) -> ForwardedStream {
         ForwardedStream { request, active: Some(active), last_event: None }
     }
 
--- a/crates/samphiredoor-gateway/src/front/mod.rs
+++ b/crates/samphiredoor-gateway/src/front/mod.rs
@@ -35,7 +35,7 @@
     routes::Routes,
     target_client::TargetClient,
 };
-use online::Online;
+use online::OnlineRequest;
 
 /// Time limit for reading a whole request body. The operators' limits bound only the waits for a request and its head.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
@@ -99,7 +99,7 @@
             front.jobs.submit(submitted, Acceptors::Any).await
         }
         RouteKind::Repeatable | RouteKind::Once | RouteKind::Stream { .. } => {
-            Online::new(Rc::clone(front), route, parts, body).answer().await
+            OnlineRequest::new(Rc::clone(front), route, parts, body).answer().await
         }
     }
 }
--- a/crates/samphiredoor-gateway/src/front/online.rs
+++ b/crates/samphiredoor-gateway/src/front/online.rs
@@ -58,7 +58,7 @@
 ];
 
 /// An online request and the state of its retries.
-pub struct Online {
+pub struct OnlineRequest {
     pub(super) front: Rc<Front>,
     pub(super) route: Arc<Route>,
     pub(super) id: String,
@@ -117,14 +117,14 @@
     Doubt(Doubt),
 }
 
-impl Online {
+impl OnlineRequest {
     /// Creates a request from its parts as received; hop-by-hop headers are removed.
     pub fn new(
         front: Rc<Front>,
         route: Arc<Route>,
         mut parts: request::Parts,
         body: Bytes,
-    ) -> Online {
+    ) -> OnlineRequest {
         let names = front.dialect.headers();
         let id = parts.headers.get(&names.request_id).and_then(|it| it.to_str().ok());
         let id = id.unwrap_or_default().to_owned();
@@ -134,7 +134,7 @@
         strip_hop_by_hop_headers(&mut parts.headers);
         parts.headers.remove(header::CONTENT_LENGTH);
         let started = Instant::now();
-        Online {
+        OnlineRequest {
             service: route.service(rand::random()).cloned(),
             call: Call { method: parts.method, uri: parts.uri, headers: parts.headers, body },
             _open: OpenRequestGuard::new(&front.open_requests),
