--- a/crates/samphiredoor-gateway/src/target_client.rs
+++ b/crates/samphiredoor-gateway/src/target_client.rs
@@ -37,7 +37,7 @@
         Ok(target) => {
             call.headers.insert(names.expect_target.clone(), target);
         }
-        // Cannot happen: entries whose names are no valid header value are rejected when they are read from the store.
+        // Not expected: entries whose names are no valid header value are rejected when they are read from the store.
         Err(err) => {
             log::error!(target = &**target, problem:% = err; "target: name is no valid header value, not sent")
         }
