--- a/crates/samphiredoor-gateway/src/discovery.rs
+++ b/crates/samphiredoor-gateway/src/discovery.rs
@@ -11,14 +11,14 @@
 use samphiredoor_net::pool::within;
 
 use crate::{
-    edge::{Change, Dialect, Platform},
     metrics::Metrics,
     peers::Roster,
-    placement::Placer,
+    placement::PlacementHandle,
+    platform_api::{Change, Dialect, Platform},
     routes::Routes,
     store_health::StoreHealth,
     target_client::TargetClient,
-    watch::{Follower, Seen},
+    watch::{StoreEvent, Watcher},
 };
 
 /// How long an entry that is missing after an outage of the store is kept. Entries expire during an outage, and running
@@ -33,7 +33,7 @@
     pub platform: Platform,
     /// Active routes.
     pub routes: Routes,
-    /// Updated with the state of the store that the follower of the routes reports.
+    /// Updated with the state of the store that the watcher of the routes reports.
     pub health: StoreHealth,
     /// Metrics of the process.
     pub metrics: Rc<Metrics>,
@@ -48,18 +48,18 @@
     }
 
     /// Follows the routes in the store for as long as the process runs.
-    pub async fn run(self: Rc<Self>, mut follower: Follower) {
+    pub async fn run(self: Rc<Self>, mut watcher: Watcher) {
         loop {
-            match follower.next().await {
-                Seen::All(all) => all.into_iter().for_each(|it| self.activate(it)),
-                Seen::Changes(changes) => changes.into_iter().for_each(|it| match it {
+            match watcher.next().await {
+                StoreEvent::Snapshot(all) => all.into_iter().for_each(|it| self.activate(it)),
+                StoreEvent::Changes(changes) => changes.into_iter().for_each(|it| match it {
                     Change::Written(stored) => self.activate(stored),
                     Change::Deleted(name) => {
                         log::warn!(object = &*name; "routes: object deleted, keeping the active routes");
                     }
                 }),
-                Seen::Lost => self.health.lost(),
-                Seen::Regained => self.health.regained(),
+                StoreEvent::Lost => self.health.mark_lost(),
+                StoreEvent::Recovered => self.health.mark_recovered(),
             }
         }
     }
@@ -69,14 +69,14 @@
         match self.platform.dialect.routes(&stored) {
             Ok(Some(table)) => {
                 let (version, before, count) = (table.version, self.routes.version(), table.len());
-                if self.routes.offer(table, &stored) {
+                if self.routes.update_if_newer(table, &stored) {
                     self.metrics.routes_version(version);
                     log::info!(version, before, routes = count; "routes: activated");
                 }
             }
             Ok(None) => {}
             Err(problem) => {
-                self.metrics.foreign("routes");
+                self.metrics.invalid_entry("routes");
                 log::warn!(object = &*stored.name, problem; "routes: invalid object ignored");
             }
         }
@@ -88,7 +88,7 @@
     /// Store and formats of the platform.
     pub platform: Platform,
     /// Placement, which gets every new version of the table.
-    pub placer: Placer,
+    pub placement: PlacementHandle,
     /// Known gateways, from which the targets of the own cell are computed.
     pub roster: Roster,
     /// Connections to targets; those to removed targets are closed.
@@ -101,17 +101,17 @@
 
 impl TargetsTask {
     /// Follows the targets in the store for as long as the process runs.
-    pub async fn run(self, mut follower: Follower) {
+    pub async fn run(self, mut watcher: Watcher) {
         let mut table = TargetTable::default();
         loop {
             let left = table
                 .next_expiry()
                 .map_or(FOREVER, |it| it.saturating_duration_since(Instant::now()));
-            match within(left, follower.next()).await {
-                Some(Seen::All(all)) => table.replace(self.read_all(all)),
-                Some(Seen::Changes(changes)) => self.apply_changes(&mut table, changes),
-                Some(Seen::Lost) => continue,
-                Some(Seen::Regained) => {
+            match within(left, watcher.next()).await {
+                Some(StoreEvent::Snapshot(all)) => table.replace(self.read_all(all)),
+                Some(StoreEvent::Changes(changes)) => self.apply_changes(&mut table, changes),
+                Some(StoreEvent::Lost) => continue,
+                Some(StoreEvent::Recovered) => {
                     table.start_grace();
                     continue;
                 }
@@ -147,9 +147,9 @@
         self.known.set(Some(targets.len()));
         let names: HashSet<Name> = table.entries.keys().cloned().collect();
         self.client.keep_only(&names);
-        self.roster.targets(targets.iter());
-        self.placer.targets(targets);
-        self.placer.own_targets(self.roster.own_targets());
+        self.roster.set_targets(targets.iter());
+        self.placement.set_targets(targets);
+        self.placement.set_cell_targets(self.roster.own_cell_targets());
     }
 }
 
@@ -157,7 +157,7 @@
     match dialect.target(stored) {
         Ok(entry) => Some(entry),
         Err(problem) => {
-            metrics.foreign("target");
+            metrics.invalid_entry("target");
             log::warn!(target = &*stored.name, problem; "targets: invalid entry ignored");
             None
         }
--- a/crates/samphiredoor-gateway/src/front/answers.rs
+++ b/crates/samphiredoor-gateway/src/front/answers.rs
@@ -4,19 +4,19 @@
     Response, StatusCode,
     header::{self, HeaderValue},
 };
-use samphiredoor_core::verdict::{Doubt, Refusal};
+use samphiredoor_core::verdict::{MayHaveRunReason, Refusal};
 use samphiredoor_net::{Body, answers};
 use serde_json::json;
 
 /// Answer with the JSON body `{"error": message}`.
-pub fn plain(status: StatusCode, message: &str) -> Response<Body> {
+pub fn json_message(status: StatusCode, message: &str) -> Response<Body> {
     let text = json!({ "error": message }).to_string();
     answers::json(status, text)
 }
 
 /// 503 answer to a request that has certainly not run, with a `Retry-After` header in seconds to three decimals.
-pub fn refused(reason: Refusal, retry_after_ms: u64) -> Response<Body> {
-    let mut response = plain(StatusCode::SERVICE_UNAVAILABLE, reason.label());
+pub fn refusal_response(reason: Refusal, retry_after_ms: u64) -> Response<Body> {
+    let mut response = json_message(StatusCode::SERVICE_UNAVAILABLE, reason.label());
     let seconds = format!("{}.{:03}", retry_after_ms / 1_000, retry_after_ms % 1_000);
     if let Ok(seconds) = HeaderValue::from_str(&seconds) {
         response.headers_mut().insert(header::RETRY_AFTER, seconds);
@@ -25,10 +25,10 @@
 }
 
 /// Answer to a request that may have run: 504 if the deadline passed, otherwise 502.
-pub fn in_doubt(reason: Doubt) -> Response<Body> {
+pub fn in_doubt(reason: MayHaveRunReason) -> Response<Body> {
     let status = match reason {
-        Doubt::DeadlinePassed => StatusCode::GATEWAY_TIMEOUT,
+        MayHaveRunReason::DeadlinePassed => StatusCode::GATEWAY_TIMEOUT,
         _ => StatusCode::BAD_GATEWAY,
     };
-    plain(status, reason.label())
+    json_message(status, reason.label())
 }
--- a/crates/samphiredoor-gateway/src/front/attempt.rs
+++ b/crates/samphiredoor-gateway/src/front/attempt.rs
@@ -6,7 +6,7 @@
 };
 
 use hyper::{Response, http::response};
-use samphiredoor_core::{Name, placement::AttemptEnd, verdict::Doubt};
+use samphiredoor_core::{Name, placement::AttemptEnd, verdict::MayHaveRunReason};
 use samphiredoor_net::{
     Call,
     body::{self, PieceError, read_whole},
@@ -14,8 +14,8 @@
 };
 
 use crate::{
-    edge::HeaderNames,
     events::{EventBuffer, is_event_stream},
+    platform_api::HeaderNames,
     target_client::{self, TargetClient},
 };
 
@@ -39,7 +39,7 @@
     /// The target certainly did not run the request.
     NotRun(AttemptEnd),
     /// The target may have run the request, but its answer was lost.
-    Doubt(AttemptEnd, Doubt),
+    Doubt(AttemptEnd, MayHaveRunReason),
 }
 
 /// Time limits of an attempt.
@@ -58,10 +58,10 @@
     }
 
     /// Outcome of a wait that timed out: the deadline has passed, or the target sent nothing for too long.
-    pub fn expired(&self) -> (AttemptEnd, Doubt) {
+    pub fn expired(&self) -> (AttemptEnd, MayHaveRunReason) {
         match self.remaining().is_zero() {
-            true => (AttemptEnd::Cut, Doubt::DeadlinePassed),
-            false => (AttemptEnd::Silent, Doubt::ConnectionLost),
+            true => (AttemptEnd::Cut, MayHaveRunReason::DeadlinePassed),
+            false => (AttemptEnd::Silent, MayHaveRunReason::ConnectionLost),
         }
     }
 
@@ -79,7 +79,7 @@
     call: &mut Call,
     timeouts: Timeouts,
 ) -> AttemptOutcome {
-    target_client::address(call, names, target, timeouts.remaining());
+    target_client::set_target_headers(call, names, target, timeouts.remaining());
     let response = match within(timeouts.next_read(), client.send(target, address, call)).await {
         Some(Ok(response)) => response,
         Some(Err(SendError::NotSent(err))) => {
@@ -88,14 +88,14 @@
         }
         Some(Err(SendError::MayHaveRun(err))) => {
             log::info!(target = &**target, problem:% = err; "target: answer lost");
-            return AttemptOutcome::Doubt(AttemptEnd::Lost, Doubt::ConnectionLost);
+            return AttemptOutcome::Doubt(AttemptEnd::Lost, MayHaveRunReason::ConnectionLost);
         }
         None => {
             let (end, doubt) = timeouts.expired();
             return AttemptOutcome::Doubt(end, doubt);
         }
     };
-    if let Some(end) = target_client::not_run(names, &response) {
+    if let Some(end) = target_client::not_run_reason(names, &response) {
         return AttemptOutcome::NotRun(end);
     }
     read_answer(response, timeouts).await
@@ -109,8 +109,8 @@
     let whole = read_whole(body, MAX_WHOLE_BYTES);
     match within(timeouts.remaining(), whole).await {
         Some(Ok(body)) => AttemptOutcome::Whole(Box::new(parts), body),
-        Some(Err(_)) => AttemptOutcome::Doubt(AttemptEnd::Lost, Doubt::AnswerCut),
-        None => AttemptOutcome::Doubt(AttemptEnd::Cut, Doubt::DeadlinePassed),
+        Some(Err(_)) => AttemptOutcome::Doubt(AttemptEnd::Lost, MayHaveRunReason::AnswerCut),
+        None => AttemptOutcome::Doubt(AttemptEnd::Cut, MayHaveRunReason::DeadlinePassed),
     }
 }
 
@@ -140,9 +140,9 @@
 pub async fn next_piece(
     answer: &mut Answer,
     timeouts: Timeouts,
-) -> Result<Option<bytes::Bytes>, (AttemptEnd, Doubt)> {
+) -> Result<Option<bytes::Bytes>, (AttemptEnd, MayHaveRunReason)> {
     body::next_piece(answer, timeouts.next_read()).await.map_err(|err| match err {
-        PieceError::Cut => (AttemptEnd::Lost, Doubt::AnswerCut),
+        PieceError::Cut => (AttemptEnd::Lost, MayHaveRunReason::AnswerCut),
         PieceError::Late => timeouts.expired(),
     })
 }
--- a/crates/samphiredoor-gateway/src/front/forwarded_stream.rs
+++ b/crates/samphiredoor-gateway/src/front/forwarded_stream.rs
@@ -3,7 +3,7 @@
 
 use bytes::{Bytes, BytesMut};
 use futures_util::Stream;
-use samphiredoor_core::{placement::AttemptEnd, routes::RouteKind, verdict::Doubt};
+use samphiredoor_core::{placement::AttemptEnd, routes::RouteKind, verdict::MayHaveRunReason};
 use samphiredoor_net::BoxError;
 
 use super::{
@@ -57,7 +57,7 @@
 
     fn finish(&mut self) -> Option<Piece> {
         let mut active = self.active.take()?;
-        active.ticket.ended(AttemptEnd::Answered);
+        active.ticket.report_end(AttemptEnd::Answered);
         self.request.front.metrics.whole(self.request.started.elapsed());
         self.request.log_end("streamed", 200);
         let rest = active.started.events.take_rest();
@@ -65,9 +65,13 @@
     }
 
     /// Resumes an interrupted stream at another target; returns the error that ends the answer if it cannot be resumed.
-    async fn resume_or_fail(&mut self, end: AttemptEnd, doubt: Doubt) -> Option<BoxError> {
+    async fn resume_or_fail(
+        &mut self,
+        end: AttemptEnd,
+        doubt: MayHaveRunReason,
+    ) -> Option<BoxError> {
         let mut active = self.active.take()?;
-        active.ticket.ended(end);
+        active.ticket.report_end(end);
         log::info!(
             request = self.request.id, target = &*active.target, after = self.last_event.unwrap_or(0),
             reason = doubt.label();
--- a/crates/samphiredoor-gateway/src/front/online.rs
+++ b/crates/samphiredoor-gateway/src/front/online.rs
@@ -18,21 +18,21 @@
 use samphiredoor_core::{
     Name,
     dispatch::Class,
-    placement::{Ask, AttemptEnd},
+    placement::{AttemptEnd, RequestSpec},
     routes::Route,
-    verdict::{Doubt, Refusal},
+    verdict::{MayHaveRunReason, Refusal},
 };
 use samphiredoor_net::{Body, Call};
 use smallvec::SmallVec;
 
 use super::{
     Front,
-    answers::{in_doubt, refused},
+    answers::{in_doubt, refusal_response},
     attempt::{AttemptOutcome, StartedStream, Timeouts, run_attempt},
     forwarded_stream::ForwardedStream,
     header_number,
 };
-use crate::placement::{Placed, Ticket};
+use crate::placement::{Decision, Ticket};
 
 /// Deadline of a request that has no deadline header.
 const DEFAULT_DEADLINE_MS: u64 = 60_000;
@@ -73,7 +73,7 @@
     sends: u32,
     tried: SmallVec<[Name; 2]>,
     /// Why it is unknown whether an earlier attempt ran, if one may have.
-    doubt: Option<Doubt>,
+    doubt: Option<MayHaveRunReason>,
     /// The last 5xx answer of a target; it becomes the answer if no other target answers.
     server_error: Option<(Box<response::Parts>, Bytes)>,
     _open: OpenRequestGuard,
@@ -114,7 +114,7 @@
 #[derive(Debug, Clone, Copy)]
 pub(super) enum NoAnswer {
     Refused { reason: Refusal, retry_after_ms: u64 },
-    Doubt(Doubt),
+    Doubt(MayHaveRunReason),
 }
 
 impl OnlineRequest {
@@ -177,7 +177,7 @@
         let response = match why {
             NoAnswer::Refused { reason, retry_after_ms } => {
                 self.front.metrics.refused(reason);
-                refused(reason, retry_after_ms)
+                refusal_response(reason, retry_after_ms)
             }
             NoAnswer::Doubt(doubt) => in_doubt(doubt),
         };
@@ -211,7 +211,7 @@
     pub(super) async fn resume(
         &mut self,
         after: u64,
-        doubt: Doubt,
+        doubt: MayHaveRunReason,
     ) -> Result<ActiveStream, NoAnswer> {
         self.doubt = Some(doubt);
         if !self.may_run_again() {
@@ -239,10 +239,10 @@
                 let why = self.refused_or_doubt(Refusal::DeadlineTooShort);
                 return self.final_outcome(why);
             }
-            let mut ticket = self.front.placer.ask(self.ask());
-            let (target, address) = match ticket.placed().await {
-                Placed::Go { target, address } => (target, address),
-                Placed::Refused { reason, retry_after_ms } => {
+            let mut ticket = self.front.placement.request(self.ask());
+            let (target, address) = match ticket.next_decision().await {
+                Decision::Dispatch { target, address } => (target, address),
+                Decision::Refused { reason, retry_after_ms } => {
                     let why = match self.doubt {
                         Some(doubt) => NoAnswer::Doubt(doubt),
                         None => NoAnswer::Refused { reason, retry_after_ms },
@@ -250,7 +250,7 @@
                     return self.final_outcome(why);
                 }
                 // Not reached: only items of batch jobs are preempted.
-                Placed::Recalled => continue,
+                Decision::Preempted => continue,
             };
             self.sends += 1;
             let names = self.front.dialect.headers();
@@ -280,7 +280,7 @@
             }
             AttemptOutcome::Whole(parts, body) => {
                 self.runs += 1;
-                ticket.ended(AttemptEnd::Answered);
+                ticket.report_end(AttemptEnd::Answered);
                 self.report_load(&target, &parts.headers);
                 if parts.status.is_server_error() && self.may_run_again() {
                     self.front.metrics.retried("target_failed");
@@ -291,14 +291,14 @@
                 Some(Outcome::Whole(parts, body))
             }
             AttemptOutcome::NotRun(end) => {
-                ticket.ended(end);
+                ticket.report_end(end);
                 self.log_attempt_end(&target, end);
                 self.tried.push(target);
                 None
             }
             AttemptOutcome::Doubt(end, doubt) => {
                 self.runs += 1;
-                ticket.ended(end);
+                ticket.report_end(end);
                 self.doubt = Some(doubt);
                 self.log_attempt_end(&target, end);
                 self.tried.push(target);
@@ -326,7 +326,7 @@
 
     fn report_load(&self, target: &Name, headers: &HeaderMap) {
         if let Some(load) = self.front.dialect.reported_load(headers) {
-            self.front.placer.reported(target, load);
+            self.front.placement.report_load(target, load);
         }
     }
 
@@ -347,17 +347,17 @@
         }
     }
 
-    fn ask(&self) -> Ask {
+    fn ask(&self) -> RequestSpec {
         let queue_ms = self.route.objective_ms / QUEUE_WAIT_DIVISOR;
-        Ask {
-            request: self.front.placer.next_request(),
+        RequestSpec {
+            request: self.front.placement.next_request(),
             class: Class::Online,
             service: self.service.clone().unwrap_or_else(|| Name::from("")),
             priority: self.route.priority,
             affinity: self.affinity,
-            tried: self.tried.clone(),
-            until_ms: self.front.clock.now().mono_ms + queue_ms,
-            ran_ms: 0,
+            tried_targets: self.tried.clone(),
+            deadline_ms: self.front.clock.now().mono_ms + queue_ms,
+            prior_run_ms: 0,
         }
     }
 }
--- a/crates/samphiredoor-gateway/src/jobs/job_task/mod.rs
+++ b/crates/samphiredoor-gateway/src/jobs/job_task/mod.rs
@@ -29,7 +29,7 @@
     JobEnv, clearance::Clearance, directory::Directory, item_run::SharedOutput, stored::Unread,
     submit::until,
 };
-use crate::edge::ResultsPage;
+use crate::platform_api::ResultsPage;
 
 /// How often a working job looks whether its process still reaches the store.
 const LOOK_PAUSE: Duration = Duration::from_millis(500);
@@ -186,7 +186,7 @@
         let due_in = until(&env, owned.header.due_unix_ms).as_millis() as u64;
         let due_at_ms = env.clock.now().mono_ms + due_in;
         let given = owned.is_new.then_some(owned.gaps);
-        let (gaps, health) = (env.gaps.clone(), env.health.clone());
+        let (gaps, health) = (env.liveness_gaps.clone(), env.health.clone());
         let clearance = Rc::new(Clearance::new(gaps, health, messages.clone(), given));
         JobTask {
             clearance,
@@ -245,7 +245,7 @@
                 self.readers.push(Reader { after, arrived: Instant::now(), until, reply });
             }
             JobMessage::Item { id, reply } => {
-                let found = self.items.find(&id).filter(|(item, _)| !self.log.is_decided(*item));
+                let found = self.items.find(&id).filter(|(item, _)| !self.log.has_result(*item));
                 let _ = reply.send(found.map(|(_, it)| Arc::clone(it)));
             }
             JobMessage::RunEnded { item, end } => self.run_ended(item, end),
@@ -306,6 +306,6 @@
     }
 
     fn is_complete(&self) -> bool {
-        self.log.standing().len() as u32 == self.items.len()
+        self.log.committed().len() as u32 == self.items.len()
     }
 }
--- a/crates/samphiredoor-gateway/src/lib.rs
+++ b/crates/samphiredoor-gateway/src/lib.rs
@@ -11,12 +11,12 @@
 //! - `peers` exchanges load, routes and job owners with **other gateways**;
 //! - `mirror` serves what a gateway needs to start during an outage of the store; `storage` runs it.
 //!
-//! `edge` has the traits that connect the gateway to its platform; nothing in this package is specific to one platform.
+//! `platform_api` has the traits that connect the gateway to its platform; nothing in this package is specific to one platform.
 //! `process` starts all parts from a [`config::GatewayConfig`], and `settings` reads the settings files of any process.
 
 pub mod config;
-pub mod edge;
 pub mod logging;
+pub mod platform_api;
 pub mod process;
 pub mod settings;
 pub mod storage;
@@ -30,7 +30,7 @@
 mod peers;
 mod placement;
 mod routes;
-mod sightings;
+mod seen_versions;
 mod store_health;
 mod target_client;
 mod watch;
--- a/crates/samphiredoor-gateway/src/peers/listener.rs
+++ b/crates/samphiredoor-gateway/src/peers/listener.rs
@@ -10,12 +10,12 @@
 use samphiredoor_core::Name;
 
 use super::{
-    Mates, Owner, Owners, Roster,
+    CellStatuses, JobOwners, Owner, Roster,
     datagram::{Datagram, MAX_BYTES},
     status::Status,
     summary::Summary,
 };
-use crate::{metrics::Metrics, placement::Placer, store_health::StoreHealth};
+use crate::{metrics::Metrics, placement::PlacementHandle, store_health::StoreHealth};
 
 /// Takes the datagrams of other gateways.
 pub struct Listener {
@@ -24,11 +24,11 @@
     /// Other gateways.
     pub roster: Roster,
     /// What the own cell's gateways told.
-    pub mates: Mates,
+    pub cell_statuses: CellStatuses,
     /// Where the loads of others are told.
-    pub placer: Placer,
+    pub placement: PlacementHandle,
     /// Where the owners of jobs are told.
-    pub owners: Owners,
+    pub owners: JobOwners,
     /// Whether the store answers.
     pub health: StoreHealth,
     /// Counters.
@@ -53,7 +53,7 @@
             Ok(Datagram::Status(status)) => self.take_status(status),
             Ok(Datagram::Summary(summary)) => self.take_summary(summary).await,
             Err(err) => {
-                self.metrics.foreign("datagram");
+                self.metrics.invalid_entry("datagram");
                 log::warn!(problem:% = err; "peers: datagram ignored");
             }
         }
@@ -62,19 +62,19 @@
     fn take_status(&self, status: Status) {
         let name = Name::from(&*status.name);
         if self.roster.heard(&status) {
-            self.metrics.peers(self.roster.heard_count());
+            self.metrics.peers(self.roster.live_count());
             self.others_reach_store(status.store_silent_ms);
             for job in &status.jobs {
                 let owner = Owner { process: Name::clone(&name), incarnation: status.incarnation };
                 self.owners.learn(&job.name, owner);
             }
             if self.roster.is_mate(&name) {
-                self.mates.told(&status);
+                self.cell_statuses.told(&status);
             }
         }
         // Also of gateways whose entries were not read yet: a process that has just started would take their places for
         // free and fill targets that are full.
-        self.placer.peer(name, status.requests);
+        self.placement.set_peer_load(name, status.requests);
     }
 
     async fn take_summary(&self, mut summary: Summary) {
@@ -87,8 +87,8 @@
         }
         let members: Vec<Option<Name>> =
             summary.members.iter().map(|it| self.roster.heard_of(it)).collect();
-        self.metrics.peers(self.roster.heard_count());
-        self.roster.sightings().told(&summary.seen);
+        self.metrics.peers(self.roster.live_count());
+        self.roster.seen_versions().record_peers(&summary.seen);
         self.others_reach_store(summary.store_silent_ms);
         for job in &summary.jobs {
             let place = usize::from(job.member);
@@ -100,13 +100,13 @@
                 self.owners.learn(&job.name, owner);
             }
         }
-        self.placer.peer(summary.cell.into(), summary.requests);
+        self.placement.set_peer_load(summary.cell.into(), summary.requests);
     }
 
     fn others_reach_store(&self, silent_ms: u32) {
         let silent = Duration::from_millis(silent_ms.into());
         if let Some(answered) = Instant::now().checked_sub(silent) {
-            self.health.others_heard(answered);
+            self.health.record_peer_answer(answered);
         }
     }
 }
--- a/crates/samphiredoor-gateway/src/peers/relay.rs
+++ b/crates/samphiredoor-gateway/src/peers/routes_relay.rs
@@ -23,7 +23,9 @@
 use samphiredoor_net::{Body, Pool, fetch::FetchLimits};
 
 use super::{Roster, roster::RoutesHolder};
-use crate::{edge::ObjectStore, front::plain, routes::Routes, watch::was_heard};
+use crate::{
+    front::json_message, platform_api::ObjectStore, routes::Routes, watch::received_within,
+};
 
 /// Path of the call.
 pub const PATH: &str = "/routes";
@@ -56,7 +58,7 @@
         if std::mem::replace(&mut behind, routes.version().max(1)) != routes.version().max(1) {
             continue;
         }
-        if holder.distance == Distance::Far && !may_ask_beyond(&roster, &*store) {
+        if holder.distance == Distance::OtherRegion && !may_ask_beyond(&roster, &*store) {
             continue;
         }
         ask(&holder, &relayed).await;
@@ -67,7 +69,7 @@
 /// the line, and of the others about one at each look.
 fn may_ask_beyond(roster: &Roster, store: &dyn ObjectStore) -> bool {
     let chance = 1.0 / roster.heard_in_region() as f64;
-    !was_heard(store, LOOK_PAUSE) && rand::random_bool(chance)
+    !received_within(store, LOOK_PAUSE) && rand::random_bool(chance)
 }
 
 async fn ask(holder: &RoutesHolder, relayed: &flume::Sender<Stored>) {
@@ -118,10 +120,10 @@
     /// Answer to the call: the object that the routes in force were read from, and its name.
     pub fn answer(&self) -> Response<Body> {
         let Some(source) = self.routes.source() else {
-            return plain(StatusCode::NOT_FOUND, "no routes yet");
+            return json_message(StatusCode::NOT_FOUND, "no routes yet");
         };
         if !self.may_tell() {
-            return plain(StatusCode::SERVICE_UNAVAILABLE, "others are being told");
+            return json_message(StatusCode::SERVICE_UNAVAILABLE, "others are being told");
         }
         let mut response = Response::new(Body::full(Bytes::copy_from_slice(&source.value)));
         if let Ok(name) = header::HeaderValue::from_str(&source.name) {
--- a/crates/samphiredoor-gateway/src/placement.rs
+++ b/crates/samphiredoor-gateway/src/placement.rs
@@ -11,7 +11,9 @@
 use samphiredoor_core::{
     Name,
     dispatch::RequestId,
-    placement::{Action, Ask, AttemptEnd, DoorState, Input, Placement, ReportedLoad, TargetEntry},
+    placement::{
+        Action, AttemptEnd, GatewayState, Input, Placement, ReportedLoad, RequestSpec, TargetEntry,
+    },
     verdict::Refusal,
 };
 use samphiredoor_net::{clock::Clock, pool::within};
@@ -29,9 +31,9 @@
 
 /// A decision of the placement about a request.
 #[derive(Debug, Clone)]
-pub enum Placed {
+pub enum Decision {
     /// Send the request to this target.
-    Go {
+    Dispatch {
         /// Name of the target.
         target: Name,
         /// Address at which it listens.
@@ -45,26 +47,26 @@
         retry_after_ms: u64,
     },
     /// Preempted: abort the running attempt, as online requests need its slot.
-    Recalled,
+    Preempted,
 }
 
 enum Message {
-    Ask(Ask, flume::Sender<Placed>),
+    Ask(RequestSpec, flume::Sender<Decision>),
     Input(Input),
 }
 
 /// Handle to the placement task.
 #[derive(Clone)]
-pub struct Placer {
+pub struct PlacementHandle {
     messages: flume::Sender<Message>,
     next_request: Rc<Cell<u64>>,
 }
 
 /// Load of this gateway, as reported to its peers.
 #[derive(Debug, Clone, Default)]
-pub struct Told {
+pub struct OwnLoad {
     /// Requests at targets, and waiting items.
-    pub state: DoorState,
+    pub state: GatewayState,
     /// Whether online requests of this gateway wait for slots that peers hold.
     pub urgent: bool,
 }
@@ -78,12 +80,12 @@
     /// Metrics of the process.
     pub metrics: Rc<Metrics>,
     /// Channel for load reports to peers.
-    pub load_reports: flume::Sender<Told>,
+    pub load_reports: flume::Sender<OwnLoad>,
 }
 
-impl Placer {
+impl PlacementHandle {
     /// Spawns the task on the runtime of the calling thread.
-    pub fn start(task: PlacementTask) -> Placer {
+    pub fn start(task: PlacementTask) -> PlacementHandle {
         let (messages, inbox) = flume::unbounded();
         let running = Running {
             task,
@@ -92,7 +94,7 @@
             is_reported: false,
         };
         compio::runtime::spawn(running.run(inbox)).detach();
-        Placer { messages, next_request: Rc::new(Cell::new(1)) }
+        PlacementHandle { messages, next_request: Rc::new(Cell::new(1)) }
     }
 
     /// Returns an unused request id.
@@ -103,7 +105,7 @@
     }
 
     /// Requests a target. Decisions arrive through the ticket.
-    pub fn ask(&self, ask: Ask) -> Ticket {
+    pub fn request(&self, ask: RequestSpec) -> Ticket {
         let (sender, decisions) = flume::unbounded();
         let ticket = Ticket {
             request: ask.request,
@@ -116,23 +118,23 @@
     }
 
     /// Replaces the list of all known targets.
-    pub fn targets(&self, targets: Vec<TargetEntry>) {
+    pub fn set_targets(&self, targets: Vec<TargetEntry>) {
         self.send(Message::Input(Input::Targets(targets)));
     }
 
     /// Sets the targets that the own cell shares, by their hashed names.
-    pub fn own_targets(&self, targets: HashSet<u64>) {
-        self.send(Message::Input(Input::OwnTargets(targets)));
+    pub fn set_cell_targets(&self, targets: HashSet<u64>) {
+        self.send(Message::Input(Input::CellTargets(targets)));
     }
 
     /// Updates the load that a target reported in an answer.
-    pub fn reported(&self, target: &Name, load: ReportedLoad) {
-        self.send(Message::Input(Input::Load { target: Name::clone(target), load }));
+    pub fn report_load(&self, target: &Name, load: ReportedLoad) {
+        self.send(Message::Input(Input::LoadReport { target: Name::clone(target), load }));
     }
 
     /// Updates the load of a peer, or the total load of another cell.
-    pub fn peer(&self, door: Name, state: DoorState) {
-        self.send(Message::Input(Input::Peer { door, state }));
+    pub fn set_peer_load(&self, door: Name, state: GatewayState) {
+        self.send(Message::Input(Input::Peer { peer: door, state }));
     }
 
     // The task runs until the process ends, so the channel is never closed.
@@ -152,28 +154,28 @@
 /// or removes the request from the queue.
 pub struct Ticket {
     request: RequestId,
-    decisions: flume::Receiver<Placed>,
+    decisions: flume::Receiver<Decision>,
     messages: flume::Sender<Message>,
     stage: Stage,
 }
 
 impl Ticket {
     /// Waits for the next decision: first for a target or a refusal, then for a preemption.
-    pub async fn placed(&mut self) -> Placed {
+    pub async fn next_decision(&mut self) -> Decision {
         let Ok(decision) = self.decisions.recv_async().await else {
             self.stage = Stage::Ended;
-            return Placed::Refused { reason: Refusal::Stopping, retry_after_ms: 0 };
+            return Decision::Refused { reason: Refusal::Stopping, retry_after_ms: 0 };
         };
         match decision {
-            Placed::Go { .. } => self.stage = Stage::AtTarget,
-            Placed::Refused { .. } => self.stage = Stage::Ended,
-            Placed::Recalled => {}
+            Decision::Dispatch { .. } => self.stage = Stage::AtTarget,
+            Decision::Refused { .. } => self.stage = Stage::Ended,
+            Decision::Preempted => {}
         }
         decision
     }
 
     /// Frees the slot and records how the attempt ended. Only the first call after a dispatch counts.
-    pub fn ended(&mut self, end: AttemptEnd) {
+    pub fn report_end(&mut self, end: AttemptEnd) {
         if std::mem::replace(&mut self.stage, Stage::Ended) == Stage::AtTarget {
             let _ = self.messages.send(Message::Input(Input::Ended { request: self.request, end }));
         }
@@ -183,9 +185,9 @@
 impl Drop for Ticket {
     fn drop(&mut self) {
         match self.stage {
-            Stage::AtTarget => self.ended(AttemptEnd::Cut),
+            Stage::AtTarget => self.report_end(AttemptEnd::Cut),
             Stage::Waiting => {
-                let input = Input::Gone { request: self.request };
+                let input = Input::Cancelled { request: self.request };
                 let _ = self.messages.send(Message::Input(input));
             }
             Stage::Ended => {}
@@ -197,7 +199,7 @@
 struct Running {
     task: PlacementTask,
     /// Where to send decisions, for each request that is queued or at a target.
-    reply_channels: HashMap<RequestId, flume::Sender<Placed>>,
+    reply_channels: HashMap<RequestId, flume::Sender<Decision>>,
     reported_at: Instant,
     /// Whether the last event was followed by a check for changes to report; `MIN_REPORT_INTERVAL` may delay that check.
     is_reported: bool,
@@ -211,7 +213,7 @@
             let input = match within(tick, inbox.recv_async()).await {
                 Some(Ok(Message::Ask(ask, reply))) => {
                     self.reply_channels.insert(ask.request, reply);
-                    Input::Ask(ask)
+                    Input::Request(ask)
                 }
                 Some(Ok(Message::Input(input))) => input,
                 Some(Err(_)) => return,
@@ -233,7 +235,7 @@
     }
 
     fn remove_ended(&mut self, input: &Input) {
-        if let Input::Gone { request } | Input::Ended { request, .. } = input {
+        if let Input::Cancelled { request } | Input::Ended { request, .. } = input {
             self.reply_channels.remove(request);
         }
     }
@@ -241,14 +243,14 @@
     fn send_decision(&mut self, action: Action) {
         let (request, decision) = match action {
             Action::Dispatch { request, target, address } => {
-                (request, Placed::Go { target, address })
+                (request, Decision::Dispatch { target, address })
             }
-            Action::Recall { request } => (request, Placed::Recalled),
+            Action::Preempt { request } => (request, Decision::Preempted),
             Action::Refuse { request, reason, retry_after_ms } => {
-                (request, Placed::Refused { reason, retry_after_ms })
+                (request, Decision::Refused { reason, retry_after_ms })
             }
         };
-        let is_last = matches!(decision, Placed::Refused { .. });
+        let is_last = matches!(decision, Decision::Refused { .. });
         if let Some(reply) = self.reply_channels.get(&request) {
             // Fails if the ticket was just dropped; its message about that is already in the queue.
             let _ = reply.send(decision);
@@ -271,8 +273,8 @@
         let state = changed.or_else(|| heartbeat.then(|| self.task.placement.state()));
         if let Some(state) = state {
             self.reported_at = Instant::now();
-            let urgent = self.task.placement.take_needs_others();
-            let _ = self.task.load_reports.send(Told { state, urgent });
+            let urgent = self.task.placement.take_needs_peer_preemption();
+            let _ = self.task.load_reports.send(OwnLoad { state, urgent });
             let (online, batch) = self.task.placement.waiting();
             self.task.metrics.placement(self.task.placement.counters(), online, batch);
         }
--- a/crates/samphiredoor-gateway/src/edge.rs
+++ b/crates/samphiredoor-gateway/src/platform_api.rs
@@ -102,7 +102,7 @@
     ) -> LocalBoxFuture<'_, Option<Page>>;
 
     /// When bytes of an answer other than a refusal last arrived. A large answer takes a while to arrive.
-    fn heard(&self) -> Option<Instant>;
+    fn last_received_at(&self) -> Option<Instant>;
 
     /// Waits for changes of a kind after a version, for at most `wait`.
     fn watch(&self, kind: Kind, since: Version, wait: Duration) -> LocalBoxFuture<'_, WatchAnswer>;
@@ -146,7 +146,7 @@
         item: String,
     },
     /// Cancel the job.
-    End {
+    Cancel {
         /// Name of the job.
         job: JobName,
     },
@@ -169,7 +169,7 @@
     fn headers(&self) -> &HeaderNames;
 
     /// Whether a request is a readiness check.
-    fn is_readiness(&self, method: &Method, path: &str) -> bool;
+    fn is_readiness_check(&self, method: &Method, path: &str) -> bool;
 
     /// Parses the method and URI of a job call; `None` for any other request.
     fn job_call(&self, method: &Method, uri: &Uri) -> Option<JobCall>;
@@ -212,5 +212,5 @@
     fn target(&self, stored: &Stored) -> Result<TargetEntry, String>;
 
     /// Status of a storage host that has no data left.
-    fn emptied(&self) -> Value;
+    fn drained_status(&self) -> Value;
 }
--- a/crates/samphiredoor-gateway/src/routes.rs
+++ b/crates/samphiredoor-gateway/src/routes.rs
@@ -3,14 +3,14 @@
 use std::{cell::RefCell, rc::Rc, sync::Arc};
 
 use samphiredoor_core::{
-    routes::{RouteLog, RouteTable},
+    routes::{LatestRoutes, RouteTable},
     store::Stored,
 };
 
 /// Handle to the active routes; only `discovery` updates them.
 #[derive(Clone, Default)]
 pub struct Routes {
-    log: Rc<RefCell<RouteLog>>,
+    log: Rc<RefCell<LatestRoutes>>,
     source: Rc<RefCell<Option<Stored>>>,
 }
 
@@ -27,8 +27,8 @@
 
     /// Activates a table if it is newer than the active one, and returns whether it did. `source` is the stored object
     /// that it was parsed from.
-    pub fn offer(&self, table: RouteTable, source: &Stored) -> bool {
-        let activated = self.log.borrow_mut().offer(table);
+    pub fn update_if_newer(&self, table: RouteTable, source: &Stored) -> bool {
+        let activated = self.log.borrow_mut().update_if_newer(table);
         if activated {
             *self.source.borrow_mut() = Some(source.clone());
         }
--- a/crates/samphiredoor-gateway/src/sightings.rs
+++ b/crates/samphiredoor-gateway/src/seen_versions.rs
@@ -21,19 +21,19 @@
 
 /// Newest changes of one kind of objects; clones share the same state.
 #[derive(Debug, Clone, Default)]
-pub struct Sighting {
+pub struct SeenVersion {
     own: Rc<Cell<Version>>,
     others: Rc<Cell<Version>>,
 }
 
-impl Sighting {
+impl SeenVersion {
     /// Records a change that this process has seen.
-    pub fn saw(&self, version: Version) {
+    pub fn record_own(&self, version: Version) {
         self.own.set(self.own.get().max(version));
     }
 
     /// Records a change that a peer reports to have seen.
-    pub fn told(&self, version: Version) {
+    pub fn record_peers(&self, version: Version) {
         self.others.set(self.others.get().max(version));
     }
 
@@ -43,23 +43,23 @@
     }
 
     /// Newest version that any peer has seen.
-    pub fn others(&self) -> Version {
+    pub fn newest_of_peers(&self) -> Version {
         self.others.get()
     }
 }
 
 /// Newest changes of all kinds that every gateway watches.
 #[derive(Debug, Clone, Default)]
-pub struct Sightings {
+pub struct SeenVersions {
     /// Configuration objects with the routes.
-    pub routes: Sighting,
+    pub routes: SeenVersion,
     /// Entries of targets.
-    pub targets: Sighting,
+    pub targets: SeenVersion,
     /// Entries of gateways.
-    pub gateways: Sighting,
+    pub gateways: SeenVersion,
 }
 
-impl Sightings {
+impl SeenVersions {
     /// Versions that this process has seen, to be sent to peers.
     pub fn own(&self) -> SeenChanges {
         SeenChanges {
@@ -70,9 +70,9 @@
     }
 
     /// Records the versions that a peer reports to have seen.
-    pub fn told(&self, seen: &SeenChanges) {
-        self.routes.told(seen.routes);
-        self.targets.told(seen.targets);
-        self.gateways.told(seen.gateways);
+    pub fn record_peers(&self, seen: &SeenChanges) {
+        self.routes.record_peers(seen.routes);
+        self.targets.record_peers(seen.targets);
+        self.gateways.record_peers(seen.gateways);
     }
 }
--- a/crates/samphiredoor-gateway/src/storage.rs
+++ b/crates/samphiredoor-gateway/src/storage.rs
@@ -16,10 +16,10 @@
 
 use crate::{
     config::{CommonConfig, StorageConfig},
-    edge::{Change, Platform},
     mirror::Mirror,
+    platform_api::{Change, Platform},
     process::{SIGHUP, bind, internal_limits, wait_for, wait_for_stop},
-    watch::{Follower, Seen},
+    watch::{StoreEvent, Watcher},
 };
 
 /// Longest wait of a watch for requests to empty hosts. A watch that the store has dropped hides requests for this time,
@@ -50,8 +50,8 @@
         log::info!(name = &*config.common.name, mirror; "storage: started, holds no data");
         compio::runtime::spawn(ignore_reload_signals()).detach();
         let watch = config.common.watch.min(RETIREMENT_WATCH);
-        let follower = Follower::new(Rc::clone(&platform.store), Kind::Retirement, watch);
-        let following = std::pin::pin!(follow(platform, follower));
+        let watcher = Watcher::new(Rc::clone(&platform.store), Kind::Retirement, watch);
+        let following = std::pin::pin!(follow(platform, watcher));
         if let Either::Left(_) = select(following, std::pin::pin!(wait_for_stop())).await {
             log::error!("storage: no longer follows requests to empty hosts");
         }
@@ -83,20 +83,22 @@
 }
 
 /// Confirms requests to empty hosts for as long as the process runs.
-async fn follow(platform: Platform, mut follower: Follower) {
+async fn follow(platform: Platform, mut watcher: Watcher) {
     // Confirmed requests. A confirmation is itself a change of the request, and must not be confirmed again.
     let confirmed: Rc<RefCell<HashSet<Name>>> = Rc::default();
     loop {
-        match follower.next().await {
-            Seen::All(all) => all.iter().for_each(|it| confirm(&platform, &confirmed, it)),
-            Seen::Changes(changes) => changes.iter().for_each(|it| match it {
+        match watcher.next().await {
+            StoreEvent::Snapshot(all) => {
+                all.iter().for_each(|it| confirm(&platform, &confirmed, it))
+            }
+            StoreEvent::Changes(changes) => changes.iter().for_each(|it| match it {
                 Change::Written(stored) => confirm(&platform, &confirmed, stored),
                 Change::Deleted(name) => {
                     confirmed.borrow_mut().remove(name);
                 }
             }),
-            Seen::Lost => log::warn!("storage: store lost"),
-            Seen::Regained => log::info!("storage: store recovered"),
+            StoreEvent::Lost => log::warn!("storage: store lost"),
+            StoreEvent::Recovered => log::info!("storage: store recovered"),
         }
     }
 }
@@ -121,7 +123,7 @@
 async fn write_emptied(platform: &Platform, name: &Name) -> bool {
     for _ in 0..MAX_WRITE_ATTEMPTS {
         let key = ObjectKey::new(Kind::Retirement, Name::clone(name));
-        match platform.store.set_status(key, platform.dialect.emptied()).await {
+        match platform.store.set_status(key, platform.dialect.drained_status()).await {
             StoreAnswer::Object(_) | StoreAnswer::Absent => {
                 log::info!(host = &**name; "storage: host is empty");
                 return true;
--- a/crates/samphiredoor-gateway/src/store_health.rs
+++ b/crates/samphiredoor-gateway/src/store_health.rs
@@ -42,22 +42,22 @@
     }
 
     /// Whether the store answers other processes while this one cannot reach it.
-    pub fn is_alone(&self) -> bool {
+    pub fn is_lost_only_here(&self) -> bool {
         self.state.alone.get()
     }
 
     /// Time since the store last answered a call; `None` before the first answer.
-    pub fn silent(&self) -> Option<Duration> {
+    pub fn time_since_answer(&self) -> Option<Duration> {
         Some(self.state.heard.get()?.elapsed())
     }
 
     /// Records that the store has answered a call.
-    pub fn heard(&self) {
+    pub fn record_answer(&self) {
         self.state.heard.set(Some(Instant::now()));
     }
 
     /// Records that the store answered another process at some time.
-    pub fn others_heard(&self, at: Instant) {
+    pub fn record_peer_answer(&self, at: Instant) {
         let since_loss = self.state.lost_since.get().is_some_and(|it| at > it);
         if since_loss && self.state.others_heard.get().is_none() {
             self.state.others_heard.set(Some(at));
@@ -65,29 +65,29 @@
     }
 
     /// Records that a call that was sent at some time got no usable answer.
-    pub fn failed(&self, sent: Instant) {
+    pub fn record_failure(&self, sent: Instant) {
         if self.state.others_heard.get().is_some_and(|it| sent > it) {
             self.state.alone.set(true);
         }
     }
 
     /// Records that a call got no answer. Waiting watches are then issued again, as the store may have dropped them too.
-    pub fn doubt(&self) {
+    pub fn raise_suspicion(&self) {
         self.state.doubts.set(self.state.doubts.get() + 1);
     }
 
-    /// Number of calls of [`StoreHealth::doubt`] so far.
-    pub fn doubts(&self) -> u64 {
+    /// Number of calls of [`StoreHealth::raise_suspicion`] so far.
+    pub fn suspicions(&self) -> u64 {
         self.state.doubts.get()
     }
 
     /// Number of times that the store became reachable again.
-    pub fn regains(&self) -> u64 {
+    pub fn recoveries(&self) -> u64 {
         self.state.regains.get()
     }
 
     /// Marks the store as unreachable.
-    pub fn lost(&self) {
+    pub fn mark_lost(&self) {
         if self.state.lost_since.get().is_none() {
             log::warn!("store: lost");
             self.state.lost_since.set(Some(Instant::now()));
@@ -95,7 +95,7 @@
     }
 
     /// Marks the store as reachable again.
-    pub fn regained(&self) {
+    pub fn mark_recovered(&self) {
         if let Some(since) = self.state.lost_since.take() {
             let alone = self.state.alone.take();
             self.state.regains.set(self.state.regains.get() + 1);
--- a/crates/samphiredoor-gateway/src/watch.rs
+++ b/crates/samphiredoor-gateway/src/watch.rs
@@ -1,6 +1,6 @@
 //! Follows all objects of one kind in the store by a list and watches.
 //!
-//! After a failed call the follower continues from the last version that it has, and if the store has dropped that part of
+//! After a failed call the watcher continues from the last version that it has, and if the store has dropped that part of
 //! its history, it lists the kind again. It may therefore miss intermediate changes, but never the state after them.
 //!
 //! A watch that is sent during an outage of the store is never answered. It ends after a time that is staggered among all
@@ -20,18 +20,18 @@
 use samphiredoor_core::{
     Name,
     store::{Kind, Stored, Version},
-    watch_cache::News,
+    watch_cache::Delta,
 };
 use samphiredoor_net::pool::within;
 
 use crate::{
-    edge::{Change, Freshness, ObjectStore, WatchAnswer},
     metrics::Metrics,
     mirror::Mirrors,
     peers::{
-        Followed,
-        followed::{self, Told},
+        WatchRelay,
+        watch_relay::{self, RelayedChanges},
     },
+    platform_api::{Change, Freshness, ObjectStore, WatchAnswer},
     store_health::StoreHealth,
     watch_schedule::WatchSchedule,
 };
@@ -47,9 +47,9 @@
 /// Pause after changes, as a part of the time within which a change has to take effect. Changes come in bursts, as when
 /// all targets of a service are replaced, and the store charges for each call.
 const PAUSE_AFTER_CHANGES_PART: f64 = 0.4;
-/// How often a follower that waits for another one to reach the store again checks for that.
+/// How often a watcher that waits for another one to reach the store again checks for that.
 const LOST_CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// Longest wait for another follower to reach the store again.
+/// Longest wait for another watcher to reach the store again.
 const MAX_LOST_WAIT: Duration = Duration::from_secs(3);
 /// How long a watch at the store waits after a watch through a peer has failed. By then another gateway watches for the
 /// cell.
@@ -66,17 +66,17 @@
 /// caller that is refused retries after some hundred.
 const FIRST_LIST_IDLE_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// What a follower reports.
+/// What a watcher reports.
 #[derive(Debug, Clone)]
-pub enum Seen {
+pub enum StoreEvent {
     /// All objects of the kind; replaces everything that was reported before.
-    All(Vec<Stored>),
+    Snapshot(Vec<Stored>),
     /// Changes since the last report, in order.
     Changes(Vec<Change>),
     /// The store gives no usable answers from now on.
     Lost,
-    /// The store answers again; [`Seen::All`] or [`Seen::Changes`] may follow.
-    Regained,
+    /// The store answers again; [`StoreEvent::Snapshot`] or [`StoreEvent::Changes`] may follow.
+    Recovered,
 }
 
 /// Why the store may have dropped a watch that waits.
@@ -91,7 +91,7 @@
 /// Result of a watch through a peer.
 enum PeerWatch {
     /// The peer answered.
-    Seen(Seen),
+    Seen(StoreEvent),
     /// The watch may have stalled.
     Stalled(StallReason),
     /// No peer watches for this process, or it did not answer, or the store has to be queried directly.
@@ -99,7 +99,7 @@
 }
 
 /// Follows one kind of objects.
-pub struct Follower {
+pub struct Watcher {
     store: Rc<dyn ObjectStore>,
     kind: Kind,
     /// Longest wait of a watch.
@@ -111,11 +111,11 @@
     /// Consecutive calls without a usable answer.
     failures: u32,
     /// Event to return by the next call of `next`.
-    queued: Option<Seen>,
+    queued: Option<StoreEvent>,
     /// Whether the last event had changes, so that the next watch starts after a pause.
     had_changes: bool,
     pause_after_changes: Duration,
-    /// Health that another follower updates; while it shows the store as lost, this one does not retry.
+    /// Health that another watcher updates; while it shows the store as lost, this one does not retry.
     recovery_by: Option<StoreHealth>,
     health: Option<StoreHealth>,
     /// Staggers the watches with those of the peers.
@@ -123,12 +123,12 @@
     /// Whether the last watch was cancelled because a peer is ahead.
     is_behind: bool,
     /// Cache of what this process has seen, and access to the peer through which it may watch.
-    followed: Option<Followed>,
+    watch_relay: Option<WatchRelay>,
     peer_watch_wait: Duration,
     /// Peer of the last watch through a peer.
     peer: Option<SocketAddr>,
     /// Source of the last answer of a peer.
-    peer_source: Option<followed::Source>,
+    peer_source: Option<watch_relay::RelayEpoch>,
     /// Whether the last answer came from another peer than the one before, or from one that has restarted or lost the store
     /// in between.
     peer_source_changed: bool,
@@ -141,10 +141,10 @@
     answered_at: Instant,
 }
 
-impl Follower {
-    /// Creates a follower; its first event is a list. A watch waits for changes for at most `max_wait`.
-    pub fn new(store: Rc<dyn ObjectStore>, kind: Kind, max_wait: Duration) -> Follower {
-        Follower {
+impl Watcher {
+    /// Creates a watcher; its first event is a list. A watch waits for changes for at most `max_wait`.
+    pub fn new(store: Rc<dyn ObjectStore>, kind: Kind, max_wait: Duration) -> Watcher {
+        Watcher {
             store,
             kind,
             max_wait,
@@ -158,7 +158,7 @@
             health: None,
             schedule: None,
             is_behind: false,
-            followed: None,
+            watch_relay: None,
             peer_watch_wait: Duration::ZERO,
             peer: None,
             peer_source: None,
@@ -171,26 +171,26 @@
     }
 
     /// Counts answers and failures of the store in `metrics`.
-    pub fn with_metrics(mut self, metrics: Rc<Metrics>) -> Follower {
+    pub fn with_metrics(mut self, metrics: Rc<Metrics>) -> Watcher {
         self.metrics = Some(metrics);
         self
     }
 
     /// Allows the first list to be stale, which costs less. The watch from its version on reports what has changed since.
-    pub fn with_stale_start(mut self) -> Follower {
+    pub fn with_stale_start(mut self) -> Watcher {
         self.list_freshness = Freshness::MayBeStale;
         self
     }
 
     /// Reports answers and failures to `health`, and sends a waiting watch again when another call of the process got no
     /// answer.
-    pub fn with_health(mut self, health: StoreHealth) -> Follower {
+    pub fn with_health(mut self, health: StoreHealth) -> Watcher {
         self.health = Some(health);
         self
     }
 
     /// Takes the first list from a mirror if the store does not answer.
-    pub fn with_mirrors(mut self, mirrors: Mirrors) -> Follower {
+    pub fn with_mirrors(mut self, mirrors: Mirrors) -> Watcher {
         self.mirrors = Some(mirrors).filter(|it| !it.is_empty());
         self
     }
@@ -198,34 +198,34 @@
     /// Staggers the watches with those of the peers, and queries the store when a peer has seen a newer change. Otherwise a
     /// watch that the store has dropped hides all changes until its wait is over, possibly in all processes at once: callers
     /// are served by replaced routes, and draining targets get new requests.
-    pub fn with_schedule(mut self, schedule: WatchSchedule) -> Follower {
+    pub fn with_schedule(mut self, schedule: WatchSchedule) -> Watcher {
         self.schedule = Some(schedule);
         self
     }
 
     /// Watches through the peer that follows the store for the cell, and keeps what this process sees for its peers. Changes
     /// have to take effect `within` some time.
-    pub fn with_followed(mut self, followed: Followed, within: Duration) -> Follower {
-        self.followed = Some(followed);
+    pub fn with_watch_relay(mut self, watch_relay: WatchRelay, within: Duration) -> Watcher {
+        self.watch_relay = Some(watch_relay);
         self.peer_watch_wait = within.mul_f64(PEER_WATCH_PART);
         self
     }
 
     /// Pauses after changes, for a part of the time `within` which a change has to take effect.
-    pub fn with_pause_after_changes(mut self, within: Duration) -> Follower {
+    pub fn with_pause_after_changes(mut self, within: Duration) -> Watcher {
         self.pause_after_changes = within.mul_f64(PAUSE_AFTER_CHANGES_PART);
         self
     }
 
-    /// Delays retries while `health`, which another follower updates, shows the store as lost: one follower that retries is
+    /// Delays retries while `health`, which another watcher updates, shows the store as lost: one watcher that retries is
     /// enough.
-    pub fn with_recovery_by_another(mut self, health: StoreHealth) -> Follower {
+    pub fn with_recovery_by_another(mut self, health: StoreHealth) -> Watcher {
         self.recovery_by = Some(health);
         self
     }
 
     /// Waits for the next event.
-    pub async fn next(&mut self) -> Seen {
+    pub async fn next(&mut self) -> StoreEvent {
         if let Some(seen) = self.queued.take() {
             return seen;
         }
@@ -245,23 +245,23 @@
                         return seen;
                     }
                     self.queued = Some(seen);
-                    return Seen::Lost;
+                    return StoreEvent::Lost;
                 }
                 compio::time::sleep(self.backoff()).await;
                 self.wait_while_lost().await;
                 if self.failures == 1 {
-                    return Seen::Lost;
+                    return StoreEvent::Lost;
                 }
                 continue;
             };
-            let has_news = !matches!(&seen, Seen::Changes(changes) if changes.is_empty());
-            self.had_changes = has_news && matches!(seen, Seen::Changes(_));
+            let has_news = !matches!(&seen, StoreEvent::Changes(changes) if changes.is_empty());
+            self.had_changes = has_news && matches!(seen, StoreEvent::Changes(_));
             // Changes that only peers had seen were missed here as during an outage, and entries may have expired since.
             let missed_changes = std::mem::take(&mut self.is_behind) && has_news;
             let peer_source_changed = std::mem::take(&mut self.peer_source_changed);
             if std::mem::take(&mut self.failures) > 0 || missed_changes || peer_source_changed {
                 self.queued = has_news.then_some(seen);
-                return Seen::Regained;
+                return StoreEvent::Recovered;
             }
             if has_news {
                 return seen;
@@ -270,24 +270,24 @@
     }
 
     /// Lists the kind at a mirror, in place of the first list; later changes come from the store.
-    async fn list_from_mirror(&mut self) -> Option<Seen> {
+    async fn list_from_mirror(&mut self) -> Option<StoreEvent> {
         let list = self.mirrors.as_ref()?.list(self.kind).await?;
         self.mirrors = None;
         self.since = Some(list.version);
         self.list_freshness = Freshness::Current;
         self.record_list(&list.objects, list.version);
-        Some(Seen::All(list.objects))
+        Some(StoreEvent::Snapshot(list.objects))
     }
 
     /// Lists the kind, and gives up as soon as the store sends nothing for a while, so that a mirror can be queried. A large
     /// list takes longer to arrive, and the list of a mirror would only compete with it for bandwidth.
-    async fn first_list(&mut self) -> Option<Seen> {
+    async fn first_list(&mut self) -> Option<StoreEvent> {
         let store = Rc::clone(&self.store);
         let mut list = pin!(self.list());
         loop {
             match within(FIRST_LIST_IDLE_TIMEOUT, &mut list).await {
                 Some(listed) => return listed,
-                None if was_heard(&*store, FIRST_LIST_IDLE_TIMEOUT) => {}
+                None if received_within(&*store, FIRST_LIST_IDLE_TIMEOUT) => {}
                 None => return None,
             }
         }
@@ -305,11 +305,11 @@
         BACKOFF_BASE.saturating_mul(1 << self.failures.min(4)).min(MAX_BACKOFF)
     }
 
-    async fn list(&mut self) -> Option<Seen> {
+    async fn list(&mut self) -> Option<StoreEvent> {
         let sent = Instant::now();
         let listed = list_all(&*self.store, self.kind, self.list_freshness).await;
         if let (None, Some(health)) = (&listed, &self.health) {
-            health.failed(sent);
+            health.record_failure(sent);
         }
         let (all, version) = listed?;
         self.since = Some(version);
@@ -317,11 +317,11 @@
         self.mirrors = None;
         self.record_list(&all, version);
         self.record_answer();
-        Some(Seen::All(all))
+        Some(StoreEvent::Snapshot(all))
     }
 
     /// Records that the store has answered. During an outage it may keep connections open, so the time since its last answer
-    /// is the only sign of a follower that receives nothing.
+    /// is the only sign of a watcher that receives nothing.
     fn record_answer(&mut self) {
         let silent = std::mem::replace(&mut self.answered_at, Instant::now()).elapsed();
         if self.failures > 0 {
@@ -332,7 +332,7 @@
             metrics.store_answered(self.kind);
         }
         if let Some(health) = &self.health {
-            health.heard();
+            health.record_answer();
         }
     }
 
@@ -347,10 +347,10 @@
             }
             WatchAnswer::Refused | WatchAnswer::NoAnswer => {
                 if let Some(health) = &self.health {
-                    health.failed(sent);
+                    health.record_failure(sent);
                     // The outage in which this watch was lost may have stalled the other watches of the process.
                     if self.failures == 0 && matches!(answer, WatchAnswer::NoAnswer) {
-                        health.doubt();
+                        health.raise_suspicion();
                     }
                 }
                 self.record_watch_failure(sent, answer.label());
@@ -373,7 +373,7 @@
         );
     }
 
-    async fn watch(&mut self, since: Version) -> Option<Seen> {
+    async fn watch(&mut self, since: Version) -> Option<StoreEvent> {
         let mut result = match self.watch_through_peer(since).await {
             PeerWatch::Seen(seen) => return Some(seen),
             PeerWatch::Stalled(reason) => Err(reason),
@@ -387,11 +387,11 @@
         match answer {
             WatchAnswer::Changes { changes, version } => {
                 self.record_changes(&changes, version);
-                Some(Seen::Changes(changes))
+                Some(StoreEvent::Changes(changes))
             }
             WatchAnswer::HistoryGone => {
                 self.since = None;
-                Some(Seen::Changes(Vec::new()))
+                Some(StoreEvent::Changes(Vec::new()))
             }
             WatchAnswer::Refused | WatchAnswer::NoAnswer => None,
         }
@@ -402,13 +402,13 @@
         if self.failures > 0 || self.is_behind {
             return PeerWatch::Unavailable;
         }
-        let Some(followed) = self.followed.clone() else { return PeerWatch::Unavailable };
-        let Some(address) = followed.follower() else { return PeerWatch::Unavailable };
+        let Some(watch_relay) = self.watch_relay.clone() else { return PeerWatch::Unavailable };
+        let Some(address) = watch_relay.relay_address() else { return PeerWatch::Unavailable };
         if self.peer.replace(address) != Some(address) {
-            log::info!(kind = self.kind.path(), peer:% = address; "store: followed through another gateway");
+            log::info!(kind = self.kind.path(), peer:% = address; "store: watch_relay through another gateway");
         }
         let (sent, wait) = (Instant::now(), self.peer_watch_wait);
-        let watch = followed.watch(address, self.kind, since, wait);
+        let watch = watch_relay.watch(address, self.kind, since, wait);
         match self.until_stalled(since, watch).await {
             Ok(Some(told)) => PeerWatch::Seen(self.apply_peer_answer(told)),
             Ok(None) => {
@@ -424,24 +424,24 @@
     }
 
     /// Converts the answer of a peer. If the peer lost the store since its last answer, entries may have expired meanwhile.
-    fn apply_peer_answer(&mut self, told: Told) -> Seen {
-        let before = self.peer_source.replace(told.by);
-        self.peer_source_changed = before.is_some_and(|it| it != told.by);
-        match told.news {
-            News::None => Seen::Changes(Vec::new()),
-            News::Touched { objects, version } => {
+    fn apply_peer_answer(&mut self, told: RelayedChanges) -> StoreEvent {
+        let before = self.peer_source.replace(told.epoch);
+        self.peer_source_changed = before.is_some_and(|it| it != told.epoch);
+        match told.delta {
+            Delta::None => StoreEvent::Changes(Vec::new()),
+            Delta::Changed { objects, version } => {
                 let changes = objects.into_iter().map(|(name, stored)| match stored {
                     Some(stored) => Change::Written(stored),
                     None => Change::Deleted(name),
                 });
                 let changes: Vec<Change> = changes.collect();
                 self.record_changes(&changes, version);
-                Seen::Changes(changes)
+                StoreEvent::Changes(changes)
             }
-            News::All { objects, version } => {
+            Delta::Snapshot { objects, version } => {
                 self.record_list(&objects, version);
                 self.since = Some(version);
-                Seen::All(objects)
+                StoreEvent::Snapshot(objects)
             }
         }
     }
@@ -451,9 +451,9 @@
         if let Some(schedule) = &self.schedule {
             schedule.record_list(all);
         }
-        if let Some(followed) = &self.followed {
-            self.record_recovery(followed);
-            followed.listed(self.kind, all, version);
+        if let Some(watch_relay) = &self.watch_relay {
+            self.record_recovery(watch_relay);
+            watch_relay.record_list(self.kind, all, version);
         }
     }
 
@@ -463,16 +463,16 @@
         if let Some(schedule) = &self.schedule {
             schedule.record_changes(changes, version);
         }
-        if let Some(followed) = &self.followed {
-            self.record_recovery(followed);
-            followed.changed(self.kind, changes, version);
+        if let Some(watch_relay) = &self.watch_relay {
+            self.record_recovery(watch_relay);
+            watch_relay.record_changes(self.kind, changes, version);
         }
     }
 
     /// Lets peers that watch through this process see that it had lost the store, before they see entries as expired.
-    fn record_recovery(&self, followed: &Followed) {
+    fn record_recovery(&self, watch_relay: &WatchRelay) {
         if self.failures > 0 || self.is_behind || self.peer_source_changed {
-            followed.regained(self.kind);
+            watch_relay.record_store_outage(self.kind);
         }
     }
 
@@ -494,14 +494,14 @@
         since: Version,
         watch: impl Future<Output = T>,
     ) -> Result<T, StallReason> {
-        let doubts = self.health.as_ref().map(StoreHealth::doubts);
+        let doubts = self.health.as_ref().map(StoreHealth::suspicions);
         let mut watch = pin!(watch);
         let mut checks_behind = 0;
         loop {
             if let Some(answer) = within(STALL_CHECK_INTERVAL, &mut watch).await {
                 return Ok(answer);
             }
-            if self.health.as_ref().map(StoreHealth::doubts) != doubts {
+            if self.health.as_ref().map(StoreHealth::suspicions) != doubts {
                 return Err(StallReason::CallLost);
             }
             let behind = self.schedule.as_ref().is_some_and(|it| it.peers_ahead_of(since));
@@ -537,8 +537,8 @@
 }
 
 /// Whether bytes of an answer of the store have arrived within the last `lately`.
-pub fn was_heard(store: &dyn ObjectStore, lately: Duration) -> bool {
-    store.heard().is_some_and(|it| it.elapsed() < lately)
+pub fn received_within(store: &dyn ObjectStore, lately: Duration) -> bool {
+    store.last_received_at().is_some_and(|it| it.elapsed() < lately)
 }
 
 /// Reads all pages of a kind, and the version from which a watch has to start; `None` if a page could not be read.
--- a/crates/samphiredoor/tests/it/platform/mod.rs
+++ b/crates/samphiredoor/tests/it/platform/mod.rs
@@ -1,8 +1,8 @@
 //! Tests of gateway processes on the users' platform, with stand-ins for its store, targets and callers.
 
+mod cancellations;
 mod cells;
 mod discovery;
-mod ends;
 mod env;
 mod jobs;
 mod slow_link;
