--- a/crates/samphiredoor-gateway/src/config.rs
+++ b/crates/samphiredoor-gateway/src/config.rs
@@ -35,7 +35,7 @@
     /// Time limit for the calls to the store.
     pub store_timeout: Duration,
     /// Longest wait of a watch for a change.
-    pub watch: Duration,
+    pub max_watch: Duration,
     /// Time within which new routes have to be active.
     pub routes_within: Duration,
     /// Time after which a leaving target gets no new requests.
@@ -95,7 +95,7 @@
             store: address("store.address", &settings.store.address)?,
             mirrors: mirrors(settings)?,
             store_timeout: Duration::from_millis(settings.store.timeout_ms),
-            watch: Duration::from_millis(settings.store.watch_ms),
+            max_watch: Duration::from_millis(settings.store.watch_ms),
             routes_within: Duration::from_millis(settings.store.routes_within_ms),
             targets_within: Duration::from_millis(settings.store.targets_within_ms),
             metrics: match &settings.metrics {
--- a/crates/samphiredoor-gateway/src/front/answers.rs
+++ b/crates/samphiredoor-gateway/src/front/answers.rs
@@ -25,7 +25,7 @@
 }
 
 /// Answer to a request that may have run: 504 if the deadline passed, otherwise 502.
-pub fn in_doubt(reason: MayHaveRunReason) -> Response<Body> {
+pub fn may_have_run_response(reason: MayHaveRunReason) -> Response<Body> {
     let status = match reason {
         MayHaveRunReason::DeadlinePassed => StatusCode::GATEWAY_TIMEOUT,
         _ => StatusCode::BAD_GATEWAY,
--- a/crates/samphiredoor-gateway/src/front/attempt.rs
+++ b/crates/samphiredoor-gateway/src/front/attempt.rs
@@ -39,7 +39,7 @@
     /// The target certainly did not run the request.
     NotRun(AttemptEnd),
     /// The target may have run the request, but its answer was lost.
-    Doubt(AttemptEnd, MayHaveRunReason),
+    MayHaveRun(AttemptEnd, MayHaveRunReason),
 }
 
 /// Time limits of an attempt.
@@ -88,11 +88,11 @@
         }
         Some(Err(SendError::MayHaveRun(err))) => {
             log::info!(target = &**target, problem:% = err; "target: answer lost");
-            return AttemptOutcome::Doubt(AttemptEnd::Lost, MayHaveRunReason::ConnectionLost);
+            return AttemptOutcome::MayHaveRun(AttemptEnd::Lost, MayHaveRunReason::ConnectionLost);
         }
         None => {
-            let (end, doubt) = timeouts.expired();
-            return AttemptOutcome::Doubt(end, doubt);
+            let (end, cause) = timeouts.expired();
+            return AttemptOutcome::MayHaveRun(end, cause);
         }
     };
     if let Some(end) = target_client::not_run_reason(names, &response) {
@@ -109,8 +109,8 @@
     let whole = read_whole(body, MAX_WHOLE_BYTES);
     match within(timeouts.remaining(), whole).await {
         Some(Ok(body)) => AttemptOutcome::Whole(Box::new(parts), body),
-        Some(Err(_)) => AttemptOutcome::Doubt(AttemptEnd::Lost, MayHaveRunReason::AnswerCut),
-        None => AttemptOutcome::Doubt(AttemptEnd::Cut, MayHaveRunReason::DeadlinePassed),
+        Some(Err(_)) => AttemptOutcome::MayHaveRun(AttemptEnd::Lost, MayHaveRunReason::AnswerCut),
+        None => AttemptOutcome::MayHaveRun(AttemptEnd::Cut, MayHaveRunReason::DeadlinePassed),
     }
 }
 
@@ -131,7 +131,7 @@
                 }
             }
             Ok(None) => return AttemptOutcome::Whole(parts, events.take_rest()),
-            Err((end, doubt)) => return AttemptOutcome::Doubt(end, doubt),
+            Err((end, cause)) => return AttemptOutcome::MayHaveRun(end, cause),
         }
     }
 }
--- a/crates/samphiredoor-gateway/src/front/forwarded_stream.rs
+++ b/crates/samphiredoor-gateway/src/front/forwarded_stream.rs
@@ -46,8 +46,8 @@
             match next_piece(&mut active.started.body, timeouts).await {
                 Ok(Some(data)) => active.started.events.push(&data),
                 Ok(None) => return self.finish(),
-                Err((end, doubt)) => {
-                    if let Some(err) = self.resume_or_fail(end, doubt).await {
+                Err((end, cause)) => {
+                    if let Some(err) = self.resume_or_fail(end, cause).await {
                         return Some(Err(err));
                     }
                 }
@@ -68,31 +68,31 @@
     async fn resume_or_fail(
         &mut self,
         end: AttemptEnd,
-        doubt: MayHaveRunReason,
+        cause: MayHaveRunReason,
     ) -> Option<BoxError> {
         let mut active = self.active.take()?;
         active.ticket.report_end(end);
         log::info!(
             request = self.request.id, target = &*active.target, after = self.last_event.unwrap_or(0),
-            reason = doubt.label();
+            reason = cause.label();
             "front: stream interrupted"
         );
         // Closes the connection, so that the target stops before another one continues the stream.
         drop(active);
         let resumable = matches!(self.request.route.kind, RouteKind::Stream { resumable: true });
         let why = match (resumable, self.last_event) {
-            (true, Some(last)) => match self.request.resume(last, doubt).await {
+            (true, Some(last)) => match self.request.resume(last, cause).await {
                 Ok(active) => {
                     self.active = Some(active);
                     return None;
                 }
                 Err(why) => why,
             },
-            _ => NoAnswer::Doubt(doubt),
+            _ => NoAnswer::MayHaveRun(cause),
         };
         let outcome = match why {
             NoAnswer::Refused { reason, .. } => reason.label(),
-            NoAnswer::Doubt(doubt) => doubt.label(),
+            NoAnswer::MayHaveRun(cause) => cause.label(),
         };
         self.request.log_end(outcome, 0);
         Some(format!("the stream was cut: {outcome}").into())
--- a/crates/samphiredoor-gateway/src/front/online.rs
+++ b/crates/samphiredoor-gateway/src/front/online.rs
@@ -27,7 +27,7 @@
 
 use super::{
     Front,
-    answers::{in_doubt, refusal_response},
+    answers::{may_have_run_response, refusal_response},
     attempt::{AttemptOutcome, StartedStream, Timeouts, run_attempt},
     forwarded_stream::ForwardedStream,
     header_number,
@@ -73,7 +73,7 @@
     sends: u32,
     tried: SmallVec<[Name; 2]>,
     /// Why it is unknown whether an earlier attempt ran, if one may have.
-    doubt: Option<MayHaveRunReason>,
+    may_have_run: Option<MayHaveRunReason>,
     /// The last 5xx answer of a target; it becomes the answer if no other target answers.
     server_error: Option<(Box<response::Parts>, Bytes)>,
     _open: OpenRequestGuard,
@@ -114,7 +114,7 @@
 #[derive(Debug, Clone, Copy)]
 pub(super) enum NoAnswer {
     Refused { reason: Refusal, retry_after_ms: u64 },
-    Doubt(MayHaveRunReason),
+    MayHaveRun(MayHaveRunReason),
 }
 
 impl OnlineRequest {
@@ -147,7 +147,7 @@
             deadline: started + Duration::from_millis(deadline_ms),
             sends: 0,
             tried: SmallVec::new(),
-            doubt: None,
+            may_have_run: None,
             server_error: None,
         }
     }
@@ -179,11 +179,11 @@
                 self.front.metrics.refused(reason);
                 refusal_response(reason, retry_after_ms)
             }
-            NoAnswer::Doubt(doubt) => in_doubt(doubt),
+            NoAnswer::MayHaveRun(cause) => may_have_run_response(cause),
         };
         let outcome = match why {
             NoAnswer::Refused { reason, .. } => reason.label(),
-            NoAnswer::Doubt(doubt) => doubt.label(),
+            NoAnswer::MayHaveRun(cause) => cause.label(),
         };
         self.log_end(outcome, response.status().as_u16());
         response
@@ -211,11 +211,11 @@
     pub(super) async fn resume(
         &mut self,
         after: u64,
-        doubt: MayHaveRunReason,
+        cause: MayHaveRunReason,
     ) -> Result<ActiveStream, NoAnswer> {
-        self.doubt = Some(doubt);
+        self.may_have_run = Some(cause);
         if !self.may_run_again() {
-            return Err(NoAnswer::Doubt(doubt));
+            return Err(NoAnswer::MayHaveRun(cause));
         }
         self.front.metrics.retried("stream_cut");
         let name = self.front.dialect.headers().last_event_id.clone();
@@ -223,7 +223,7 @@
         match self.try_targets().await {
             Outcome::Stream(_, stream) => Ok(stream),
             // The headers of the stream have been sent to the caller, so another answer cannot be forwarded.
-            Outcome::Whole(..) => Err(NoAnswer::Doubt(doubt)),
+            Outcome::Whole(..) => Err(NoAnswer::MayHaveRun(cause)),
             Outcome::NoAnswer(why) => Err(why),
         }
     }
@@ -236,15 +236,15 @@
     async fn try_targets(&mut self) -> Outcome {
         loop {
             if self.sends >= MAX_SENDS || self.timeouts().remaining() < MIN_TIME_TO_SEND {
-                let why = self.refused_or_doubt(Refusal::DeadlineTooShort);
+                let why = self.refused_or_may_have_run(Refusal::DeadlineTooShort);
                 return self.final_outcome(why);
             }
-            let mut ticket = self.front.placement.request(self.ask());
+            let mut ticket = self.front.placement.request(self.request_spec());
             let (target, address) = match ticket.next_decision().await {
                 Decision::Dispatch { target, address } => (target, address),
                 Decision::Refused { reason, retry_after_ms } => {
-                    let why = match self.doubt {
-                        Some(doubt) => NoAnswer::Doubt(doubt),
+                    let why = match self.may_have_run {
+                        Some(cause) => NoAnswer::MayHaveRun(cause),
                         None => NoAnswer::Refused { reason, retry_after_ms },
                     };
                     return self.final_outcome(why);
@@ -296,13 +296,13 @@
                 self.tried.push(target);
                 None
             }
-            AttemptOutcome::Doubt(end, doubt) => {
+            AttemptOutcome::MayHaveRun(end, cause) => {
                 self.runs += 1;
                 ticket.report_end(end);
-                self.doubt = Some(doubt);
+                self.may_have_run = Some(cause);
                 self.log_attempt_end(&target, end);
                 self.tried.push(target);
-                (!self.may_run_again()).then_some(Outcome::NoAnswer(NoAnswer::Doubt(doubt)))
+                (!self.may_run_again()).then_some(Outcome::NoAnswer(NoAnswer::MayHaveRun(cause)))
             }
         }
     }
@@ -340,14 +340,14 @@
     }
 
     /// A refusal, unless an earlier attempt may have run.
-    fn refused_or_doubt(&self, reason: Refusal) -> NoAnswer {
-        match self.doubt {
-            Some(doubt) => NoAnswer::Doubt(doubt),
+    fn refused_or_may_have_run(&self, reason: Refusal) -> NoAnswer {
+        match self.may_have_run {
+            Some(cause) => NoAnswer::MayHaveRun(cause),
             None => NoAnswer::Refused { reason, retry_after_ms: 0 },
         }
     }
 
-    fn ask(&self) -> RequestSpec {
+    fn request_spec(&self) -> RequestSpec {
         let queue_ms = self.route.objective_ms / QUEUE_WAIT_DIVISOR;
         RequestSpec {
             request: self.front.placement.next_request(),
--- a/crates/samphiredoor-gateway/src/placement.rs
+++ b/crates/samphiredoor-gateway/src/placement.rs
@@ -51,7 +51,7 @@
 }
 
 enum Message {
-    Ask(RequestSpec, flume::Sender<Decision>),
+    Request(RequestSpec, flume::Sender<Decision>),
     Input(Input),
 }
 
@@ -105,15 +105,15 @@
     }
 
     /// Requests a target. Decisions arrive through the ticket.
-    pub fn request(&self, ask: RequestSpec) -> Ticket {
+    pub fn request(&self, spec: RequestSpec) -> Ticket {
         let (sender, decisions) = flume::unbounded();
         let ticket = Ticket {
-            request: ask.request,
+            request: spec.request,
             decisions,
             messages: self.messages.clone(),
             stage: Stage::Waiting,
         };
-        self.send(Message::Ask(ask, sender));
+        self.send(Message::Request(spec, sender));
         ticket
     }
 
@@ -133,8 +133,8 @@
     }
 
     /// Updates the load of a peer, or the total load of another cell.
-    pub fn set_peer_load(&self, door: Name, state: GatewayState) {
-        self.send(Message::Input(Input::Peer { peer: door, state }));
+    pub fn set_peer_load(&self, peer: Name, state: GatewayState) {
+        self.send(Message::Input(Input::Peer { peer, state }));
     }
 
     // The task runs until the process ends, so the channel is never closed.
@@ -211,9 +211,9 @@
         loop {
             let tick = if self.is_busy() { BUSY_TICK } else { IDLE_TICK };
             let input = match within(tick, inbox.recv_async()).await {
-                Some(Ok(Message::Ask(ask, reply))) => {
-                    self.reply_channels.insert(ask.request, reply);
-                    Input::Request(ask)
+                Some(Ok(Message::Request(spec, reply))) => {
+                    self.reply_channels.insert(spec.request, reply);
+                    Input::Request(spec)
                 }
                 Some(Ok(Message::Input(input))) => input,
                 Some(Err(_)) => return,
--- a/crates/samphiredoor-gateway/src/process.rs
+++ b/crates/samphiredoor-gateway/src/process.rs
@@ -95,7 +95,7 @@
         "gateway: started"
     );
     serve_internal(&config, &parts, Rc::clone(&platform.dialect), readiness, peer_calls).await?;
-    compio::runtime::spawn(follow_limits(parts.routes.clone(), callers.limits())).detach();
+    compio::runtime::spawn(update_limits(parts.routes.clone(), callers.limits())).detach();
     let front = Rc::clone(&parts.front);
     let serving = compio::runtime::spawn(
         callers.run(move |request| front::answer(Rc::clone(&front), request)),
@@ -130,7 +130,7 @@
     let common = &config.common;
     let clock = Clock::new();
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-    let own = LocalGateway {
+    let local = LocalGateway {
         name: common.name.clone(),
         incarnation: since.as_micros() as u64,
         location: common.location.clone(),
@@ -138,11 +138,11 @@
     };
     let metrics = Metrics::new();
     let (routes, health) = (Routes::default(), StoreHealth::default());
-    let roster = Roster::new(own.clone());
+    let roster = Roster::new(local.clone());
     let stopping = Rc::new(Cell::new(false));
     let (load_reports, loads_to_send) = flume::unbounded();
     let seed = rand::random();
-    let placement = Placement::new(own.name.clone(), own.location.clone(), seed);
+    let placement = Placement::new(local.name.clone(), local.location.clone(), seed);
     let metrics_of_task = Rc::clone(&metrics);
     let placement = PlacementHandle::start(PlacementTask {
         clock,
@@ -154,9 +154,9 @@
     let targets_known = Rc::new(Cell::new(None));
     let mirrors = Mirrors::new(&common.mirrors);
     let watch_relay = WatchRelay::new(roster.clone());
-    let follow = |kind, within, seen_version: &SeenVersion| {
+    let new_watcher = |kind, within, seen_version: &SeenVersion| {
         let schedule = WatchSchedule::new(roster.clone(), within, seen_version.clone());
-        Watcher::new(Rc::clone(&platform.store), kind, common.watch)
+        Watcher::new(Rc::clone(&platform.store), kind, common.max_watch)
             .with_metrics(Rc::clone(&metrics))
             .with_mirrors(mirrors.clone())
             .with_health(health.clone())
@@ -171,12 +171,12 @@
         health: health.clone(),
         metrics: Rc::clone(&metrics),
     });
-    let follow_routes = follow(Kind::Routes, common.routes_within, &seen_versions.routes)
+    let routes_watcher = new_watcher(Kind::Routes, common.routes_within, &seen_versions.routes)
         .with_stale_start()
         .with_pause_after_changes(common.routes_within);
     let (peer_routes, routes_from_peers) = flume::unbounded();
     compio::runtime::spawn(Rc::clone(&routes_task).run_peer_routes(routes_from_peers)).detach();
-    compio::runtime::spawn(routes_task.run(follow_routes)).detach();
+    compio::runtime::spawn(routes_task.run(routes_watcher)).detach();
     let fetch_routes = peers::routes_relay::run(
         roster.clone(),
         routes.clone(),
@@ -192,20 +192,20 @@
         known: Rc::clone(&targets_known),
         metrics: Rc::clone(&metrics),
     };
-    let follow_targets = follow(Kind::Targets, common.targets_within, &seen_versions.targets)
+    let targets_watcher = new_watcher(Kind::Targets, common.targets_within, &seen_versions.targets)
         .with_stale_start()
         .with_recovery_by_another(health.clone())
         .with_pause_after_changes(common.targets_within);
-    compio::runtime::spawn(targets_task.run(follow_targets)).detach();
+    compio::runtime::spawn(targets_task.run(targets_watcher)).detach();
 
-    let follow_gateways = follow(Kind::Door, GATEWAYS_WITHIN, &seen_versions.gateways)
+    let gateways_watcher = new_watcher(Kind::Door, GATEWAYS_WITHIN, &seen_versions.gateways)
         .with_stale_start()
         .with_recovery_by_another(health.clone());
     let registration = peers::registration::run(
         roster.clone(),
         placement.clone(),
         Rc::clone(&platform.store),
-        follow_gateways,
+        gateways_watcher,
     );
     compio::runtime::spawn(registration).detach();
     let (owners, cell_statuses) = (JobOwners::default(), CellStatuses::default());
@@ -227,7 +227,7 @@
     compio::runtime::spawn(summary_sender.run()).detach();
     let (announcements, announcements_to_send) = flume::unbounded();
     let status_sender = StatusSender {
-        local: own.clone(),
+        local: local.clone(),
         socket,
         roster: roster.clone(),
         cell_statuses,
@@ -239,8 +239,8 @@
 
     let liveness_gaps = LivenessGaps::new(clock, roster.clone(), health.clone());
     let env = JobEnv {
-        name: own.name.clone(),
-        incarnation: own.incarnation,
+        name: local.name.clone(),
+        incarnation: local.incarnation,
         platform: platform.clone(),
         routes: routes.clone(),
         placement: placement.clone(),
@@ -354,7 +354,7 @@
 }
 
 /// Copies the limits on callers from the active routes to the listener, for as long as the process runs.
-async fn follow_limits(routes: Routes, limits: Rc<std::cell::RefCell<ServeLimits>>) {
+async fn update_limits(routes: Routes, limits: Rc<std::cell::RefCell<ServeLimits>>) {
     loop {
         if let Some(table) = routes.current() {
             let mut limits = limits.borrow_mut();
--- a/crates/samphiredoor-gateway/src/routes.rs
+++ b/crates/samphiredoor-gateway/src/routes.rs
@@ -10,25 +10,25 @@
 /// Handle to the active routes; only `discovery` updates them.
 #[derive(Clone, Default)]
 pub struct Routes {
-    log: Rc<RefCell<LatestRoutes>>,
+    latest: Rc<RefCell<LatestRoutes>>,
     source: Rc<RefCell<Option<Stored>>>,
 }
 
 impl Routes {
     /// Active route table; `None` before the first one is received.
     pub fn current(&self) -> Option<Arc<RouteTable>> {
-        self.log.borrow().current().map(Arc::clone)
+        self.latest.borrow().current().map(Arc::clone)
     }
 
     /// Version of the active route table; 0 before the first one is received.
     pub fn version(&self) -> u64 {
-        self.log.borrow().current().map_or(0, |it| it.version)
+        self.latest.borrow().current().map_or(0, |it| it.version)
     }
 
     /// Activates a table if it is newer than the active one, and returns whether it did. `source` is the stored object
     /// that it was parsed from.
     pub fn update_if_newer(&self, table: RouteTable, source: &Stored) -> bool {
-        let activated = self.log.borrow_mut().update_if_newer(table);
+        let activated = self.latest.borrow_mut().update_if_newer(table);
         if activated {
             *self.source.borrow_mut() = Some(source.clone());
         }
--- a/crates/samphiredoor-gateway/src/seen_versions.rs
+++ b/crates/samphiredoor-gateway/src/seen_versions.rs
@@ -23,7 +23,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct SeenVersion {
     own: Rc<Cell<Version>>,
-    others: Rc<Cell<Version>>,
+    newest_of_peers: Rc<Cell<Version>>,
 }
 
 impl SeenVersion {
@@ -34,7 +34,7 @@
 
     /// Records a change that a peer reports to have seen.
     pub fn record_peers(&self, version: Version) {
-        self.others.set(self.others.get().max(version));
+        self.newest_of_peers.set(self.newest_of_peers.get().max(version));
     }
 
     /// Newest version that this process has seen.
@@ -44,7 +44,7 @@
 
     /// Newest version that any peer has seen.
     pub fn newest_of_peers(&self) -> Version {
-        self.others.get()
+        self.newest_of_peers.get()
     }
 }
 
--- a/crates/samphiredoor-gateway/src/storage.rs
+++ b/crates/samphiredoor-gateway/src/storage.rs
@@ -49,11 +49,11 @@
         };
         log::info!(name = &*config.common.name, mirror; "storage: started, holds no data");
         compio::runtime::spawn(ignore_reload_signals()).detach();
-        let watch = config.common.watch.min(RETIREMENT_WATCH);
+        let watch = config.common.max_watch.min(RETIREMENT_WATCH);
         let watcher = Watcher::new(Rc::clone(&platform.store), Kind::Retirement, watch);
-        let following = std::pin::pin!(follow(platform, watcher));
-        if let Either::Left(_) = select(following, std::pin::pin!(wait_for_stop())).await {
-            log::error!("storage: no longer follows requests to empty hosts");
+        let confirming = std::pin::pin!(confirm_all(platform, watcher));
+        if let Either::Left(_) = select(confirming, std::pin::pin!(wait_for_stop())).await {
+            log::error!("storage: no longer watches for requests to empty hosts");
         }
         log::info!("storage: stopped");
         Ok(())
@@ -83,7 +83,7 @@
 }
 
 /// Confirms requests to empty hosts for as long as the process runs.
-async fn follow(platform: Platform, mut watcher: Watcher) {
+async fn confirm_all(platform: Platform, mut watcher: Watcher) {
     // Confirmed requests. A confirmation is itself a change of the request, and must not be confirmed again.
     let confirmed: Rc<RefCell<HashSet<Name>>> = Rc::default();
     loop {
--- a/crates/samphiredoor-gateway/src/store_health.rs
+++ b/crates/samphiredoor-gateway/src/store_health.rs
@@ -15,13 +15,13 @@
 #[derive(Default)]
 struct State {
     /// When the store last answered a call of this process.
-    heard: Cell<Option<Instant>>,
+    answered_at: Cell<Option<Instant>>,
     lost_since: Cell<Option<Instant>>,
     /// When the store first answered another process after this one had lost it.
-    others_heard: Cell<Option<Instant>>,
-    alone: Cell<bool>,
-    doubts: Cell<u64>,
-    regains: Cell<u64>,
+    peer_answered_at: Cell<Option<Instant>>,
+    lost_only_here: Cell<bool>,
+    suspicions: Cell<u64>,
+    recoveries: Cell<u64>,
 }
 
 /// Handle to the store's health as this process sees it; clones share the same state.
@@ -43,47 +43,47 @@
 
     /// Whether the store answers other processes while this one cannot reach it.
     pub fn is_lost_only_here(&self) -> bool {
-        self.state.alone.get()
+        self.state.lost_only_here.get()
     }
 
     /// Time since the store last answered a call; `None` before the first answer.
     pub fn time_since_answer(&self) -> Option<Duration> {
-        Some(self.state.heard.get()?.elapsed())
+        Some(self.state.answered_at.get()?.elapsed())
     }
 
     /// Records that the store has answered a call.
     pub fn record_answer(&self) {
-        self.state.heard.set(Some(Instant::now()));
+        self.state.answered_at.set(Some(Instant::now()));
     }
 
     /// Records that the store answered another process at some time.
     pub fn record_peer_answer(&self, at: Instant) {
         let since_loss = self.state.lost_since.get().is_some_and(|it| at > it);
-        if since_loss && self.state.others_heard.get().is_none() {
-            self.state.others_heard.set(Some(at));
+        if since_loss && self.state.peer_answered_at.get().is_none() {
+            self.state.peer_answered_at.set(Some(at));
         }
     }
 
     /// Records that a call that was sent at some time got no usable answer.
     pub fn record_failure(&self, sent: Instant) {
-        if self.state.others_heard.get().is_some_and(|it| sent > it) {
-            self.state.alone.set(true);
+        if self.state.peer_answered_at.get().is_some_and(|it| sent > it) {
+            self.state.lost_only_here.set(true);
         }
     }
 
     /// Records that a call got no answer. Waiting watches are then issued again, as the store may have dropped them too.
     pub fn raise_suspicion(&self) {
-        self.state.doubts.set(self.state.doubts.get() + 1);
+        self.state.suspicions.set(self.state.suspicions.get() + 1);
     }
 
     /// Number of calls of [`StoreHealth::raise_suspicion`] so far.
     pub fn suspicions(&self) -> u64 {
-        self.state.doubts.get()
+        self.state.suspicions.get()
     }
 
     /// Number of times that the store became reachable again.
     pub fn recoveries(&self) -> u64 {
-        self.state.regains.get()
+        self.state.recoveries.get()
     }
 
     /// Marks the store as unreachable.
@@ -97,9 +97,9 @@
     /// Marks the store as reachable again.
     pub fn mark_recovered(&self) {
         if let Some(since) = self.state.lost_since.take() {
-            let alone = self.state.alone.take();
-            self.state.regains.set(self.state.regains.get() + 1);
-            self.state.others_heard.set(None);
+            let alone = self.state.lost_only_here.take();
+            self.state.recoveries.set(self.state.recoveries.get() + 1);
+            self.state.peer_answered_at.set(None);
             log::info!(away_ms = since.elapsed().as_millis() as u64, alone; "store: regained");
         }
     }
--- a/crates/samphiredoor-gateway/src/watch.rs
+++ b/crates/samphiredoor-gateway/src/watch.rs
@@ -56,7 +56,7 @@
 const FALLBACK_WAIT: Duration = Duration::from_millis(1_500);
 /// How long a watch through a peer waits, as a part of the time within which a change has to take effect; a peer that has
 /// failed is detected within it.
-const PEER_WATCH_PART: f64 = 0.4;
+const RELAY_WATCH_PART: f64 = 0.4;
 /// How often a waiting watch is checked for signs that the store has dropped it.
 const STALL_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 /// Consecutive checks in which peers must be ahead before a watch counts as stalled; their reports of a change may arrive
@@ -89,9 +89,9 @@
 }
 
 /// Result of a watch through a peer.
-enum PeerWatch {
+enum RelayWatch {
     /// The peer answered.
-    Seen(StoreEvent),
+    Event(StoreEvent),
     /// The watch may have stalled.
     Stalled(StallReason),
     /// No peer watches for this process, or it did not answer, or the store has to be queried directly.
@@ -124,16 +124,16 @@
     is_behind: bool,
     /// Cache of what this process has seen, and access to the peer through which it may watch.
     watch_relay: Option<WatchRelay>,
-    peer_watch_wait: Duration,
+    relay_wait: Duration,
     /// Peer of the last watch through a peer.
-    peer: Option<SocketAddr>,
+    relay: Option<SocketAddr>,
     /// Source of the last answer of a peer.
-    peer_source: Option<watch_relay::RelayEpoch>,
+    relay_epoch: Option<watch_relay::RelayEpoch>,
     /// Whether the last answer came from another peer than the one before, or from one that has restarted or lost the store
     /// in between.
-    peer_source_changed: bool,
+    relay_epoch_changed: bool,
     /// Whether the last watch through a peer got no answer.
-    peer_failed: bool,
+    relay_failed: bool,
     /// Sources of the first list if the store does not answer; `None` after the first list.
     mirrors: Option<Mirrors>,
     metrics: Option<Rc<Metrics>>,
@@ -159,11 +159,11 @@
             schedule: None,
             is_behind: false,
             watch_relay: None,
-            peer_watch_wait: Duration::ZERO,
-            peer: None,
-            peer_source: None,
-            peer_source_changed: false,
-            peer_failed: false,
+            relay_wait: Duration::ZERO,
+            relay: None,
+            relay_epoch: None,
+            relay_epoch_changed: false,
+            relay_failed: false,
             mirrors: None,
             metrics: None,
             answered_at: Instant::now(),
@@ -207,7 +207,7 @@
     /// have to take effect `within` some time.
     pub fn with_watch_relay(mut self, watch_relay: WatchRelay, within: Duration) -> Watcher {
         self.watch_relay = Some(watch_relay);
-        self.peer_watch_wait = within.mul_f64(PEER_WATCH_PART);
+        self.relay_wait = within.mul_f64(RELAY_WATCH_PART);
         self
     }
 
@@ -226,25 +226,25 @@
 
     /// Waits for the next event.
     pub async fn next(&mut self) -> StoreEvent {
-        if let Some(seen) = self.queued.take() {
-            return seen;
+        if let Some(event) = self.queued.take() {
+            return event;
         }
         loop {
             if std::mem::take(&mut self.had_changes) {
                 compio::time::sleep(self.pause_after_changes).await;
             }
-            let seen = match self.since {
+            let event = match self.since {
                 None if self.failures == 0 && self.mirrors.is_some() => self.first_list().await,
                 None => self.list().await,
                 Some(since) => self.watch(since).await,
             };
-            let Some(seen) = seen else {
+            let Some(event) = event else {
                 self.failures += 1;
-                if let Some(seen) = self.list_from_mirror().await {
+                if let Some(event) = self.list_from_mirror().await {
                     if self.failures > 1 {
-                        return seen;
+                        return event;
                     }
-                    self.queued = Some(seen);
+                    self.queued = Some(event);
                     return StoreEvent::Lost;
                 }
                 compio::time::sleep(self.backoff()).await;
@@ -254,17 +254,17 @@
                 }
                 continue;
             };
-            let has_news = !matches!(&seen, StoreEvent::Changes(changes) if changes.is_empty());
-            self.had_changes = has_news && matches!(seen, StoreEvent::Changes(_));
+            let has_news = !matches!(&event, StoreEvent::Changes(changes) if changes.is_empty());
+            self.had_changes = has_news && matches!(event, StoreEvent::Changes(_));
             // Changes that only peers had seen were missed here as during an outage, and entries may have expired since.
             let missed_changes = std::mem::take(&mut self.is_behind) && has_news;
-            let peer_source_changed = std::mem::take(&mut self.peer_source_changed);
-            if std::mem::take(&mut self.failures) > 0 || missed_changes || peer_source_changed {
-                self.queued = has_news.then_some(seen);
+            let relay_epoch_changed = std::mem::take(&mut self.relay_epoch_changed);
+            if std::mem::take(&mut self.failures) > 0 || missed_changes || relay_epoch_changed {
+                self.queued = has_news.then_some(event);
                 return StoreEvent::Recovered;
             }
             if has_news {
-                return seen;
+                return event;
             }
         }
     }
@@ -374,10 +374,10 @@
     }
 
     async fn watch(&mut self, since: Version) -> Option<StoreEvent> {
-        let mut result = match self.watch_through_peer(since).await {
-            PeerWatch::Seen(seen) => return Some(seen),
-            PeerWatch::Stalled(reason) => Err(reason),
-            PeerWatch::Unavailable => self.watch_store(since).await,
+        let mut result = match self.watch_through_relay(since).await {
+            RelayWatch::Event(event) => return Some(event),
+            RelayWatch::Stalled(reason) => Err(reason),
+            RelayWatch::Unavailable => self.watch_store(since).await,
         };
         if matches!(result, Err(StallReason::PeersAhead)) {
             self.is_behind = true;
@@ -398,36 +398,36 @@
     }
 
     /// Watches through the peer that follows the store for the cell, unless the store has to be queried directly.
-    async fn watch_through_peer(&mut self, since: Version) -> PeerWatch {
+    async fn watch_through_relay(&mut self, since: Version) -> RelayWatch {
         if self.failures > 0 || self.is_behind {
-            return PeerWatch::Unavailable;
+            return RelayWatch::Unavailable;
         }
-        let Some(watch_relay) = self.watch_relay.clone() else { return PeerWatch::Unavailable };
-        let Some(address) = watch_relay.relay_address() else { return PeerWatch::Unavailable };
-        if self.peer.replace(address) != Some(address) {
+        let Some(watch_relay) = self.watch_relay.clone() else { return RelayWatch::Unavailable };
+        let Some(address) = watch_relay.relay_address() else { return RelayWatch::Unavailable };
+        if self.relay.replace(address) != Some(address) {
             log::info!(kind = self.kind.path(), peer:% = address; "store: watch_relay through another gateway");
         }
-        let (sent, wait) = (Instant::now(), self.peer_watch_wait);
+        let (sent, wait) = (Instant::now(), self.relay_wait);
         let watch = watch_relay.watch(address, self.kind, since, wait);
         match self.until_stalled(since, watch).await {
-            Ok(Some(told)) => PeerWatch::Seen(self.apply_peer_answer(told)),
+            Ok(Some(relayed)) => RelayWatch::Event(self.apply_relayed_changes(relayed)),
             Ok(None) => {
                 self.record_watch_failure(sent, "relay_silent");
-                self.peer_failed = true;
-                PeerWatch::Unavailable
+                self.relay_failed = true;
+                RelayWatch::Unavailable
             }
             Err(reason) => {
                 self.record_stall(sent, reason);
-                PeerWatch::Stalled(reason)
+                RelayWatch::Stalled(reason)
             }
         }
     }
 
     /// Converts the answer of a peer. If the peer lost the store since its last answer, entries may have expired meanwhile.
-    fn apply_peer_answer(&mut self, told: RelayedChanges) -> StoreEvent {
-        let before = self.peer_source.replace(told.epoch);
-        self.peer_source_changed = before.is_some_and(|it| it != told.epoch);
-        match told.delta {
+    fn apply_relayed_changes(&mut self, relayed: RelayedChanges) -> StoreEvent {
+        let before = self.relay_epoch.replace(relayed.epoch);
+        self.relay_epoch_changed = before.is_some_and(|it| it != relayed.epoch);
+        match relayed.delta {
             Delta::None => StoreEvent::Changes(Vec::new()),
             Delta::Changed { objects, version } => {
                 let changes = objects.into_iter().map(|(name, stored)| match stored {
@@ -471,7 +471,7 @@
 
     /// Lets peers that watch through this process see that it had lost the store, before they see entries as expired.
     fn record_recovery(&self, watch_relay: &WatchRelay) {
-        if self.failures > 0 || self.is_behind || self.peer_source_changed {
+        if self.failures > 0 || self.is_behind || self.relay_epoch_changed {
             watch_relay.record_store_outage(self.kind);
         }
     }
@@ -494,14 +494,14 @@
         since: Version,
         watch: impl Future<Output = T>,
     ) -> Result<T, StallReason> {
-        let doubts = self.health.as_ref().map(StoreHealth::suspicions);
+        let suspicions = self.health.as_ref().map(StoreHealth::suspicions);
         let mut watch = pin!(watch);
         let mut checks_behind = 0;
         loop {
             if let Some(answer) = within(STALL_CHECK_INTERVAL, &mut watch).await {
                 return Ok(answer);
             }
-            if self.health.as_ref().map(StoreHealth::suspicions) != doubts {
+            if self.health.as_ref().map(StoreHealth::suspicions) != suspicions {
                 return Err(StallReason::CallLost);
             }
             let behind = self.schedule.as_ref().is_some_and(|it| it.peers_ahead_of(since));
@@ -514,11 +514,11 @@
 
     /// How long the next watch may wait for a change.
     fn next_wait(&mut self) -> Duration {
-        let peer_failed = std::mem::take(&mut self.peer_failed);
+        let relay_failed = std::mem::take(&mut self.relay_failed);
         if self.failures > 0 || self.is_behind {
             return PROBE_WAIT;
         }
-        if peer_failed {
+        if relay_failed {
             return FALLBACK_WAIT.min(self.max_wait);
         }
         self.schedule.as_ref().map_or(self.max_wait, |it| it.next_wait().min(self.max_wait))
