--- a/crates/samphiredoor-gateway/src/placement.rs
+++ b/crates/samphiredoor-gateway/src/placement.rs
@@ -25,7 +25,7 @@
 const MIN_REPORT_INTERVAL: Duration = Duration::from_millis(20);
 /// Time between two ticks while online requests or a load report wait; neither is delayed by more than this.
 const BUSY_TICK: Duration = Duration::from_millis(20);
-/// Time between two ticks of an idle process, and between two heartbeats. Peers treat a gateway as gone that has sent
+/// Time between two ticks of an idle process, and between two heartbeats. Peers treat a gateway as dead that has sent
 /// nothing for three times as long.
 const IDLE_TICK: Duration = Duration::from_millis(500);
 
--- a/crates/samphiredoor-gateway/src/store_health.rs
+++ b/crates/samphiredoor-gateway/src/store_health.rs
@@ -1,10 +1,10 @@
 //! Tracks whether the store answers this process, and whether it answers other processes meanwhile.
 //!
-//! A process that is cut off from the store alone must stop its batch items: other processes take over its jobs, and it
+//! A process that alone has lost the store must stop its batch items: other processes take over its jobs, and it
 //! learns neither of that nor of the end of a job. If the store answers no process, no job can be taken over, and stopping
 //! the items would only discard their output. The last reports of other processes do not tell the two cases apart, because
-//! processes detect an outage at different times. A process therefore counts as cut off alone once the store has answered
-//! another process after this one lost it, and a call that this one made later than that has failed as well.
+//! processes detect an outage at different times. A store therefore counts as lost only here once it has answered another
+//! process after this one lost it, and a call that this one made later than that has failed as well.
 
 use std::{
     cell::Cell,
--- a/crates/samphiredoor-gateway/src/watch.rs
+++ b/crates/samphiredoor-gateway/src/watch.rs
@@ -1,4 +1,4 @@
-//! Follows all objects of one kind in the store by a list and watches.
+//! Watches all objects of one kind in the store, starting from a list.
 //!
 //! After a failed call the watcher continues from the last version that it has, and if the store has dropped that part of
 //! its history, it lists the kind again. It may therefore miss intermediate changes, but never the state after them.
@@ -7,8 +7,8 @@
 //! gateways (`watch_schedule`), or earlier when another call of the process gets no answer or when a peer has seen a newer
 //! change.
 //!
-//! In a large deployment most gateways watch through a peer of their cell, and query the store themselves as soon as that
-//! peer fails.
+//! In a large deployment most gateways watch through a peer of their cell, the watch relay, and query the store themselves
+//! as soon as the relay fails.
 
 use std::{
     net::SocketAddr,
@@ -51,11 +51,10 @@
 const LOST_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// Longest wait for another watcher to reach the store again.
 const MAX_LOST_WAIT: Duration = Duration::from_secs(3);
-/// How long a watch at the store waits after a watch through a peer has failed. By then another gateway watches for the
-/// cell.
+/// How long a watch at the store waits after the watch relay has failed. By then another gateway is the relay of the cell.
 const FALLBACK_WAIT: Duration = Duration::from_millis(1_500);
-/// How long a watch through a peer waits, as a part of the time within which a change has to take effect; a peer that has
-/// failed is detected within it.
+/// How long a watch through the relay waits, as a part of the time within which a change has to take effect; a relay that
+/// has failed is detected within it.
 const RELAY_WATCH_PART: f64 = 0.4;
 /// How often a waiting watch is checked for signs that the store has dropped it.
 const STALL_CHECK_INTERVAL: Duration = Duration::from_millis(250);
@@ -88,17 +87,17 @@
     PeersAhead,
 }
 
-/// Result of a watch through a peer.
+/// Result of a watch through the relay.
 enum RelayWatch {
-    /// The peer answered.
+    /// The relay answered.
     Event(StoreEvent),
     /// The watch may have stalled.
     Stalled(StallReason),
-    /// No peer watches for this process, or it did not answer, or the store has to be queried directly.
+    /// There is no relay, or it did not answer, or the store has to be queried directly.
     Unavailable,
 }
 
-/// Follows one kind of objects.
+/// Watches one kind of objects.
 pub struct Watcher {
     store: Rc<dyn ObjectStore>,
     kind: Kind,
@@ -122,17 +121,17 @@
     schedule: Option<WatchSchedule>,
     /// Whether the last watch was cancelled because a peer is ahead.
     is_behind: bool,
-    /// Cache of what this process has seen, and access to the peer through which it may watch.
+    /// Access to the relay of the cell, and a cache of what this process has seen for peers that use it as their relay.
     watch_relay: Option<WatchRelay>,
     relay_wait: Duration,
-    /// Peer of the last watch through a peer.
+    /// Relay of the last watch through one.
     relay: Option<SocketAddr>,
-    /// Source of the last answer of a peer.
+    /// Epoch of the relay in its last answer.
     relay_epoch: Option<watch_relay::RelayEpoch>,
-    /// Whether the last answer came from another peer than the one before, or from one that has restarted or lost the store
+    /// Whether the last answer came from another relay than the one before, or from one that has restarted or lost the store
     /// in between.
     relay_epoch_changed: bool,
-    /// Whether the last watch through a peer got no answer.
+    /// Whether the last watch through the relay got no answer.
     relay_failed: bool,
     /// Sources of the first list if the store does not answer; `None` after the first list.
     mirrors: Option<Mirrors>,
@@ -197,14 +196,14 @@
 
     /// Staggers the watches with those of the peers, and queries the store when a peer has seen a newer change. Otherwise a
     /// watch that the store has dropped hides all changes until its wait is over, possibly in all processes at once: callers
-    /// are served by replaced routes, and draining targets get new requests.
+    /// are served by replaced routes, and leaving targets get new requests.
     pub fn with_schedule(mut self, schedule: WatchSchedule) -> Watcher {
         self.schedule = Some(schedule);
         self
     }
 
-    /// Watches through the peer that follows the store for the cell, and keeps what this process sees for its peers. Changes
-    /// have to take effect `within` some time.
+    /// Watches through the watch relay of the cell, and keeps what this process sees for peers that use it as their relay.
+    /// Changes have to take effect `within` some time.
     pub fn with_watch_relay(mut self, watch_relay: WatchRelay, within: Duration) -> Watcher {
         self.watch_relay = Some(watch_relay);
         self.relay_wait = within.mul_f64(RELAY_WATCH_PART);
@@ -254,16 +253,16 @@
                 }
                 continue;
             };
-            let has_news = !matches!(&event, StoreEvent::Changes(changes) if changes.is_empty());
-            self.had_changes = has_news && matches!(event, StoreEvent::Changes(_));
-            // Changes that only peers had seen were missed here as during an outage, and entries may have expired since.
-            let missed_changes = std::mem::take(&mut self.is_behind) && has_news;
+            let has_content = !matches!(&event, StoreEvent::Changes(changes) if changes.is_empty());
+            self.had_changes = has_content && matches!(event, StoreEvent::Changes(_));
+            // Changes that only peers had seen were missed here as in an outage, so entries may have expired meanwhile.
+            let missed_changes = std::mem::take(&mut self.is_behind) && has_content;
             let relay_epoch_changed = std::mem::take(&mut self.relay_epoch_changed);
             if std::mem::take(&mut self.failures) > 0 || missed_changes || relay_epoch_changed {
-                self.queued = has_news.then_some(event);
+                self.queued = has_content.then_some(event);
                 return StoreEvent::Recovered;
             }
-            if has_news {
+            if has_content {
                 return event;
             }
         }
@@ -397,7 +396,7 @@
         }
     }
 
-    /// Watches through the peer that follows the store for the cell, unless the store has to be queried directly.
+    /// Watches through the relay of the cell, unless the store has to be queried directly.
     async fn watch_through_relay(&mut self, since: Version) -> RelayWatch {
         if self.failures > 0 || self.is_behind {
             return RelayWatch::Unavailable;
@@ -405,7 +404,7 @@
         let Some(watch_relay) = self.watch_relay.clone() else { return RelayWatch::Unavailable };
         let Some(address) = watch_relay.relay_address() else { return RelayWatch::Unavailable };
         if self.relay.replace(address) != Some(address) {
-            log::info!(kind = self.kind.path(), peer:% = address; "store: watch_relay through another gateway");
+            log::info!(kind = self.kind.path(), peer:% = address; "store: followed through another gateway");
         }
         let (sent, wait) = (Instant::now(), self.relay_wait);
         let watch = watch_relay.watch(address, self.kind, since, wait);
@@ -423,7 +422,8 @@
         }
     }
 
-    /// Converts the answer of a peer. If the peer lost the store since its last answer, entries may have expired meanwhile.
+    /// Converts the answer of the relay. If the relay lost the store since its last answer, entries may have expired
+    /// meanwhile.
     fn apply_relayed_changes(&mut self, relayed: RelayedChanges) -> StoreEvent {
         let before = self.relay_epoch.replace(relayed.epoch);
         self.relay_epoch_changed = before.is_some_and(|it| it != relayed.epoch);
