--- a/crates/samphiredoor-gateway/src/metrics.rs
+++ b/crates/samphiredoor-gateway/src/metrics.rs
@@ -53,7 +53,7 @@
     routes_version: Gauge,
     watch_ends: Family<WatchLabel, Counter>,
     store_silent_ms: Family<KindLabel, Gauge>,
-    /// When the store last answered a list or watch, for each kind that is followed.
+    /// When the store last answered a list or watch, for each watched kind.
     store_answered_at: RefCell<BTreeMap<&'static str, Instant>>,
 }
 
