--- a/crates/samphiredoor-gateway/src/front/answers.rs
+++ b/crates/samphiredoor-gateway/src/front/answers.rs
@@ -1,4 +1,4 @@
-//! Answers of the gateway itself, as opposed to those of targets.
+//! Error answers that the gateway creates itself, as opposed to answers forwarded from targets.
 
 use hyper::{
     Response, StatusCode,
@@ -8,13 +8,13 @@
 use samphiredoor_net::{Body, answers};
 use serde_json::json;
 
-/// Answer with a short text.
+/// Answer with the JSON body `{"error": message}`.
 pub fn json_message(status: StatusCode, message: &str) -> Response<Body> {
     let text = json!({ "error": message }).to_string();
     answers::json(status, text)
 }
 
-/// Answer that promises that the request has not run, with the time to come back, in milliseconds.
+/// 503 answer to a request that has certainly not run, with a `Retry-After` header in seconds to three decimals.
 pub fn refusal_response(reason: Refusal, retry_after_ms: u64) -> Response<Body> {
     let mut response = json_message(StatusCode::SERVICE_UNAVAILABLE, reason.label());
     let seconds = format!("{}.{:03}", retry_after_ms / 1_000, retry_after_ms % 1_000);
@@ -24,8 +24,8 @@
     response
 }
 
-/// Answer to a request that may have run.
-pub fn in_doubt(reason: MayHaveRunReason) -> Response<Body> {
+/// Answer to a request that may have run: 504 if the deadline passed, otherwise 502.
+pub fn may_have_run_response(reason: MayHaveRunReason) -> Response<Body> {
     let status = match reason {
         MayHaveRunReason::DeadlinePassed => StatusCode::GATEWAY_TIMEOUT,
         _ => StatusCode::BAD_GATEWAY,
--- a/crates/samphiredoor/tests/it/platform/mod.rs
+++ b/crates/samphiredoor/tests/it/platform/mod.rs
@@ -1,11 +1,11 @@
-//! Tests of gateways on the users' platform, through the real process, with stand-ins of the platform.
+//! Tests of gateway processes on the users' platform, with stand-ins for its store, targets and callers.
 
 mod cancellations;
 mod cells;
 mod discovery;
 mod env;
 mod jobs;
-mod narrow_line;
+mod slow_link;
 mod soak;
 mod stops;
 mod streams;
