--- a/crates/samphiredoor-gateway/src/jobs/directory.rs
+++ b/crates/samphiredoor-gateway/src/jobs/directory.rs
@@ -12,7 +12,7 @@
 use super::job_task::JobMessage;
 
 /// How long a job that was closed here is remembered, so that an older state of the store does not bring it back.
-const CLOSED_FOR: Duration = Duration::from_secs(60);
+const CLOSED_JOB_RETENTION: Duration = Duration::from_secs(60);
 
 /// Handle to the jobs that this process works on.
 #[derive(Clone, Default)]
@@ -38,25 +38,25 @@
     }
 
     /// Removes a job whose task has ended because another process has or may have it.
-    pub fn leave(&self, job: &JobName) {
+    pub fn remove(&self, job: &JobName) {
         self.open.borrow_mut().remove(job);
     }
 
     /// Removes a job that is over for everybody.
     pub fn close(&self, job: &JobName) {
-        self.leave(job);
+        self.remove(job);
         let mut closed = self.closed.borrow_mut();
-        closed.retain(|_, at| at.elapsed() < CLOSED_FOR);
+        closed.retain(|_, at| at.elapsed() < CLOSED_JOB_RETENTION);
         closed.insert(JobName::clone(job), Instant::now());
     }
 
     /// Whether a job that is over was closed here lately.
-    pub fn was_closed(&self, job: &str) -> bool {
-        self.closed.borrow().get(job).is_some_and(|it| it.elapsed() < CLOSED_FOR)
+    pub fn was_recently_closed(&self, job: &str) -> bool {
+        self.closed.borrow().get(job).is_some_and(|it| it.elapsed() < CLOSED_JOB_RETENTION)
     }
 
     /// Speaks to a job's task; `false` if the job is not here.
-    pub fn tell(&self, job: &str, message: JobMessage) -> bool {
+    pub fn send(&self, job: &str, message: JobMessage) -> bool {
         let open = self.open.borrow();
         open.get(job).is_some_and(|it| it.send(message).is_ok())
     }
@@ -72,10 +72,10 @@
     }
 
     /// Has all jobs handed over.
-    pub fn release_all(&self) {
+    pub fn hand_over_all(&self) {
         for messages in self.open.borrow().values() {
             // A task that has just ended needs no message.
-            let _ = messages.send(JobMessage::Release);
+            let _ = messages.send(JobMessage::HandOver);
         }
     }
 }
--- a/crates/samphiredoor-gateway/src/jobs/item_run.rs
+++ b/crates/samphiredoor-gateway/src/jobs/item_run.rs
@@ -27,7 +27,7 @@
 };
 use smallvec::SmallVec;
 
-use super::{JobEnv, clearance::Clearance};
+use super::{JobEnv, send_permit::SendPermit};
 use crate::{
     events::{EventBuffer, is_event_stream},
     placement::{Placed, Ticket},
@@ -36,15 +36,15 @@
 
 /// Silence after which an item is sent to another target. Online requests that join a batch hold up its events for some
 /// hundred milliseconds at most; an engine short of memory may hold up one for longer.
-const SILENCE: Duration = Duration::from_millis(2_500);
+const IDLE_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// Pause before an item is sent again that did not run.
-const NOT_RUN_PAUSE: Duration = Duration::from_millis(60);
+const RETRY_PAUSE: Duration = Duration::from_millis(60);
 /// Pause before looking again for routes that are not known yet.
 const NO_ROUTES_PAUSE: Duration = Duration::from_millis(200);
 /// Longest time that a target is asked to work on one send.
-const LONGEST_SEND: Duration = Duration::from_secs(30);
+const MAX_ATTEMPT_TIME: Duration = Duration::from_secs(30);
 /// Bytes of a failed answer that are read so that the connection can be kept.
-const MAX_FAILURE_BYTES: usize = 64 * 1024;
+const MAX_ERROR_BYTES: usize = 64 * 1024;
 
 /// An item to run.
 pub struct ItemRun {
@@ -67,7 +67,7 @@
     /// What has arrived of it.
     pub output: SharedOutput,
     /// Whether it may be sent.
-    pub clearance: Rc<Clearance>,
+    pub permit: Rc<SendPermit>,
 }
 
 /// Output of an item as far as it has arrived.
@@ -75,10 +75,10 @@
 pub struct Output {
     text: Vec<u8>,
     has_data: bool,
-    last: Option<u64>,
+    last_event: Option<u64>,
     /// Bytes of the text that the job's log keeps, and the event up to which it does.
-    kept_bytes: usize,
-    kept_last: Option<u64>,
+    saved_bytes: usize,
+    saved_event: Option<u64>,
     /// How long the runs in this process took that put it out.
     ran_ms: u64,
 }
@@ -87,15 +87,15 @@
 pub type SharedOutput = Rc<RefCell<Output>>;
 
 /// What became of one send.
-enum Sent {
+enum AttemptOutcome {
     /// The item is over.
-    Over(ItemEnd),
+    Finished(ItemEnd),
     /// It was cut and can go on at once.
-    GoOn,
+    Resume,
     /// It did not run; try another target a little later.
-    Later,
+    RetryLater,
     /// The answer was lost.
-    Lost,
+    ResponseLost,
 }
 
 impl ItemRun {
@@ -108,25 +108,25 @@
                 return ItemEnd::Impossible;
             }
         };
-        let Some(mut call) = self.call(body) else { return ItemEnd::Impossible };
+        let Some(mut call) = self.build_call(body) else { return ItemEnd::Impossible };
         loop {
-            self.clearance.wait().await;
+            self.permit.wait().await;
             let Some(table) = self.routes() else {
                 compio::time::sleep(NO_ROUTES_PAUSE).await;
                 continue;
             };
-            let Some(route) = self.route(&table) else { return self.ended(ItemEnd::NoRoute) };
-            match self.send(&route, &mut call).await {
-                Sent::Over(end) => return self.ended(end),
-                Sent::GoOn => {}
-                Sent::Later => compio::time::sleep(NOT_RUN_PAUSE).await,
-                Sent::Lost if self.last().is_some() => {}
-                Sent::Lost => return self.ended(ItemEnd::NoAnswer),
+            let Some(route) = self.route(&table) else { return self.finish(ItemEnd::NoRoute) };
+            match self.attempt(&route, &mut call).await {
+                AttemptOutcome::Finished(end) => return self.finish(end),
+                AttemptOutcome::Resume => {}
+                AttemptOutcome::RetryLater => compio::time::sleep(RETRY_PAUSE).await,
+                AttemptOutcome::ResponseLost if self.last_event().is_some() => {}
+                AttemptOutcome::ResponseLost => return self.finish(ItemEnd::NoAnswer),
             }
         }
     }
 
-    fn ended(&self, end: ItemEnd) -> ItemEnd {
+    fn finish(&self, end: ItemEnd) -> ItemEnd {
         let label = match end {
             ItemEnd::Completed { .. } => "completed",
             ItemEnd::Failed => "failed",
@@ -151,7 +151,7 @@
         matches!(route.kind, RouteKind::Batch(_)).then(|| Arc::clone(route))
     }
 
-    fn call(&self, body: Bytes) -> Option<Call> {
+    fn build_call(&self, body: Bytes) -> Option<Call> {
         let uri: Uri = self.item.path.parse().ok()?;
         let mut headers = HeaderMap::new();
         for (name, value) in &self.item.headers {
@@ -163,52 +163,58 @@
         Some(Call { method: Method::POST, uri, headers, body })
     }
 
-    fn last(&self) -> Option<u64> {
-        self.output.borrow().last
+    fn last_event(&self) -> Option<u64> {
+        self.output.borrow().last_event
     }
 
-    async fn send(&self, route: &Route, call: &mut Call) -> Sent {
-        let Some(service) = route.service(rand::random()) else { return Sent::Later };
-        let mut ticket = self.env.placer.ask(self.ask(service, &call.headers));
+    async fn attempt(&self, route: &Route, call: &mut Call) -> AttemptOutcome {
+        let Some(service) = route.service(rand::random()) else {
+            return AttemptOutcome::RetryLater;
+        };
+        let mut ticket = self.env.placer.ask(self.place_request(service, &call.headers));
         let (target, address) = match ticket.placed().await {
             Placed::Go { target, address } => (target, address),
-            Placed::Refused { .. } => return Sent::Later,
-            Placed::Recalled => return Sent::GoOn,
+            Placed::Refused { .. } => return AttemptOutcome::RetryLater,
+            Placed::Recalled => return AttemptOutcome::Resume,
         };
-        if !self.clearance.holds() {
-            return Sent::GoOn;
+        if !self.permit.is_valid() {
+            return AttemptOutcome::Resume;
         }
         self.set_headers(call, &target);
-        let (began_ms, before) = (self.env.clock.now().mono_ms, self.last());
-        let sending = within(SILENCE, self.env.targets.send(&target, address, call));
-        let (sent, end) = match or_recall(&mut ticket, sending).await {
-            None => (Sent::GoOn, AttemptEnd::Cut),
+        let (began_ms, before) = (self.env.clock.now().mono_ms, self.last_event());
+        let sending = within(IDLE_TIMEOUT, self.env.targets.send(&target, address, call));
+        let (outcome, end) = match or_preempted(&mut ticket, sending).await {
+            None => (AttemptOutcome::Resume, AttemptEnd::Cut),
             Some(Some(Ok(response))) => {
                 if let Some(load) = self.env.platform.dialect.reported_load(response.headers()) {
                     self.env.placer.reported(&target, load);
                 }
-                self.read(response, &mut ticket).await
+                self.read_response(response, &mut ticket).await
+            }
+            Some(Some(Err(SendError::NotSent(_)))) => {
+                (AttemptOutcome::RetryLater, AttemptEnd::Unreachable)
+            }
+            Some(Some(Err(SendError::MayHaveRun(_)))) => {
+                (AttemptOutcome::ResponseLost, AttemptEnd::Lost)
             }
-            Some(Some(Err(SendError::NotSent(_)))) => (Sent::Later, AttemptEnd::Unreachable),
-            Some(Some(Err(SendError::MayHaveRun(_)))) => (Sent::Lost, AttemptEnd::Lost),
-            Some(None) => (Sent::Lost, AttemptEnd::Silent),
+            Some(None) => (AttemptOutcome::ResponseLost, AttemptEnd::Silent),
         };
         if end != AttemptEnd::Answered {
             log::info!(
                 job = &*self.job, item = &*self.item.id, target = &*target, end:? = end,
-                after = self.last().unwrap_or(0);
+                after = self.last_event().unwrap_or(0);
                 "item: attempt ended"
             );
         }
-        if self.last() > before {
+        if self.last_event() > before {
             let ran_ms = self.env.clock.now().mono_ms - began_ms;
             self.output.borrow_mut().ran_ms += ran_ms;
         }
         ticket.ended(end);
-        sent
+        outcome
     }
 
-    fn ask(&self, service: &Name, headers: &HeaderMap) -> Ask {
+    fn place_request(&self, service: &Name, headers: &HeaderMap) -> Ask {
         Ask {
             request: self.env.placer.next_request(),
             class: Class::Batch,
@@ -223,93 +229,102 @@
 
     fn set_headers(&self, call: &mut Call, target: &Name) {
         let names = self.env.platform.dialect.headers();
-        let left = self.give_up_at.saturating_duration_since(Instant::now()).min(LONGEST_SEND);
+        let left = self.give_up_at.saturating_duration_since(Instant::now()).min(MAX_ATTEMPT_TIME);
         target_client::address(call, names, target, left);
-        if let Some(last) = self.last() {
+        if let Some(last) = self.last_event() {
             call.headers.insert(names.last_event_id.clone(), HeaderValue::from(last));
         }
     }
 
-    async fn read(
+    async fn read_response(
         &self,
         response: hyper::Response<Answer>,
         ticket: &mut Ticket,
-    ) -> (Sent, AttemptEnd) {
+    ) -> (AttemptOutcome, AttemptEnd) {
         if let Some(end) = target_client::not_run(self.env.platform.dialect.headers(), &response) {
-            return (Sent::Later, end);
+            return (AttemptOutcome::RetryLater, end);
         }
         let (parts, body) = response.into_parts();
         if parts.status.is_success() && is_event_stream(&parts.headers) {
             return self.read_events(body, ticket).await;
         }
-        let whole = within(SILENCE, read_whole(body, MAX_FAILURE_BYTES)).await;
+        let whole = within(IDLE_TIMEOUT, read_whole(body, MAX_ERROR_BYTES)).await;
         if !matches!(whole, Some(Ok(_))) {
-            return (Sent::Lost, AttemptEnd::Lost);
+            return (AttemptOutcome::ResponseLost, AttemptEnd::Lost);
         }
-        let sent = match parts.status {
-            StatusCode::INTERNAL_SERVER_ERROR => Sent::Over(ItemEnd::Failed),
-            StatusCode::UNPROCESSABLE_ENTITY => Sent::Over(ItemEnd::Impossible),
+        let outcome = match parts.status {
+            StatusCode::INTERNAL_SERVER_ERROR => AttemptOutcome::Finished(ItemEnd::Failed),
+            StatusCode::UNPROCESSABLE_ENTITY => AttemptOutcome::Finished(ItemEnd::Impossible),
             status => {
                 log::warn!(job = &*self.job, item = &*self.item.id, status = status.as_u16(); "item: unexpected answer");
-                Sent::Over(ItemEnd::NoAnswer)
+                AttemptOutcome::Finished(ItemEnd::NoAnswer)
             }
         };
-        (sent, AttemptEnd::Answered)
+        (outcome, AttemptEnd::Answered)
     }
 
-    async fn read_events(&self, mut body: Answer, ticket: &mut Ticket) -> (Sent, AttemptEnd) {
+    async fn read_events(
+        &self,
+        mut body: Answer,
+        ticket: &mut Ticket,
+    ) -> (AttemptOutcome, AttemptEnd) {
         use http_body_util::BodyExt;
         let mut events = EventBuffer::default();
         loop {
-            let piece = within(SILENCE, body.frame());
-            match or_recall(ticket, piece).await {
-                None => return (Sent::GoOn, AttemptEnd::Cut),
-                Some(None) => return (Sent::Lost, AttemptEnd::Silent),
+            let piece = within(IDLE_TIMEOUT, body.frame());
+            match or_preempted(ticket, piece).await {
+                None => return (AttemptOutcome::Resume, AttemptEnd::Cut),
+                Some(None) => return (AttemptOutcome::ResponseLost, AttemptEnd::Silent),
                 Some(Some(Some(Ok(frame)))) => {
                     events.push(&frame.into_data().unwrap_or_default());
-                    self.output.borrow_mut().take(&mut events);
+                    self.output.borrow_mut().consume(&mut events);
+                }
+                Some(Some(Some(Err(_)))) => {
+                    return (AttemptOutcome::ResponseLost, AttemptEnd::Lost);
                 }
-                Some(Some(Some(Err(_)))) => return (Sent::Lost, AttemptEnd::Lost),
                 Some(Some(None)) if events.take_rest().is_empty() => {
-                    return (Sent::Over(self.output.borrow().complete()), AttemptEnd::Answered);
+                    return (
+                        AttemptOutcome::Finished(self.output.borrow().complete()),
+                        AttemptEnd::Answered,
+                    );
                 }
-                Some(Some(None)) => return (Sent::Lost, AttemptEnd::Lost),
+                Some(Some(None)) => return (AttemptOutcome::ResponseLost, AttemptEnd::Lost),
             }
         }
     }
 }
 
 impl Output {
-    fn take(&mut self, events: &mut EventBuffer) {
+    fn consume(&mut self, events: &mut EventBuffer) {
         while let Some(event) = events.next() {
-            if event.id.is_some() && event.id <= self.last {
+            if event.id.is_some() && event.id <= self.last_event {
                 continue;
             }
-            self.last = event.id.or(self.last);
+            self.last_event = event.id.or(self.last_event);
             event.append_data(&mut self.text, !self.has_data);
             self.has_data |= event.has_data();
         }
     }
 
     /// Output that the job's log has kept.
-    pub fn kept(partial: PartialOutput) -> Output {
-        let (last, kept_bytes) = (Some(partial.last), partial.text.len());
+    pub fn from_saved(partial: PartialOutput) -> Output {
+        let (last_event, saved_bytes) = (Some(partial.last), partial.text.len());
         Output {
             text: partial.text.into_bytes(),
-            has_data: kept_bytes > 0,
-            last,
-            kept_bytes,
-            kept_last: last,
+            has_data: saved_bytes > 0,
+            last_event,
+            saved_bytes,
+            saved_event: last_event,
             ran_ms: 0,
         }
     }
 
     /// What has come since the last part that was taken.
-    pub fn take_part(&mut self, item: u32) -> Option<OutputPart> {
-        let last = self.last.filter(|it| Some(*it) > self.kept_last)?;
-        let text = String::from_utf8_lossy(&self.text[self.kept_bytes..]).into_owned();
-        let after = self.kept_last.replace(last);
-        self.kept_bytes = self.text.len();
+    pub fn take_unsaved(&mut self, item: u32) -> Option<OutputPart> {
+        let last = self.last_event.filter(|it| Some(*it) > self.saved_event)?;
+        let text = String::from_utf8_lossy(&self.text[self.saved_bytes..]).into_owned();
+        let after = self.saved_event.replace(last);
+        self.saved_bytes = self.text.len();
         Some(OutputPart { item, after, last, text })
     }
 
@@ -320,7 +335,7 @@
 }
 
 /// Waits for something, or for the recall of the place; `None` after a recall.
-async fn or_recall<F: Future>(ticket: &mut Ticket, future: F) -> Option<F::Output> {
+async fn or_preempted<F: Future>(ticket: &mut Ticket, future: F) -> Option<F::Output> {
     let future = std::pin::pin!(future);
     let recall = std::pin::pin!(ticket.placed());
     match select(future, recall).await {
--- a/crates/samphiredoor-gateway/src/jobs/job_task/ending.rs
+++ b/crates/samphiredoor-gateway/src/jobs/job_task/ending.rs
@@ -11,48 +11,48 @@
 };
 
 use super::{JobMessage, JobTask, Phase};
-use crate::jobs::{STORE_PAUSE, sweep};
+use crate::jobs::{STORE_RETRY_PAUSE, sweep};
 
 /// How long a finished job is kept in memory for those who read it; later reads come from the store, a call for each
 /// segment at each gateway that is asked.
-const LINGER: Duration = Duration::from_secs(60);
+const FINISHED_JOB_RETENTION: Duration = Duration::from_secs(60);
 
 impl JobTask {
     /// Ends the job; says whether that holds for everybody. A job that is being handed over is not this process's to end.
-    pub(super) fn ended(&mut self) -> bool {
+    pub(super) fn cancel(&mut self) -> bool {
         if self.is_active() {
             self.stop_runs();
             self.close("ended");
         }
-        self.owned.header.finished
+        self.ownership.header.finished
     }
 
-    pub(super) fn lost(&mut self) {
-        log::info!(job = &*self.owned.job; "job: another process owns it");
+    pub(super) fn lose_ownership(&mut self) {
+        log::info!(job = &*self.ownership.job; "job: another process owns it");
         self.env.metrics.job("lost");
         self.stop_runs();
-        self.phase = Phase::Over;
+        self.phase = Phase::Done;
     }
 
     pub(super) fn stop_runs(&mut self) {
         self.runs.clear();
-        self.again.clear();
+        self.retries.clear();
     }
 
     /// Marks the job as one that nobody needs to take.
     pub(super) fn close(&mut self, how: &'static str) {
-        log::info!(job = &*self.owned.job, how, results = self.log.standing().len(); "job: closed");
+        log::info!(job = &*self.ownership.job, how, results = self.log.standing().len(); "job: closed");
         self.env.metrics.job(how);
         self.phase = Phase::Closing;
-        self.owned.header.finished = true;
+        self.ownership.header.finished = true;
         self.write_header();
     }
 
     /// Cuts all runs: what they have put out goes to the next owner, where they go on after their last event.
-    pub(super) fn release(&mut self) {
-        if self.phase == Phase::Working {
+    pub(super) fn begin_hand_over(&mut self) {
+        if self.phase == Phase::Running {
             self.stop_runs();
-            self.phase = Phase::Releasing(Instant::now());
+            self.phase = Phase::HandingOver(Instant::now());
         }
     }
 
@@ -63,40 +63,43 @@
         if now < until {
             return;
         }
-        if self.calling || self.give_outputs(now) || !self.log.is_settled() {
+        if self.log_call_in_flight || self.queue_outputs(now) || !self.log.is_settled() {
             // Results wait for others to share a write; now everything waits for them.
             self.write_at = Some(now);
-            self.phase = Phase::Releasing(now + STORE_PAUSE);
+            self.phase = Phase::HandingOver(now + STORE_RETRY_PAUSE);
             return;
         }
-        log::info!(job = &*self.owned.job, outputs = self.outputs.len(); "job: handed over");
+        log::info!(job = &*self.ownership.job, outputs = self.outputs.len(); "job: handed over");
         self.env.metrics.job("handed_over");
         self.phase = Phase::Closing;
-        self.owned.header.owner.process.clear();
+        self.ownership.header.owner.process.clear();
         self.write_header();
     }
 
     pub(super) fn write_header(&self) {
-        let (key, version) = (header_key(&self.owned.job), self.owned.version);
-        let (labels, value) = (Labels::new(), self.owned.header.value());
-        self.call(StoreOp::Update { key, version, labels, value }, JobMessage::HeaderWritten);
+        let (key, version) = (header_key(&self.ownership.job), self.ownership.version);
+        let (labels, value) = (Labels::new(), self.ownership.header.value());
+        self.spawn_store_call(
+            StoreOp::Update { key, version, labels, value },
+            JobMessage::HeaderWritten,
+        );
     }
 
     pub(super) fn header_written(&mut self, answer: &StoreAnswer) {
-        let handed_over = self.owned.header.owner.process.is_empty();
+        let handed_over = self.ownership.header.owner.process.is_empty();
         match answer {
             StoreAnswer::Object(_) if handed_over => {
-                self.phase = Phase::Over;
-                let (env, job) = (Rc::clone(&self.env), JobName::clone(&self.owned.job));
+                self.phase = Phase::Done;
+                let (env, job) = (Rc::clone(&self.env), JobName::clone(&self.ownership.job));
                 compio::runtime::spawn(sweep::offer(env, job)).detach();
             }
             // In doubt or refused: a job that stays marked as open is only looked at once more by a later owner.
-            _ if handed_over => self.phase = Phase::Over,
+            _ if handed_over => self.phase = Phase::Done,
             StoreAnswer::Unavailable | StoreAnswer::Unknown => {
-                log::info!(job = &*self.owned.job; "job: not marked as finished");
-                self.phase = Phase::Lingering(Instant::now() + LINGER);
+                log::info!(job = &*self.ownership.job; "job: not marked as finished");
+                self.phase = Phase::Retained(Instant::now() + FINISHED_JOB_RETENTION);
             }
-            _ => self.phase = Phase::Lingering(Instant::now() + LINGER),
+            _ => self.phase = Phase::Retained(Instant::now() + FINISHED_JOB_RETENTION),
         }
     }
 }
--- a/crates/samphiredoor-gateway/src/jobs/job_task/mod.rs
+++ b/crates/samphiredoor-gateway/src/jobs/job_task/mod.rs
@@ -26,19 +26,19 @@
 pub use results::page_of;
 
 use super::{
-    JobEnv, clearance::Clearance, directory::Directory, item_run::SharedOutput, stored::Unread,
-    submit::until,
+    JobEnv, directory::Directory, item_run::SharedOutput, send_permit::SendPermit,
+    stored::ReadError, submit::duration_until,
 };
 use crate::edge::ResultsPage;
 
 /// How often a working job looks whether its process still reaches the store.
-const LOOK_PAUSE: Duration = Duration::from_millis(500);
+const STORE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 /// A wait of no length does not let other tasks run: with a time that has passed the task would hold the whole process.
-const SHORTEST_WAIT: Duration = Duration::from_millis(1);
-const FOREVER: Duration = Duration::from_secs(3_600);
+const MIN_WAIT: Duration = Duration::from_millis(1);
+const NO_DEADLINE: Duration = Duration::from_secs(3_600);
 
 /// A job that this process owns.
-pub struct OwnedJob {
+pub struct JobOwnership {
     /// Name.
     pub job: JobName,
     /// Header as it stands.
@@ -52,13 +52,13 @@
 }
 
 /// What the store has of a job after a gap.
-pub struct Look {
+pub struct OwnershipCheck {
     /// Gaps of this process before it was asked.
     gaps: u64,
     /// Answer to the read of the header; `None` if it is known.
     header: Option<StoreAnswer>,
     /// Whether the job is ended.
-    ended: Result<bool, Unread>,
+    ended: Result<bool, ReadError>,
 }
 
 /// What a job's task is told.
@@ -87,22 +87,22 @@
         end: ItemEnd,
     },
     /// The log's call was answered.
-    Stored(StoreAnswer),
+    LogCallAnswered(StoreAnswer),
     /// The header was read, to see whose the job is.
-    Header(StoreAnswer),
+    HeaderRead(StoreAnswer),
     /// An item waits until it may be sent.
-    Held,
+    PermitWanted,
     /// The store was asked whether items may be sent.
-    Looked(Look),
+    OwnershipChecked(OwnershipCheck),
     /// The last write of the header was answered.
     HeaderWritten(StoreAnswer),
     /// The caller has ended the job.
-    Ended {
+    Cancel {
         /// Told whether nothing of the job is run here any more, nor by an owner to whom this process hands it.
         reply: Option<flume::Sender<bool>>,
     },
     /// A planned stop has begun.
-    Release,
+    HandOver,
 }
 
 /// Answer to a reader.
@@ -110,7 +110,7 @@
     /// Results.
     Page(ResultsPage),
     /// The reader knows more than this process: read the store.
-    Elsewhere,
+    UseStore,
 }
 
 struct Reader {
@@ -123,123 +123,123 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Phase {
     /// Items run.
-    Working,
+    Running,
     /// Nothing is run any more; results that wait are written, and the job is handed over then.
-    Releasing(Instant),
+    HandingOver(Instant),
     /// All results stand, or the caller has ended it; the header is being written.
     Closing,
     /// Only readers are answered, until then.
-    Lingering(Instant),
+    Retained(Instant),
     /// The task ends.
-    Over,
+    Done,
 }
 
 /// The task of one job.
 pub struct JobTask {
     env: Rc<JobEnv>,
-    owned: OwnedJob,
+    ownership: JobOwnership,
     items: Items,
     log: ResultLog,
     messages: flume::Sender<JobMessage>,
     runs: HashMap<u32, JoinHandle<()>>,
     outputs: HashMap<u32, SharedOutput>,
-    again: Vec<(Instant, u32)>,
+    retries: Vec<(Instant, u32)>,
     readers: Vec<Reader>,
     phase: Phase,
-    calling: bool,
+    log_call_in_flight: bool,
     write_at: Option<Instant>,
     /// When outputs were last given to the log.
-    kept_at: Instant,
+    saved_at: Instant,
     give_up_at: Instant,
     due_at_ms: u64,
-    started: bool,
+    items_started: bool,
     /// When the task began.
-    began: Instant,
+    started_at: Instant,
     /// Whether others may have taken the job while this process alone missed the store.
-    displaced: bool,
+    may_be_taken: bool,
     /// Whether runs are held back until it is known whose the job is.
     suspended: bool,
     /// Calls of the log in a row that got no usable answer.
-    failures: u32,
+    store_failures: u32,
     /// Whether items may be sent.
-    clearance: Rc<Clearance>,
+    permit: Rc<SendPermit>,
     /// Whether the store is being asked for that.
-    looking: bool,
+    checking: bool,
     /// Earliest next time, after an answer that was of no use.
-    look_at: Instant,
+    next_check_at: Instant,
     /// Start of the last read that found no further segment.
-    checked_at: Instant,
+    end_confirmed_at: Instant,
     /// Start of the last look for segments of other processes.
-    checking_since: Option<Instant>,
+    foreign_check_at: Option<Instant>,
 }
 
 impl JobTask {
     /// Task of a job; `messages` is its own inbox.
     pub fn new(
         env: Rc<JobEnv>,
-        owned: OwnedJob,
+        ownership: JobOwnership,
         items: Items,
         log: ResultLog,
         messages: flume::Sender<JobMessage>,
     ) -> JobTask {
-        let give_up_at = Instant::now() + until(&env, owned.header.give_up_unix_ms);
-        let due_in = until(&env, owned.header.due_unix_ms).as_millis() as u64;
+        let give_up_at = Instant::now() + duration_until(&env, ownership.header.give_up_unix_ms);
+        let due_in = duration_until(&env, ownership.header.due_unix_ms).as_millis() as u64;
         let due_at_ms = env.clock.now().mono_ms + due_in;
-        let given = owned.is_new.then_some(owned.gaps);
+        let granted = ownership.is_new.then_some(ownership.gaps);
         let (gaps, health) = (env.gaps.clone(), env.health.clone());
-        let clearance = Rc::new(Clearance::new(gaps, health, messages.clone(), given));
+        let permit = Rc::new(SendPermit::new(gaps, health, messages.clone(), granted));
         JobTask {
-            clearance,
-            began: Instant::now(),
-            displaced: false,
+            permit,
+            started_at: Instant::now(),
+            may_be_taken: false,
             suspended: false,
-            failures: 0,
-            looking: false,
-            look_at: Instant::now(),
-            checked_at: Instant::now(),
-            checking_since: None,
+            store_failures: 0,
+            checking: false,
+            next_check_at: Instant::now(),
+            end_confirmed_at: Instant::now(),
+            foreign_check_at: None,
             env,
-            owned,
+            ownership,
             items,
             log,
             messages,
             runs: HashMap::new(),
             outputs: HashMap::new(),
-            again: Vec::new(),
+            retries: Vec::new(),
             readers: Vec::new(),
-            phase: Phase::Working,
-            calling: false,
+            phase: Phase::Running,
+            log_call_in_flight: false,
             write_at: None,
-            kept_at: Instant::now(),
+            saved_at: Instant::now(),
             give_up_at,
             due_at_ms,
-            started: false,
+            items_started: false,
         }
     }
 
     /// Works until the job is over, lost or handed over.
     pub async fn run(mut self, inbox: flume::Receiver<JobMessage>, directory: Directory) {
-        self.proceed();
-        while self.phase != Phase::Over {
-            let left = self.next_time().saturating_duration_since(Instant::now());
-            match within(left.max(SHORTEST_WAIT), inbox.recv_async()).await {
-                Some(Ok(message)) => self.take(message),
+        self.advance();
+        while self.phase != Phase::Done {
+            let left = self.next_wakeup().saturating_duration_since(Instant::now());
+            match within(left.max(MIN_WAIT), inbox.recv_async()).await {
+                Some(Ok(message)) => self.handle(message),
                 Some(Err(_)) => break,
                 None => {}
             }
-            self.proceed();
+            self.advance();
         }
-        match self.owned.header.finished {
-            true => directory.close(&self.owned.job),
-            false => directory.leave(&self.owned.job),
+        match self.ownership.header.finished {
+            true => directory.close(&self.ownership.job),
+            false => directory.remove(&self.ownership.job),
         }
         for reader in self.readers.drain(..) {
             // A reader that has gone needs no answer.
-            let _ = reader.reply.send(ReadReply::Elsewhere);
+            let _ = reader.reply.send(ReadReply::UseStore);
         }
     }
 
-    fn take(&mut self, message: JobMessage) {
+    fn handle(&mut self, message: JobMessage) {
         match message {
             JobMessage::Read { after, until, reply } => {
                 self.readers.push(Reader { after, arrived: Instant::now(), until, reply });
@@ -249,60 +249,60 @@
                 let _ = reply.send(found.map(|(_, it)| Arc::clone(it)));
             }
             JobMessage::RunEnded { item, end } => self.run_ended(item, end),
-            JobMessage::Stored(answer) => self.stored(&answer),
-            JobMessage::Header(answer) => self.header_read(&answer),
+            JobMessage::LogCallAnswered(answer) => self.log_call_answered(&answer),
+            JobMessage::HeaderRead(answer) => self.header_answered(&answer),
             // What waits is looked at after each message.
-            JobMessage::Held => {}
-            JobMessage::Looked(look) => self.looked(&look),
+            JobMessage::PermitWanted => {}
+            JobMessage::OwnershipChecked(check) => self.ownership_checked(&check),
             JobMessage::HeaderWritten(answer) => self.header_written(&answer),
-            JobMessage::Ended { reply } => {
-                let is_over = self.ended();
+            JobMessage::Cancel { reply } => {
+                let is_over = self.cancel();
                 if let Some(reply) = reply {
                     // Whoever has gone needs no answer.
                     let _ = reply.send(is_over);
                 }
             }
-            JobMessage::Release => self.release(),
+            JobMessage::HandOver => self.begin_hand_over(),
         }
     }
 
     /// Does what time and state ask for.
-    fn proceed(&mut self) {
+    fn advance(&mut self) {
         let now = Instant::now();
-        if self.phase == Phase::Working {
-            self.hold_or_look();
+        if self.phase == Phase::Running {
+            self.suspend_or_recheck();
             self.start_items();
-            self.run_again(now);
-            self.keep_outputs(now);
+            self.start_due_retries(now);
+            self.save_outputs(now);
             if now >= self.give_up_at {
-                self.give_up_rest();
+                self.give_up_remaining();
             }
         }
-        self.step_log(now);
+        self.advance_log(now);
         self.answer_readers(now);
         match self.phase {
-            Phase::Working if self.is_complete() => self.close("finished"),
-            Phase::Releasing(until) => self.hand_over(now, until),
-            Phase::Lingering(until) if now >= until => self.phase = Phase::Over,
+            Phase::Running if self.is_complete() => self.close("finished"),
+            Phase::HandingOver(until) => self.hand_over(now, until),
+            Phase::Retained(until) if now >= until => self.phase = Phase::Done,
             _ => {}
         }
     }
 
     /// When there is something to do without a message. What cannot be done yet has no time: the message that makes it
     /// possible wakes the task.
-    fn next_time(&self) -> Instant {
+    fn next_wakeup(&self) -> Instant {
         let phase = match self.phase {
-            Phase::Working => Some(self.give_up_at),
-            Phase::Releasing(until) | Phase::Lingering(until) => Some(until),
-            Phase::Closing | Phase::Over => None,
+            Phase::Running => Some(self.give_up_at),
+            Phase::HandingOver(until) | Phase::Retained(until) => Some(until),
+            Phase::Closing | Phase::Done => None,
         };
-        let again = self.again.iter().map(|(at, _)| *at).min();
-        let again = again.filter(|_| self.phase == Phase::Working && !self.suspended);
+        let again = self.retries.iter().map(|(at, _)| *at).min();
+        let again = again.filter(|_| self.phase == Phase::Running && !self.suspended);
         let reader = self.readers.iter().map(|it| it.until).min();
-        let write_at = self.write_at.filter(|_| self.is_active() && !self.calling);
-        let look = (self.phase == Phase::Working).then(|| Instant::now() + LOOK_PAUSE);
-        let times = [phase, again, reader, write_at, look];
-        times.into_iter().flatten().min().unwrap_or_else(|| Instant::now() + FOREVER)
+        let write_at = self.write_at.filter(|_| self.is_active() && !self.log_call_in_flight);
+        let check = (self.phase == Phase::Running).then(|| Instant::now() + STORE_CHECK_INTERVAL);
+        let times = [phase, again, reader, write_at, check];
+        times.into_iter().flatten().min().unwrap_or_else(|| Instant::now() + NO_DEADLINE)
     }
 
     fn is_complete(&self) -> bool {
--- a/crates/samphiredoor-gateway/src/jobs/mod.rs
+++ b/crates/samphiredoor-gateway/src/jobs/mod.rs
@@ -5,7 +5,6 @@
 //! of it, and `sweep` takes jobs whose owner is gone.
 //! `clearance` holds items back after `gaps` in which others may have ended or taken the job.
 
-mod clearance;
 mod directory;
 mod gaps;
 mod item_run;
@@ -13,6 +12,7 @@
 pub mod pass_on;
 mod peer_call;
 mod reads;
+mod send_permit;
 mod stored;
 mod submit;
 mod sweep;
@@ -40,14 +40,14 @@
     target_client::TargetClient,
 };
 use directory::Directory;
-use stored::{StoredJobs, Unread};
+use stored::{ReadError, StoredJobs};
 
 /// Pause before a store call is made again that had no usable answer.
-const STORE_PAUSE: Duration = Duration::from_millis(150);
+const STORE_RETRY_PAUSE: Duration = Duration::from_millis(150);
 
 /// Calls for one object until a caller is refused or left in doubt; each takes up to the store's time limit, and callers
 /// give up after some seconds.
-const STORE_TRIES: u32 = 3;
+const STORE_ATTEMPTS: u32 = 3;
 
 /// What the parts that work on jobs share: handles, no state of their own.
 pub struct JobEnv {
@@ -93,56 +93,56 @@
     }
 
     /// Whether the store answers others, and not this process, so that they take its jobs.
-    fn is_displaced(&self) -> bool {
+    fn is_cut_off_from_store(&self) -> bool {
         self.health.is_lost_for(STORE_LOST) && self.health.is_alone()
     }
 
     /// Tells others that this process owns a job.
-    fn tell_owned(&self, job: &JobName, items: u32) {
+    fn announce_ownership(&self, job: &JobName, items: u32) {
         // Fails only when the process ends.
         let _ = self.owned.send(OwnedJob { name: JobName::clone(job), items });
     }
 
     /// Creates an object whose name tells its content, so that one that stands is as good; says whether it stands.
-    async fn create_known(&self, create: StoreOp) -> bool {
-        for _ in 0..STORE_TRIES {
+    async fn create_idempotent(&self, create: StoreOp) -> bool {
+        for _ in 0..STORE_ATTEMPTS {
             match self.call(create.clone()).await {
                 StoreAnswer::Object(_) | StoreAnswer::Taken => return true,
-                StoreAnswer::Unknown if self.stands(&create).await => return true,
-                _ => compio::time::sleep(STORE_PAUSE).await,
+                StoreAnswer::Unknown if self.exists(&create).await => return true,
+                _ => compio::time::sleep(STORE_RETRY_PAUSE).await,
             }
         }
         false
     }
 
     /// Whether an object stands whose create was not answered: where answers to writes are lost, reads tell.
-    async fn stands(&self, create: &StoreOp) -> bool {
+    async fn exists(&self, create: &StoreOp) -> bool {
         let StoreOp::Create { key, .. } = create else { return false };
         matches!(self.call(StoreOp::Get { key: key.clone() }).await, StoreAnswer::Object(_))
     }
 
     /// A job's header as it stands, with its version.
-    async fn current_header(&self, job: &JobName) -> Result<(JobHeader, Version), Unread> {
+    async fn current_header(&self, job: &JobName) -> Result<(JobHeader, Version), ReadError> {
         let stored = match self.call(StoreOp::Get { key: header_key(job) }).await {
             StoreAnswer::Object(stored) => stored,
-            StoreAnswer::Absent => return Err(Unread::Absent),
-            _ => return Err(Unread::Unavailable),
+            StoreAnswer::Absent => return Err(ReadError::NotFound),
+            _ => return Err(ReadError::Unavailable),
         };
         match read_header(&stored) {
             Ok(header) => Ok((header, stored.version)),
             Err(fault) => {
                 log::error!(job = &**job, fault:% = fault; "job: header cannot be read");
-                Err(Unread::Unavailable)
+                Err(ReadError::Unavailable)
             }
         }
     }
 
     /// Whether the caller has ended a job.
-    async fn is_ended(&self, job: &JobName) -> Result<bool, Unread> {
+    async fn is_cancelled(&self, job: &JobName) -> Result<bool, ReadError> {
         match self.call(StoreOp::Get { key: end_key(job) }).await {
             StoreAnswer::Object(_) => Ok(true),
             StoreAnswer::Absent => Ok(false),
-            _ => Err(Unread::Unavailable),
+            _ => Err(ReadError::Unavailable),
         }
     }
 
--- a/crates/samphiredoor-gateway/src/jobs/pass_on.rs
+++ b/crates/samphiredoor-gateway/src/jobs/pass_on.rs
@@ -16,41 +16,41 @@
 
 use super::{
     JobEnv,
-    submit::{SubmissionEnd, Submitted},
+    submit::{SubmissionOutcome, Submitted},
 };
 
 /// Beginning of the paths below which submissions are passed on.
 pub const ROOT: &str = "/submissions";
 /// Gateways that are tried until one is reached.
-const TRIES: usize = 3;
+const MAX_PEERS: usize = 3;
 /// Longest wait for a connection; a round trip between regions takes 24 ms.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
 /// Longest wait for an answer; callers give an attempt up after a second or a third of their time.
-const TIMEOUT: Duration = Duration::from_millis(900);
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(900);
 const MAX_ANSWER_BYTES: usize = 64 * 1024;
 
 /// Has another gateway accept a submission.
-pub async fn pass_on(env: &JobEnv, submitted: &Submitted) -> SubmissionEnd {
+pub async fn pass_on(env: &JobEnv, submitted: &Submitted) -> SubmissionOutcome {
     let takers = env.roster.takers();
-    for address in takers.into_iter().take(TRIES) {
+    for address in takers.into_iter().take(MAX_PEERS) {
         let pool = Pool::new(address).with_connect_timeout(CONNECT_TIMEOUT);
-        let end = match within(TIMEOUT, send(env, &pool, submitted)).await {
-            Some(Ok(StatusCode::ACCEPTED)) => SubmissionEnd::Accepted,
+        let end = match within(RESPONSE_TIMEOUT, send(env, &pool, submitted)).await {
+            Some(Ok(StatusCode::ACCEPTED)) => SubmissionOutcome::Accepted,
             Some(Ok(status))
                 if status.is_client_error() || status == StatusCode::SERVICE_UNAVAILABLE =>
             {
-                SubmissionEnd::Refused
+                SubmissionOutcome::Refused
             }
             Some(Err(SendError::NotSent(err))) => {
                 log::info!(job = &*submitted.job, peer:% = address, problem:% = err; "job: not passed on");
                 continue;
             }
-            Some(Ok(_) | Err(SendError::MayHaveRun(_))) | None => SubmissionEnd::Perhaps,
+            Some(Ok(_) | Err(SendError::MayHaveRun(_))) | None => SubmissionOutcome::Perhaps,
         };
         log::info!(job = &*submitted.job, peer:% = address, end:? = end; "job: passed on");
         return end;
     }
-    SubmissionEnd::Refused
+    SubmissionOutcome::Refused
 }
 
 async fn send(env: &JobEnv, pool: &Pool, submitted: &Submitted) -> Result<StatusCode, SendError> {
--- a/crates/samphiredoor-gateway/src/jobs/peer_call.rs
+++ b/crates/samphiredoor-gateway/src/jobs/peer_call.rs
@@ -8,9 +8,9 @@
 use samphiredoor_net::{Body, Pool, fetch::FetchLimits};
 
 /// Longest silence within an answer; a page of results may be large.
-const SILENCE: Duration = Duration::from_millis(400);
+const IDLE_TIMEOUT: Duration = Duration::from_millis(400);
 /// Longest answer of another gateway.
-const MAX_PEER_BYTES: usize = 4 * 1024 * 1024;
+const MAX_RESPONSE_BYTES: usize = 4 * 1024 * 1024;
 
 /// A call of one gateway to another.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -32,7 +32,7 @@
         item: String,
     },
     /// The caller has ended a job.
-    Ended {
+    Cancelled {
         /// Which job.
         job: JobName,
         /// Which start of the process that is called owns it.
@@ -44,7 +44,7 @@
         job: JobName,
     },
     /// Does a process work on its jobs?
-    Works {
+    CheckAlive {
         /// Which start of it.
         incarnation: u64,
     },
@@ -57,11 +57,11 @@
                 (Method::GET, format!("/jobs/{job}/results/{after}/{wait_ms}"))
             }
             PeerCall::Item { job, item } => (Method::GET, format!("/jobs/{job}/items/{item}")),
-            PeerCall::Ended { job, incarnation } => {
+            PeerCall::Cancelled { job, incarnation } => {
                 (Method::POST, format!("/jobs/{job}/ended/{incarnation}"))
             }
             PeerCall::Offer { job } => (Method::POST, format!("/jobs/{job}/offer")),
-            PeerCall::Works { incarnation } => (Method::GET, format!("/starts/{incarnation}")),
+            PeerCall::CheckAlive { incarnation } => (Method::GET, format!("/starts/{incarnation}")),
         }
     }
 
@@ -78,11 +78,11 @@
                 PeerCall::Item { job: (*job).into(), item: (*item).to_owned() }
             }
             (&Method::POST, ["jobs", job, "ended", incarnation]) => {
-                PeerCall::Ended { job: (*job).into(), incarnation: incarnation.parse().ok()? }
+                PeerCall::Cancelled { job: (*job).into(), incarnation: incarnation.parse().ok()? }
             }
             (&Method::POST, ["jobs", job, "offer"]) => PeerCall::Offer { job: (*job).into() },
             (&Method::GET, ["starts", incarnation]) => {
-                PeerCall::Works { incarnation: incarnation.parse().ok()? }
+                PeerCall::CheckAlive { incarnation: incarnation.parse().ok()? }
             }
             _ => return None,
         };
@@ -98,7 +98,7 @@
 ) -> Option<(StatusCode, Bytes)> {
     let (method, uri) = call.request();
     let request = Request::builder().method(method).uri(uri).header(header::HOST, "gateway");
-    let limits = FetchLimits::new(SILENCE, MAX_PEER_BYTES).with_head(timeout);
+    let limits = FetchLimits::new(IDLE_TIMEOUT, MAX_RESPONSE_BYTES).with_head(timeout);
     let fetched = pool.fetch(request.body(Body::empty()).ok()?, limits).await.ok()?;
     Some((fetched.status, fetched.body))
 }
--- a/crates/samphiredoor-gateway/src/jobs/reads.rs
+++ b/crates/samphiredoor-gateway/src/jobs/reads.rs
@@ -24,7 +24,7 @@
     directory::Directory,
     job_task::{JobMessage, ReadReply},
     peer_call::{PeerCall, exchange},
-    stored::{StoredJobs, Unread},
+    stored::{ReadError, StoredJobs},
     submit::{self, Acceptors, Submitted},
     sweep,
 };
@@ -35,19 +35,19 @@
 };
 
 /// Longest wait for a result, whatever the caller asks for.
-const LONGEST_WAIT: Duration = Duration::from_millis(1_000);
+const MAX_RESULT_WAIT: Duration = Duration::from_millis(1_000);
 /// Time beyond the wait within which another gateway answers.
 const PEER_TIMEOUT: Duration = Duration::from_millis(400);
 /// Longest wait for a connection to another gateway.
-const PEER_CONNECT: Duration = Duration::from_millis(250);
+const PEER_CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 /// Pause between two reads of the store for one waiting reader; callers ask about twice a second.
-const STORE_WAIT: Duration = Duration::from_millis(500);
+const STORE_POLL_INTERVAL: Duration = Duration::from_millis(500);
 /// When to come back if the store is of no help.
 const RETRY_AFTER_MS: u64 = 300;
 
 /// Why nobody runs a job any more that its caller has ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum EndedBy {
+enum StopProof {
     /// It was closed here, or its header says that it is.
     Closed,
     /// Its owner has ended it.
@@ -61,7 +61,7 @@
 }
 
 /// A process could not be reached.
-struct Unreached;
+struct Unreachable;
 
 /// Handle by which callers and other gateways reach the jobs.
 #[derive(Clone)]
@@ -84,12 +84,12 @@
 
     /// Answers a caller.
     pub async fn answer(&self, call: JobCall, wait: Duration) -> Response<Body> {
-        let wait = wait.min(LONGEST_WAIT);
+        let wait = wait.min(MAX_RESULT_WAIT);
         let until = Instant::now() + wait;
         match call {
             JobCall::Read { job, after } => self.read(&job, after, until).await,
             JobCall::Body { job, item } => self.body(&job, &item).await,
-            JobCall::End { job } => self.end(&job).await,
+            JobCall::End { job } => self.cancel(&job).await,
         }
     }
 
@@ -100,27 +100,29 @@
         };
         match call {
             PeerCall::Read { job, after, wait_ms } => {
-                let until = Instant::now() + Duration::from_millis(wait_ms).min(LONGEST_WAIT);
-                match self.read_here(&job, after, until).await {
-                    Some(page) => self.page_answer(&page),
-                    None => self.read_store(&job, after, until).await,
+                let until = Instant::now() + Duration::from_millis(wait_ms).min(MAX_RESULT_WAIT);
+                match self.read_local(&job, after, until).await {
+                    Some(page) => self.page_response(&page),
+                    None => self.read_from_store(&job, after, until).await,
                 }
             }
-            PeerCall::Item { job, item } => match self.item_here(&job, &item).await {
+            PeerCall::Item { job, item } => match self.local_item(&job, &item).await {
                 Some(answer) => answer,
                 None => self.item_from_store(&job, &item).await,
             },
-            PeerCall::Ended { job, incarnation } => self.answer_ended(&job, incarnation).await,
+            PeerCall::Cancelled { job, incarnation } => {
+                self.answer_cancelled(&job, incarnation).await
+            }
             PeerCall::Offer { job } => {
                 let (env, directory, stored) =
                     (Rc::clone(&self.env), self.directory.clone(), self.stored.clone());
                 compio::runtime::spawn(async move {
-                    sweep::take_if_free(&env, &directory, &stored, &job).await;
+                    sweep::take_over_if_orphaned(&env, &directory, &stored, &job).await;
                 })
                 .detach();
                 plain(StatusCode::OK, "heard")
             }
-            PeerCall::Works { incarnation } => {
+            PeerCall::CheckAlive { incarnation } => {
                 match incarnation == self.env.incarnation
                     && !self.env.health.is_lost_for(STORE_LOST)
                 {
@@ -133,7 +135,7 @@
 
     /// Hands all jobs over, and waits until that is done or `limit` is over.
     pub async fn release(&self, limit: Duration) {
-        self.directory.release_all();
+        self.directory.hand_over_all();
         let until = Instant::now() + limit;
         while self.directory.len() > 0 && Instant::now() < until {
             compio::time::sleep(Duration::from_millis(50)).await;
@@ -141,53 +143,53 @@
     }
 
     async fn read(&self, job: &JobName, after: usize, until: Instant) -> Response<Body> {
-        if let Some(page) = self.read_here(job, after, until).await {
-            return self.page_answer(&page);
+        if let Some(page) = self.read_local(job, after, until).await {
+            return self.page_response(&page);
         }
-        let owner = match self.owner_of(job).await {
+        let owner = match self.last_known_owner(job).await {
             Ok(owner) => owner,
-            Err(unread) => return unread_answer(unread),
+            Err(error) => return error_response(error),
         };
-        if let Some(address) = self.elsewhere(&owner) {
+        if let Some(address) = self.live_peer_address(&owner) {
             let wait = until.saturating_duration_since(Instant::now());
             let call = PeerCall::Read { job: job.clone(), after, wait_ms: wait.as_millis() as u64 };
-            if let Some(answer) = self.ask_peer(address, &call, wait + PEER_TIMEOUT).await {
+            if let Some(answer) = self.forward_to_peer(address, &call, wait + PEER_TIMEOUT).await {
                 return answer;
             }
             // The owner may be another one by now.
-            if let Err(unread) = self.stored.current_header(job).await {
-                return unread_answer(unread);
+            if let Err(error) = self.stored.current_header(job).await {
+                return error_response(error);
             }
         }
-        self.read_store(job, after, until).await
+        self.read_from_store(job, after, until).await
     }
 
-    async fn read_here(&self, job: &str, after: usize, until: Instant) -> Option<ResultsPage> {
+    async fn read_local(&self, job: &str, after: usize, until: Instant) -> Option<ResultsPage> {
         let (reply, answer) = flume::bounded(1);
-        if !self.directory.tell(job, JobMessage::Read { after, until, reply }) {
+        if !self.directory.send(job, JobMessage::Read { after, until, reply }) {
             return None;
         }
         match answer.recv_async().await {
             Ok(ReadReply::Page(page)) => Some(page),
-            Ok(ReadReply::Elsewhere) | Err(_) => None,
+            Ok(ReadReply::UseStore) | Err(_) => None,
         }
     }
 
-    async fn read_store(&self, job: &JobName, after: usize, until: Instant) -> Response<Body> {
+    async fn read_from_store(&self, job: &JobName, after: usize, until: Instant) -> Response<Body> {
         loop {
             let page = match self.stored.results(job, after).await {
                 Ok(page) => page,
-                Err(unread) => return unread_answer(unread),
+                Err(error) => return error_response(error),
             };
             let left = until.saturating_duration_since(Instant::now());
-            if !page.results.is_empty() || after >= page.total || left < STORE_WAIT {
-                return self.page_answer(&page);
+            if !page.results.is_empty() || after >= page.total || left < STORE_POLL_INTERVAL {
+                return self.page_response(&page);
             }
-            compio::time::sleep(STORE_WAIT).await;
+            compio::time::sleep(STORE_POLL_INTERVAL).await;
         }
     }
 
-    fn page_answer(&self, page: &ResultsPage) -> Response<Body> {
+    fn page_response(&self, page: &ResultsPage) -> Response<Body> {
         let mut response = Response::new(Body::full(self.env.platform.dialect.results(page)));
         let content_type = header::HeaderValue::from_static("application/json");
         response.headers_mut().insert(header::CONTENT_TYPE, content_type);
@@ -195,58 +197,58 @@
     }
 
     async fn body(&self, job: &JobName, item: &str) -> Response<Body> {
-        if let Some(answer) = self.item_here(job, item).await {
+        if let Some(answer) = self.local_item(job, item).await {
             return answer;
         }
-        let owner = match self.owner_of(job).await {
+        let owner = match self.last_known_owner(job).await {
             Ok(owner) => owner,
-            Err(unread) => return unread_answer(unread),
+            Err(error) => return error_response(error),
         };
-        if let Some(address) = self.elsewhere(&owner) {
+        if let Some(address) = self.live_peer_address(&owner) {
             let call = PeerCall::Item { job: job.clone(), item: item.to_owned() };
-            if let Some(answer) = self.ask_peer(address, &call, PEER_TIMEOUT).await {
+            if let Some(answer) = self.forward_to_peer(address, &call, PEER_TIMEOUT).await {
                 return answer;
             }
         }
         self.item_from_store(job, item).await
     }
 
-    async fn item_here(&self, job: &str, id: &str) -> Option<Response<Body>> {
+    async fn local_item(&self, job: &str, id: &str) -> Option<Response<Body>> {
         let (reply, answer) = flume::bounded(1);
         let message = JobMessage::Item { id: id.to_owned(), reply };
-        if !self.directory.tell(job, message) {
+        if !self.directory.send(job, message) {
             return None;
         }
         let item = answer.recv_async().await.ok()?;
         Some(match item {
-            Some(item) => self.item_answer(&item),
+            Some(item) => self.item_response(&item),
             None => plain(StatusCode::NOT_FOUND, "no such item, or its result stands"),
         })
     }
 
     async fn item_from_store(&self, job: &JobName, id: &str) -> Response<Body> {
         match self.stored.item(job, id).await {
-            Ok(item) => self.item_answer(&item),
-            Err(unread) => unread_answer(unread),
+            Ok(item) => self.item_response(&item),
+            Err(error) => error_response(error),
         }
     }
 
-    fn item_answer(&self, item: &samphiredoor_core::ordered::Item) -> Response<Body> {
+    fn item_response(&self, item: &samphiredoor_core::ordered::Item) -> Response<Body> {
         match self.env.platform.dialect.item_body(item) {
             Ok(body) => Response::new(Body::full(body)),
             Err(problem) => plain(StatusCode::INTERNAL_SERVER_ERROR, &problem),
         }
     }
 
-    async fn end(&self, job: &JobName) -> Response<Body> {
-        if let Err(unread) = self.owner_of(job).await {
-            return unread_answer(unread);
+    async fn cancel(&self, job: &JobName) -> Response<Body> {
+        if let Err(error) = self.last_known_owner(job).await {
+            return error_response(error);
         }
-        if !self.write_end(job).await {
+        if !self.write_cancellation(job).await {
             log::warn!(job = &**job; "job: its end could not be written");
             return plain(StatusCode::GATEWAY_TIMEOUT, "the end may not stand; send it again");
         }
-        let Some(by) = self.tell_end(job).await else {
+        let Some(by) = self.prove_stopped(job).await else {
             log::warn!(job = &**job; "job: its end stands, but its owner could not be told");
             return plain(StatusCode::GATEWAY_TIMEOUT, "the job may still run; send the end again");
         };
@@ -258,22 +260,22 @@
     ///
     /// The owner is read from the store after the end stands there: one that was told of before may have lost the job
     /// without knowing it, and would answer for itself alone, while whoever takes the job later finds the end.
-    async fn tell_end(&self, job: &JobName) -> Option<EndedBy> {
-        let here = self.end_here(job).await;
+    async fn prove_stopped(&self, job: &JobName) -> Option<StopProof> {
+        let here = self.cancel_local(job).await;
         let (header, _) = self.stored.current_header(job).await.ok()?;
         if header.finished || self.env.owns(&header.owner) {
-            return (here || header.finished).then_some(EndedBy::Closed);
+            return (here || header.finished).then_some(StopProof::Closed);
         }
         if header.owner.process.is_empty() {
-            return Some(EndedBy::NoOwner);
+            return Some(StopProof::NoOwner);
         }
-        let owner = owner_in(&header);
+        let owner = owner_in_header(&header);
         if self.env.roster.has_restarted(&owner.process, owner.incarnation) {
-            return Some(EndedBy::OwnerOver);
+            return Some(StopProof::OwnerOver);
         }
-        match self.ask_owner(job, &owner).await {
-            Ok(ended_by) => ended_by,
-            Err(Unreached) => self.is_gone(&owner).then_some(EndedBy::OwnerSilent),
+        match self.cancel_at_owner(job, &owner).await {
+            Ok(proof) => proof,
+            Err(Unreachable) => self.is_gone(&owner).then_some(StopProof::OwnerSilent),
         }
     }
 
@@ -289,14 +291,18 @@
 
     /// Has an owner end its job, also one that stops, misses the store or is not heard: its runs go on. `None` if it does not
     /// say that it has.
-    async fn ask_owner(&self, job: &JobName, owner: &Owner) -> Result<Option<EndedBy>, Unreached> {
-        let address = self.owner_address(owner).await.ok_or(Unreached)?;
-        let call = PeerCall::Ended { job: JobName::clone(job), incarnation: owner.incarnation };
+    async fn cancel_at_owner(
+        &self,
+        job: &JobName,
+        owner: &Owner,
+    ) -> Result<Option<StopProof>, Unreachable> {
+        let address = self.owner_address(owner).await.ok_or(Unreachable)?;
+        let call = PeerCall::Cancelled { job: JobName::clone(job), incarnation: owner.incarnation };
         let answered = exchange(&self.pool(address), &call, PEER_TIMEOUT).await;
-        let (status, _) = answered.ok_or(Unreached)?;
+        let (status, _) = answered.ok_or(Unreachable)?;
         Ok(match status {
-            StatusCode::OK => Some(EndedBy::Owner),
-            StatusCode::GONE => Some(EndedBy::OwnerOver),
+            StatusCode::OK => Some(StopProof::Owner),
+            StatusCode::GONE => Some(StopProof::OwnerOver),
             _ => None,
         })
     }
@@ -313,8 +319,8 @@
     }
 
     /// Answers a gateway that takes one start of this process for the owner of a job that is ended.
-    async fn answer_ended(&self, job: &str, incarnation: u64) -> Response<Body> {
-        match self.end_here(job).await {
+    async fn answer_cancelled(&self, job: &str, incarnation: u64) -> Response<Body> {
+        match self.cancel_local(job).await {
             true => plain(StatusCode::OK, "ended"),
             false if incarnation != self.env.incarnation => {
                 plain(StatusCode::GONE, "that start is over")
@@ -324,30 +330,30 @@
     }
 
     /// Ends a job that this process works on, or has closed; says whether that holds for everybody.
-    async fn end_here(&self, job: &str) -> bool {
+    async fn cancel_local(&self, job: &str) -> bool {
         let (reply, answer) = flume::bounded(1);
-        match self.directory.tell(job, JobMessage::Ended { reply: Some(reply) }) {
+        match self.directory.send(job, JobMessage::Cancel { reply: Some(reply) }) {
             true => answer.recv_async().await.unwrap_or(false),
-            false => self.directory.was_closed(job),
+            false => self.directory.was_recently_closed(job),
         }
     }
 
-    async fn write_end(&self, job: &JobName) -> bool {
+    async fn write_cancellation(&self, job: &JobName) -> bool {
         let value: Value = b"{}".as_slice().into();
         let create = StoreOp::Create { key: end_key(job), labels: Labels::new(), value };
-        self.env.create_known(create).await
+        self.env.create_idempotent(create).await
     }
 
     /// Last known owner of a job; the store is asked only where nobody has told it.
-    async fn owner_of(&self, job: &JobName) -> Result<Owner, Unread> {
+    async fn last_known_owner(&self, job: &JobName) -> Result<Owner, ReadError> {
         match self.env.owners.of(job) {
             Some(owner) => Ok(owner),
-            None => Ok(owner_in(&self.stored.header(job).await?)),
+            None => Ok(owner_in_header(&self.stored.header(job).await?)),
         }
     }
 
     /// Address of an owner that is another process and works.
-    fn elsewhere(&self, owner: &Owner) -> Option<SocketAddr> {
+    fn live_peer_address(&self, owner: &Owner) -> Option<SocketAddr> {
         if owner.process == self.env.name {
             return None;
         }
@@ -356,7 +362,7 @@
     }
 
     /// Asks another gateway; `None` unless it answers with success or that there is nothing.
-    async fn ask_peer(
+    async fn forward_to_peer(
         &self,
         address: SocketAddr,
         call: &PeerCall,
@@ -374,19 +380,19 @@
 
     fn pool(&self, address: SocketAddr) -> Pool {
         let mut pools = self.pools.borrow_mut();
-        let new = || Pool::new(address).with_connect_timeout(PEER_CONNECT);
+        let new = || Pool::new(address).with_connect_timeout(PEER_CONNECT_TIMEOUT);
         pools.entry(address).or_insert_with(new).clone()
     }
 }
 
-fn owner_in(header: &JobHeader) -> Owner {
+fn owner_in_header(header: &JobHeader) -> Owner {
     let owner = &header.owner;
     Owner { process: owner.process.as_str().into(), incarnation: owner.incarnation }
 }
 
-fn unread_answer(unread: Unread) -> Response<Body> {
-    match unread {
-        Unread::Absent => plain(StatusCode::NOT_FOUND, "no such job or item"),
-        Unread::Unavailable => refused(Refusal::StoreUnavailable, RETRY_AFTER_MS),
+fn error_response(error: ReadError) -> Response<Body> {
+    match error {
+        ReadError::NotFound => plain(StatusCode::NOT_FOUND, "no such job or item"),
+        ReadError::Unavailable => refused(Refusal::StoreUnavailable, RETRY_AFTER_MS),
     }
 }
--- a/crates/samphiredoor-gateway/src/jobs/clearance.rs
+++ b/crates/samphiredoor-gateway/src/jobs/send_permit.rs
@@ -9,56 +9,56 @@
 use crate::store_health::StoreHealth;
 
 /// Pause of an item that is held before it asks again.
-const HELD_PAUSE: Duration = Duration::from_millis(40);
+const RECHECK_PAUSE: Duration = Duration::from_millis(40);
 
-/// Clearance of one job, shared by its task and the runs of its items.
-pub struct Clearance {
+/// SendPermit of one job, shared by its task and the runs of its items.
+pub struct SendPermit {
     gaps: Gaps,
     health: StoreHealth,
     messages: flume::Sender<JobMessage>,
     /// Gaps of the process before the job was last looked for; `None` before the first time.
-    given: Cell<Option<u64>>,
-    awaited: Cell<bool>,
+    granted: Cell<Option<u64>>,
+    wanted: Cell<bool>,
 }
 
-impl Clearance {
-    /// Clearance that is given as of some gaps, or has to be given first; `messages` is the inbox of the job's task.
+impl SendPermit {
+    /// SendPermit that is given as of some gaps, or has to be given first; `messages` is the inbox of the job's task.
     pub fn new(
         gaps: Gaps,
         health: StoreHealth,
         messages: flume::Sender<JobMessage>,
-        given: Option<u64>,
-    ) -> Clearance {
-        let (given, awaited) = (Cell::new(given), Cell::default());
-        Clearance { gaps, health, messages, given, awaited }
+        granted: Option<u64>,
+    ) -> SendPermit {
+        let (granted, wanted) = (Cell::new(granted), Cell::default());
+        SendPermit { gaps, health, messages, granted, wanted }
     }
 
     /// Whether items may be sent: there was no gap since it was given. A store that is lost cannot be asked, and nobody
     /// who misses it acknowledges an end.
-    pub fn holds(&self) -> bool {
-        let Some(given) = self.given.get() else { return false };
-        given == self.gaps.count() || self.health.is_lost()
+    pub fn is_valid(&self) -> bool {
+        let Some(granted) = self.granted.get() else { return false };
+        granted == self.gaps.count() || self.health.is_lost()
     }
 
     /// Waits until items may be sent.
     pub async fn wait(&self) {
-        while !self.holds() {
-            if !self.awaited.replace(true) {
+        while !self.is_valid() {
+            if !self.wanted.replace(true) {
                 // Fails only when the job's task has ended, and its runs with it.
-                let _ = self.messages.send(JobMessage::Held);
+                let _ = self.messages.send(JobMessage::PermitWanted);
             }
-            compio::time::sleep(HELD_PAUSE).await;
+            compio::time::sleep(RECHECK_PAUSE).await;
         }
     }
 
     /// Whether an item waits for it.
-    pub fn is_awaited(&self) -> bool {
-        self.awaited.get()
+    pub fn is_wanted(&self) -> bool {
+        self.wanted.get()
     }
 
     /// Gives it as of some gaps.
-    pub fn give(&self, gaps: u64) {
-        self.given.set(Some(gaps));
-        self.awaited.set(false);
+    pub fn grant(&self, gaps: u64) {
+        self.granted.set(Some(gaps));
+        self.wanted.set(false);
     }
 }
--- a/crates/samphiredoor-gateway/src/jobs/stored.rs
+++ b/crates/samphiredoor-gateway/src/jobs/stored.rs
@@ -24,15 +24,15 @@
 
 /// Why something of a job cannot be told.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Unread {
+pub enum ReadError {
     /// There is no such job or item.
-    Absent,
+    NotFound,
     /// The store is of no help now.
     Unavailable,
 }
 
 #[derive(Default)]
-struct Cached {
+struct CachedJob {
     header: Option<JobHeader>,
     results: Vec<ItemResult>,
     segments: u32,
@@ -41,20 +41,20 @@
 
 #[derive(Default)]
 struct Cache {
-    jobs: HashMap<JobName, Cached>,
-    order: VecDeque<JobName>,
+    jobs: HashMap<JobName, CachedJob>,
+    insertion_order: VecDeque<JobName>,
     bytes: usize,
 }
 
 impl Cache {
-    fn entry(&mut self, job: &JobName) -> &mut Cached {
+    fn entry(&mut self, job: &JobName) -> &mut CachedJob {
         if !self.jobs.contains_key(job) {
-            self.order.push_back(JobName::clone(job));
+            self.insertion_order.push_back(JobName::clone(job));
         }
-        while self.bytes > CACHE_BYTES || self.order.len() > CACHE_JOBS {
-            let Some(oldest) = self.order.pop_front() else { break };
+        while self.bytes > CACHE_BYTES || self.insertion_order.len() > CACHE_JOBS {
+            let Some(oldest) = self.insertion_order.pop_front() else { break };
             if oldest == *job {
-                self.order.push_back(oldest);
+                self.insertion_order.push_back(oldest);
                 break;
             }
             let removed = self.jobs.remove(&oldest);
@@ -94,7 +94,7 @@
     /// # Errors
     ///
     /// Why it cannot be told.
-    pub async fn header(&self, job: &JobName) -> Result<JobHeader, Unread> {
+    pub async fn header(&self, job: &JobName) -> Result<JobHeader, ReadError> {
         let cached = self.cache.borrow_mut().entry(job).header.clone();
         match cached {
             Some(header) => Ok(header),
@@ -107,7 +107,7 @@
     /// # Errors
     ///
     /// Why it cannot be told.
-    pub async fn current_header(&self, job: &JobName) -> Result<(JobHeader, Version), Unread> {
+    pub async fn current_header(&self, job: &JobName) -> Result<(JobHeader, Version), ReadError> {
         let (header, version) = self.env.current_header(job).await?;
         self.cache.borrow_mut().entry(job).header = Some(header.clone());
         Ok((header, version))
@@ -118,7 +118,7 @@
     /// # Errors
     ///
     /// Why they cannot be told.
-    pub async fn results(&self, job: &JobName, after: usize) -> Result<ResultsPage, Unread> {
+    pub async fn results(&self, job: &JobName, after: usize) -> Result<ResultsPage, ReadError> {
         let total = self.header(job).await?.items as usize;
         loop {
             let segment = {
@@ -134,14 +134,14 @@
                 StoreAnswer::Object(stored) => {
                     let Ok(read) = read_segment(&stored) else {
                         log::error!(job = &**job, segment; "job: segment cannot be read");
-                        return Err(Unread::Unavailable);
+                        return Err(ReadError::Unavailable);
                     };
                     self.cache.borrow_mut().add(job, segment, read.results);
                 }
                 StoreAnswer::Absent => {
                     return Ok(ResultsPage { total, next: after, results: Vec::new() });
                 }
-                _ => return Err(Unread::Unavailable),
+                _ => return Err(ReadError::Unavailable),
             }
         }
     }
@@ -150,22 +150,22 @@
     ///
     /// # Errors
     ///
-    /// Why they cannot be told; [`Unread::Absent`] for a job that is not accepted yet.
-    pub async fn items(&self, job: &JobName, header: &JobHeader) -> Result<Vec<Item>, Unread> {
+    /// Why they cannot be told; [`ReadError::NotFound`] for a job that is not accepted yet.
+    pub async fn items(&self, job: &JobName, header: &JobHeader) -> Result<Vec<Item>, ReadError> {
         let mut text = String::new();
         for part in 0..header.parts {
             let key = part_key(job, &header.digest, part);
             match self.env.call(StoreOp::Get { key }).await {
                 StoreAnswer::Object(stored) => {
-                    text.push_str(&read_part(&stored).map_err(|_| Unread::Unavailable)?);
+                    text.push_str(&read_part(&stored).map_err(|_| ReadError::Unavailable)?);
                 }
-                StoreAnswer::Absent => return Err(Unread::Absent),
-                _ => return Err(Unread::Unavailable),
+                StoreAnswer::Absent => return Err(ReadError::NotFound),
+                _ => return Err(ReadError::Unavailable),
             }
         }
         self.env.platform.dialect.submission(text.as_bytes()).map_err(|problem| {
             log::error!(job = &**job, problem; "job: stored submission cannot be read");
-            Unread::Unavailable
+            ReadError::Unavailable
         })
     }
 
@@ -174,16 +174,16 @@
     /// # Errors
     ///
     /// Why it cannot be told.
-    pub async fn item(&self, job: &JobName, id: &str) -> Result<Arc<Item>, Unread> {
+    pub async fn item(&self, job: &JobName, id: &str) -> Result<Arc<Item>, ReadError> {
         let header = self.header(job).await?;
         // Reads all results that stand.
         self.results(job, header.items as usize).await?;
         let decided = self.cache.borrow_mut().entry(job).results.iter().any(|it| &*it.id == id);
         if decided {
-            return Err(Unread::Absent);
+            return Err(ReadError::NotFound);
         }
         // A job that is not accepted yet may be soon: nothing says that it has no such item.
-        let items = self.items(job, &header).await.map_err(|_| Unread::Unavailable)?;
-        items.into_iter().find(|it| &*it.id == id).map(Arc::new).ok_or(Unread::Absent)
+        let items = self.items(job, &header).await.map_err(|_| ReadError::Unavailable)?;
+        items.into_iter().find(|it| &*it.id == id).map(Arc::new).ok_or(ReadError::NotFound)
     }
 }
--- a/crates/samphiredoor-gateway/src/jobs/submit.rs
+++ b/crates/samphiredoor-gateway/src/jobs/submit.rs
@@ -21,9 +21,9 @@
 use samphiredoor_net::{Body, pool::within};
 
 use super::{
-    JobEnv, STORE_PAUSE, STORE_TRIES,
+    JobEnv, STORE_ATTEMPTS, STORE_RETRY_PAUSE,
     directory::Directory,
-    job_task::{JobTask, OwnedJob},
+    job_task::{JobOwnership, JobTask},
     pass_on::pass_on,
 };
 use crate::front::{plain, refused};
@@ -32,7 +32,7 @@
 const MAX_OPEN_JOBS: usize = 400;
 /// How long the store alone is waited for. It answers in a few milliseconds, and a slow one within some 300 ms; another
 /// gateway that it answers accepts the submission well within the callers' objective of 400 ms then.
-const STORE_PATIENCE: Duration = Duration::from_millis(200);
+const FORWARD_DELAY: Duration = Duration::from_millis(200);
 /// When to come back after a refusal.
 const RETRY_AFTER_MS: u64 = 300;
 /// Longest digest that names the parts; 64 bits tell two submissions under one name apart.
@@ -57,15 +57,15 @@
 }
 
 /// What became of an acceptance.
-enum Accepted {
+enum Acceptance {
     /// The header stands, in this version, and is ours.
     New(Version),
     /// The job was accepted before.
-    Before(JobHeader),
+    Earlier(JobHeader),
     /// Nothing of the job stands that this attempt could have accepted.
-    No,
+    NotAccepted,
     /// The header may stand.
-    Perhaps,
+    Unknown,
 }
 
 /// Which gateways may accept a submission.
@@ -79,7 +79,7 @@
 
 /// How a submission ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum SubmissionEnd {
+pub enum SubmissionOutcome {
     /// The job stands.
     Accepted,
     /// Another job has its name.
@@ -90,10 +90,10 @@
     Perhaps,
 }
 
-impl SubmissionEnd {
+impl SubmissionOutcome {
     /// End of a submission that two gateways tried to accept.
-    fn or(self, other: SubmissionEnd) -> SubmissionEnd {
-        use SubmissionEnd::{Accepted, Conflict, Perhaps, Refused};
+    fn merge(self, other: SubmissionOutcome) -> SubmissionOutcome {
+        use SubmissionOutcome::{Accepted, Conflict, Perhaps, Refused};
         match (self, other) {
             (Accepted, _) | (_, Accepted) => Accepted,
             (Conflict, _) | (_, Conflict) => Conflict,
@@ -126,14 +126,14 @@
     }
     let submitted = Rc::new(submitted);
     let end = match acceptors {
-        Acceptors::ThisOne => accept_here(env, directory, &submitted, items).await,
-        Acceptors::Any => accept_anywhere(env, directory, &submitted, items).await,
+        Acceptors::ThisOne => accept_locally(env, directory, &submitted, items).await,
+        Acceptors::Any => accept_or_forward(env, directory, &submitted, items).await,
     };
     match end {
-        SubmissionEnd::Accepted => accepted(),
-        SubmissionEnd::Conflict => plain(StatusCode::CONFLICT, "another job has this id"),
-        SubmissionEnd::Refused => refuse(env, &submitted.job, Refusal::StoreUnavailable),
-        SubmissionEnd::Perhaps => {
+        SubmissionOutcome::Accepted => accepted(),
+        SubmissionOutcome::Conflict => plain(StatusCode::CONFLICT, "another job has this id"),
+        SubmissionOutcome::Refused => refuse(env, &submitted.job, Refusal::StoreUnavailable),
+        SubmissionOutcome::Perhaps => {
             log::warn!(job = &*submitted.job; "job: acceptance in doubt");
             plain(StatusCode::GATEWAY_TIMEOUT, Doubt::StoreAnswerLost.label())
         }
@@ -141,39 +141,39 @@
 }
 
 /// Accepts a submission here, or at another gateway if the store does not answer this one in time.
-async fn accept_anywhere(
+async fn accept_or_forward(
     env: &Rc<JobEnv>,
     directory: &Directory,
     submitted: &Rc<Submitted>,
     items: Vec<Item>,
-) -> SubmissionEnd {
+) -> SubmissionOutcome {
     if env.health.is_lost() {
         match pass_on(env, submitted).await {
-            SubmissionEnd::Refused => {}
+            SubmissionOutcome::Refused => {}
             end => return end,
         }
     }
-    let mut here = pin!(accept_here(env, directory, submitted, items));
-    if let Some(end) = within(STORE_PATIENCE, &mut here).await {
+    let mut here = pin!(accept_locally(env, directory, submitted, items));
+    if let Some(end) = within(FORWARD_DELAY, &mut here).await {
         return end;
     }
     let elsewhere = pin!(pass_on(env, submitted));
     match select(here, elsewhere).await {
-        Either::Left((SubmissionEnd::Accepted, _))
-        | Either::Right((SubmissionEnd::Accepted, _)) => SubmissionEnd::Accepted,
-        Either::Left((end, elsewhere)) => end.or(elsewhere.await),
-        Either::Right((end, here)) => end.or(here.await),
+        Either::Left((SubmissionOutcome::Accepted, _))
+        | Either::Right((SubmissionOutcome::Accepted, _)) => SubmissionOutcome::Accepted,
+        Either::Left((end, elsewhere)) => end.merge(elsewhere.await),
+        Either::Right((end, here)) => end.merge(here.await),
     }
 }
 
 /// Accepts a submission here. Goes on when its caller no longer waits: the job may stand by then, and somebody has to
 /// work on it.
-async fn accept_here(
+async fn accept_locally(
     env: &Rc<JobEnv>,
     directory: &Directory,
     submitted: &Rc<Submitted>,
     items: Vec<Item>,
-) -> SubmissionEnd {
+) -> SubmissionOutcome {
     let (sender, ended) = flume::bounded(1);
     let (env, directory) = (Rc::clone(env), directory.clone());
     let submitted = Rc::clone(submitted);
@@ -181,25 +181,27 @@
         let (began, gaps) = (Instant::now(), env.gaps.count());
         let header = new_header(&env, &submitted, items.len());
         let end = match accept(&env, &submitted, &header).await {
-            Accepted::New(version) => {
+            Acceptance::New(version) => {
                 let job = JobName::clone(&submitted.job);
                 let elapsed_ms = began.elapsed().as_millis() as u64;
                 log::info!(job = &*job, items = items.len(), elapsed_ms; "job: accepted");
                 // After that time another gateway may have told the caller, who may have ended the job there.
-                let is_new = began.elapsed() < STORE_PATIENCE;
-                start(&env, &directory, OwnedJob { job, header, version, gaps, is_new }, items);
-                SubmissionEnd::Accepted
+                let is_new = began.elapsed() < FORWARD_DELAY;
+                start(&env, &directory, JobOwnership { job, header, version, gaps, is_new }, items);
+                SubmissionOutcome::Accepted
+            }
+            Acceptance::Earlier(found) if found.digest == header.digest => {
+                SubmissionOutcome::Accepted
             }
-            Accepted::Before(found) if found.digest == header.digest => SubmissionEnd::Accepted,
-            Accepted::Before(_) => SubmissionEnd::Conflict,
-            Accepted::No => SubmissionEnd::Refused,
-            Accepted::Perhaps => SubmissionEnd::Perhaps,
+            Acceptance::Earlier(_) => SubmissionOutcome::Conflict,
+            Acceptance::NotAccepted => SubmissionOutcome::Refused,
+            Acceptance::Unknown => SubmissionOutcome::Perhaps,
         };
         // The caller may have been told by another gateway.
         let _ = sender.send(end);
     })
     .detach();
-    ended.recv_async().await.unwrap_or(SubmissionEnd::Perhaps)
+    ended.recv_async().await.unwrap_or(SubmissionOutcome::Perhaps)
 }
 
 fn accepted() -> Response<Body> {
@@ -237,11 +239,11 @@
 
 /// Writes parts and header at once: the job is accepted when all of them stand. A header without its parts is in doubt, as
 /// the parts may come with the next sending.
-async fn accept(env: &JobEnv, submitted: &Submitted, header: &JobHeader) -> Accepted {
+async fn accept(env: &JobEnv, submitted: &Submitted, header: &JobHeader) -> Acceptance {
     let parts = create_parts(env, submitted, header);
     match join(create_header(env, &submitted.job, header), parts).await {
-        (Accepted::No, _) => Accepted::No,
-        (_, false) => Accepted::Perhaps,
+        (Acceptance::NotAccepted, _) => Acceptance::NotAccepted,
+        (_, false) => Acceptance::Unknown,
         (accepted, true) => accepted,
     }
 }
@@ -253,43 +255,43 @@
     for (part, value) in cut_parts(&text).into_iter().enumerate() {
         let key = part_key(&submitted.job, &header.digest, part as u32);
         let create = StoreOp::Create { key, labels: Labels::new(), value };
-        if !env.create_known(create).await {
+        if !env.create_idempotent(create).await {
             return false;
         }
     }
     true
 }
 
-async fn create_header(env: &JobEnv, job: &JobName, header: &JobHeader) -> Accepted {
+async fn create_header(env: &JobEnv, job: &JobName, header: &JobHeader) -> Acceptance {
     let mut doubtful = false;
-    for _ in 0..STORE_TRIES {
+    for _ in 0..STORE_ATTEMPTS {
         let (key, value) = (header_key(job), header.value());
         match env.call(StoreOp::Create { key, labels: Labels::new(), value }).await {
-            StoreAnswer::Object(stored) => return Accepted::New(stored.version),
+            StoreAnswer::Object(stored) => return Acceptance::New(stored.version),
             StoreAnswer::Taken | StoreAnswer::Unknown => {
                 doubtful = true;
-                if let Some(accepted) = found(env, job, header).await {
+                if let Some(accepted) = existing_header(env, job, header).await {
                     return accepted;
                 }
             }
             _ => {}
         }
-        compio::time::sleep(STORE_PAUSE).await;
+        compio::time::sleep(STORE_RETRY_PAUSE).await;
     }
-    if doubtful { Accepted::Perhaps } else { Accepted::No }
+    if doubtful { Acceptance::Unknown } else { Acceptance::NotAccepted }
 }
 
 /// Reads the header that stands, if it can be read: an earlier call of this process whose answer was lost may have
 /// written it.
-async fn found(env: &JobEnv, job: &JobName, header: &JobHeader) -> Option<Accepted> {
+async fn existing_header(env: &JobEnv, job: &JobName, header: &JobHeader) -> Option<Acceptance> {
     let (found, version) = env.current_header(job).await.ok()?;
-    Some(if found == *header { Accepted::New(version) } else { Accepted::Before(found) })
+    Some(if found == *header { Acceptance::New(version) } else { Acceptance::Earlier(found) })
 }
 
-fn start(env: &Rc<JobEnv>, directory: &Directory, owned: OwnedJob, items: Vec<Item>) {
+fn start(env: &Rc<JobEnv>, directory: &Directory, owned: JobOwnership, items: Vec<Item>) {
     let Some((messages, inbox)) = directory.open(&owned.job) else { return };
     env.metrics.job("accepted");
-    env.tell_owned(&owned.job, owned.header.items);
+    env.announce_ownership(&owned.job, owned.header.items);
     let log = ResultLog::new(JobName::clone(&owned.job));
     let items = Items::new(items, owned.header.attempts);
     let task = JobTask::new(Rc::clone(env), owned, items, log, messages);
@@ -298,6 +300,6 @@
 }
 
 /// Time from now to a wall-clock time.
-pub fn until(env: &JobEnv, unix_ms: u64) -> Duration {
+pub fn duration_until(env: &JobEnv, unix_ms: u64) -> Duration {
     Duration::from_millis(unix_ms.saturating_sub(env.clock.now().unix_ms))
 }
--- a/crates/samphiredoor-gateway/src/jobs/sweep.rs
+++ b/crates/samphiredoor-gateway/src/jobs/sweep.rs
@@ -20,9 +20,9 @@
 use super::{
     JobEnv,
     directory::Directory,
-    job_task::{JobMessage, JobTask, OwnedJob},
+    job_task::{JobMessage, JobOwnership, JobTask},
     peer_call::{PeerCall, exchange},
-    stored::{StoredJobs, Unread},
+    stored::{ReadError, StoredJobs},
 };
 use crate::{
     edge::Freshness,
@@ -32,36 +32,37 @@
 
 /// Time between two sweeps of the whole fleet; a job is due within tens of seconds, and its owner is taken for gone
 /// after 2.5 s.
-const FLEET_PAUSE: Duration = Duration::from_millis(350);
+const FLEET_SWEEP_INTERVAL: Duration = Duration::from_millis(350);
 /// Shortest time between two sweeps of one process.
-const SHORTEST_PAUSE: Duration = Duration::from_millis(2_000);
+const MIN_SWEEP_INTERVAL: Duration = Duration::from_millis(2_000);
 /// First sweep: by then others are heard, and their requests at targets are known.
-const FIRST_PAUSE: Duration = Duration::from_millis(1_200);
+const FIRST_SWEEP_DELAY: Duration = Duration::from_millis(1_200);
 /// Jobs that one sweep takes, so that the jobs of a lost process are shared among the others.
-const TAKEN_AT_ONCE: usize = 6;
+const MAX_TAKEOVERS: usize = 6;
 /// Time beyond that for which jobs are kept; clocks of hosts may differ by seconds.
-const REMOVE_MARGIN: Duration = Duration::from_secs(600);
+const RETENTION_MARGIN: Duration = Duration::from_secs(600);
 /// Old jobs that one sweep removes; a job takes about ten calls.
-const REMOVED_AT_ONCE: usize = 2;
+const MAX_REMOVALS: usize = 2;
 /// Longest wait for an owner that was never heard.
-const ASK_TIMEOUT: Duration = Duration::from_millis(300);
+const ALIVE_CHECK_TIMEOUT: Duration = Duration::from_millis(300);
 /// Longest time for offering a job to another process.
 const OFFER_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Sweeps for as long as the process runs.
 pub async fn run(env: Rc<JobEnv>, directory: Directory, stored: StoredJobs) {
-    compio::time::sleep(FIRST_PAUSE).await;
+    compio::time::sleep(FIRST_SWEEP_DELAY).await;
     loop {
         if !env.stopping.get() {
             sweep(&env, &directory, &stored).await;
         }
         let processes = env.roster.heard_count() as u32 + 1;
-        compio::time::sleep(FLEET_PAUSE.saturating_mul(processes).max(SHORTEST_PAUSE)).await;
+        compio::time::sleep(FLEET_SWEEP_INTERVAL.saturating_mul(processes).max(MIN_SWEEP_INTERVAL))
+            .await;
     }
 }
 
 async fn sweep(env: &Rc<JobEnv>, directory: &Directory, stored: &StoredJobs) {
-    let (mut free, mut old) = (Vec::new(), Vec::new());
+    let (mut orphaned, mut expired) = (Vec::new(), Vec::new());
     let store = &*env.platform.store;
     let listed = list_all(store, Kind::OrderedJob, Freshness::MayBeStale).await;
     let Some((objects, _)) = listed else {
@@ -73,9 +74,9 @@
         match read_header(object) {
             // One that another process has finished may still be worked on here.
             Ok(header) if !header.finished || directory.has(&object.name) => {
-                look(env, directory, &object.name, &header, &mut free);
+                check_listed(env, directory, &object.name, &header, &mut orphaned);
             }
-            Ok(header) if is_forgotten(env, &header) => old.push((object.name.clone(), header)),
+            Ok(header) if is_expired(env, &header) => expired.push((object.name.clone(), header)),
             Ok(_) => {}
             Err(fault) => {
                 env.metrics.foreign("job");
@@ -83,18 +84,18 @@
             }
         }
     }
-    for (job, header) in old.into_iter().take(REMOVED_AT_ONCE) {
+    for (job, header) in expired.into_iter().take(MAX_REMOVALS) {
         remove(env, &job, &header).await;
     }
-    free.shuffle(&mut rand::rng());
-    for job in free.into_iter().take(TAKEN_AT_ONCE) {
-        take_if_free(env, directory, stored, &job).await;
+    orphaned.shuffle(&mut rand::rng());
+    for job in orphaned.into_iter().take(MAX_TAKEOVERS) {
+        take_over_if_orphaned(env, directory, stored, &job).await;
     }
 }
 
 /// Whether a finished job is so old that nobody may read it any more.
-fn is_forgotten(env: &JobEnv, header: &JobHeader) -> bool {
-    let kept = env.keep + REMOVE_MARGIN;
+fn is_expired(env: &JobEnv, header: &JobHeader) -> bool {
+    let kept = env.keep + RETENTION_MARGIN;
     env.clock.now().unix_ms > header.accepted_unix_ms + kept.as_millis() as u64
 }
 
@@ -125,53 +126,53 @@
     matches!(answer, StoreAnswer::Deleted | StoreAnswer::Absent)
 }
 
-fn look(
+fn check_listed(
     env: &JobEnv,
     directory: &Directory,
     job: &Name,
     header: &JobHeader,
-    free: &mut Vec<JobName>,
+    orphaned: &mut Vec<JobName>,
 ) {
     let here = directory.has(job);
     if here && !env.owns(&header.owner) {
         // The list may be older than the taking of this process: the task looks at the header itself.
-        recheck(env, directory, job);
-    } else if !here && !directory.was_closed(job) && is_free(env, job, header) {
-        free.push(JobName::clone(job));
+        recheck_header(env, directory, job);
+    } else if !here && !directory.was_recently_closed(job) && is_orphaned(env, job, header) {
+        orphaned.push(JobName::clone(job));
     }
 }
 
-fn recheck(env: &JobEnv, directory: &Directory, job: &Name) {
+fn recheck_header(env: &JobEnv, directory: &Directory, job: &Name) {
     let (store, directory, job) =
         (Rc::clone(&env.platform.store), directory.clone(), Name::clone(job));
     compio::runtime::spawn(async move {
         let answer = store.call(StoreOp::Get { key: header_key(&job) }).await;
-        directory.tell(&job, JobMessage::Header(answer));
+        directory.send(&job, JobMessage::HeaderRead(answer));
     })
     .detach();
 }
 
 /// Whether nobody works on a job, as far as can be told.
-fn is_free(env: &JobEnv, job: &JobName, header: &JobHeader) -> bool {
+fn is_orphaned(env: &JobEnv, job: &JobName, header: &JobHeader) -> bool {
     let owner = &header.owner;
     if owner.process.is_empty() || *owner.process == *env.name {
         // Handed over, or of an earlier start of this process, or accepted by a call of it that was given up.
         return true;
     }
     let gone = env.roster.liveness(&owner.process, owner.incarnation) == Liveness::Gone;
-    gone && env.roster.hears_most() && !has_told_owner(env, job)
+    gone && env.roster.hears_most() && !has_live_announced_owner(env, job)
 }
 
 /// Whether a process that works has told that it owns the job. The list of jobs may be seconds older than that, and each
 /// process of the fleet would read the job's header once more to learn it.
-fn has_told_owner(env: &JobEnv, job: &JobName) -> bool {
+fn has_live_announced_owner(env: &JobEnv, job: &JobName) -> bool {
     let owner = env.owners.of(job);
     owner.is_some_and(|it| env.roster.liveness(&it.process, it.incarnation) == Liveness::Works)
 }
 
 /// Whether an owner says that it works on its jobs. Asked where it was never heard: a gateway that is new in the fleet is
 /// known to others only when they have read its entry.
-async fn says_it_works(env: &JobEnv, owner: &JobOwner) -> bool {
+async fn confirms_alive(env: &JobEnv, owner: &JobOwner) -> bool {
     let (process, incarnation) = (Name::from(&*owner.process), owner.incarnation);
     if process.is_empty() || process == env.name || env.roster.was_heard(&process, incarnation) {
         return false;
@@ -181,55 +182,55 @@
         None => registered_address(&*env.platform.store, &process).await,
     };
     let Some(address) = address else { return false };
-    let pool = Pool::new(address).with_connect_timeout(ASK_TIMEOUT);
-    let call = PeerCall::Works { incarnation };
-    let answered = exchange(&pool, &call, ASK_TIMEOUT).await;
+    let pool = Pool::new(address).with_connect_timeout(ALIVE_CHECK_TIMEOUT);
+    let call = PeerCall::CheckAlive { incarnation };
+    let answered = exchange(&pool, &call, ALIVE_CHECK_TIMEOUT).await;
     answered.is_some_and(|(status, _)| status == StatusCode::OK)
 }
 
 /// Takes a job if nobody works on it.
-pub async fn take_if_free(
+pub async fn take_over_if_orphaned(
     env: &Rc<JobEnv>,
     directory: &Directory,
     stored: &StoredJobs,
     job: &JobName,
 ) {
     let Ok((header, version)) = stored.current_header(job).await else { return };
-    if header.finished || directory.has(job) || !is_free(env, job, &header) {
+    if header.finished || directory.has(job) || !is_orphaned(env, job, &header) {
         return;
     }
-    if says_it_works(env, &header.owner).await {
+    if confirms_alive(env, &header.owner).await {
         return;
     }
-    let Ok(ended) = env.is_ended(job).await else { return };
-    let items = match ended {
+    let Ok(cancelled) = env.is_cancelled(job).await else { return };
+    let items = match cancelled {
         true => None,
         false => match stored.items(job, &header).await {
             Ok(items) => Some(items),
             // Never accepted, and by now its caller does not send it any more.
-            Err(Unread::Absent) if env.clock.now().unix_ms > header.give_up_unix_ms => None,
+            Err(ReadError::NotFound) if env.clock.now().unix_ms > header.give_up_unix_ms => None,
             Err(_) => return,
         },
     };
-    let owned = take(env, job, header, version, items.is_none()).await;
+    let owned = take_over(env, job, header, version, items.is_none()).await;
     if let (Some(owned), Some(items)) = (owned, items) {
         start(env, directory, owned, items);
     }
 }
 
-async fn take(
+async fn take_over(
     env: &JobEnv,
     job: &JobName,
     header: JobHeader,
     version: Version,
-    ended: bool,
-) -> Option<OwnedJob> {
-    let (before, gaps) = (header.owner.clone(), env.gaps.count());
-    let former = match before.process.as_str() {
+    cancelled: bool,
+) -> Option<JobOwnership> {
+    let (previous, gaps) = (header.owner.clone(), env.gaps.count());
+    let former = match previous.process.as_str() {
         "" => header.former.clone(),
-        _ => Some(before.clone()),
+        _ => Some(previous.clone()),
     };
-    let header = JobHeader { owner: env.owner(), finished: ended, former, ..header };
+    let header = JobHeader { owner: env.owner(), finished: cancelled, former, ..header };
     let (key, value) = (header_key(job), header.value());
     let update = StoreOp::Update { key, version, labels: Labels::new(), value };
     let version = match env.call(update).await {
@@ -242,16 +243,16 @@
         _ => return None,
     };
     log::info!(
-        job = &**job, from = before.process, from_incarnation = before.incarnation, ended;
+        job = &**job, from = previous.process, from_incarnation = previous.incarnation, ended = cancelled;
         "job: taken"
     );
     env.metrics.job("taken");
-    Some(OwnedJob { job: JobName::clone(job), header, version, gaps, is_new: false })
+    Some(JobOwnership { job: JobName::clone(job), header, version, gaps, is_new: false })
 }
 
-fn start(env: &Rc<JobEnv>, directory: &Directory, owned: OwnedJob, items: Vec<Item>) {
+fn start(env: &Rc<JobEnv>, directory: &Directory, owned: JobOwnership, items: Vec<Item>) {
     let Some((messages, inbox)) = directory.open(&owned.job) else { return };
-    env.tell_owned(&owned.job, owned.header.items);
+    env.announce_ownership(&owned.job, owned.header.items);
     let log = ResultLog::to_be_read(JobName::clone(&owned.job));
     let items = Items::new(items, owned.header.attempts);
     let task = JobTask::new(Rc::clone(env), owned, items, log, messages);
