--- a/crates/samphiredoor-gateway/src/jobs/directory.rs
+++ b/crates/samphiredoor-gateway/src/jobs/directory.rs
@@ -1,4 +1,4 @@
-//! The jobs that this process works on, and how to speak to their tasks.
+//! Directory of the jobs that have a task in this process, for sending messages to those tasks.
 
 use std::{
     cell::RefCell,
@@ -11,10 +11,10 @@
 
 use super::job_task::JobMessage;
 
-/// How long a job that was closed here is remembered, so that an older state of the store does not bring it back.
+/// How long a closed job is remembered, so that a stale read of the store does not make this process take it over again.
 const CLOSED_JOB_RETENTION: Duration = Duration::from_secs(60);
 
-/// Handle to the jobs that this process works on.
+/// Shared handle to the jobs that have a task in this process.
 #[derive(Clone, Default)]
 pub struct Directory {
     open: Rc<RefCell<HashMap<JobName, flume::Sender<JobMessage>>>>,
@@ -22,7 +22,7 @@
 }
 
 impl Directory {
-    /// Adds a job; `None` if it is here already.
+    /// Adds a job and returns both ends of its message channel; `None` if the job already has a task here.
     pub fn open(
         &self,
         job: &JobName,
@@ -37,12 +37,12 @@
         Some((messages, inbox))
     }
 
-    /// Removes a job whose task has ended because another process has or may have it.
+    /// Removes a job that another process owns or may own by now.
     pub fn remove(&self, job: &JobName) {
         self.open.borrow_mut().remove(job);
     }
 
-    /// Removes a job that is over for everybody.
+    /// Removes a job that is finished or cancelled, and remembers that.
     pub fn close(&self, job: &JobName) {
         self.remove(job);
         let mut closed = self.closed.borrow_mut();
@@ -50,31 +50,31 @@
         closed.insert(JobName::clone(job), Instant::now());
     }
 
-    /// Whether a job that is over was closed here lately.
+    /// Whether this process closed the job within the last minute.
     pub fn was_recently_closed(&self, job: &str) -> bool {
         self.closed.borrow().get(job).is_some_and(|it| it.elapsed() < CLOSED_JOB_RETENTION)
     }
 
-    /// Speaks to a job's task; `false` if the job is not here.
+    /// Sends a message to a job's task; `false` if the job has none here.
     pub fn send(&self, job: &str, message: JobMessage) -> bool {
         let open = self.open.borrow();
         open.get(job).is_some_and(|it| it.send(message).is_ok())
     }
 
-    /// Whether a job is here.
+    /// Whether a job has a task here.
     pub fn has(&self, job: &str) -> bool {
         self.open.borrow().contains_key(job)
     }
 
-    /// Number of jobs that are here.
+    /// Number of jobs with a task here.
     pub fn len(&self) -> usize {
         self.open.borrow().len()
     }
 
-    /// Has all jobs handed over.
+    /// Makes all tasks hand their jobs over, for a graceful shutdown.
     pub fn hand_over_all(&self) {
         for messages in self.open.borrow().values() {
-            // A task that has just ended needs no message.
+            // Fails only if the task has just ended.
             let _ = messages.send(JobMessage::HandOver);
         }
     }
--- a/crates/samphiredoor-gateway/src/jobs/gaps.rs
+++ b/crates/samphiredoor-gateway/src/jobs/gaps.rs
@@ -1,8 +1,9 @@
-//! Gaps in which other gateways may have taken this process for gone.
+//! Liveness gaps: periods in which other gateways may have declared this process dead.
 //!
-//! They take its jobs then, and acknowledge ends of jobs that it cannot be told of. Such a gap is a sleep of this process, an
-//! outage of the store, or a time in which it hears less than half of the others: who takes a process for gone hears at
-//! least half of all.
+//! They then take over its jobs, and acknowledge cancellations of jobs without being able to reach it. A gap is a pause of
+//! this process, an outage of the store, or a period in which it receives heartbeats from less than half of the other
+//! gateways. The last one suffices because a gateway declares another one dead only while it receives heartbeats from at
+//! least half of the fleet.
 
 use std::{
     cell::Cell,
@@ -15,19 +16,19 @@
 
 use crate::{peers::Roster, store_health::StoreHealth};
 
-/// Time between two looks at the clocks and at who is heard.
+/// Interval between two checks of the clocks, the store and the peers.
 const CHECK_INTERVAL: Duration = Duration::from_millis(500);
-/// Time between two looks at the clocks that only a process has which slept or stood still; one that is silent for 2.5 s
-/// counts as gone.
+/// Time between two checks of the clocks from which the process counts as paused, for example because its host slept. Peers
+/// declare a process dead after 2.5 s without a heartbeat.
 const MIN_PAUSE: Duration = Duration::from_millis(1_500);
-/// Time after which a process that is still cut off counts a further gap.
+/// Interval at which a process that stays cut off records a further gap.
 const CUT_OFF_REPEAT: Duration = Duration::from_millis(2_000);
 
-/// Time after a gap in which all others have heard this process again. Until then they may still take its jobs, also after
-/// these were looked for, so that they are looked for once more.
+/// Time after a gap by which all peers have received a heartbeat of this process again. Until then they may still take over
+/// its jobs, even after their headers were checked, so another gap is counted afterwards and they are checked again.
 const SETTLE_TIME: Duration = Duration::from_millis(2_500);
 
-/// Handle to the gaps of this process.
+/// Shared handle to the gap detector of this process.
 #[derive(Clone)]
 pub struct Gaps {
     state: Rc<State>,
@@ -37,16 +38,22 @@
     clock: Clock,
     roster: Roster,
     health: StoreHealth,
+    /// Time of the last check of the clocks.
     checked: Cell<Now>,
+    /// Number of gaps, without the store's recoveries.
     recorded: Cell<u64>,
+    /// Recoveries of the store after which a further check of the jobs is scheduled.
     handled_recoveries: Cell<u64>,
+    /// When the gap after the last one is counted.
     settles_at: Cell<Option<Instant>>,
-    has_heard_majority: Cell<bool>,
+    /// Whether heartbeats of at least half of the fleet have arrived since the start.
+    was_connected: Cell<bool>,
+    /// When the process was last recorded as cut off; `None` while it is not.
     cut_off_since: Cell<Option<Instant>>,
 }
 
 impl Gaps {
-    /// No gaps yet.
+    /// Creates a detector that counts gaps from now on.
     pub fn new(clock: Clock, roster: Roster, health: StoreHealth) -> Gaps {
         let state = State {
             checked: Cell::new(clock.now()),
@@ -56,19 +63,19 @@
             recorded: Cell::default(),
             handled_recoveries: Cell::default(),
             settles_at: Cell::default(),
-            has_heard_majority: Cell::default(),
+            was_connected: Cell::default(),
             cut_off_since: Cell::default(),
         };
         Gaps { state: Rc::new(state) }
     }
 
-    /// Number of gaps so far.
+    /// Number of gaps so far, including one that has just ended.
     pub fn count(&self) -> u64 {
         self.check_clocks();
         self.state.recorded.get() + self.state.health.regains()
     }
 
-    /// Looks for gaps for as long as the process runs.
+    /// Checks for gaps periodically for as long as the process runs.
     pub async fn run(self) {
         loop {
             compio::time::sleep(CHECK_INTERVAL).await;
@@ -79,7 +86,8 @@
         }
     }
 
-    /// The monotonic clock may stand still while a host sleeps; the wall clock may be set.
+    /// Detects pauses of the process by both clocks: the monotonic clock may stand still while a host sleeps, and the wall
+    /// clock may be set.
     fn check_clocks(&self) {
         let now = self.state.clock.now();
         let before = self.state.checked.replace(now);
@@ -101,13 +109,11 @@
         let state = &self.state;
         let is_over = |at: Instant| at.elapsed() >= CUT_OFF_REPEAT;
         match (state.roster.is_cut_off(), state.cut_off_since.get()) {
-            (true, None) if state.has_heard_majority.get() => {
-                self.set_cut_off(Some(Instant::now()))
-            }
+            (true, None) if state.was_connected.get() => self.set_cut_off(Some(Instant::now())),
             (true, Some(at)) if is_over(at) => self.set_cut_off(Some(Instant::now())),
             (true, _) => {}
             (false, Some(_)) => self.set_cut_off(None),
-            (false, None) => state.has_heard_majority.set(true),
+            (false, None) => state.was_connected.set(true),
         }
     }
 
@@ -117,7 +123,7 @@
     }
 
     fn record(&self, why: &'static str) {
-        log::info!(why; "jobs: others may take this process for gone");
+        log::info!(why; "jobs: peers may have declared this process dead");
         self.state.settles_at.set(Some(Instant::now() + SETTLE_TIME));
         self.increment();
     }
--- a/crates/samphiredoor-gateway/src/jobs/item_run.rs
+++ b/crates/samphiredoor-gateway/src/jobs/item_run.rs
@@ -1,4 +1,7 @@
-//! One run of an item: it waits for a place, is recalled for online requests, and goes on after its last event.
+//! One run of a batch item: waits for a slot at a target, sends the item and collects its output.
+//!
+//! The item may be preempted by online requests. After a preemption or a lost response it resumes after the last event
+//! that it has received.
 
 use std::{
     cell::RefCell,
@@ -34,72 +37,74 @@
     target_client,
 };
 
-/// Silence after which an item is sent to another target. Online requests that join a batch hold up its events for some
-/// hundred milliseconds at most; an engine short of memory may hold up one for longer.
+/// Time without any data from the target after which the attempt counts as lost and the item is sent again. Online requests
+/// that join a batch delay its events by a few hundred milliseconds at most; an engine short of memory may delay one for
+/// longer.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// Pause before an item is sent again that did not run.
+/// Pause before an item is sent again that was not run by the target, or got no target.
 const RETRY_PAUSE: Duration = Duration::from_millis(60);
-/// Pause before looking again for routes that are not known yet.
+/// Interval at which an item checks for routes while this process has none that are recent enough.
 const NO_ROUTES_PAUSE: Duration = Duration::from_millis(200);
-/// Longest time that a target is asked to work on one send.
+/// Upper limit of the deadline that is sent to a target with one attempt.
 const MAX_ATTEMPT_TIME: Duration = Duration::from_secs(30);
-/// Bytes of a failed answer that are read so that the connection can be kept.
+/// Maximum size of an error body that is read so that the connection can be reused.
 const MAX_ERROR_BYTES: usize = 64 * 1024;
 
-/// An item to run.
+/// An item to run, with what it shares with its job.
 pub struct ItemRun {
-    /// Handles.
+    /// Handles shared by all jobs.
     pub env: Rc<JobEnv>,
-    /// Job, for logs.
+    /// Job of the item, for logs.
     pub job: JobName,
-    /// Host under which it is sent.
+    /// `Host` header of the submission, also used for the item's requests.
     pub host: String,
-    /// Path of the submission, by which the route is found.
+    /// Path of the submission, which selects the route.
     pub route_path: String,
     /// Version of the routes under which the job was accepted.
     pub routes_version: u64,
-    /// The item.
+    /// The item as it was submitted.
     pub item: Arc<Item>,
-    /// When the job is due, by the monotonic clock.
+    /// When the job is due, on the monotonic clock.
     pub due_at_ms: u64,
-    /// When the item is of no use any more.
+    /// When the item is given up.
     pub give_up_at: Instant,
-    /// What has arrived of it.
+    /// Output received so far, also by earlier runs.
     pub output: SharedOutput,
-    /// Whether it may be sent.
+    /// Permit that must be valid whenever the item is sent.
     pub permit: Rc<SendPermit>,
 }
 
-/// Output of an item as far as it has arrived.
+/// Output of an item received so far.
 #[derive(Debug, Default)]
 pub struct Output {
     text: Vec<u8>,
     has_data: bool,
     last_event: Option<u64>,
-    /// Bytes of the text that the job's log keeps, and the event up to which it does.
+    /// Length of the text that was passed to the job's log to be saved.
     saved_bytes: usize,
+    /// Last event that was passed to the job's log.
     saved_event: Option<u64>,
-    /// How long the runs in this process took that put it out.
+    /// Total time of the attempts in this process that produced output.
     ran_ms: u64,
 }
 
-/// Output that the run of an item fills, and that its job can hand over.
+/// Output that the run of an item appends to, and that the job's task reads to save it.
 pub type SharedOutput = Rc<RefCell<Output>>;
 
-/// What became of one send.
+/// Outcome of one attempt to run the item at a target.
 enum AttemptOutcome {
-    /// The item is over.
+    /// The run ends with this result.
     Finished(ItemEnd),
-    /// It was cut and can go on at once.
+    /// The attempt was preempted or not sent; the item can be sent again at once.
     Resume,
-    /// It did not run; try another target a little later.
+    /// The target did not run the item, or there was none; retry after a short pause.
     RetryLater,
-    /// The answer was lost.
+    /// The response was cut off or did not arrive; the item may have run.
     ResponseLost,
 }
 
 impl ItemRun {
-    /// Runs the item until it is over or something went wrong on the way.
+    /// Runs the item until it has a result, or until a response without any event was lost.
     pub async fn run(self) -> ItemEnd {
         let body = match self.env.platform.dialect.item_body(&self.item) {
             Ok(body) => body,
@@ -139,13 +144,13 @@
         end
     }
 
-    /// Routes that can tell the job's: a process that has just started may have none, or older ones than those under
-    /// which the job was accepted elsewhere, and would give up items whose route it does not know yet.
+    /// Current routes, if they are at least as new as those under which the job was accepted. A process that has just
+    /// started may have none or older ones, and would give up items whose route it does not have yet.
     fn routes(&self) -> Option<Arc<RouteTable>> {
         self.env.routes.current().filter(|it| it.version >= self.routes_version)
     }
 
-    /// Route of the job now; the operators may have moved it since the submission.
+    /// Current batch route of the job; operators may have changed it since the submission.
     fn route(&self, table: &RouteTable) -> Option<Arc<Route>> {
         let route = table.find(&self.host, &self.route_path)?;
         matches!(route.kind, RouteKind::Batch(_)).then(|| Arc::clone(route))
@@ -256,7 +261,7 @@
             StatusCode::INTERNAL_SERVER_ERROR => AttemptOutcome::Finished(ItemEnd::Failed),
             StatusCode::UNPROCESSABLE_ENTITY => AttemptOutcome::Finished(ItemEnd::Impossible),
             status => {
-                log::warn!(job = &*self.job, item = &*self.item.id, status = status.as_u16(); "item: unexpected answer");
+                log::warn!(job = &*self.job, item = &*self.item.id, status = status.as_u16(); "item: unexpected response");
                 AttemptOutcome::Finished(ItemEnd::NoAnswer)
             }
         };
@@ -306,7 +311,7 @@
         }
     }
 
-    /// Output that the job's log has kept.
+    /// Restores the output that was read from the job's log.
     pub fn from_saved(partial: PartialOutput) -> Output {
         let (last_event, saved_bytes) = (Some(partial.last), partial.text.len());
         Output {
@@ -319,7 +324,7 @@
         }
     }
 
-    /// What has come since the last part that was taken.
+    /// Takes the output received since the last call; `None` if there was no new event.
     pub fn take_unsaved(&mut self, item: u32) -> Option<OutputPart> {
         let last = self.last_event.filter(|it| Some(*it) > self.saved_event)?;
         let text = String::from_utf8_lossy(&self.text[self.saved_bytes..]).into_owned();
@@ -334,11 +339,11 @@
     }
 }
 
-/// Waits for something, or for the recall of the place; `None` after a recall.
+/// Waits for a future or for the preemption of the attempt; `None` if it was preempted.
 async fn or_preempted<F: Future>(ticket: &mut Ticket, future: F) -> Option<F::Output> {
     let future = std::pin::pin!(future);
-    let recall = std::pin::pin!(ticket.placed());
-    match select(future, recall).await {
+    let preempted = std::pin::pin!(ticket.placed());
+    match select(future, preempted).await {
         Either::Left((output, _)) => Some(output),
         Either::Right(_) => None,
     }
--- a/crates/samphiredoor-gateway/src/jobs/job_task/ending.rs
+++ b/crates/samphiredoor-gateway/src/jobs/job_task/ending.rs
@@ -1,4 +1,5 @@
-//! How a job ends here: finished, ended by its caller, lost to another process, or handed over.
+//! The ways in which a job leaves this process: finished, cancelled by its caller, taken over by another process, or handed
+//! over.
 
 use std::{
     rc::Rc,
@@ -13,12 +14,13 @@
 use super::{JobMessage, JobTask, Phase};
 use crate::jobs::{STORE_RETRY_PAUSE, sweep};
 
-/// How long a finished job is kept in memory for those who read it; later reads come from the store, a call for each
+/// How long a finished job stays in memory for its readers. Later reads are served from the store, with one call for each
 /// segment at each gateway that is asked.
 const FINISHED_JOB_RETENTION: Duration = Duration::from_secs(60);
 
 impl JobTask {
-    /// Ends the job; says whether that holds for everybody. A job that is being handed over is not this process's to end.
+    /// Cancels the job, and returns whether no process will run it any more. That is `false` while its hand-over is being
+    /// written, as this process can no longer stop that.
     pub(super) fn cancel(&mut self) -> bool {
         if self.is_active() {
             self.stop_runs();
@@ -39,7 +41,7 @@
         self.retries.clear();
     }
 
-    /// Marks the job as one that nobody needs to take.
+    /// Marks the job as finished in its header, so that no process takes it over.
     pub(super) fn close(&mut self, how: &'static str) {
         log::info!(job = &*self.ownership.job, how, results = self.log.standing().len(); "job: closed");
         self.env.metrics.job(how);
@@ -48,7 +50,7 @@
         self.write_header();
     }
 
-    /// Cuts all runs: what they have put out goes to the next owner, where they go on after their last event.
+    /// Stops all runs. Their partial outputs are saved, and the next owner resumes the items after their last event.
     pub(super) fn begin_hand_over(&mut self) {
         if self.phase == Phase::Running {
             self.stop_runs();
@@ -64,7 +66,7 @@
             return;
         }
         if self.log_call_in_flight || self.queue_outputs(now) || !self.log.is_settled() {
-            // Results wait for others to share a write; now everything waits for them.
+            // Writes the pending results at once instead of batching them, as the hand-over waits for them.
             self.write_at = Some(now);
             self.phase = Phase::HandingOver(now + STORE_RETRY_PAUSE);
             return;
@@ -93,10 +95,11 @@
                 let (env, job) = (Rc::clone(&self.env), JobName::clone(&self.ownership.job));
                 compio::runtime::spawn(sweep::offer(env, job)).detach();
             }
-            // In doubt or refused: a job that stays marked as open is only looked at once more by a later owner.
+            // The write was refused or its outcome is unknown. That is harmless: a later owner checks a job that stays open
+            // once more, and continues it if items are left.
             _ if handed_over => self.phase = Phase::Done,
             StoreAnswer::Unavailable | StoreAnswer::Unknown => {
-                log::info!(job = &*self.ownership.job; "job: not marked as finished");
+                log::info!(job = &*self.ownership.job; "job: could not be marked as finished");
                 self.phase = Phase::Retained(Instant::now() + FINISHED_JOB_RETENTION);
             }
             _ => self.phase = Phase::Retained(Instant::now() + FINISHED_JOB_RETENTION),
--- a/crates/samphiredoor-gateway/src/jobs/job_task/mod.rs
+++ b/crates/samphiredoor-gateway/src/jobs/job_task/mod.rs
@@ -1,9 +1,10 @@
-//! The task that owns one job: it runs the items, appends their results, and answers readers.
+//! The task that owns one job: it runs the items, appends their results to the log, and answers readers.
 //!
-//! Everything that must hold rests on the log's conditional creates. The task only works while it believes that the job
-//! is its own; a wrong belief costs runs.
+//! Correctness rests only on the conditional creates of the log's segments. The task runs items while this process is the
+//! owner as far as it can tell; if it no longer is, items are run twice but no result is recorded twice.
 //!
-//! `runs` holds what is done with the items, `results` the log and its readers, `ending` how the job leaves this process.
+//! `runs` handles the runs of items, `results` the log and its readers, and `ending` the ways in which a job leaves this
+//! process.
 
 mod ending;
 mod results;
@@ -31,85 +32,87 @@
 };
 use crate::edge::ResultsPage;
 
-/// How often a working job looks whether its process still reaches the store.
+/// Interval at which a running job checks whether this process is cut off from the store.
 const STORE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
-/// A wait of no length does not let other tasks run: with a time that has passed the task would hold the whole process.
+/// Minimum wait for a message. A wait of zero does not yield to other tasks, so that a wakeup time in the past would block
+/// the whole process.
 const MIN_WAIT: Duration = Duration::from_millis(1);
-const NO_DEADLINE: Duration = Duration::from_secs(3_600);
+/// Stands for a time that is never reached.
+const FAR_FUTURE: Duration = Duration::from_secs(3_600);
 
 /// A job that this process owns.
 pub struct JobOwnership {
-    /// Name.
+    /// Job that is owned.
     pub job: JobName,
-    /// Header as it stands.
+    /// Last written header, with this process as the owner.
     pub header: JobHeader,
-    /// Version of the header.
+    /// Version of that header in the store.
     pub version: Version,
-    /// Gaps of this process before the header was written.
+    /// Number of liveness gaps before the header was written.
     pub gaps: u64,
-    /// Whether its end need not be looked for: nobody else has heard of the job.
+    /// Whether no caller can have cancelled the job yet, because no gateway has reported it as accepted.
     pub is_new: bool,
 }
 
-/// What the store has of a job after a gap.
+/// Result of reading from the store whether this process still owns a job and may run it.
 pub struct OwnershipCheck {
-    /// Gaps of this process before it was asked.
+    /// Number of liveness gaps before the store was read.
     gaps: u64,
-    /// Answer to the read of the header; `None` if it is known.
+    /// Answer to the read of the header; `None` if there was no gap since this process wrote it.
     header: Option<StoreAnswer>,
-    /// Whether the job is ended.
-    ended: Result<bool, ReadError>,
+    /// Whether the caller has cancelled the job.
+    cancelled: Result<bool, ReadError>,
 }
 
-/// What a job's task is told.
+/// Message to a job's task.
 pub enum JobMessage {
-    /// Read results.
+    /// Reads results.
     Read {
-        /// Number of results that the reader has.
+        /// Number of results that the reader already has.
         after: usize,
-        /// Until when to wait for one more.
+        /// When to answer even if there is no further result.
         until: Instant,
-        /// Where the answer goes.
+        /// Receives the answer.
         reply: flume::Sender<ReadReply>,
     },
-    /// Read an item as it was submitted, unless its result stands.
+    /// Reads an item as it was submitted, unless its result is committed.
     Item {
-        /// Name of the item.
+        /// Id of the item.
         id: String,
-        /// Where the answer goes.
+        /// Receives the item, or `None`.
         reply: flume::Sender<Option<Arc<Item>>>,
     },
     /// A run of an item ended.
     RunEnded {
-        /// Which item.
+        /// Index of the item.
         item: u32,
-        /// How.
+        /// Outcome of the run.
         end: ItemEnd,
     },
-    /// The log's call was answered.
+    /// The store has answered the log's call.
     LogCallAnswered(StoreAnswer),
-    /// The header was read, to see whose the job is.
+    /// The header was read to find out whether this process still owns the job.
     HeaderRead(StoreAnswer),
-    /// An item waits until it may be sent.
+    /// An item waits for the permit to be sent.
     PermitWanted,
-    /// The store was asked whether items may be sent.
+    /// The store was read to decide whether items may be sent.
     OwnershipChecked(OwnershipCheck),
-    /// The last write of the header was answered.
+    /// The store has answered the last write of the header.
     HeaderWritten(StoreAnswer),
-    /// The caller has ended the job.
+    /// The caller has cancelled the job.
     Cancel {
-        /// Told whether nothing of the job is run here any more, nor by an owner to whom this process hands it.
+        /// Receives whether the job runs neither here nor at a process that this one hands it over to.
         reply: Option<flume::Sender<bool>>,
     },
-    /// A planned stop has begun.
+    /// A graceful shutdown has begun.
     HandOver,
 }
 
 /// Answer to a reader.
 pub enum ReadReply {
-    /// Results.
+    /// Results, or none if the wait was over.
     Page(ResultsPage),
-    /// The reader knows more than this process: read the store.
+    /// The results here may be outdated or the job has left this process; read the store.
     UseStore,
 }
 
@@ -122,19 +125,19 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Phase {
-    /// Items run.
+    /// The items are run.
     Running,
-    /// Nothing is run any more; results that wait are written, and the job is handed over then.
+    /// No items run. Pending results are written, and the job is handed over at the given time at the earliest.
     HandingOver(Instant),
-    /// All results stand, or the caller has ended it; the header is being written.
+    /// The job is finished, cancelled or handed over, and the header is being written.
     Closing,
-    /// Only readers are answered, until then.
+    /// The job is finished or cancelled; readers are answered from memory until the given time.
     Retained(Instant),
-    /// The task ends.
+    /// The task ends at its next step.
     Done,
 }
 
-/// The task of one job.
+/// State of the task of one job.
 pub struct JobTask {
     env: Rc<JobEnv>,
     ownership: JobOwnership,
@@ -143,38 +146,41 @@
     messages: flume::Sender<JobMessage>,
     runs: HashMap<u32, JoinHandle<()>>,
     outputs: HashMap<u32, SharedOutput>,
+    /// Items that are to be run again, and when.
     retries: Vec<(Instant, u32)>,
     readers: Vec<Reader>,
     phase: Phase,
     log_call_in_flight: bool,
+    /// When the log takes its next step; `None` if no write or retry is pending.
     write_at: Option<Instant>,
-    /// When outputs were last given to the log.
+    /// When partial outputs were last passed to the log.
     saved_at: Instant,
     give_up_at: Instant,
     due_at_ms: u64,
+    /// Whether runs of all items without a result were started.
     items_started: bool,
-    /// When the task began.
+    /// When the task was created.
     started_at: Instant,
-    /// Whether others may have taken the job while this process alone missed the store.
-    may_be_taken: bool,
-    /// Whether runs are held back until it is known whose the job is.
+    /// Whether other processes may have taken over the job while only this one was cut off from the store.
+    may_have_been_taken: bool,
+    /// Whether runs are stopped until the store confirms that this process owns the job.
     suspended: bool,
-    /// Calls of the log in a row that got no usable answer.
+    /// Consecutive store calls without a usable answer, for the retry backoff.
     store_failures: u32,
-    /// Whether items may be sent.
+    /// Permit to send items, shared with their runs.
     permit: Rc<SendPermit>,
-    /// Whether the store is being asked for that.
+    /// Whether the store is being read to grant the permit.
     checking: bool,
-    /// Earliest next time, after an answer that was of no use.
+    /// Earliest time of the next such read, after one without a usable answer.
     next_check_at: Instant,
-    /// Start of the last read that found no further segment.
-    end_confirmed_at: Instant,
-    /// Start of the last look for segments of other processes.
+    /// Start of the last read that found no further segment at the end of the log.
+    log_end_seen_at: Instant,
+    /// Start of the last read for segments of other processes.
     foreign_check_at: Option<Instant>,
 }
 
 impl JobTask {
-    /// Task of a job; `messages` is its own inbox.
+    /// Creates the task of a job; `messages` sends to its own inbox.
     pub fn new(
         env: Rc<JobEnv>,
         ownership: JobOwnership,
@@ -191,12 +197,12 @@
         JobTask {
             permit,
             started_at: Instant::now(),
-            may_be_taken: false,
+            may_have_been_taken: false,
             suspended: false,
             store_failures: 0,
             checking: false,
             next_check_at: Instant::now(),
-            end_confirmed_at: Instant::now(),
+            log_end_seen_at: Instant::now(),
             foreign_check_at: None,
             env,
             ownership,
@@ -217,7 +223,7 @@
         }
     }
 
-    /// Works until the job is over, lost or handed over.
+    /// Runs the task until the job is finished and no longer retained, handed over, or owned by another process.
     pub async fn run(mut self, inbox: flume::Receiver<JobMessage>, directory: Directory) {
         self.advance();
         while self.phase != Phase::Done {
@@ -234,7 +240,7 @@
             false => directory.remove(&self.ownership.job),
         }
         for reader in self.readers.drain(..) {
-            // A reader that has gone needs no answer.
+            // Fails if the reader has disconnected.
             let _ = reader.reply.send(ReadReply::UseStore);
         }
     }
@@ -251,14 +257,14 @@
             JobMessage::RunEnded { item, end } => self.run_ended(item, end),
             JobMessage::LogCallAnswered(answer) => self.log_call_answered(&answer),
             JobMessage::HeaderRead(answer) => self.header_answered(&answer),
-            // What waits is looked at after each message.
+            // Handled by `advance`, which runs after each message.
             JobMessage::PermitWanted => {}
             JobMessage::OwnershipChecked(check) => self.ownership_checked(&check),
             JobMessage::HeaderWritten(answer) => self.header_written(&answer),
             JobMessage::Cancel { reply } => {
                 let is_over = self.cancel();
                 if let Some(reply) = reply {
-                    // Whoever has gone needs no answer.
+                    // Fails if the sender of the message no longer waits.
                     let _ = reply.send(is_over);
                 }
             }
@@ -266,7 +272,7 @@
         }
     }
 
-    /// Does what time and state ask for.
+    /// Takes all steps that are due in the current state.
     fn advance(&mut self) {
         let now = Instant::now();
         if self.phase == Phase::Running {
@@ -288,8 +294,8 @@
         }
     }
 
-    /// When there is something to do without a message. What cannot be done yet has no time: the message that makes it
-    /// possible wakes the task.
+    /// Time of the next step that needs no message. Steps that cannot be taken yet are left out, as the message that enables
+    /// them also wakes the task.
     fn next_wakeup(&self) -> Instant {
         let phase = match self.phase {
             Phase::Running => Some(self.give_up_at),
@@ -302,7 +308,7 @@
         let write_at = self.write_at.filter(|_| self.is_active() && !self.log_call_in_flight);
         let check = (self.phase == Phase::Running).then(|| Instant::now() + STORE_CHECK_INTERVAL);
         let times = [phase, again, reader, write_at, check];
-        times.into_iter().flatten().min().unwrap_or_else(|| Instant::now() + NO_DEADLINE)
+        times.into_iter().flatten().min().unwrap_or_else(|| Instant::now() + FAR_FUTURE)
     }
 
     fn is_complete(&self) -> bool {
--- a/crates/samphiredoor-gateway/src/jobs/job_task/results.rs
+++ b/crates/samphiredoor-gateway/src/jobs/job_task/results.rs
@@ -1,4 +1,4 @@
-//! The log of a job's results, and those who read it.
+//! Steps of the log of a job's results, and answers to its readers.
 
 use std::{
     rc::Rc,
@@ -13,13 +13,13 @@
 use super::{JobMessage, JobTask, Phase, ReadReply, Reader};
 use crate::{edge::ResultsPage, jobs::STORE_RETRY_PAUSE};
 
-/// Shortest time between two looks for segments of other processes; callers ask twice a second.
+/// Minimum time between two reads for segments of other processes; callers poll twice a second.
 const FOREIGN_CHECK_INTERVAL: Duration = Duration::from_millis(300);
-/// How late a write that was not answered may take effect.
-const MAX_WRITE_DELAY: Duration = Duration::from_secs(6);
-/// Longest pause before the store is asked again.
+/// Time after which a write that was not answered can no longer take effect.
+const LATE_WRITE_WINDOW: Duration = Duration::from_secs(6);
+/// Upper limit of the backoff between store calls.
 const MAX_STORE_RETRY_PAUSE: Duration = Duration::from_millis(1_200);
-/// Bytes of texts in one page of results.
+/// Maximum total size of the output texts in one page of results, unless a single one is larger.
 const PAGE_BYTES: usize = 900_000;
 
 impl JobTask {
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Pause before the store is asked again. A call that is refused is paid for as well, and each job makes its own.
+    /// Exponential backoff before the next store call. Refused calls are charged as well, and each job makes its own.
     pub(super) fn store_pause(&self) -> Duration {
         STORE_RETRY_PAUSE.saturating_mul(1 << self.store_failures.min(4)).min(MAX_STORE_RETRY_PAUSE)
     }
@@ -60,7 +60,7 @@
         let (env, messages) = (Rc::clone(&self.env), self.messages.clone());
         compio::runtime::spawn(async move {
             let answer = env.call(op).await;
-            // Fails only when the job's task has ended.
+            // Fails only if the job's task has ended.
             let _ = messages.send(message(answer));
         })
         .detach();
@@ -73,9 +73,9 @@
         if let Some(since) = self.foreign_check_at
             && *answer == StoreAnswer::Absent
         {
-            self.end_confirmed_at = since;
+            self.log_end_seen_at = since;
         }
-        // Results that have come meanwhile wait for others again.
+        // Results that arrived during the call are batched again instead of being written at once.
         match step {
             LogStep::Store(StoreOp::Create { .. }) => {
                 let at = Instant::now() + self.write_delay();
@@ -88,7 +88,7 @@
             self.store_failures = 0;
         }
         if standing > before {
-            log::info!(job = &*self.ownership.job, standing, items = self.items.len(); "job: results stand");
+            log::info!(job = &*self.ownership.job, standing, items = self.items.len(); "job: results committed");
         }
         if self.log.take_foreign() && self.items_started {
             self.spawn_store_call(
@@ -111,7 +111,7 @@
         let readers = std::mem::take(&mut self.readers);
         for reader in readers {
             match self.reply_to(&reader, now) {
-                // A reader that has gone needs no answer.
+                // Fails if the reader has disconnected.
                 Some(reply) => drop(reader.reply.send(reply)),
                 None => self.readers.push(reader),
             }
@@ -124,7 +124,7 @@
         if reader.after < standing || self.is_complete() {
             return Some(ReadReply::Page(self.page(reader.after.min(standing))));
         }
-        let is_checked = !self.may_have_other_writers() || self.end_confirmed_at >= reader.arrived;
+        let is_checked = !self.may_have_other_writers() || self.log_end_seen_at >= reader.arrived;
         let is_over = now >= reader.until || !self.is_active();
         match (is_over, is_checked && reader.after == standing) {
             (true, true) => Some(ReadReply::Page(self.page(reader.after))),
@@ -133,25 +133,24 @@
         }
     }
 
-    /// Whether another process may append to the log. A former owner does until it learns that it is one, and readers
-    /// that have seen its results there must find them here. A process that does not hear most others may itself be such
-    /// a former owner.
+    /// Whether another process may append to the log. A former owner does so until it finds out that it lost the job, and
+    /// readers that got its results from it must also get them here. A process that receives heartbeats from less than half
+    /// of the fleet may itself be such a former owner.
     pub(super) fn may_have_other_writers(&self) -> bool {
-        self.may_be_taken || self.former_owner_may_write() || !self.env.roster.hears_most()
+        self.may_have_been_taken || self.former_owner_may_write() || !self.env.roster.hears_most()
     }
 
-    /// Whether a former owner may still append. One that has started anew does not, but for a last write that may take
-    /// effect late.
+    /// Whether a former owner may still append. After a restart it does not, except for a last write that takes effect late.
     fn former_owner_may_write(&self) -> bool {
         let Some(former) = &self.ownership.header.former else { return false };
         let is_gone = former.process == *self.env.name
             || self.env.roster.has_restarted(&former.process, former.incarnation);
-        !is_gone || self.started_at.elapsed() < MAX_WRITE_DELAY
+        !is_gone || self.started_at.elapsed() < LATE_WRITE_WINDOW
     }
 
-    /// Looks for segments of others while somebody waits for more results.
+    /// Reads the log for segments of other processes while a reader waits for more results.
     pub(super) fn check_for_foreign_segments(&mut self) {
-        let wanted = self.readers.iter().any(|it| it.arrived > self.end_confirmed_at);
+        let wanted = self.readers.iter().any(|it| it.arrived > self.log_end_seen_at);
         let paused = self.foreign_check_at.is_some_and(|it| it.elapsed() < FOREIGN_CHECK_INTERVAL);
         if wanted
             && !paused
@@ -176,7 +175,7 @@
     }
 }
 
-/// As many results as fit into one page, at least one if there is one.
+/// The first results, as many as fit into one page, but at least one if there are any.
 pub fn page_of(results: &[ItemResult]) -> Vec<ItemResult> {
     let mut bytes = 0;
     let fitting = results.iter().enumerate().take_while(|(index, it)| {
--- a/crates/samphiredoor-gateway/src/jobs/job_task/runs.rs
+++ b/crates/samphiredoor-gateway/src/jobs/job_task/runs.rs
@@ -1,4 +1,4 @@
-//! The runs of a job's items.
+//! Runs of a job's items: starting, retrying and stopping them, and saving their partial output.
 
 use std::{
     cell::RefCell,
@@ -13,38 +13,39 @@
     store::{StoreAnswer, StoreOp},
 };
 
-use super::{JobMessage, JobTask, NO_DEADLINE, OwnershipCheck, Phase};
+use super::{FAR_FUTURE, JobMessage, JobTask, OwnershipCheck, Phase};
 use crate::jobs::item_run::{self, Output};
 
-/// Time that a result waits for others before it is written: items of a job end over some seconds and are due later, and
-/// a write costs as much as a hundredth of an item.
+/// Time that a result waits for others to share a write: items of a job finish over a period of seconds and are due later,
+/// and a write costs as much as a hundredth of an item.
 const WRITE_DELAY: Duration = Duration::from_millis(1_500);
-/// The same shortly before the results are due.
+/// Time that a result waits for others shortly before the results are due.
 const WRITE_DELAY_NEAR_DUE: Duration = Duration::from_millis(150);
-/// How long before the results are due that is; callers read twice a second.
+/// How long before the due time the shorter delay applies; callers poll twice a second.
 const NEAR_DUE_MS: u64 = 2_500;
 
-/// Time between two writes of what items have put out, where no result is written meanwhile. A process that is killed loses
-/// half of it for each place that its items hold; a write costs as much as a hundredth of an item, whose run takes some
-/// seconds.
+/// Interval at which partial outputs are saved while no result is written. A killed process loses half of this time on
+/// average for each slot that its items hold. A write costs as much as a hundredth of an item, whose run takes some seconds.
 const OUTPUT_SAVE_INTERVAL: Duration = Duration::from_millis(3_000);
 
 impl JobTask {
-    /// Stops the runs while this process alone does not reach the store: others take its jobs then, and it could hear
-    /// neither of that nor of the jobs' ends. Looks for the job where runs are held back.
+    /// Stops the runs while only this process does not reach the store: other gateways take over its jobs then, and it could
+    /// notice neither that nor a cancellation. Afterwards, and whenever an item waits for its permit, reads from the store
+    /// whether the job may run.
     pub(super) fn suspend_or_recheck(&mut self) {
         let cut_off = self.env.is_cut_off_from_store();
         if cut_off && !self.suspended {
-            log::info!(job = &*self.ownership.job; "job: runs held back, only this process misses the store");
+            log::info!(job = &*self.ownership.job; "job: runs stopped, the store answers other gateways but not this one");
             self.suspended = true;
-            self.may_be_taken = true;
+            self.may_have_been_taken = true;
             self.stop_runs();
         } else if !cut_off && (self.suspended || self.permit.is_wanted()) && self.may_check() {
             self.check_ownership();
         }
     }
 
-    /// Reads whether the job is ended, and whose it is unless this process has just written that.
+    /// Reads whether the job was cancelled, and also its owner unless there was no gap since this process wrote itself as the
+    /// owner.
     fn check_ownership(&mut self) {
         self.checking = true;
         let (env, messages) = (Rc::clone(&self.env), self.messages.clone());
@@ -57,10 +58,13 @@
                     false => Some(env.call(StoreOp::Get { key: header_key(&job) }).await),
                 }
             };
-            let (header, ended) = join(header, env.is_cancelled(&job)).await;
-            // Fails only when the job's task has ended.
-            let _ =
-                messages.send(JobMessage::OwnershipChecked(OwnershipCheck { gaps, header, ended }));
+            let (header, cancelled) = join(header, env.is_cancelled(&job)).await;
+            // Fails only if the job's task has ended.
+            let _ = messages.send(JobMessage::OwnershipChecked(OwnershipCheck {
+                gaps,
+                header,
+                cancelled,
+            }));
         })
         .detach();
     }
@@ -70,7 +74,7 @@
         if !self.is_active() {
             return;
         }
-        match (check.header.as_ref().map(|it| self.names_this_process(it)), check.ended) {
+        match (check.header.as_ref().map(|it| self.names_this_process(it)), check.cancelled) {
             (Some(Some(false)), _) => self.lose_ownership(),
             (_, Ok(true)) => drop(self.cancel()),
             (None | Some(Some(true)), Ok(false)) => self.permit_items(check.gaps),
@@ -88,7 +92,7 @@
         }
     }
 
-    /// Whether a header that was read names this process; `None` if that cannot be told.
+    /// Whether a header that was read names this process as the owner; `None` if it was not read.
     pub(super) fn names_this_process(&self, answer: &StoreAnswer) -> Option<bool> {
         let StoreAnswer::Object(stored) = answer else { return None };
         match read_header(stored) {
@@ -100,8 +104,8 @@
         }
     }
 
-    /// Whether a look is worth its calls. When the store is lost for all, each job of each process would ask again as
-    /// soon as it is refused, a thousand times a second.
+    /// Whether the store may be read now. Without this limit, each job of each process would read again as soon as it is
+    /// refused while the store is down for all, a thousand times a second.
     fn may_check(&self) -> bool {
         !self.checking && !self.env.health.is_lost() && Instant::now() >= self.next_check_at
     }
@@ -140,7 +144,7 @@
         let messages = self.messages.clone();
         let handle = compio::runtime::spawn(async move {
             let end = run.run().await;
-            // Fails only when the job's task has ended, which needs no result any more.
+            // Fails only if the job's task has ended and needs no result.
             let _ = messages.send(JobMessage::RunEnded { item: number, end });
         });
         self.runs.insert(number, handle);
@@ -177,7 +181,7 @@
         self.write_at = Some(self.write_at.map_or(at, |it| it.min(at)));
     }
 
-    /// Has the log keep what items have put out, now and then.
+    /// Saves partial outputs to the log periodically.
     pub(super) fn save_outputs(&mut self, now: Instant) {
         if self.items_started
             && now >= self.saved_at + OUTPUT_SAVE_INTERVAL
@@ -187,8 +191,8 @@
         }
     }
 
-    /// Gives the log what items have put out since the last time; says whether there was any. Not while the log has some:
-    /// parts of one item must come in order.
+    /// Passes the output of items since the last call to the log, and returns whether there was any. Does nothing while
+    /// outputs are pending in the log, because the parts of one item must be written in order.
     pub(super) fn queue_outputs(&mut self, now: Instant) -> bool {
         if self.log.has_outputs() {
             return false;
@@ -210,12 +214,12 @@
     pub(super) fn give_up_remaining(&mut self) {
         self.runs.clear();
         self.retries.clear();
-        self.give_up_at = Instant::now() + NO_DEADLINE;
+        self.give_up_at = Instant::now() + FAR_FUTURE;
         for item in 0..self.items.len() {
             if let ItemStep::Record(result) = self.items.give_up(item)
                 && !self.log.is_decided(item)
             {
-                log::warn!(job = &*self.ownership.job, item = &*result.id; "job: item given up, its time is over");
+                log::warn!(job = &*self.ownership.job, item = &*result.id; "job: item given up, its deadline has passed");
                 self.record(result);
             }
         }
--- a/crates/samphiredoor-gateway/src/jobs/mod.rs
+++ b/crates/samphiredoor-gateway/src/jobs/mod.rs
@@ -1,9 +1,10 @@
-//! Batch jobs: taken once, run by one gateway, readable at all.
+//! Batch jobs: each is accepted once, run by one gateway at a time, and readable through every gateway.
 //!
-//! `submit` makes a job durable, `pass_on` has another gateway do that, `job_task` owns it, `item_run` runs one item,
-//! `reads` answers callers about it, `peer_call` is what gateways ask each other about it, `stored` reads what the store has
-//! of it, and `sweep` takes jobs whose owner is gone.
-//! `clearance` holds items back after `gaps` in which others may have ended or taken the job.
+//! `submit` makes a job durable, `pass_on` forwards a submission to another gateway when the store does not answer this
+//! one. `job_task` runs a job that this process owns, `item_run` runs one of its items. `reads` answers callers and other
+//! gateways, `peer_call` is the protocol between gateways, and `stored` reads jobs from the store. `sweep` takes over jobs
+//! whose owner is gone. After `gaps`, in which other gateways may have taken over or cancelled a job, `send_permit` holds
+//! its items back until the store has been read again.
 
 mod directory;
 mod gaps;
@@ -42,44 +43,44 @@
 use directory::Directory;
 use stored::{ReadError, StoredJobs};
 
-/// Pause before a store call is made again that had no usable answer.
+/// Pause before a store call is retried that got no usable answer.
 const STORE_RETRY_PAUSE: Duration = Duration::from_millis(150);
 
-/// Calls for one object until a caller is refused or left in doubt; each takes up to the store's time limit, and callers
-/// give up after some seconds.
+/// Attempts at one store call before the caller is refused or told that the outcome is unknown. Each attempt may take as
+/// long as the store's timeout, and callers give up after a few seconds.
 const STORE_ATTEMPTS: u32 = 3;
 
-/// What the parts that work on jobs share: handles, no state of their own.
+/// Handles shared by everything that works on jobs; holds no job state itself.
 pub struct JobEnv {
-    /// Name of the process.
+    /// Name of this process.
     pub name: Name,
-    /// Which start of it.
+    /// Incarnation of this process; grows with each start.
     pub incarnation: u64,
-    /// The platform.
+    /// Object store, and the formats of callers and targets.
     pub platform: Platform,
     /// Routes in force.
     pub routes: Routes,
-    /// Places at targets.
+    /// Assigns requests to targets.
     pub placer: Placer,
     /// Connections to targets.
     pub targets: TargetClient,
-    /// Other gateways.
+    /// Other gateways and their liveness.
     pub roster: Roster,
-    /// Owners of jobs, as others tell.
+    /// Owners of jobs as announced by other gateways.
     pub owners: Owners,
-    /// Whether the store answers this process.
+    /// Whether the store answers this process, and whether it answers other gateways.
     pub health: StoreHealth,
-    /// Times in which others may have taken this process for gone.
+    /// Periods in which other gateways may have declared this process dead.
     pub gaps: Gaps,
-    /// Where the jobs that this process comes to own are told, for others.
+    /// Channel on which newly owned jobs are announced to other gateways.
     pub owned: flume::Sender<OwnedJob>,
-    /// Counters.
+    /// Metrics of this process.
     pub metrics: Rc<Metrics>,
-    /// Clock of the process.
+    /// Monotonic and wall-clock time.
     pub clock: Clock,
     /// How long a job is kept after its submission.
     pub keep: Duration,
-    /// Whether a planned stop is under way.
+    /// Whether a graceful shutdown has begun.
     pub stopping: Rc<Cell<bool>>,
 }
 
@@ -92,18 +93,19 @@
         *owner == self.owner()
     }
 
-    /// Whether the store answers others, and not this process, so that they take its jobs.
+    /// Whether the store answers other gateways but not this process, so that they take over its jobs.
     fn is_cut_off_from_store(&self) -> bool {
         self.health.is_lost_for(STORE_LOST) && self.health.is_alone()
     }
 
-    /// Tells others that this process owns a job.
+    /// Announces to other gateways that this process owns a job.
     fn announce_ownership(&self, job: &JobName, items: u32) {
-        // Fails only when the process ends.
+        // Fails only while the process exits.
         let _ = self.owned.send(OwnedJob { name: JobName::clone(job), items });
     }
 
-    /// Creates an object whose name tells its content, so that one that stands is as good; says whether it stands.
+    /// Creates an object whose content follows from its key, so that an existing object counts as success. Returns whether
+    /// the object exists.
     async fn create_idempotent(&self, create: StoreOp) -> bool {
         for _ in 0..STORE_ATTEMPTS {
             match self.call(create.clone()).await {
@@ -115,13 +117,13 @@
         false
     }
 
-    /// Whether an object stands whose create was not answered: where answers to writes are lost, reads tell.
+    /// Whether an object exists whose create was not answered. Reads may work where answers to writes are lost.
     async fn exists(&self, create: &StoreOp) -> bool {
         let StoreOp::Create { key, .. } = create else { return false };
         matches!(self.call(StoreOp::Get { key: key.clone() }).await, StoreAnswer::Object(_))
     }
 
-    /// A job's header as it stands, with its version.
+    /// Reads a job's header, with its version, from the store.
     async fn current_header(&self, job: &JobName) -> Result<(JobHeader, Version), ReadError> {
         let stored = match self.call(StoreOp::Get { key: header_key(job) }).await {
             StoreAnswer::Object(stored) => stored,
@@ -137,7 +139,7 @@
         }
     }
 
-    /// Whether the caller has ended a job.
+    /// Whether the caller has cancelled a job.
     async fn is_cancelled(&self, job: &JobName) -> Result<bool, ReadError> {
         match self.call(StoreOp::Get { key: end_key(job) }).await {
             StoreAnswer::Object(_) => Ok(true),
@@ -155,7 +157,7 @@
     }
 }
 
-/// Starts everything that works on jobs.
+/// Starts the background tasks for jobs and returns the handle for requests about them.
 pub fn start(env: JobEnv) -> Jobs {
     let env = Rc::new(env);
     let directory = Directory::default();
--- a/crates/samphiredoor-gateway/src/jobs/pass_on.rs
+++ b/crates/samphiredoor-gateway/src/jobs/pass_on.rs
@@ -1,8 +1,8 @@
-//! Submissions through another gateway, for a process that the store does not answer.
+//! Forwarding of submissions to another gateway when the store does not answer this one.
 //!
-//! A store that refuses one process often serves the others. The submission goes on as its caller made it, below a path
-//! of its own, and the other gateway accepts it as any other. Both may accept it at once: that is as harmless as a
-//! submission that its caller sends twice.
+//! A store that refuses one process often serves the others. The submission is forwarded unchanged, below a path prefix of
+//! its own, and the other gateway accepts it like any other. Both gateways may accept it at the same time, which is as
+//! harmless as a caller that sends a submission twice.
 
 use std::time::Duration;
 
@@ -19,17 +19,17 @@
     submit::{SubmissionOutcome, Submitted},
 };
 
-/// Beginning of the paths below which submissions are passed on.
+/// Path prefix of forwarded submissions.
 pub const ROOT: &str = "/submissions";
-/// Gateways that are tried until one is reached.
+/// Most gateways that are tried until one can be reached.
 const MAX_PEERS: usize = 3;
-/// Longest wait for a connection; a round trip between regions takes 24 ms.
+/// Timeout for connecting; a round trip between regions takes 24 ms.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
-/// Longest wait for an answer; callers give an attempt up after a second or a third of their time.
+/// Timeout for the whole exchange; callers give up an attempt after a second, or after a third of their deadline.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(900);
 const MAX_ANSWER_BYTES: usize = 64 * 1024;
 
-/// Has another gateway accept a submission.
+/// Forwards a submission to the nearest gateways in turn, until one can be reached, and returns its outcome.
 pub async fn pass_on(env: &JobEnv, submitted: &Submitted) -> SubmissionOutcome {
     let takers = env.roster.takers();
     for address in takers.into_iter().take(MAX_PEERS) {
@@ -42,12 +42,12 @@
                 SubmissionOutcome::Refused
             }
             Some(Err(SendError::NotSent(err))) => {
-                log::info!(job = &*submitted.job, peer:% = address, problem:% = err; "job: not passed on");
+                log::info!(job = &*submitted.job, peer:% = address, problem:% = err; "job: could not be forwarded");
                 continue;
             }
             Some(Ok(_) | Err(SendError::MayHaveRun(_))) | None => SubmissionOutcome::Perhaps,
         };
-        log::info!(job = &*submitted.job, peer:% = address, end:? = end; "job: passed on");
+        log::info!(job = &*submitted.job, peer:% = address, end:? = end; "job: forwarded to another gateway");
         return end;
     }
     SubmissionOutcome::Refused
@@ -64,6 +64,6 @@
     let status = response.status();
     match read_whole(response.into_body(), MAX_ANSWER_BYTES).await {
         Ok(_) => Ok(status),
-        Err(_) => Err(SendError::MayHaveRun("the answer was cut".into())),
+        Err(_) => Err(SendError::MayHaveRun("the response was cut off".into())),
     }
 }
--- a/crates/samphiredoor-gateway/src/jobs/peer_call.rs
+++ b/crates/samphiredoor-gateway/src/jobs/peer_call.rs
@@ -1,4 +1,4 @@
-//! What gateways ask each other about jobs.
+//! Requests about jobs between gateways, and their paths.
 
 use std::time::Duration;
 
@@ -7,45 +7,45 @@
 use samphiredoor_core::ordered::JobName;
 use samphiredoor_net::{Body, Pool, fetch::FetchLimits};
 
-/// Longest silence within an answer; a page of results may be large.
+/// Longest pause within a response body. The whole body may take longer, as a page of results may be large.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(400);
-/// Longest answer of another gateway.
+/// Maximum size of a response body.
 const MAX_RESPONSE_BYTES: usize = 4 * 1024 * 1024;
 
-/// A call of one gateway to another.
+/// A request from one gateway to another.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PeerCall {
-    /// Read results.
+    /// Reads results.
     Read {
-        /// Which job.
+        /// Job to read.
         job: JobName,
-        /// Number of results that the reader has.
+        /// Number of results that the reader already has.
         after: usize,
-        /// Longest wait for one more.
+        /// Longest wait for another result.
         wait_ms: u64,
     },
-    /// Read an item's body.
+    /// Reads the body of an item that has no result yet.
     Item {
-        /// Which job.
+        /// Job of the item.
         job: JobName,
-        /// Which item.
+        /// Id of the item.
         item: String,
     },
-    /// The caller has ended a job.
+    /// Tells the owner that its job was cancelled by the caller.
     Cancelled {
-        /// Which job.
+        /// Job that was cancelled.
         job: JobName,
-        /// Which start of the process that is called owns it.
+        /// Incarnation of the receiver that owns the job according to its header.
         incarnation: u64,
     },
-    /// A job was handed over and is free to be taken.
+    /// Offers a job that was handed over and has no owner.
     Offer {
-        /// Which job.
+        /// Job to take over.
         job: JobName,
     },
-    /// Does a process work on its jobs?
+    /// Asks whether one incarnation of a process is still running and reaches the store.
     CheckAlive {
-        /// Which start of it.
+        /// Incarnation that is meant.
         incarnation: u64,
     },
 }
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Reads a call; `None` if it is none.
+    /// Parses a request; `None` if method and path match no call.
     pub fn parse(method: &Method, uri: &Uri) -> Option<PeerCall> {
         let segments: Vec<&str> = uri.path().trim_start_matches('/').split('/').collect();
         let call = match (method, segments.as_slice()) {
@@ -90,7 +90,8 @@
     }
 }
 
-/// Makes one call to another gateway, whose answer begins within `timeout`.
+/// Sends one call to another gateway. `None` if the response does not begin within `timeout`, stalls, is too large or
+/// fails.
 pub async fn exchange(
     pool: &Pool,
     call: &PeerCall,
--- a/crates/samphiredoor-gateway/src/jobs/reads.rs
+++ b/crates/samphiredoor-gateway/src/jobs/reads.rs
@@ -1,7 +1,7 @@
-//! Calls about jobs, at the process that owns the job and at all others.
+//! Requests of callers and other gateways about jobs.
 //!
-//! The owner has everything in memory, so others pass the call on to it. Where it is gone, cut off or has lost the job,
-//! the store tells what stands; it alone says that there is no such job.
+//! The owner of a job has its state in memory, so other gateways forward requests to it. If it is gone, unreachable or no
+//! longer the owner, the answer is read from the store. Only the store decides that a job does not exist.
 
 use std::{
     cell::RefCell,
@@ -34,36 +34,36 @@
     peers::{Liveness, Owner, STORE_LOST, registered_address},
 };
 
-/// Longest wait for a result, whatever the caller asks for.
+/// Upper limit of the time that a read waits for a result, whatever the caller asks for.
 const MAX_RESULT_WAIT: Duration = Duration::from_millis(1_000);
-/// Time beyond the wait within which another gateway answers.
+/// Timeout for the response of another gateway, beyond the time that it waits for a result.
 const PEER_TIMEOUT: Duration = Duration::from_millis(400);
-/// Longest wait for a connection to another gateway.
+/// Timeout for connecting to another gateway.
 const PEER_CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// Pause between two reads of the store for one waiting reader; callers ask about twice a second.
+/// Interval between two reads of the store for one waiting reader; callers poll about twice a second.
 const STORE_POLL_INTERVAL: Duration = Duration::from_millis(500);
-/// When to come back if the store is of no help.
+/// Retry time in answers while the store gives no usable answer.
 const RETRY_AFTER_MS: u64 = 300;
 
-/// Why nobody runs a job any more that its caller has ended.
+/// Why it is certain that no process runs a cancelled job any more. Its names appear in the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum StopProof {
-    /// It was closed here, or its header says that it is.
+    /// The job was closed here, or its header says that it is finished.
     Closed,
-    /// Its owner has ended it.
+    /// The owner has confirmed the cancellation.
     Owner,
-    /// It was handed over; whoever takes it finds the end.
+    /// The job was handed over and has no owner; the next owner finds the cancellation.
     NoOwner,
-    /// The owner's start is over, as the process itself tells.
+    /// The owner has restarted since, as its process reports.
     OwnerOver,
-    /// The owner can neither be heard nor reached.
+    /// The owner sends no heartbeats and cannot be reached.
     OwnerSilent,
 }
 
-/// A process could not be reached.
+/// The owner did not answer.
 struct Unreachable;
 
-/// Handle by which callers and other gateways reach the jobs.
+/// Handle that answers requests of callers and other gateways about jobs.
 #[derive(Clone)]
 pub struct Jobs {
     env: Rc<JobEnv>,
@@ -77,12 +77,12 @@
         Jobs { env, directory, stored, pools: Rc::default() }
     }
 
-    /// Accepts a submission.
+    /// Accepts a submission, or says why it is refused.
     pub async fn submit(&self, submitted: Submitted, acceptors: Acceptors) -> Response<Body> {
         submit::submit(&self.env, &self.directory, submitted, acceptors).await
     }
 
-    /// Answers a caller.
+    /// Answers a caller's request; a read waits at most `wait` for a result.
     pub async fn answer(&self, call: JobCall, wait: Duration) -> Response<Body> {
         let wait = wait.min(MAX_RESULT_WAIT);
         let until = Instant::now() + wait;
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Answers another gateway: from what is here, or from the store.
+    /// Answers another gateway from local state or from the store, without forwarding the request again.
     pub async fn answer_peer(&self, method: &Method, uri: &Uri) -> Response<Body> {
         let Some(call) = PeerCall::parse(method, uri) else {
             return plain(StatusCode::NOT_FOUND, "no such call");
@@ -133,7 +133,7 @@
         }
     }
 
-    /// Hands all jobs over, and waits until that is done or `limit` is over.
+    /// Hands over all jobs, and waits until that is done, at most for `limit`.
     pub async fn release(&self, limit: Duration) {
         self.directory.hand_over_all();
         let until = Instant::now() + limit;
@@ -156,7 +156,7 @@
             if let Some(answer) = self.forward_to_peer(address, &call, wait + PEER_TIMEOUT).await {
                 return answer;
             }
-            // The owner may be another one by now.
+            // Refreshes the cached header, as the owner may have changed.
             if let Err(error) = self.stored.current_header(job).await {
                 return error_response(error);
             }
@@ -245,21 +245,22 @@
             return error_response(error);
         }
         if !self.write_cancellation(job).await {
-            log::warn!(job = &**job; "job: its end could not be written");
+            log::warn!(job = &**job; "job: cancellation could not be written");
             return plain(StatusCode::GATEWAY_TIMEOUT, "the end may not stand; send it again");
         }
         let Some(by) = self.prove_stopped(job).await else {
-            log::warn!(job = &**job; "job: its end stands, but its owner could not be told");
+            log::warn!(job = &**job; "job: cancellation is written, but its owner has not confirmed it");
             return plain(StatusCode::GATEWAY_TIMEOUT, "the job may still run; send the end again");
         };
-        log::info!(job = &**job, by:? = by; "job: ended by its caller");
+        log::info!(job = &**job, by:? = by; "job: cancelled by its caller");
         plain(StatusCode::OK, "ended")
     }
 
-    /// Tells the owner of a job that it is ended; `None` if somebody may still run the job.
+    /// Makes the owner of a cancelled job stop it; `None` if a process may still run the job.
     ///
-    /// The owner is read from the store after the end stands there: one that was told of before may have lost the job
-    /// without knowing it, and would answer for itself alone, while whoever takes the job later finds the end.
+    /// The owner is read from the store after the cancellation was written there. An owner known from before may have lost
+    /// the job without noticing, and would confirm only that it runs nothing itself. Any process that takes the job over
+    /// later finds the cancellation.
     async fn prove_stopped(&self, job: &JobName) -> Option<StopProof> {
         let here = self.cancel_local(job).await;
         let (header, _) = self.stored.current_header(job).await.ok()?;
@@ -279,8 +280,8 @@
         }
     }
 
-    /// Whether an owner that cannot be reached is gone. It is not if this process hears few others and is the one that is cut
-    /// off, or has started too lately to have heard it.
+    /// Whether an owner that cannot be reached counts as gone. It does not if this process is itself cut off, receiving
+    /// heartbeats from few others, or started too recently to have received one from the owner.
     fn is_gone(&self, owner: &Owner) -> bool {
         let (process, incarnation) = (&*owner.process, owner.incarnation);
         let roster = &self.env.roster;
@@ -289,8 +290,8 @@
         !is_heard && liveness == Liveness::Gone && roster.hears_most()
     }
 
-    /// Has an owner end its job, also one that stops, misses the store or is not heard: its runs go on. `None` if it does not
-    /// say that it has.
+    /// Tells the owner to cancel its job. Owners that are shutting down, have lost the store or send no heartbeats are told
+    /// as well, because their runs go on. `None` if the owner does not confirm it.
     async fn cancel_at_owner(
         &self,
         job: &JobName,
@@ -307,7 +308,7 @@
         })
     }
 
-    /// Where an owner listens: one that is heard, or else where the store has it now.
+    /// Address of an owner: from its heartbeats, or else from its registration in the store.
     async fn owner_address(&self, owner: &Owner) -> Option<SocketAddr> {
         let roster = &self.env.roster;
         let heard = roster.heard_address(&owner.process, owner.incarnation);
@@ -318,7 +319,7 @@
         registered.or_else(|| roster.address(&owner.process))
     }
 
-    /// Answers a gateway that takes one start of this process for the owner of a job that is ended.
+    /// Answers a gateway that read one incarnation of this process as the owner of a cancelled job.
     async fn answer_cancelled(&self, job: &str, incarnation: u64) -> Response<Body> {
         match self.cancel_local(job).await {
             true => plain(StatusCode::OK, "ended"),
@@ -329,7 +330,8 @@
         }
     }
 
-    /// Ends a job that this process works on, or has closed; says whether that holds for everybody.
+    /// Cancels a job that has a task here; also true for one that was closed recently. Returns whether no process will run it
+    /// any more.
     async fn cancel_local(&self, job: &str) -> bool {
         let (reply, answer) = flume::bounded(1);
         match self.directory.send(job, JobMessage::Cancel { reply: Some(reply) }) {
@@ -344,7 +346,7 @@
         self.env.create_idempotent(create).await
     }
 
-    /// Last known owner of a job; the store is asked only where nobody has told it.
+    /// Last announced owner of a job; the store is read only if no announcement was received.
     async fn last_known_owner(&self, job: &JobName) -> Result<Owner, ReadError> {
         match self.env.owners.of(job) {
             Some(owner) => Ok(owner),
@@ -352,7 +354,7 @@
         }
     }
 
-    /// Address of an owner that is another process and works.
+    /// Address of an owner if it is another process and alive.
     fn live_peer_address(&self, owner: &Owner) -> Option<SocketAddr> {
         if owner.process == self.env.name {
             return None;
@@ -361,7 +363,7 @@
         alive.then(|| self.env.roster.address(&owner.process)).flatten()
     }
 
-    /// Asks another gateway; `None` unless it answers with success or that there is nothing.
+    /// Forwards a call to another gateway; `None` unless it answers 200 or 404.
     async fn forward_to_peer(
         &self,
         address: SocketAddr,
--- a/crates/samphiredoor-gateway/src/jobs/send_permit.rs
+++ b/crates/samphiredoor-gateway/src/jobs/send_permit.rs
@@ -1,28 +1,31 @@
-//! Whether items of a job may be sent to targets.
+//! Permit to send the items of a job to targets.
 //!
-//! Whoever acknowledges an end without the owner writes the end first and has read the owner in the header after it. An
-//! owner that has written or read the header, and reads after it that there is no end, will be found and told.
+//! A gateway that cancels a job first writes the cancellation to the store and then reads the owner from the header. An
+//! owner that writes or reads the header first, and then reads that there is no cancellation, is therefore found in the
+//! header and told of any later one.
 
 use std::{cell::Cell, time::Duration};
 
 use super::{gaps::Gaps, job_task::JobMessage};
 use crate::store_health::StoreHealth;
 
-/// Pause of an item that is held before it asks again.
+/// Interval at which a waiting item checks the permit again.
 const RECHECK_PAUSE: Duration = Duration::from_millis(40);
 
-/// SendPermit of one job, shared by its task and the runs of its items.
+/// Permit of one job, shared by its task and the runs of its items. A liveness gap invalidates it.
 pub struct SendPermit {
     gaps: Gaps,
     health: StoreHealth,
     messages: flume::Sender<JobMessage>,
-    /// Gaps of the process before the job was last looked for; `None` before the first time.
+    /// Number of gaps before the last successful check of the job; `None` before the first one.
     granted: Cell<Option<u64>>,
+    /// Whether an item waits for the permit.
     wanted: Cell<bool>,
 }
 
 impl SendPermit {
-    /// SendPermit that is given as of some gaps, or has to be given first; `messages` is the inbox of the job's task.
+    /// Creates a permit that is valid as of a number of gaps, or not yet granted with `None`. `messages` leads to the job's
+    /// task, which grants it.
     pub fn new(
         gaps: Gaps,
         health: StoreHealth,
@@ -33,8 +36,8 @@
         SendPermit { gaps, health, messages, granted, wanted }
     }
 
-    /// Whether items may be sent: there was no gap since it was given. A store that is lost cannot be asked, and nobody
-    /// who misses it acknowledges an end.
+    /// Whether items may be sent: there was no gap since the permit was granted. While the store does not answer, a granted
+    /// permit stays valid: the store cannot be asked, and a gateway without the store acknowledges no cancellation.
     pub fn is_valid(&self) -> bool {
         let Some(granted) = self.granted.get() else { return false };
         granted == self.gaps.count() || self.health.is_lost()
@@ -44,19 +47,19 @@
     pub async fn wait(&self) {
         while !self.is_valid() {
             if !self.wanted.replace(true) {
-                // Fails only when the job's task has ended, and its runs with it.
+                // Fails only if the job's task has ended, which also ends its runs.
                 let _ = self.messages.send(JobMessage::PermitWanted);
             }
             compio::time::sleep(RECHECK_PAUSE).await;
         }
     }
 
-    /// Whether an item waits for it.
+    /// Whether an item waits for the permit.
     pub fn is_wanted(&self) -> bool {
         self.wanted.get()
     }
 
-    /// Gives it as of some gaps.
+    /// Grants the permit as of a number of gaps.
     pub fn grant(&self, gaps: u64) {
         self.granted.set(Some(gaps));
         self.wanted.set(false);
--- a/crates/samphiredoor-gateway/src/jobs/stored.rs
+++ b/crates/samphiredoor-gateway/src/jobs/stored.rs
@@ -1,4 +1,4 @@
-//! What the store has of a job, for readers at processes that do not own it.
+//! Reads of jobs from the store, with a cache, for gateways that do not own them.
 
 use std::{
     cell::RefCell,
@@ -17,17 +17,17 @@
 use super::{JobEnv, job_task::page_of};
 use crate::edge::ResultsPage;
 
-/// Bytes of results that are kept for readers; beyond it the jobs that were read first are forgotten.
+/// Cached bytes of results beyond which the jobs that were cached first are evicted.
 const CACHE_BYTES: usize = 1_500_000;
-/// Headers that are kept.
+/// Number of cached jobs beyond which the ones that were cached first are evicted.
 const CACHE_JOBS: usize = 512;
 
-/// Why something of a job cannot be told.
+/// Why a read of a job failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReadError {
-    /// There is no such job or item.
+    /// The job or item does not exist.
     NotFound,
-    /// The store is of no help now.
+    /// The store gave no usable answer; a later read may succeed.
     Unavailable,
 }
 
@@ -66,7 +66,7 @@
     fn add(&mut self, job: &JobName, segment: u32, results: Vec<ItemResult>) {
         let bytes: usize = results.iter().map(|it| it.text.len()).sum();
         let cached = self.entry(job);
-        // Another reader may have added it meanwhile.
+        // Another reader may have added the segment meanwhile.
         if cached.segments == segment {
             cached.results.extend(results);
             cached.segments += 1;
@@ -76,7 +76,7 @@
     }
 }
 
-/// Handle to what the store has of jobs.
+/// Shared handle for reading jobs from the store.
 #[derive(Clone)]
 pub struct StoredJobs {
     env: Rc<JobEnv>,
@@ -84,16 +84,16 @@
 }
 
 impl StoredJobs {
-    /// Handle with an empty cache.
+    /// Creates a handle with an empty cache.
     pub fn new(env: Rc<JobEnv>) -> StoredJobs {
         StoredJobs { env, cache: Rc::default() }
     }
 
-    /// A job's header; the owner in it may be an earlier one.
+    /// A job's header, from the cache if possible, so that its owner may be outdated.
     ///
     /// # Errors
     ///
-    /// Why it cannot be told.
+    /// If the job does not exist or the store gives no usable answer.
     pub async fn header(&self, job: &JobName) -> Result<JobHeader, ReadError> {
         let cached = self.cache.borrow_mut().entry(job).header.clone();
         match cached {
@@ -102,22 +102,22 @@
         }
     }
 
-    /// A job's header as it stands now, with its version.
+    /// Reads a job's current header, with its version, from the store.
     ///
     /// # Errors
     ///
-    /// Why it cannot be told.
+    /// If the job does not exist or the store gives no usable answer.
     pub async fn current_header(&self, job: &JobName) -> Result<(JobHeader, Version), ReadError> {
         let (header, version) = self.env.current_header(job).await?;
         self.cache.borrow_mut().entry(job).header = Some(header.clone());
         Ok((header, version))
     }
 
-    /// Results from a position on, as they stand.
+    /// Committed results from a position on.
     ///
     /// # Errors
     ///
-    /// Why they cannot be told.
+    /// If the job does not exist or the store gives no usable answer.
     pub async fn results(&self, job: &JobName, after: usize) -> Result<ResultsPage, ReadError> {
         let total = self.header(job).await?.items as usize;
         loop {
@@ -150,7 +150,7 @@
     ///
     /// # Errors
     ///
-    /// Why they cannot be told; [`ReadError::NotFound`] for a job that is not accepted yet.
+    /// [`ReadError::NotFound`] for a job that is not accepted yet, as parts of it are missing.
     pub async fn items(&self, job: &JobName, header: &JobHeader) -> Result<Vec<Item>, ReadError> {
         let mut text = String::new();
         for part in 0..header.parts {
@@ -169,20 +169,20 @@
         })
     }
 
-    /// One item, unless its result stands.
+    /// One item as it was submitted, unless its result is committed.
     ///
     /// # Errors
     ///
-    /// Why it cannot be told.
+    /// [`ReadError::NotFound`] if there is no such item, or if it has a result.
     pub async fn item(&self, job: &JobName, id: &str) -> Result<Arc<Item>, ReadError> {
         let header = self.header(job).await?;
-        // Reads all results that stand.
+        // Loads all committed results into the cache.
         self.results(job, header.items as usize).await?;
         let decided = self.cache.borrow_mut().entry(job).results.iter().any(|it| &*it.id == id);
         if decided {
             return Err(ReadError::NotFound);
         }
-        // A job that is not accepted yet may be soon: nothing says that it has no such item.
+        // A job that is not accepted yet may be accepted soon, so a missing part does not mean that the item does not exist.
         let items = self.items(job, &header).await.map_err(|_| ReadError::Unavailable)?;
         items.into_iter().find(|it| &*it.id == id).map(Arc::new).ok_or(ReadError::NotFound)
     }
--- a/crates/samphiredoor-gateway/src/jobs/submit.rs
+++ b/crates/samphiredoor-gateway/src/jobs/submit.rs
@@ -1,7 +1,8 @@
-//! From a submission to a durable job.
+//! Acceptance of submissions as durable jobs.
 //!
-//! The parts of the submission are written under names of its content, and the header beside them: when all of them stand,
-//! the job is accepted. A submission that comes again finds what stands and is told the same.
+//! The submission is split into parts, which are stored under keys with a digest of its content. The header is written at
+//! the same time, and the job is accepted once the header and all parts exist. A submission that is sent again finds the
+//! existing objects and gets the same answer.
 
 use std::{
     pin::pin,
@@ -28,70 +29,72 @@
 };
 use crate::front::{plain, refused};
 
-/// Jobs that one process works on at once; beyond it submissions are refused, as their items would not run in time.
+/// Maximum number of jobs with a task in this process. Further submissions are refused, as their items would not run in
+/// time.
 const MAX_OPEN_JOBS: usize = 400;
-/// How long the store alone is waited for. It answers in a few milliseconds, and a slow one within some 300 ms; another
-/// gateway that it answers accepts the submission well within the callers' objective of 400 ms then.
+/// Time without an answer of the store after which a submission is also forwarded to another gateway. The store answers in
+/// a few milliseconds, and within about 300 ms when it is slow. After this delay, a gateway that the store answers still
+/// accepts the submission well within the callers' objective of 400 ms.
 const FORWARD_DELAY: Duration = Duration::from_millis(200);
-/// When to come back after a refusal.
+/// Retry time in refusals.
 const RETRY_AFTER_MS: u64 = 300;
-/// Longest digest that names the parts; 64 bits tell two submissions under one name apart.
+/// Hexadecimal digits of the digest in the keys of parts; 64 bits suffice to tell apart submissions with the same job name.
 const DIGEST_CHARS: usize = 16;
 
-/// A submission as it was read.
+/// A submission whose body was received but not parsed.
 pub struct Submitted {
-    /// Name of the job.
+    /// Name of the job, from the caller's request id.
     pub job: JobName,
-    /// Host that the caller named.
+    /// `Host` header of the submission.
     pub host: String,
-    /// Path that the caller named.
+    /// Path of the submission, without the prefix of forwarded ones.
     pub path: String,
-    /// Times of its route.
+    /// When the results are due and given up according to its route.
     pub rule: BatchRule,
-    /// Failures at targets that its route allows for an item.
+    /// Failed attempts at targets after which an item is given up.
     pub attempts: u32,
-    /// Version of the routes by which it was read.
+    /// Version of the routes that its route was found in.
     pub routes_version: u64,
-    /// Whole body.
+    /// Whole request body.
     pub body: Bytes,
 }
 
-/// What became of an acceptance.
+/// Outcome of an attempt to store a job.
 enum Acceptance {
-    /// The header stands, in this version, and is ours.
+    /// This attempt has created the job; the header has this version.
     New(Version),
-    /// The job was accepted before.
+    /// Another attempt has created the job with this header.
     Earlier(JobHeader),
-    /// Nothing of the job stands that this attempt could have accepted.
+    /// This attempt has created no header.
     NotAccepted,
-    /// The header may stand.
+    /// This attempt may have created the header, or parts are missing.
     Unknown,
 }
 
-/// Which gateways may accept a submission.
+/// Which gateways may accept a submission, to prevent it from being forwarded twice.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Acceptors {
-    /// Another one, if the store does not answer this process.
+    /// Also another one, if the store does not answer this process.
     Any,
-    /// Only this one: the submission was passed on to it.
+    /// Only this one, because the submission was forwarded to it.
     ThisOne,
 }
 
-/// How a submission ended.
+/// Outcome of a submission at one or two gateways. Its names appear in the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SubmissionOutcome {
-    /// The job stands.
+    /// The job is stored.
     Accepted,
-    /// Another job has its name.
+    /// A job with another content has the same name.
     Conflict,
-    /// No gateway has accepted it, and none will.
+    /// No gateway has accepted the submission, and none will.
     Refused,
-    /// It may have been accepted.
+    /// The submission may have been accepted.
     Perhaps,
 }
 
 impl SubmissionOutcome {
-    /// End of a submission that two gateways tried to accept.
+    /// Combined outcome of a submission that two gateways tried to accept.
     fn merge(self, other: SubmissionOutcome) -> SubmissionOutcome {
         use SubmissionOutcome::{Accepted, Conflict, Perhaps, Refused};
         match (self, other) {
@@ -103,7 +106,7 @@
     }
 }
 
-/// Accepts a submission, and starts to work on it.
+/// Accepts a submission, starts the task of its job, and returns the answer to the caller.
 pub async fn submit(
     env: &Rc<JobEnv>,
     directory: &Directory,
@@ -116,7 +119,7 @@
     let items = match env.platform.dialect.submission(&submitted.body) {
         Ok(items) => items,
         Err(problem) => {
-            log::info!(job = &*submitted.job, problem; "job: submission cannot be read");
+            log::info!(job = &*submitted.job, problem; "job: submission cannot be parsed");
             return plain(StatusCode::BAD_REQUEST, &problem);
         }
     };
@@ -134,13 +137,13 @@
         SubmissionOutcome::Conflict => plain(StatusCode::CONFLICT, "another job has this id"),
         SubmissionOutcome::Refused => refuse(env, &submitted.job, Refusal::StoreUnavailable),
         SubmissionOutcome::Perhaps => {
-            log::warn!(job = &*submitted.job; "job: acceptance in doubt");
+            log::warn!(job = &*submitted.job; "job: unknown whether it was accepted");
             plain(StatusCode::GATEWAY_TIMEOUT, Doubt::StoreAnswerLost.label())
         }
     }
 }
 
-/// Accepts a submission here, or at another gateway if the store does not answer this one in time.
+/// Accepts a submission here, and forwards it to another gateway if the store does not answer this one in time.
 async fn accept_or_forward(
     env: &Rc<JobEnv>,
     directory: &Directory,
@@ -166,8 +169,8 @@
     }
 }
 
-/// Accepts a submission here. Goes on when its caller no longer waits: the job may stand by then, and somebody has to
-/// work on it.
+/// Accepts a submission here. Runs in a task of its own, so that it completes even if the caller disconnects: the job may be
+/// stored by then, and needs an owner.
 async fn accept_locally(
     env: &Rc<JobEnv>,
     directory: &Directory,
@@ -185,7 +188,8 @@
                 let job = JobName::clone(&submitted.job);
                 let elapsed_ms = began.elapsed().as_millis() as u64;
                 log::info!(job = &*job, items = items.len(), elapsed_ms; "job: accepted");
-                // After that time another gateway may have told the caller, who may have ended the job there.
+                // After this delay the submission is forwarded. The caller may have got its answer from the other gateway and
+                // cancelled the job there.
                 let is_new = began.elapsed() < FORWARD_DELAY;
                 start(&env, &directory, JobOwnership { job, header, version, gaps, is_new }, items);
                 SubmissionOutcome::Accepted
@@ -197,7 +201,7 @@
             Acceptance::NotAccepted => SubmissionOutcome::Refused,
             Acceptance::Unknown => SubmissionOutcome::Perhaps,
         };
-        // The caller may have been told by another gateway.
+        // Fails if the caller was answered by another gateway or has disconnected.
         let _ = sender.send(end);
     })
     .detach();
@@ -237,8 +241,8 @@
     }
 }
 
-/// Writes parts and header at once: the job is accepted when all of them stand. A header without its parts is in doubt, as
-/// the parts may come with the next sending.
+/// Writes parts and header concurrently. While parts are missing beside an existing header, the outcome is unknown, as they
+/// may be written when the submission is sent again.
 async fn accept(env: &JobEnv, submitted: &Submitted, header: &JobHeader) -> Acceptance {
     let parts = create_parts(env, submitted, header);
     match join(create_header(env, &submitted.job, header), parts).await {
@@ -248,9 +252,9 @@
     }
 }
 
-/// Writes the parts; says whether all of them stand.
+/// Writes the parts, and returns whether all of them exist.
 async fn create_parts(env: &JobEnv, submitted: &Submitted, header: &JobHeader) -> bool {
-    // Read as JSON before, so it is text.
+    // The body was parsed as JSON before, so it is valid UTF-8.
     let text = String::from_utf8_lossy(&submitted.body);
     for (part, value) in cut_parts(&text).into_iter().enumerate() {
         let key = part_key(&submitted.job, &header.digest, part as u32);
@@ -281,8 +285,8 @@
     if doubtful { Acceptance::Unknown } else { Acceptance::NotAccepted }
 }
 
-/// Reads the header that stands, if it can be read: an earlier call of this process whose answer was lost may have
-/// written it.
+/// Reads the existing header; `None` if it cannot be read. If it equals the own header, an earlier create whose answer was
+/// lost has written it.
 async fn existing_header(env: &JobEnv, job: &JobName, header: &JobHeader) -> Option<Acceptance> {
     let (found, version) = env.current_header(job).await.ok()?;
     Some(if found == *header { Acceptance::New(version) } else { Acceptance::Earlier(found) })
@@ -299,7 +303,7 @@
     compio::runtime::spawn(task.run(inbox, directory)).detach();
 }
 
-/// Time from now to a wall-clock time.
+/// Time from now until a wall-clock time; zero if that has passed.
 pub fn duration_until(env: &JobEnv, unix_ms: u64) -> Duration {
     Duration::from_millis(unix_ms.saturating_sub(env.clock.now().unix_ms))
 }
--- a/crates/samphiredoor-gateway/src/jobs/sweep.rs
+++ b/crates/samphiredoor-gateway/src/jobs/sweep.rs
@@ -1,7 +1,7 @@
-//! Taking jobs whose owner is gone.
+//! Takeover of jobs whose owner is gone, and removal of expired jobs.
 //!
-//! Each process looks through the headers of all jobs now and then, from a list that may be seconds old and costs little.
-//! A job is taken by conditional update of its header; whoever loses the race leaves it alone.
+//! Each process periodically goes through the headers of all jobs, from a list that may be seconds old and is cheap. A job
+//! is taken over by a conditional update of its header, which only one gateway can win.
 
 use std::{rc::Rc, time::Duration};
 
@@ -30,25 +30,25 @@
     watch::list_all,
 };
 
-/// Time between two sweeps of the whole fleet; a job is due within tens of seconds, and its owner is taken for gone
-/// after 2.5 s.
+/// Average time between two sweeps in the whole fleet. Jobs are due within tens of seconds, and an owner counts
+/// as gone 2.5 s after its last heartbeat.
 const FLEET_SWEEP_INTERVAL: Duration = Duration::from_millis(350);
-/// Shortest time between two sweeps of one process.
+/// Minimum time between two sweeps of one process.
 const MIN_SWEEP_INTERVAL: Duration = Duration::from_millis(2_000);
-/// First sweep: by then others are heard, and their requests at targets are known.
+/// Delay of the first sweep, by which time the heartbeats of other gateways and their requests at targets have arrived.
 const FIRST_SWEEP_DELAY: Duration = Duration::from_millis(1_200);
-/// Jobs that one sweep takes, so that the jobs of a lost process are shared among the others.
+/// Most jobs that one sweep takes over, so that the jobs of a lost process are spread over the others.
 const MAX_TAKEOVERS: usize = 6;
-/// Time beyond that for which jobs are kept; clocks of hosts may differ by seconds.
+/// Time beyond the retention period before a job is removed, because clocks of hosts may differ by seconds.
 const RETENTION_MARGIN: Duration = Duration::from_secs(600);
-/// Old jobs that one sweep removes; a job takes about ten calls.
+/// Most expired jobs that one sweep removes; each takes about ten store calls.
 const MAX_REMOVALS: usize = 2;
-/// Longest wait for an owner that was never heard.
+/// Timeout for asking an owner without heartbeats whether it is alive.
 const ALIVE_CHECK_TIMEOUT: Duration = Duration::from_millis(300);
-/// Longest time for offering a job to another process.
+/// Timeout for offering a job to one other process.
 const OFFER_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Sweeps for as long as the process runs.
+/// Sweeps periodically for as long as the process runs, except during a shutdown.
 pub async fn run(env: Rc<JobEnv>, directory: Directory, stored: StoredJobs) {
     compio::time::sleep(FIRST_SWEEP_DELAY).await;
     loop {
@@ -72,7 +72,7 @@
     env.health.heard();
     for object in &objects {
         match read_header(object) {
-            // One that another process has finished may still be worked on here.
+            // A job that another process has finished may still have a task here.
             Ok(header) if !header.finished || directory.has(&object.name) => {
                 check_listed(env, directory, &object.name, &header, &mut orphaned);
             }
@@ -93,13 +93,13 @@
     }
 }
 
-/// Whether a finished job is so old that nobody may read it any more.
+/// Whether a finished job is past its retention period.
 fn is_expired(env: &JobEnv, header: &JobHeader) -> bool {
     let kept = env.keep + RETENTION_MARGIN;
     env.clock.now().unix_ms > header.accepted_unix_ms + kept.as_millis() as u64
 }
 
-/// Removes all objects of a job, the header last: a removal that is cut short is done again.
+/// Removes all objects of a job, the header last, so that a later sweep repeats a removal that was interrupted.
 async fn remove(env: &JobEnv, job: &JobName, header: &JobHeader) {
     let parts = (0..header.parts).map(|it| part_key(job, &header.digest, it));
     for key in parts.chain([end_key(job)]) {
@@ -116,7 +116,7 @@
         }
     }
     if delete(env, header_key(job)).await {
-        log::info!(job = &**job; "job: removed, its time is over");
+        log::info!(job = &**job; "job: removed, its retention period is over");
         env.metrics.job("removed");
     }
 }
@@ -135,7 +135,7 @@
 ) {
     let here = directory.has(job);
     if here && !env.owns(&header.owner) {
-        // The list may be older than the taking of this process: the task looks at the header itself.
+        // The list may be older than the takeover by this process, so the task gets the current header.
         recheck_header(env, directory, job);
     } else if !here && !directory.was_recently_closed(job) && is_orphaned(env, job, header) {
         orphaned.push(JobName::clone(job));
@@ -152,26 +152,27 @@
     .detach();
 }
 
-/// Whether nobody works on a job, as far as can be told.
+/// Whether no live process owns a job, as far as this process can tell.
 fn is_orphaned(env: &JobEnv, job: &JobName, header: &JobHeader) -> bool {
     let owner = &header.owner;
     if owner.process.is_empty() || *owner.process == *env.name {
-        // Handed over, or of an earlier start of this process, or accepted by a call of it that was given up.
+        // It was handed over, or belongs to an earlier incarnation of this process, or this process accepted it in a
+        // store call whose outcome it gave up on.
         return true;
     }
     let gone = env.roster.liveness(&owner.process, owner.incarnation) == Liveness::Gone;
     gone && env.roster.hears_most() && !has_live_announced_owner(env, job)
 }
 
-/// Whether a process that works has told that it owns the job. The list of jobs may be seconds older than that, and each
-/// process of the fleet would read the job's header once more to learn it.
+/// Whether a live process has announced that it owns the job. The list of jobs may be seconds older than the announcement,
+/// and without this check each process of the fleet would read the job's header to find that out.
 fn has_live_announced_owner(env: &JobEnv, job: &JobName) -> bool {
     let owner = env.owners.of(job);
     owner.is_some_and(|it| env.roster.liveness(&it.process, it.incarnation) == Liveness::Works)
 }
 
-/// Whether an owner says that it works on its jobs. Asked where it was never heard: a gateway that is new in the fleet is
-/// known to others only when they have read its entry.
+/// Asks an owner from which no heartbeat was ever received whether it is alive; `false` without asking for any other
+/// owner. A gateway that is new in the fleet is unknown to others until they have read its registration.
 async fn confirms_alive(env: &JobEnv, owner: &JobOwner) -> bool {
     let (process, incarnation) = (Name::from(&*owner.process), owner.incarnation);
     if process.is_empty() || process == env.name || env.roster.was_heard(&process, incarnation) {
@@ -188,7 +189,7 @@
     answered.is_some_and(|(status, _)| status == StatusCode::OK)
 }
 
-/// Takes a job if nobody works on it.
+/// Takes over a job if no live process owns it.
 pub async fn take_over_if_orphaned(
     env: &Rc<JobEnv>,
     directory: &Directory,
@@ -207,7 +208,7 @@
         true => None,
         false => match stored.items(job, &header).await {
             Ok(items) => Some(items),
-            // Never accepted, and by now its caller does not send it any more.
+            // It was never accepted, and by now its caller does not resend it any more.
             Err(ReadError::NotFound) if env.clock.now().unix_ms > header.give_up_unix_ms => None,
             Err(_) => return,
         },
@@ -235,7 +236,7 @@
     let update = StoreOp::Update { key, version, labels: Labels::new(), value };
     let version = match env.call(update).await {
         StoreAnswer::Object(stored) => stored.version,
-        // Where answers to writes are lost, reads tell what they did.
+        // The answer to the write was lost; a read shows whether it took effect.
         StoreAnswer::Unknown => match env.current_header(job).await {
             Ok((found, version)) if found == header => version,
             _ => return None,
@@ -244,7 +245,7 @@
     };
     log::info!(
         job = &**job, from = previous.process, from_incarnation = previous.incarnation, ended = cancelled;
-        "job: taken"
+        "job: taken over"
     );
     env.metrics.job("taken");
     Some(JobOwnership { job: JobName::clone(job), header, version, gaps, is_new: false })
@@ -259,7 +260,7 @@
     compio::runtime::spawn(task.run(inbox, directory.clone())).detach();
 }
 
-/// Tells the nearest process that works that a job was handed over.
+/// Offers a job that was handed over to the nearest live processes, until one of three answers.
 pub async fn offer(env: Rc<JobEnv>, job: JobName) {
     for address in env.roster.takers().into_iter().take(3) {
         let pool = Pool::new(address).with_connect_timeout(OFFER_TIMEOUT);
@@ -268,5 +269,5 @@
             return;
         }
     }
-    log::info!(job = &*job; "job: offered to nobody, left to the sweeps");
+    log::info!(job = &*job; "job: no peer answered the offer, left to the sweeps");
 }
--- a/crates/samphiredoor/tests/it/platform/ends.rs
+++ b/crates/samphiredoor/tests/it/platform/ends.rs
@@ -1,4 +1,4 @@
-//! Ends of jobs whose owner is not heard by the gateway that acknowledges them.
+//! Cancellations of jobs at gateways that receive no heartbeats from the owner.
 
 use std::time::Duration;
 
@@ -13,17 +13,18 @@
 use crate::env::wait_until;
 
 const SLOW: Duration = Duration::from_millis(150);
-/// So many that they run for some twenty seconds.
+/// Enough to run for about twenty seconds.
 const ITEMS: usize = 200;
-/// So many that others look for jobs three times meanwhile.
-const FEW_ITEMS: usize = 60;
-/// After this time a gateway that was never heard counts as gone in its own cell.
-const UNHEARD: Duration = Duration::from_millis(3_200);
-/// Gateways of two cells, and the first one of the second cell.
+/// Enough that other gateways sweep for jobs three times meanwhile.
+const ITEMS_FOR_THREE_SWEEPS: usize = 60;
+/// Time after which a gateway that never sent a heartbeat counts as gone in its own cell.
+const GONE_WITHOUT_HEARTBEAT: Duration = Duration::from_millis(3_200);
+/// Number of gateways that form two cells.
 const TWO_CELLS: usize = 14;
-const IN_SECOND_CELL: usize = 9;
+/// First gateway of the second cell.
+const FIRST_OF_SECOND_CELL: usize = 9;
 
-/// Gateways that hear each other, before a target that is slow enough for a job to last.
+/// Starts gateways that receive each other's heartbeats, with a target that is slow enough for a job to run for a while.
 fn gateways(count: usize) -> (Platform, PlatformTarget) {
     let mut platform = Platform::new(BINARY);
     let target = platform.start_target("t-1", SLOW);
@@ -38,51 +39,52 @@
     (platform, target)
 }
 
-/// Submits a job that no other gateway finds by looking through all jobs.
-fn submit_unseen(platform: &Platform, target: &PlatformTarget, owner: usize) {
+/// Submits a job that the sweeps of other gateways do not find, as the store gives them an older list.
+fn submit_hidden_from_sweeps(platform: &Platform, target: &PlatformTarget, owner: usize) {
     platform.store.keep_for_stale_lists();
     assert_eq!(platform.submit_many(owner, "job-1", ITEMS).status, 202);
     wait_until("items run", || !target.runs().is_empty());
 }
 
-fn wait_ended(platform: &Platform, at: usize) {
+fn wait_cancelled(platform: &Platform, at: usize) {
     wait_until("the end is acknowledged", || platform.end(at, "job-1").status == 200);
 }
 
-/// Waits until the owner is done with the job, and checks that it did not run on to its last item.
+/// Waits until the owner has stopped the job, and checks that it did not run all items.
 fn assert_stopped(platform: &Platform, target: &PlatformTarget, owner: usize) {
     let ways = ["job: closed", "job: another process owns it"];
-    wait_until("the owner is done with the job", || {
+    wait_until("the owner has stopped the job", || {
         ways.iter().any(|it| platform.times_logged(owner, it) > 0)
     });
-    assert_eq!(platform.times_logged(owner, "how=finished"), 0, "the job ran on to its end");
-    // What was on its way to the target has arrived then.
+    assert_eq!(platform.times_logged(owner, "how=finished"), 0, "all items of the job were run");
+    // Requests that were on their way to the target have arrived by then.
     std::thread::sleep(SLOW);
     let runs = target.runs().len();
     std::thread::sleep(SLOW * 10);
     assert_eq!(target.runs().len(), runs);
 }
 
-// The owner lives and reaches the store, and others have never heard it. They took it for gone and acknowledged the end without it.
+// The owner is alive and reaches the store, but the others never received a heartbeat from it. Guards against acknowledging
+// the cancellation without the owner because it seems to be gone.
 #[test]
-fn an_end_reaches_an_owner_that_was_never_heard() {
+fn a_cancellation_reaches_an_owner_that_never_sent_a_heartbeat() {
     let (mut platform, target) = gateways(2);
-    std::thread::sleep(UNHEARD);
+    std::thread::sleep(GONE_WITHOUT_HEARTBEAT);
     platform.way_fault = StoreFault::GatewaysHidden;
     let owner = platform.start_gateway();
-    submit_unseen(&platform, &target, owner);
-    wait_ended(&platform, 0);
+    submit_hidden_from_sweeps(&platform, &target, owner);
+    wait_cancelled(&platform, 0);
     assert_stopped(&platform, &target, owner);
 }
 
-// The same in another cell, at a gateway that has started lately.
+// The owner is in another cell, and the cancellation arrives at a gateway that has started recently.
 #[test]
-fn an_end_reaches_an_owner_of_another_cell_that_was_never_heard() {
+fn a_cancellation_reaches_an_owner_in_another_cell_that_never_sent_a_heartbeat() {
     let mut platform = Platform::new(BINARY);
     let target = platform.start_target("t-1", SLOW);
     for number in 0..TWO_CELLS {
         platform.way_fault = match number {
-            IN_SECOND_CELL => StoreFault::GatewaysHidden,
+            FIRST_OF_SECOND_CELL => StoreFault::GatewaysHidden,
             _ => StoreFault::None,
         };
         platform.spawn_gateway();
@@ -93,69 +95,69 @@
     platform.restart_gateway(0);
     platform.wait_ready(0);
     platform.wait_logged(0, "peers: cells worked out cells=2");
-    std::thread::sleep(UNHEARD);
-    submit_unseen(&platform, &target, IN_SECOND_CELL);
-    wait_ended(&platform, 0);
-    assert_stopped(&platform, &target, IN_SECOND_CELL);
+    std::thread::sleep(GONE_WITHOUT_HEARTBEAT);
+    submit_hidden_from_sweeps(&platform, &target, FIRST_OF_SECOND_CELL);
+    wait_cancelled(&platform, 0);
+    assert_stopped(&platform, &target, FIRST_OF_SECOND_CELL);
 }
 
-// The owner has started anew, and others still know its former start alone.
+// The owner has restarted, and the others have only received heartbeats of its former incarnation.
 #[test]
-fn an_end_reaches_an_owner_that_has_just_started_anew() {
+fn a_cancellation_reaches_an_owner_that_has_just_restarted() {
     let (mut platform, target) = gateways(3);
     platform.gateway(1).kill();
     platform.way_fault = StoreFault::GatewaysHidden;
     platform.restart_gateway(1);
     platform.wait_ready(1);
-    submit_unseen(&platform, &target, 1);
-    wait_ended(&platform, 0);
+    submit_hidden_from_sweeps(&platform, &target, 1);
+    wait_cancelled(&platform, 0);
     assert_stopped(&platform, &target, 1);
 }
 
-// Its entry has been read by nobody yet. They took its jobs, and each item ran twice.
+// The others have not read the registration of the owner yet. Guards against taking over its jobs, which ran each item twice.
 #[test]
-fn a_job_is_not_taken_from_an_owner_that_was_never_heard() {
+fn a_job_is_not_taken_over_from_a_live_owner_that_never_sent_a_heartbeat() {
     let (mut platform, _target) = gateways(2);
-    std::thread::sleep(UNHEARD);
+    std::thread::sleep(GONE_WITHOUT_HEARTBEAT);
     platform.way_fault = StoreFault::GatewaysHidden;
     let owner = platform.start_gateway();
-    assert_eq!(platform.submit_many(owner, "job-1", FEW_ITEMS).status, 202);
-    platform.all_results(owner, "job-1", FEW_ITEMS);
+    assert_eq!(platform.submit_many(owner, "job-1", ITEMS_FOR_THREE_SWEEPS).status, 202);
+    platform.all_results(owner, "job-1", ITEMS_FOR_THREE_SWEEPS);
     for other in [0, 1] {
-        assert_eq!(platform.times_logged(other, "job: taken"), 0, "taken by gateway-{other}");
+        assert_eq!(platform.times_logged(other, "job: taken"), 0, "taken over by gateway-{other}");
     }
 }
 
-// The owner freezes, its job is ended without it, and it wakes with items that wait.
+// The owner is paused, its job is cancelled without it, and it resumes with items that wait to be sent.
 #[test]
-fn an_owner_that_wakes_runs_no_item_of_a_job_that_was_ended() {
+fn a_resumed_owner_runs_no_item_of_a_cancelled_job() {
     let (mut platform, target) = gateways(3);
-    submit_unseen(&platform, &target, 0);
+    submit_hidden_from_sweeps(&platform, &target, 0);
     platform.gateway(0).signal("STOP");
-    wait_ended(&platform, 1);
+    wait_cancelled(&platform, 1);
     platform.gateway(0).signal("CONT");
     assert_stopped(&platform, &target, 0);
 }
 
-// The same where another gateway has taken the job before it is ended.
+// The owner is paused, and another gateway takes over the job before it is cancelled.
 #[test]
-fn an_owner_that_wakes_runs_no_item_of_a_job_that_was_taken_and_ended() {
+fn a_resumed_owner_runs_no_item_of_a_job_that_was_taken_over_and_cancelled() {
     let (mut platform, target) = gateways(3);
     assert_eq!(platform.submit_many(0, "job-1", ITEMS).status, 202);
     wait_until("items run", || !target.runs().is_empty());
     platform.gateway(0).signal("STOP");
-    wait_until("the job is taken", || {
-        let header = platform.store.spec("orderedjobs", "job-1").expect("the job stands");
+    wait_until("the job is taken over", || {
+        let header = platform.store.spec("orderedjobs", "job-1").expect("the job exists");
         header["owner"]["process"] != "gateway-0"
     });
-    wait_ended(&platform, 1);
+    wait_cancelled(&platform, 1);
     platform.gateway(0).signal("CONT");
     assert_stopped(&platform, &target, 0);
 }
 
-// The job's owner is killed, and its end crosses the taking of the job by another gateway.
+// The owner is killed, and the job is cancelled while another gateway is taking it over.
 #[test]
-fn a_job_that_is_ended_while_it_is_taken_is_not_run() {
+fn a_job_cancelled_during_its_takeover_is_not_run() {
     let (mut platform, target) = gateways(3);
     target.fail_next(1_000_000, TargetFault::Full);
     assert_eq!(platform.submit_many(0, "job-1", ITEMS).status, 202);
@@ -163,7 +165,7 @@
     let updates = || platform.store.calls().get("PUT orderedjobs").copied().unwrap_or(0);
     let before = updates();
     platform.store.set_fault(StoreFault::HeaderUpdatesHeld);
-    wait_until("the job is being taken", || updates() > before);
+    wait_until("the job is being taken over", || updates() > before);
     assert_eq!(platform.end(1, "job-1").status, 200);
     target.fail_next(0, TargetFault::None);
     platform.store.set_fault(StoreFault::None);
@@ -173,12 +175,12 @@
     assert!(target.runs().is_empty());
 }
 
-macro_rules! end_found {
+macro_rules! finds_cancellation {
     ($($name:ident: $gap:expr, $over:expr;)*) => {$(
         #[test]
         fn $name() {
             let (mut platform, target) = gateways(3);
-            submit_unseen(&platform, &target, 0);
+            submit_hidden_from_sweeps(&platform, &target, 0);
             let (gap, over): (fn(&mut Platform), fn(&mut Platform)) = ($gap, $over);
             gap(&mut platform);
             platform.store.put("jobends", "job-1", json!({}));
@@ -188,21 +190,22 @@
     )*};
 }
 
-// Others may have acknowledged the end without the owner: it was cut off from them or from the store. It has to find the end itself.
-end_found! {
-    an_owner_that_hears_nobody_finds_the_end:
+// The owner is cut off from the other gateways or from the store, so that they may acknowledge a cancellation without it. It
+// must then find the cancellation in the store by itself.
+finds_cancellation! {
+    an_owner_without_heartbeats_from_others_finds_the_cancellation:
         |it| [1, 2].iter().for_each(|number| it.signal(*number, "STOP")),
         |_| {};
-    an_owner_finds_the_end_after_an_outage_of_the_store:
+    an_owner_finds_the_cancellation_after_a_store_outage:
         |it| {
             it.store.set_fault(StoreFault::Busy);
             it.wait_logged(0, "store: lost");
         },
         |it| it.store.set_fault(StoreFault::None);
-    an_owner_that_alone_missed_the_store_finds_the_end:
+    an_owner_that_was_cut_off_from_the_store_finds_the_cancellation:
         |it| {
             it.set_way_fault(0, StoreFault::Busy);
-            it.wait_logged(0, "runs held back");
+            it.wait_logged(0, "runs stopped, the store answers other gateways but not this one");
         },
         |it| it.set_way_fault(0, StoreFault::None);
 }
--- a/crates/samphiredoor/tests/it/platform/jobs.rs
+++ b/crates/samphiredoor/tests/it/platform/jobs.rs
@@ -1,4 +1,5 @@
-//! Batch jobs: accepted once, each item completed once, results readable everywhere and never moving.
+//! Batch jobs on a fleet of gateways: a job is accepted once, each item gets one result, and results keep their positions at
+//! every gateway, also after crashes, pauses and store faults.
 
 use std::time::Duration;
 
@@ -31,7 +32,7 @@
 }
 
 #[test]
-fn a_job_is_done_and_read_at_any_gateway() {
+fn results_are_readable_at_every_gateway() {
     let (platform, target) = two_gateways(FAST);
     assert_eq!(platform.submit(0, "job-1", &ITEMS).status, 202);
     let results = platform.all_results(0, "job-1", ITEMS.len());
@@ -42,7 +43,7 @@
 }
 
 #[test]
-fn a_job_that_comes_again_is_accepted_once() {
+fn a_resubmitted_job_runs_once() {
     let (platform, target) = two_gateways(FAST);
     for gateway in [0, 1, 0] {
         assert_eq!(platform.submit(gateway, "job-1", &ITEMS).status, 202);
@@ -60,7 +61,7 @@
 }
 
 #[test]
-fn an_item_that_is_not_done_gives_its_body_at_any_gateway() {
+fn the_body_of_an_unfinished_item_is_readable_at_every_gateway() {
     let (platform, target) = two_gateways(FAST);
     target.fail_next(100, TargetFault::Full);
     assert_eq!(platform.submit(0, "job-1", &ITEMS).status, 202);
@@ -70,9 +71,10 @@
     }
 }
 
-// What a target fails for good, or as often as the route allows, is listed as failed and not run again.
+// An item that a target rejects permanently, or that fails as often as the route allows, is reported as failed and not run
+// again.
 #[test]
-fn items_that_cannot_be_done_are_listed_as_failed() {
+fn items_that_fail_permanently_are_reported_as_failed() {
     let (platform, target) = two_gateways(FAST);
     target.fail_next(100, TargetFault::Impossible);
     assert_eq!(platform.submit(0, "job-1", &["item-a"]).status, 202);
@@ -85,9 +87,9 @@
     assert_eq!(target.runs().len(), 1 + 3);
 }
 
-// A target breaks off in the middle of an item. The text must go on after the last whole event.
+// A target closes the connection in the middle of an item. The item must be resumed after the last whole event.
 #[test]
-fn a_cut_item_goes_on_after_its_last_event() {
+fn an_interrupted_item_resumes_after_its_last_event() {
     let (platform, target) = two_gateways(FAST);
     target.fail_next(1, TargetFault::CutAfter(3));
     assert_eq!(platform.submit(0, "job-1", &["item-a"]).status, 202);
@@ -98,7 +100,7 @@
 }
 
 #[test]
-fn an_ended_job_stops_also_where_another_gateway_heard_of_it() {
+fn a_job_cancelled_at_another_gateway_stops() {
     let (platform, target) = two_gateways(SLOW);
     target.fail_next(1_000, TargetFault::Full);
     assert_eq!(platform.submit(0, "job-1", &ITEMS).status, 202);
@@ -111,10 +113,10 @@
     assert!(target.runs().is_empty());
 }
 
-// The gateway that accepted a job is killed before an item is done. Another one takes the job, and the results stand
-// once.
+// The gateway that accepted a job is killed before any item is finished. Another one must take the job over and record each
+// result once.
 #[test]
-fn a_job_outlives_the_gateway_that_accepted_it() {
+fn a_job_survives_a_crash_of_its_owner() {
     let (mut platform, _target) = two_gateways(SLOW);
     assert_eq!(platform.submit(0, "job-1", &ITEMS).status, 202);
     platform.gateway(0).kill();
@@ -122,27 +124,28 @@
     assert_eq!(ids(&results), ITEMS);
 }
 
-// The gateway that owns a job is killed while its items are half done. Their outputs were lost with it, and the items ran
-// from their beginning: where a hundred were half done, the fleet worked half a minute for nothing.
+// The gateway that owns a job is killed while its items are half done. Guards against losing their partial outputs: with a
+// hundred half-done items, running them again from the beginning wasted half a minute of the fleet's work.
 #[test]
-fn items_go_on_where_a_killed_gateway_left_them() {
+fn items_resume_after_a_crash_of_their_owner() {
     let (mut platform, target) = two_gateways(Duration::from_millis(1_200));
-    // Of three, the two that are left know that they are not the ones that are cut off.
+    // With three gateways, the two that remain still receive heartbeats from half of the others, so they do not count as cut
+    // off.
     platform.start_gateway();
     platform.wait_logged(2, "peers: heard");
     assert_eq!(platform.submit(0, "job-1", &ITEMS).status, 202);
-    wait_until("outputs are kept", || !platform.store.names("jobsegments").is_empty());
+    wait_until("outputs are saved", || !platform.store.names("jobsegments").is_empty());
     platform.gateway(0).kill();
     let results = platform.all_results(1, "job-1", ITEMS.len());
     assert!(results.iter().all(|it| it["text"] == target.text()));
     let begun = target.runs().iter().filter(|it| it.after.is_none()).count();
-    assert_eq!(begun, ITEMS.len(), "each item began once");
+    assert_eq!(begun, ITEMS.len(), "each item is started once");
 }
 
-// A caller ends a job at a gateway that has just started and has heard of no other yet. It took the owner for gone and
-// acknowledged the end, and the items ran on.
+// A caller cancels a job at a gateway that has just started and has received no heartbeats yet. Guards against acknowledging
+// the cancellation because the owner seems to be gone, while its items run on.
 #[test]
-fn an_end_at_a_gateway_that_has_just_started_reaches_the_owner() {
+fn a_cancellation_at_a_new_gateway_reaches_the_owner() {
     let (mut platform, target) = two_gateways(SLOW);
     assert_eq!(platform.submit_many(0, "job-1", 40).status, 202);
     wait_until("items run", || !target.runs().is_empty());
@@ -154,9 +157,9 @@
     assert_eq!(target.runs().len(), runs);
 }
 
-// Guards against items that run on at an owner that the others had not heard when its job was ended.
+// Guards against items that run on at an owner whose heartbeats did not reach the others when its job was cancelled.
 #[test]
-fn an_end_reaches_an_owner_that_was_not_heard_before() {
+fn a_cancellation_reaches_an_owner_without_recent_heartbeats() {
     let mut platform = Platform::new(BINARY);
     platform.watch_ms = 30_000;
     let target = platform.start_target("t-0", Duration::from_millis(300));
@@ -164,7 +167,7 @@
     platform.set_way_fault(0, StoreFault::WatchesSilent);
     platform.start_gateway();
     platform.start_gateway();
-    // The owner counts as gone where it was not heard for so long.
+    // Without heartbeats for this long, the others consider the owner gone.
     std::thread::sleep(Duration::from_secs(4));
     assert_eq!(platform.submit_many(0, "job-1", 200).status, 202);
     wait_until("the end is acknowledged", || platform.end(1, "job-1").status == 200);
@@ -173,13 +176,14 @@
     std::thread::sleep(Duration::from_secs(6));
     let runs = target.runs().len();
     std::thread::sleep(Duration::from_secs(4));
-    assert_eq!(target.runs().len(), runs, "of 200 items");
+    assert_eq!(target.runs().len(), runs, "no item of 200 runs on");
 }
 
-// A job was taken from a gateway that was killed and has started anew. Nobody but its owner can append to its log, and the
-// owner still looked into the store for others at each read, three times a second for each job that is read.
+// A job is taken over from a gateway that was killed and restarted, so that only the new owner can append to its log. Guards
+// against an owner that still reads the store for segments of others at each read: three times a second for each job that is
+// read.
 #[test]
-fn reads_of_a_job_whose_former_owner_is_gone_cost_no_store_calls() {
+fn reads_after_a_takeover_from_a_restarted_owner_make_no_store_calls() {
     let (mut platform, _target) = two_gateways(Duration::from_millis(1_800));
     platform.start_gateway();
     platform.wait_logged(2, "peers: heard");
@@ -188,8 +192,8 @@
     platform.restart_gateway(0);
     let owner = || platform.store.spec("orderedjobs", "job-1").map(|it| it["owner"].clone());
     let first = owner();
-    wait_until("the job is taken", || owner() != first);
-    // A last write of the former owner may take effect late.
+    wait_until("the job is taken over", || owner() != first);
+    // Until then, a last write of the former owner may take effect late.
     std::thread::sleep(Duration::from_secs(7));
     let reads = || platform.store.calls().get("GET jobsegments").copied().unwrap_or(0);
     let before = reads();
@@ -201,23 +205,23 @@
     assert_eq!(reads() - before, 0);
 }
 
-// The owner of a job sleeps, another gateway takes the job and finishes it, and the owner wakes with results of its own.
-// Both must tell the same results at the same positions.
+// The owner of a job is paused, another gateway takes the job over and finishes it, and the owner resumes with results of its
+// own. Both must return the same results at the same positions.
 #[test]
-fn a_former_owner_that_wakes_moves_no_result() {
+fn a_resumed_former_owner_does_not_move_results() {
     let (mut platform, _target) = two_gateways(SLOW);
     assert_eq!(platform.submit(0, "job-1", &ITEMS).status, 202);
     platform.gateway(0).signal("STOP");
     let results = platform.all_results(1, "job-1", ITEMS.len());
     platform.gateway(0).signal("CONT");
-    wait_until("the former owner tells the same", || {
+    wait_until("the former owner returns the same results", || {
         platform.results(0, "job-1", 0).json()["outputs"] == Value::Array(results.clone())
     });
     assert_eq!(platform.all_results(1, "job-1", ITEMS.len()), results);
 }
 
-// A job's results are due while the store answers nothing. The task of the job waited for a time that had passed, held
-// the whole process, and no caller was answered any more.
+// A job's results are due to be written while the store does not answer. Guards against a job task that waits for a time in
+// the past without yielding: it blocked the whole process, and no caller was answered any more.
 #[test]
 fn online_requests_are_answered_while_results_cannot_be_written() {
     let (platform, target) = two_gateways(FAST);
@@ -234,37 +238,37 @@
     assert_eq!(ids(&platform.all_results(0, "job-1", ITEMS.len())), ITEMS);
 }
 
-// A gateway alone misses the store and holds its runs back; then the store is lost for all. The job's task asked whose the
-// job is again as soon as it was refused, a thousand times a second, and each call is paid for.
+// Only one gateway is cut off from the store and stops its runs; then the store becomes unavailable for all. Guards against
+// job tasks that check the ownership again as soon as they are refused: a thousand calls a second, each of which is charged.
 #[test]
-fn a_lost_store_is_not_asked_all_the_time_whose_a_job_is() {
+fn ownership_checks_are_limited_while_the_store_is_unavailable() {
     let (platform, _target) = two_gateways(Duration::from_secs(2));
     platform.wait_logged(0, "peers: heard");
     platform.wait_logged(1, "peers: heard");
     assert_eq!(platform.submit(0, "job-1", &ITEMS).status, 202);
     platform.set_way_fault(0, StoreFault::Busy);
-    platform.wait_logged(0, "runs held back");
+    platform.wait_logged(0, "runs stopped, the store answers other gateways but not this one");
     platform.store.set_fault(StoreFault::Busy);
     platform.wait_logged(1, "store: lost");
-    // Until the other gateway's word is heard that it misses the store as well.
+    // Until the heartbeat arrives in which the other gateway reports that it has lost the store as well.
     std::thread::sleep(Duration::from_millis(2_500));
     let reads = || platform.store.calls().get("GET orderedjobs").copied().unwrap_or(0);
     let before = reads();
     std::thread::sleep(Duration::from_secs(1));
-    // One each 150 ms, and the sweeps of two gateways.
+    // One every 150 ms, and the sweeps of two gateways.
     assert!(reads() - before <= 10, "{} reads in a second", reads() - before);
 }
 
-// The store is silent for all for some seconds, and the owner of a job notices it before the other gateway does. It took itself for
-// the only one that misses the store, stopped all items and began them anew when the store was back: results came seconds
-// later, though nobody could have taken the job. Evidence: `runs held back, only this process misses the store` at five of
-// nine gateways in a silence of three seconds.
+// The store does not answer any gateway for some seconds, and the owner of a job notices that before the other gateway does.
+// Guards against an owner that considers itself the only one without the store: it stopped all items and started them again
+// after the outage, so that results came seconds later although nobody could have taken over the job. In an outage of three
+// seconds this was logged at five of nine gateways.
 #[test]
-fn a_store_that_is_silent_for_all_stops_no_item() {
+fn a_store_outage_for_all_gateways_stops_no_item() {
     let mut platform = Platform::new(BINARY);
     let target = platform.start_target("t-1", Duration::from_millis(1_000));
     platform.start_gateway();
-    // Its own watches tell it nothing of the silence.
+    // With such a long watch timeout this gateway does not notice the outage by its own watches.
     platform.within_ms = 600_000;
     platform.start_gateway();
     platform.wait_logged(0, "peers: heard");
@@ -278,10 +282,10 @@
     assert_eq!(target.runs().len(), ITEMS.len(), "each item runs once");
 }
 
-// A gateway that has just started takes a job before it knows any routes. It cannot tell that the job has none: the items
-// must wait, and not be listed as failed.
+// A gateway that has just started takes over a job before it has loaded any routes. The items must wait for the routes
+// instead of being reported as failed for lack of one.
 #[test]
-fn items_wait_where_no_routes_are_known_yet() {
+fn items_wait_until_routes_are_loaded() {
     let mut platform = Platform::new(BINARY);
     let target = platform.start_target("t-1", SLOW);
     platform.start_gateway();
@@ -300,7 +304,7 @@
     assert!(results.iter().all(|it| it["text"] == target.text()));
 }
 
-macro_rules! one_way_lost {
+macro_rules! store_fails_for_one_gateway {
     ($($name:ident: $fault:ident,)*) => {
         $(
             #[test]
@@ -311,12 +315,12 @@
     };
 }
 
-// The store answers one gateway no more and serves the other. Callers' jobs at the first were refused, each after some
-// seconds of waiting for the store. Now the other gateway accepts them in its place.
-one_way_lost! {
-    a_job_is_accepted_where_the_store_is_silent: Silent,
-    a_job_is_accepted_where_the_store_refuses: Busy,
-    a_job_is_accepted_where_the_store_does_not_answer_writes: WritesUnanswered,
+// The store stops answering one gateway and serves the other. Guards against refusing submissions at the first one, each
+// after some seconds of waiting for the store: the other gateway must accept them in its place.
+store_fails_for_one_gateway! {
+    a_submission_is_forwarded_when_the_store_is_silent: Silent,
+    a_submission_is_forwarded_when_the_store_refuses: Busy,
+    a_submission_is_forwarded_when_the_store_does_not_answer_writes: WritesUnanswered,
 }
 
 fn accepted_through_another_gateway(fault: StoreFault) {
@@ -329,8 +333,8 @@
     assert_eq!(target.runs().len(), ITEMS.len());
 }
 
-// Each call to a slow store takes a quarter of a second, and the acknowledgement is due in less than half a second. So the
-// header does not wait for the parts.
+// Each call to a slow store takes a quarter of a second, and the submission must be acknowledged in less than half a second.
+// So the header must not wait for the parts.
 #[test]
 fn a_submission_is_written_in_one_round_trip() {
     let (platform, _target) = two_gateways(FAST);
@@ -339,10 +343,10 @@
     assert_eq!(ids(&platform.all_results(1, "job-1", ITEMS.len())), ITEMS);
 }
 
-// The header of a job stands and its parts do not. The job is not accepted, and nothing says that it never will be: when
-// its caller sends it again, each item runs once.
+// The header of a job exists without its parts. The job is not accepted, but no answer may rule out that it will be: when its
+// caller sends it again, each item runs once.
 #[test]
-fn a_job_without_its_parts_waits_for_them() {
+fn a_job_with_missing_parts_can_be_resubmitted() {
     let (platform, target) = two_gateways(FAST);
     platform.store.set_fault(StoreFault::PartsRefused);
     assert_eq!(platform.submit(0, "job-1", &ITEMS).status, 504);
@@ -354,19 +358,20 @@
     assert_eq!(target.runs().len(), ITEMS.len());
 }
 
-// The header of a job stands at once, its parts only later. Its caller ends it meanwhile at another gateway, which cannot tell
-// the owner: that one has not begun. When it begins at last, it must find the end.
+// The header of a job is written at once, its parts only later. Meanwhile its caller cancels it at another gateway, which
+// cannot tell the owner, as that has not started the job. The owner must find the cancellation when it starts the job.
 #[test]
-fn a_job_that_was_ended_before_it_began_is_not_run() {
+fn a_job_cancelled_before_it_starts_is_not_run() {
     let (platform, target) = two_gateways(FAST);
     target.fail_next(100_000, TargetFault::Full);
     platform.wait_logged(1, "peers: heard");
     platform.store.set_fault(StoreFault::PartsHeld);
     std::thread::scope(|scope| {
         let submission = scope.spawn(|| platform.submit(0, "job-1", &ITEMS).status);
-        wait_until("the header stands", || platform.store.spec("orderedjobs", "job-1").is_some());
+        wait_until("the header exists", || platform.store.spec("orderedjobs", "job-1").is_some());
         assert_eq!(platform.end(1, "job-1").status, 504);
-        // Nobody tells a caller that a job stands within the time that the store alone is waited for.
+        // Wait past the delay after which a submission is forwarded; before it, no caller has been told that the job is
+        // accepted, and its owner does not check for a cancellation.
         std::thread::sleep(Duration::from_millis(300));
         platform.store.set_fault(StoreFault::None);
         assert_eq!(submission.join().expect("the submission is answered"), 202);
@@ -377,11 +382,11 @@
     assert!(target.runs().is_empty());
 }
 
-macro_rules! lost_answers {
+macro_rules! store_fails_for_all {
     ($($name:ident: $fault:expr;)*) => {
         $(
-            // Answers of the store are lost, some calls take effect long after they were given up. Items must stand
-            // once, and the job must be accepted once.
+            // Answers of the store are lost, and some calls take effect long after their timeout. The job must be accepted
+            // once, and each item must have one result.
             #[test]
             fn $name() {
                 let (platform, _target) = two_gateways(FAST);
@@ -401,8 +406,8 @@
     };
 }
 
-lost_answers! {
-    a_job_stands_once_where_writes_are_not_answered: StoreFault::WritesUnanswered;
-    a_job_stands_once_where_writes_come_late: StoreFault::WritesLate;
-    a_job_stands_once_where_the_store_refuses: StoreFault::Busy;
+store_fails_for_all! {
+    results_are_recorded_once_when_writes_are_not_answered: StoreFault::WritesUnanswered;
+    results_are_recorded_once_when_writes_take_effect_late: StoreFault::WritesLate;
+    results_are_recorded_once_when_the_store_refuses: StoreFault::Busy;
 }
