--- a/crates/samphiredoor-gateway/src/jobs/directory.rs
+++ b/crates/samphiredoor-gateway/src/jobs/directory.rs
@@ -11,7 +11,8 @@
 
 use super::job_task::JobMessage;
 
-/// How long a closed job is remembered, so that a stale read of the store does not make this process take it over again.
+/// How long a closed job is remembered, so that a stale read of the store does not make this process take it over
+/// again.
 const CLOSED_JOB_RETENTION: Duration = Duration::from_secs(60);
 
 /// Shared handle to the jobs that have a task in this process.
--- a/crates/samphiredoor-gateway/src/jobs/gaps.rs
+++ b/crates/samphiredoor-gateway/src/jobs/gaps.rs
@@ -1,9 +1,9 @@
 //! Liveness gaps: periods in which other gateways may have declared this process dead.
 //!
-//! They then take over its jobs, and acknowledge cancellations of jobs without being able to reach it. A gap is a pause of
-//! this process, an outage of the store, or a period in which it receives heartbeats from less than half of the other
-//! gateways. The last one suffices because a gateway declares another one dead only while it receives heartbeats from at
-//! least half of the fleet.
+//! They then take over its jobs, and acknowledge cancellations of jobs without being able to reach it. A gap is a pause
+//! of this process, an outage of the store, or a period in which it receives heartbeats from less than half of the
+//! other gateways. The last one suffices because a gateway declares another one dead only while it receives heartbeats
+//! from at least half of the fleet.
 
 use std::{
     cell::Cell,
@@ -18,14 +18,15 @@
 
 /// Interval between two checks of the clocks, the store and the peers.
 const CHECK_INTERVAL: Duration = Duration::from_millis(500);
-/// Time between two checks of the clocks from which the process counts as paused, for example because its host slept. Peers
-/// declare a process dead after 2.5 s without a heartbeat.
+/// Time between two checks of the clocks from which the process counts as paused, for example because its host slept.
+/// Peers declare a process dead after 2.5 s without a heartbeat.
 const MIN_PAUSE: Duration = Duration::from_millis(1_500);
-/// Interval at which a process that stays cut off records a further gap.
-const CUT_OFF_REPEAT: Duration = Duration::from_millis(2_000);
+/// Interval at which a process that stays isolated records a further gap.
+const ISOLATION_REPEAT: Duration = Duration::from_millis(2_000);
 
-/// Time after a gap by which all peers have received a heartbeat of this process again. Until then they may still take over
-/// its jobs, even after their headers were checked, so another gap is counted afterwards and they are checked again.
+/// Time after a gap by which all peers have received a heartbeat of this process again. Until then they may still take
+/// over its jobs, even after their headers were checked, so another gap is counted afterwards and they are checked
+/// again.
 const SETTLE_TIME: Duration = Duration::from_millis(2_500);
 
 /// Shared handle to the gap detector of this process.
@@ -48,8 +49,8 @@
     settles_at: Cell<Option<Instant>>,
     /// Whether heartbeats of at least half of the fleet have arrived since the start.
     was_connected: Cell<bool>,
-    /// When the process was last recorded as cut off; `None` while it is not.
-    cut_off_since: Cell<Option<Instant>>,
+    /// When the process was last recorded as isolated; `None` while it is not.
+    isolated_since: Cell<Option<Instant>>,
 }
 
 impl Gaps {
@@ -64,7 +65,7 @@
             handled_recoveries: Cell::default(),
             settles_at: Cell::default(),
             was_connected: Cell::default(),
-            cut_off_since: Cell::default(),
+            isolated_since: Cell::default(),
         };
         Gaps { state: Rc::new(state) }
     }
@@ -86,8 +87,8 @@
         }
     }
 
-    /// Detects pauses of the process by both clocks: the monotonic clock may stand still while a host sleeps, and the wall
-    /// clock may be set.
+    /// Detects pauses of the process by both clocks: the monotonic clock may stand still while a host sleeps, and the
+    /// wall clock may be set.
     fn check_clocks(&self) {
         let now = self.state.clock.now();
         let before = self.state.checked.replace(now);
@@ -107,18 +108,18 @@
 
     fn check_peers(&self) {
         let state = &self.state;
-        let is_over = |at: Instant| at.elapsed() >= CUT_OFF_REPEAT;
-        match (state.roster.is_cut_off(), state.cut_off_since.get()) {
-            (true, None) if state.was_connected.get() => self.set_cut_off(Some(Instant::now())),
-            (true, Some(at)) if is_over(at) => self.set_cut_off(Some(Instant::now())),
+        let is_over = |at: Instant| at.elapsed() >= ISOLATION_REPEAT;
+        match (state.roster.is_cut_off(), state.isolated_since.get()) {
+            (true, None) if state.was_connected.get() => self.set_isolated(Some(Instant::now())),
+            (true, Some(at)) if is_over(at) => self.set_isolated(Some(Instant::now())),
             (true, _) => {}
-            (false, Some(_)) => self.set_cut_off(None),
+            (false, Some(_)) => self.set_isolated(None),
             (false, None) => state.was_connected.set(true),
         }
     }
 
-    fn set_cut_off(&self, since: Option<Instant>) {
-        self.state.cut_off_since.set(since);
+    fn set_isolated(&self, since: Option<Instant>) {
+        self.state.isolated_since.set(since);
         self.record("cut off");
     }
 
--- a/crates/samphiredoor-gateway/src/jobs/item_run.rs
+++ b/crates/samphiredoor-gateway/src/jobs/item_run.rs
@@ -37,9 +37,9 @@
     target_client,
 };
 
-/// Time without any data from the target after which the attempt counts as lost and the item is sent again. Online requests
-/// that join a batch delay its events by a few hundred milliseconds at most; an engine short of memory may delay one for
-/// longer.
+/// Time without any data from the target after which the attempt counts as lost and the item is sent again. Online
+/// requests that join a batch delay its events by a few hundred milliseconds at most; an engine short of memory may
+/// delay one for longer.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// Pause before an item is sent again that was not run by the target, or got no target.
 const RETRY_PAUSE: Duration = Duration::from_millis(60);
@@ -92,7 +92,7 @@
 pub type SharedOutput = Rc<RefCell<Output>>;
 
 /// Outcome of one attempt to run the item at a target.
-enum AttemptOutcome {
+enum Outcome {
     /// The run ends with this result.
     Finished(ItemEnd),
     /// The attempt was preempted or not sent; the item can be sent again at once.
@@ -122,11 +122,11 @@
             };
             let Some(route) = self.route(&table) else { return self.finish(ItemEnd::NoRoute) };
             match self.attempt(&route, &mut call).await {
-                AttemptOutcome::Finished(end) => return self.finish(end),
-                AttemptOutcome::Resume => {}
-                AttemptOutcome::RetryLater => compio::time::sleep(RETRY_PAUSE).await,
-                AttemptOutcome::ResponseLost if self.last_event().is_some() => {}
-                AttemptOutcome::ResponseLost => return self.finish(ItemEnd::NoAnswer),
+                Outcome::Finished(end) => return self.finish(end),
+                Outcome::Resume => {}
+                Outcome::RetryLater => compio::time::sleep(RETRY_PAUSE).await,
+                Outcome::ResponseLost if self.last_event().is_some() => {}
+                Outcome::ResponseLost => return self.finish(ItemEnd::NoAnswer),
             }
         }
     }
@@ -172,24 +172,24 @@
         self.output.borrow().last_event
     }
 
-    async fn attempt(&self, route: &Route, call: &mut Call) -> AttemptOutcome {
+    async fn attempt(&self, route: &Route, call: &mut Call) -> Outcome {
         let Some(service) = route.service(rand::random()) else {
-            return AttemptOutcome::RetryLater;
+            return Outcome::RetryLater;
         };
-        let mut ticket = self.env.placer.ask(self.place_request(service, &call.headers));
+        let mut ticket = self.env.placer.ask(self.request_spec(service, &call.headers));
         let (target, address) = match ticket.placed().await {
             Placed::Go { target, address } => (target, address),
-            Placed::Refused { .. } => return AttemptOutcome::RetryLater,
-            Placed::Recalled => return AttemptOutcome::Resume,
+            Placed::Refused { .. } => return Outcome::RetryLater,
+            Placed::Recalled => return Outcome::Resume,
         };
         if !self.permit.is_valid() {
-            return AttemptOutcome::Resume;
+            return Outcome::Resume;
         }
         self.set_headers(call, &target);
         let (began_ms, before) = (self.env.clock.now().mono_ms, self.last_event());
         let sending = within(IDLE_TIMEOUT, self.env.targets.send(&target, address, call));
         let (outcome, end) = match or_preempted(&mut ticket, sending).await {
-            None => (AttemptOutcome::Resume, AttemptEnd::Cut),
+            None => (Outcome::Resume, AttemptEnd::Cut),
             Some(Some(Ok(response))) => {
                 if let Some(load) = self.env.platform.dialect.reported_load(response.headers()) {
                     self.env.placer.reported(&target, load);
@@ -197,12 +197,10 @@
                 self.read_response(response, &mut ticket).await
             }
             Some(Some(Err(SendError::NotSent(_)))) => {
-                (AttemptOutcome::RetryLater, AttemptEnd::Unreachable)
+                (Outcome::RetryLater, AttemptEnd::Unreachable)
             }
-            Some(Some(Err(SendError::MayHaveRun(_)))) => {
-                (AttemptOutcome::ResponseLost, AttemptEnd::Lost)
-            }
-            Some(None) => (AttemptOutcome::ResponseLost, AttemptEnd::Silent),
+            Some(Some(Err(SendError::MayHaveRun(_)))) => (Outcome::ResponseLost, AttemptEnd::Lost),
+            Some(None) => (Outcome::ResponseLost, AttemptEnd::Silent),
         };
         if end != AttemptEnd::Answered {
             log::info!(
@@ -219,7 +217,7 @@
         outcome
     }
 
-    fn place_request(&self, service: &Name, headers: &HeaderMap) -> Ask {
+    fn request_spec(&self, service: &Name, headers: &HeaderMap) -> Ask {
         Ask {
             request: self.env.placer.next_request(),
             class: Class::Batch,
@@ -245,9 +243,9 @@
         &self,
         response: hyper::Response<Answer>,
         ticket: &mut Ticket,
-    ) -> (AttemptOutcome, AttemptEnd) {
+    ) -> (Outcome, AttemptEnd) {
         if let Some(end) = target_client::not_run(self.env.platform.dialect.headers(), &response) {
-            return (AttemptOutcome::RetryLater, end);
+            return (Outcome::RetryLater, end);
         }
         let (parts, body) = response.into_parts();
         if parts.status.is_success() && is_event_stream(&parts.headers) {
@@ -255,45 +253,41 @@
         }
         let whole = within(IDLE_TIMEOUT, read_whole(body, MAX_ERROR_BYTES)).await;
         if !matches!(whole, Some(Ok(_))) {
-            return (AttemptOutcome::ResponseLost, AttemptEnd::Lost);
+            return (Outcome::ResponseLost, AttemptEnd::Lost);
         }
         let outcome = match parts.status {
-            StatusCode::INTERNAL_SERVER_ERROR => AttemptOutcome::Finished(ItemEnd::Failed),
-            StatusCode::UNPROCESSABLE_ENTITY => AttemptOutcome::Finished(ItemEnd::Impossible),
+            StatusCode::INTERNAL_SERVER_ERROR => Outcome::Finished(ItemEnd::Failed),
+            StatusCode::UNPROCESSABLE_ENTITY => Outcome::Finished(ItemEnd::Impossible),
             status => {
                 log::warn!(job = &*self.job, item = &*self.item.id, status = status.as_u16(); "item: unexpected response");
-                AttemptOutcome::Finished(ItemEnd::NoAnswer)
+                Outcome::Finished(ItemEnd::NoAnswer)
             }
         };
         (outcome, AttemptEnd::Answered)
     }
 
-    async fn read_events(
-        &self,
-        mut body: Answer,
-        ticket: &mut Ticket,
-    ) -> (AttemptOutcome, AttemptEnd) {
+    async fn read_events(&self, mut body: Answer, ticket: &mut Ticket) -> (Outcome, AttemptEnd) {
         use http_body_util::BodyExt;
         let mut events = EventBuffer::default();
         loop {
             let piece = within(IDLE_TIMEOUT, body.frame());
             match or_preempted(ticket, piece).await {
-                None => return (AttemptOutcome::Resume, AttemptEnd::Cut),
-                Some(None) => return (AttemptOutcome::ResponseLost, AttemptEnd::Silent),
+                None => return (Outcome::Resume, AttemptEnd::Cut),
+                Some(None) => return (Outcome::ResponseLost, AttemptEnd::Silent),
                 Some(Some(Some(Ok(frame)))) => {
                     events.push(&frame.into_data().unwrap_or_default());
                     self.output.borrow_mut().consume(&mut events);
                 }
                 Some(Some(Some(Err(_)))) => {
-                    return (AttemptOutcome::ResponseLost, AttemptEnd::Lost);
+                    return (Outcome::ResponseLost, AttemptEnd::Lost);
                 }
                 Some(Some(None)) if events.take_rest().is_empty() => {
                     return (
-                        AttemptOutcome::Finished(self.output.borrow().complete()),
+                        Outcome::Finished(self.output.borrow().complete()),
                         AttemptEnd::Answered,
                     );
                 }
-                Some(Some(None)) => return (AttemptOutcome::ResponseLost, AttemptEnd::Lost),
+                Some(Some(None)) => return (Outcome::ResponseLost, AttemptEnd::Lost),
             }
         }
     }
--- a/crates/samphiredoor-gateway/src/jobs/job_task/ending.rs
+++ b/crates/samphiredoor-gateway/src/jobs/job_task/ending.rs
@@ -1,5 +1,5 @@
-//! The ways in which a job leaves this process: finished, cancelled by its caller, taken over by another process, or handed
-//! over.
+//! The ways in which a job leaves this process: finished, cancelled by its caller, taken over by another process, or
+//! handed over.
 
 use std::{
     rc::Rc,
@@ -12,15 +12,15 @@
 };
 
 use super::{JobMessage, JobTask, Phase};
-use crate::jobs::{STORE_RETRY_PAUSE, sweep};
+use crate::jobs::{STORE_RETRY_PAUSE, orphan_scan};
 
-/// How long a finished job stays in memory for its readers. Later reads are served from the store, with one call for each
-/// segment at each gateway that is asked.
+/// How long a finished job stays in memory for its readers. Later reads are served from the store, with one call for
+/// each segment at each gateway that is asked.
 const FINISHED_JOB_RETENTION: Duration = Duration::from_secs(60);
 
 impl JobTask {
-    /// Cancels the job, and returns whether no process will run it any more. That is `false` while its hand-over is being
-    /// written, as this process can no longer stop that.
+    /// Cancels the job, and returns whether no process will run it any more. That is `false` while its hand-over is
+    /// being written, as this process can no longer stop that.
     pub(super) fn cancel(&mut self) -> bool {
         if self.is_active() {
             self.stop_runs();
@@ -93,10 +93,10 @@
             StoreAnswer::Object(_) if handed_over => {
                 self.phase = Phase::Done;
                 let (env, job) = (Rc::clone(&self.env), JobName::clone(&self.ownership.job));
-                compio::runtime::spawn(sweep::offer(env, job)).detach();
+                compio::runtime::spawn(orphan_scan::offer(env, job)).detach();
             }
-            // The write was refused or its outcome is unknown. That is harmless: a later owner checks a job that stays open
-            // once more, and continues it if items are left.
+            // The write was refused or its outcome is unknown. That is harmless: a later owner checks a job that stays
+            // open once more, and continues it if items are left.
             _ if handed_over => self.phase = Phase::Done,
             StoreAnswer::Unavailable | StoreAnswer::Unknown => {
                 log::info!(job = &*self.ownership.job; "job: could not be marked as finished");
--- a/crates/samphiredoor-gateway/src/jobs/job_task/mod.rs
+++ b/crates/samphiredoor-gateway/src/jobs/job_task/mod.rs
@@ -1,10 +1,10 @@
 //! The task that owns one job: it runs the items, appends their results to the log, and answers readers.
 //!
-//! Correctness rests only on the conditional creates of the log's segments. The task runs items while this process is the
-//! owner as far as it can tell; if it no longer is, items are run twice but no result is recorded twice.
+//! Correctness rests only on the conditional creates of the log's segments. The task runs items while this process is
+//! the owner as far as it can tell; if it no longer is, items are run twice but no result is recorded twice.
 //!
-//! `runs` handles the runs of items, `results` the log and its readers, and `ending` the ways in which a job leaves this
-//! process.
+//! `runs` handles the runs of items, `results` the log and its readers, and `ending` the ways in which a job leaves
+//! this process.
 
 mod ending;
 mod results;
@@ -32,10 +32,10 @@
 };
 use crate::edge::ResultsPage;
 
-/// Interval at which a running job checks whether this process is cut off from the store.
+/// Interval at which a running job checks whether this process is isolated from the store.
 const STORE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
-/// Minimum wait for a message. A wait of zero does not yield to other tasks, so that a wakeup time in the past would block
-/// the whole process.
+/// Minimum wait for a message. A wait of zero does not yield to other tasks, so that a wakeup time in the past would
+/// block the whole process.
 const MIN_WAIT: Duration = Duration::from_millis(1);
 /// Stands for a time that is never reached.
 const FAR_FUTURE: Duration = Duration::from_secs(3_600);
@@ -161,7 +161,7 @@
     items_started: bool,
     /// When the task was created.
     started_at: Instant,
-    /// Whether other processes may have taken over the job while only this one was cut off from the store.
+    /// Whether other processes may have taken over the job while only this one was isolated from the store.
     may_have_been_taken: bool,
     /// Whether runs are stopped until the store confirms that this process owns the job.
     suspended: bool,
@@ -294,8 +294,8 @@
         }
     }
 
-    /// Time of the next step that needs no message. Steps that cannot be taken yet are left out, as the message that enables
-    /// them also wakes the task.
+    /// Time of the next step that needs no message. Steps that cannot be taken yet are left out, as the message that
+    /// enables them also wakes the task.
     fn next_wakeup(&self) -> Instant {
         let phase = match self.phase {
             Phase::Running => Some(self.give_up_at),
--- a/crates/samphiredoor-gateway/src/jobs/job_task/results.rs
+++ b/crates/samphiredoor-gateway/src/jobs/job_task/results.rs
@@ -133,14 +133,15 @@
         }
     }
 
-    /// Whether another process may append to the log. A former owner does so until it finds out that it lost the job, and
-    /// readers that got its results from it must also get them here. A process that receives heartbeats from less than half
-    /// of the fleet may itself be such a former owner.
+    /// Whether another process may append to the log. A former owner does so until it finds out that it lost the job,
+    /// and readers that got its results from it must also get them here. A process that receives heartbeats from less
+    /// than half of the fleet may itself be such a former owner.
     pub(super) fn may_have_other_writers(&self) -> bool {
         self.may_have_been_taken || self.former_owner_may_write() || !self.env.roster.hears_most()
     }
 
-    /// Whether a former owner may still append. After a restart it does not, except for a last write that takes effect late.
+    /// Whether a former owner may still append. After a restart it does not, except for a last write that takes effect
+    /// late.
     fn former_owner_may_write(&self) -> bool {
         let Some(former) = &self.ownership.header.former else { return false };
         let is_gone = former.process == *self.env.name
--- a/crates/samphiredoor-gateway/src/jobs/job_task/runs.rs
+++ b/crates/samphiredoor-gateway/src/jobs/job_task/runs.rs
@@ -16,8 +16,8 @@
 use super::{FAR_FUTURE, JobMessage, JobTask, OwnershipCheck, Phase};
 use crate::jobs::item_run::{self, Output};
 
-/// Time that a result waits for others to share a write: items of a job finish over a period of seconds and are due later,
-/// and a write costs as much as a hundredth of an item.
+/// Time that a result waits for others to share a write: items of a job finish over a period of seconds and are due
+/// later, and a write costs as much as a hundredth of an item.
 const WRITE_DELAY: Duration = Duration::from_millis(1_500);
 /// Time that a result waits for others shortly before the results are due.
 const WRITE_DELAY_NEAR_DUE: Duration = Duration::from_millis(150);
@@ -25,27 +25,28 @@
 const NEAR_DUE_MS: u64 = 2_500;
 
 /// Interval at which partial outputs are saved while no result is written. A killed process loses half of this time on
-/// average for each slot that its items hold. A write costs as much as a hundredth of an item, whose run takes some seconds.
+/// average for each slot that its items hold. A write costs as much as a hundredth of an item, whose run takes some
+/// seconds.
 const OUTPUT_SAVE_INTERVAL: Duration = Duration::from_millis(3_000);
 
 impl JobTask {
-    /// Stops the runs while only this process does not reach the store: other gateways take over its jobs then, and it could
-    /// notice neither that nor a cancellation. Afterwards, and whenever an item waits for its permit, reads from the store
-    /// whether the job may run.
+    /// Stops the runs while only this process does not reach the store: other gateways take over its jobs then, and it
+    /// could notice neither that nor a cancellation. Afterwards, and whenever an item waits for its permit, reads from
+    /// the store whether the job may run.
     pub(super) fn suspend_or_recheck(&mut self) {
-        let cut_off = self.env.is_cut_off_from_store();
-        if cut_off && !self.suspended {
+        let isolated = self.env.is_isolated_from_store();
+        if isolated && !self.suspended {
             log::info!(job = &*self.ownership.job; "job: runs stopped, the store answers other gateways but not this one");
             self.suspended = true;
             self.may_have_been_taken = true;
             self.stop_runs();
-        } else if !cut_off && (self.suspended || self.permit.is_wanted()) && self.may_check() {
+        } else if !isolated && (self.suspended || self.permit.is_wanted()) && self.may_check() {
             self.check_ownership();
         }
     }
 
-    /// Reads whether the job was cancelled, and also its owner unless there was no gap since this process wrote itself as the
-    /// owner.
+    /// Reads whether the job was cancelled, and also its owner unless there was no gap since this process wrote itself
+    /// as the owner.
     fn check_ownership(&mut self) {
         self.checking = true;
         let (env, messages) = (Rc::clone(&self.env), self.messages.clone());
@@ -104,8 +105,8 @@
         }
     }
 
-    /// Whether the store may be read now. Without this limit, each job of each process would read again as soon as it is
-    /// refused while the store is down for all, a thousand times a second.
+    /// Whether the store may be read now. Without this limit, each job of each process would read again as soon as it
+    /// is refused while the store is down for all, a thousand times a second.
     fn may_check(&self) -> bool {
         !self.checking && !self.env.health.is_lost() && Instant::now() >= self.next_check_at
     }
--- a/crates/samphiredoor-gateway/src/jobs/mod.rs
+++ b/crates/samphiredoor-gateway/src/jobs/mod.rs
@@ -1,22 +1,22 @@
 //! Batch jobs: each is accepted once, run by one gateway at a time, and readable through every gateway.
 //!
 //! `submit` makes a job durable, `pass_on` forwards a submission to another gateway when the store does not answer this
-//! one. `job_task` runs a job that this process owns, `item_run` runs one of its items. `reads` answers callers and other
-//! gateways, `peer_call` is the protocol between gateways, and `stored` reads jobs from the store. `sweep` takes over jobs
-//! whose owner is gone. After `gaps`, in which other gateways may have taken over or cancelled a job, `send_permit` holds
-//! its items back until the store has been read again.
+//! one. `job_task` runs a job that this process owns, `item_run` runs one of its items. `reads` answers callers and
+//! other gateways, `peer_call` is the protocol between gateways, and `stored` reads jobs from the store. `orphan_scan`
+//! takes over jobs whose owner is dead. After `gaps`, in which other gateways may have taken over or cancelled a job,
+//! `send_permit` holds its items back until the store has been read again.
 
 mod directory;
 mod gaps;
 mod item_run;
 mod job_task;
+mod orphan_scan;
 pub mod pass_on;
 mod peer_call;
 mod reads;
 mod send_permit;
 mod stored;
 mod submit;
-mod sweep;
 
 use std::{cell::Cell, rc::Rc, time::Duration};
 
@@ -46,8 +46,8 @@
 /// Pause before a store call is retried that got no usable answer.
 const STORE_RETRY_PAUSE: Duration = Duration::from_millis(150);
 
-/// Attempts at one store call before the caller is refused or told that the outcome is unknown. Each attempt may take as
-/// long as the store's timeout, and callers give up after a few seconds.
+/// Attempts at one store call before the caller is refused or told that the outcome is unknown. Each attempt may take
+/// as long as the store's timeout, and callers give up after a few seconds.
 const STORE_ATTEMPTS: u32 = 3;
 
 /// Handles shared by everything that works on jobs; holds no job state itself.
@@ -94,7 +94,7 @@
     }
 
     /// Whether the store answers other gateways but not this process, so that they take over its jobs.
-    fn is_cut_off_from_store(&self) -> bool {
+    fn is_isolated_from_store(&self) -> bool {
         self.health.is_lost_for(STORE_LOST) && self.health.is_alone()
     }
 
@@ -104,8 +104,8 @@
         let _ = self.owned.send(OwnedJob { name: JobName::clone(job), items });
     }
 
-    /// Creates an object whose content follows from its key, so that an existing object counts as success. Returns whether
-    /// the object exists.
+    /// Creates an object whose content follows from its key, so that an existing object counts as success. Returns
+    /// whether the object exists.
     async fn create_idempotent(&self, create: StoreOp) -> bool {
         for _ in 0..STORE_ATTEMPTS {
             match self.call(create.clone()).await {
@@ -163,6 +163,7 @@
     let directory = Directory::default();
     let stored = StoredJobs::new(Rc::clone(&env));
     compio::runtime::spawn(env.gaps.clone().run()).detach();
-    compio::runtime::spawn(sweep::run(Rc::clone(&env), directory.clone(), stored.clone())).detach();
+    compio::runtime::spawn(orphan_scan::run(Rc::clone(&env), directory.clone(), stored.clone()))
+        .detach();
     Jobs::new(env, directory, stored)
 }
--- a/crates/samphiredoor-gateway/src/jobs/sweep.rs
+++ b/crates/samphiredoor-gateway/src/jobs/orphan_scan.rs
@@ -1,7 +1,7 @@
-//! Takeover of jobs whose owner is gone, and removal of expired jobs.
+//! Takeover of jobs whose owner is dead, and removal of expired jobs.
 //!
-//! Each process periodically goes through the headers of all jobs, from a list that may be seconds old and is cheap. A job
-//! is taken over by a conditional update of its header, which only one gateway can win.
+//! Each process periodically goes through the headers of all jobs, from a list that may be seconds old and is cheap. A
+//! job is taken over by a conditional update of its header, which only one gateway can win.
 
 use std::{rc::Rc, time::Duration};
 
@@ -30,38 +30,38 @@
     watch::list_all,
 };
 
-/// Average time between two sweeps in the whole fleet. Jobs are due within tens of seconds, and an owner counts
-/// as gone 2.5 s after its last heartbeat.
-const FLEET_SWEEP_INTERVAL: Duration = Duration::from_millis(350);
-/// Minimum time between two sweeps of one process.
-const MIN_SWEEP_INTERVAL: Duration = Duration::from_millis(2_000);
-/// Delay of the first sweep, by which time the heartbeats of other gateways and their requests at targets have arrived.
-const FIRST_SWEEP_DELAY: Duration = Duration::from_millis(1_200);
-/// Most jobs that one sweep takes over, so that the jobs of a lost process are spread over the others.
+/// Average time between two scans in the whole fleet. Jobs are due within tens of seconds, and an owner counts
+/// as dead 2.5 s after its last heartbeat.
+const FLEET_SCAN_INTERVAL: Duration = Duration::from_millis(350);
+/// Minimum time between two scans of one process.
+const MIN_SCAN_INTERVAL: Duration = Duration::from_millis(2_000);
+/// Delay of the first scan, by which time the heartbeats of other gateways and their requests at targets have arrived.
+const FIRST_SCAN_DELAY: Duration = Duration::from_millis(1_200);
+/// Most jobs that one scan takes over, so that the jobs of a lost process are spread over the others.
 const MAX_TAKEOVERS: usize = 6;
 /// Time beyond the retention period before a job is removed, because clocks of hosts may differ by seconds.
 const RETENTION_MARGIN: Duration = Duration::from_secs(600);
-/// Most expired jobs that one sweep removes; each takes about ten store calls.
+/// Most expired jobs that one scan removes; each takes about ten store calls.
 const MAX_REMOVALS: usize = 2;
 /// Timeout for asking an owner without heartbeats whether it is alive.
 const ALIVE_CHECK_TIMEOUT: Duration = Duration::from_millis(300);
 /// Timeout for offering a job to one other process.
 const OFFER_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Sweeps periodically for as long as the process runs, except during a shutdown.
+/// Scans periodically for as long as the process runs, except during a shutdown.
 pub async fn run(env: Rc<JobEnv>, directory: Directory, stored: StoredJobs) {
-    compio::time::sleep(FIRST_SWEEP_DELAY).await;
+    compio::time::sleep(FIRST_SCAN_DELAY).await;
     loop {
         if !env.stopping.get() {
-            sweep(&env, &directory, &stored).await;
+            scan(&env, &directory, &stored).await;
         }
         let processes = env.roster.heard_count() as u32 + 1;
-        compio::time::sleep(FLEET_SWEEP_INTERVAL.saturating_mul(processes).max(MIN_SWEEP_INTERVAL))
+        compio::time::sleep(FLEET_SCAN_INTERVAL.saturating_mul(processes).max(MIN_SCAN_INTERVAL))
             .await;
     }
 }
 
-async fn sweep(env: &Rc<JobEnv>, directory: &Directory, stored: &StoredJobs) {
+async fn scan(env: &Rc<JobEnv>, directory: &Directory, stored: &StoredJobs) {
     let (mut orphaned, mut expired) = (Vec::new(), Vec::new());
     let store = &*env.platform.store;
     let listed = list_all(store, Kind::OrderedJob, Freshness::MayBeStale).await;
@@ -99,7 +99,7 @@
     env.clock.now().unix_ms > header.accepted_unix_ms + kept.as_millis() as u64
 }
 
-/// Removes all objects of a job, the header last, so that a later sweep repeats a removal that was interrupted.
+/// Removes all objects of a job, the header last, so that a later scan repeats a removal that was interrupted.
 async fn remove(env: &JobEnv, job: &JobName, header: &JobHeader) {
     let parts = (0..header.parts).map(|it| part_key(job, &header.digest, it));
     for key in parts.chain([end_key(job)]) {
@@ -164,15 +164,15 @@
     gone && env.roster.hears_most() && !has_live_announced_owner(env, job)
 }
 
-/// Whether a live process has announced that it owns the job. The list of jobs may be seconds older than the announcement,
-/// and without this check each process of the fleet would read the job's header to find that out.
+/// Whether a live process has announced that it owns the job. The list of jobs may be seconds older than the
+/// announcement, and without this check each process of the fleet would read the job's header to find that out.
 fn has_live_announced_owner(env: &JobEnv, job: &JobName) -> bool {
     let owner = env.owners.of(job);
     owner.is_some_and(|it| env.roster.liveness(&it.process, it.incarnation) == Liveness::Works)
 }
 
 /// Asks an owner from which no heartbeat was ever received whether it is alive; `false` without asking for any other
-/// owner. A gateway that is new in the fleet is unknown to others until they have read its registration.
+/// owner. A gateway that is new in the fleet is not in their list of peers until they have read its registration.
 async fn confirms_alive(env: &JobEnv, owner: &JobOwner) -> bool {
     let (process, incarnation) = (Name::from(&*owner.process), owner.incarnation);
     if process.is_empty() || process == env.name || env.roster.was_heard(&process, incarnation) {
@@ -224,14 +224,14 @@
     job: &JobName,
     header: JobHeader,
     version: Version,
-    cancelled: bool,
+    closed: bool,
 ) -> Option<JobOwnership> {
     let (previous, gaps) = (header.owner.clone(), env.gaps.count());
     let former = match previous.process.as_str() {
         "" => header.former.clone(),
         _ => Some(previous.clone()),
     };
-    let header = JobHeader { owner: env.owner(), finished: cancelled, former, ..header };
+    let header = JobHeader { owner: env.owner(), finished: closed, former, ..header };
     let (key, value) = (header_key(job), header.value());
     let update = StoreOp::Update { key, version, labels: Labels::new(), value };
     let version = match env.call(update).await {
@@ -244,7 +244,7 @@
         _ => return None,
     };
     log::info!(
-        job = &**job, from = previous.process, from_incarnation = previous.incarnation, ended = cancelled;
+        job = &**job, from = previous.process, from_incarnation = previous.incarnation, ended = closed;
         "job: taken over"
     );
     env.metrics.job("taken");
@@ -269,5 +269,5 @@
             return;
         }
     }
-    log::info!(job = &*job; "job: no peer answered the offer, left to the sweeps");
+    log::info!(job = &*job; "job: no peer answered the offer, left to the periodic scans");
 }
--- a/crates/samphiredoor-gateway/src/jobs/pass_on.rs
+++ b/crates/samphiredoor-gateway/src/jobs/pass_on.rs
@@ -1,8 +1,8 @@
 //! Forwarding of submissions to another gateway when the store does not answer this one.
 //!
-//! A store that refuses one process often serves the others. The submission is forwarded unchanged, below a path prefix of
-//! its own, and the other gateway accepts it like any other. Both gateways may accept it at the same time, which is as
-//! harmless as a caller that sends a submission twice.
+//! A store that refuses one process often serves the others. The submission is forwarded unchanged, below a path prefix
+//! of its own, and the other gateway accepts it like any other. Both gateways may accept it at the same time, which is
+//! as harmless as a caller that sends a submission twice.
 
 use std::time::Duration;
 
--- a/crates/samphiredoor-gateway/src/jobs/reads.rs
+++ b/crates/samphiredoor-gateway/src/jobs/reads.rs
@@ -1,7 +1,7 @@
 //! Requests of callers and other gateways about jobs.
 //!
-//! The owner of a job has its state in memory, so other gateways forward requests to it. If it is gone, unreachable or no
-//! longer the owner, the answer is read from the store. Only the store decides that a job does not exist.
+//! The owner of a job has its state in memory, so other gateways forward requests to it. If it is dead, unreachable or
+//! no longer the owner, the answer is read from the store. Only the store decides that a job does not exist.
 
 use std::{
     cell::RefCell,
@@ -23,10 +23,10 @@
     JobEnv,
     directory::Directory,
     job_task::{JobMessage, ReadReply},
+    orphan_scan,
     peer_call::{PeerCall, exchange},
     stored::{ReadError, StoredJobs},
     submit::{self, Acceptors, Submitted},
-    sweep,
 };
 use crate::{
     edge::{JobCall, ResultsPage},
@@ -117,7 +117,7 @@
                 let (env, directory, stored) =
                     (Rc::clone(&self.env), self.directory.clone(), self.stored.clone());
                 compio::runtime::spawn(async move {
-                    sweep::take_over_if_orphaned(&env, &directory, &stored, &job).await;
+                    orphan_scan::take_over_if_orphaned(&env, &directory, &stored, &job).await;
                 })
                 .detach();
                 plain(StatusCode::OK, "heard")
@@ -258,9 +258,9 @@
 
     /// Makes the owner of a cancelled job stop it; `None` if a process may still run the job.
     ///
-    /// The owner is read from the store after the cancellation was written there. An owner known from before may have lost
-    /// the job without noticing, and would confirm only that it runs nothing itself. Any process that takes the job over
-    /// later finds the cancellation.
+    /// The owner is read from the store after the cancellation was written there. An owner known from before may have
+    /// lost the job without noticing, and would confirm only that it runs nothing itself. Any process that takes the
+    /// job over later finds the cancellation.
     async fn prove_stopped(&self, job: &JobName) -> Option<StopProof> {
         let here = self.cancel_local(job).await;
         let (header, _) = self.stored.current_header(job).await.ok()?;
@@ -280,8 +280,8 @@
         }
     }
 
-    /// Whether an owner that cannot be reached counts as gone. It does not if this process is itself cut off, receiving
-    /// heartbeats from few others, or started too recently to have received one from the owner.
+    /// Whether an owner that cannot be reached counts as dead. It does not if this process is itself isolated,
+    /// receiving heartbeats from few others, or started too recently to have received one from the owner.
     fn is_gone(&self, owner: &Owner) -> bool {
         let (process, incarnation) = (&*owner.process, owner.incarnation);
         let roster = &self.env.roster;
@@ -290,8 +290,8 @@
         !is_heard && liveness == Liveness::Gone && roster.hears_most()
     }
 
-    /// Tells the owner to cancel its job. Owners that are shutting down, have lost the store or send no heartbeats are told
-    /// as well, because their runs go on. `None` if the owner does not confirm it.
+    /// Tells the owner to cancel its job. Owners that are shutting down, have lost the store or send no heartbeats are
+    /// told as well, because their runs go on. `None` if the owner does not confirm it.
     async fn cancel_at_owner(
         &self,
         job: &JobName,
@@ -330,8 +330,8 @@
         }
     }
 
-    /// Cancels a job that has a task here; also true for one that was closed recently. Returns whether no process will run it
-    /// any more.
+    /// Cancels a job that has a task here; also true for one that was closed recently. Returns whether no process will
+    /// run it any more.
     async fn cancel_local(&self, job: &str) -> bool {
         let (reply, answer) = flume::bounded(1);
         match self.directory.send(job, JobMessage::Cancel { reply: Some(reply) }) {
--- a/crates/samphiredoor-gateway/src/jobs/send_permit.rs
+++ b/crates/samphiredoor-gateway/src/jobs/send_permit.rs
@@ -24,8 +24,8 @@
 }
 
 impl SendPermit {
-    /// Creates a permit that is valid as of a number of gaps, or not yet granted with `None`. `messages` leads to the job's
-    /// task, which grants it.
+    /// Creates a permit that is valid as of a number of gaps, or not yet granted with `None`. `messages` leads to the
+    /// job's task, which grants it.
     pub fn new(
         gaps: Gaps,
         health: StoreHealth,
@@ -36,8 +36,9 @@
         SendPermit { gaps, health, messages, granted, wanted }
     }
 
-    /// Whether items may be sent: there was no gap since the permit was granted. While the store does not answer, a granted
-    /// permit stays valid: the store cannot be asked, and a gateway without the store acknowledges no cancellation.
+    /// Whether items may be sent: there was no gap since the permit was granted. While the store does not answer, a
+    /// granted permit stays valid: the store cannot be asked, and a gateway without the store acknowledges no
+    /// cancellation.
     pub fn is_valid(&self) -> bool {
         let Some(granted) = self.granted.get() else { return false };
         granted == self.gaps.count() || self.health.is_lost()
--- a/crates/samphiredoor-gateway/src/jobs/stored.rs
+++ b/crates/samphiredoor-gateway/src/jobs/stored.rs
@@ -182,7 +182,8 @@
         if decided {
             return Err(ReadError::NotFound);
         }
-        // A job that is not accepted yet may be accepted soon, so a missing part does not mean that the item does not exist.
+        // A job that is not accepted yet may be accepted soon, so a missing part does not mean that the item does not
+        // exist.
         let items = self.items(job, &header).await.map_err(|_| ReadError::Unavailable)?;
         items.into_iter().find(|it| &*it.id == id).map(Arc::new).ok_or(ReadError::NotFound)
     }
--- a/crates/samphiredoor-gateway/src/jobs/submit.rs
+++ b/crates/samphiredoor-gateway/src/jobs/submit.rs
@@ -1,8 +1,8 @@
 //! Acceptance of submissions as durable jobs.
 //!
-//! The submission is split into parts, which are stored under keys with a digest of its content. The header is written at
-//! the same time, and the job is accepted once the header and all parts exist. A submission that is sent again finds the
-//! existing objects and gets the same answer.
+//! The submission is split into parts, which are stored under keys with a digest of its content. The header is written
+//! at the same time, and the job is accepted once the header and all parts exist. A submission that is sent again finds
+//! the existing objects and gets the same answer.
 
 use std::{
     pin::pin,
@@ -32,13 +32,14 @@
 /// Maximum number of jobs with a task in this process. Further submissions are refused, as their items would not run in
 /// time.
 const MAX_OPEN_JOBS: usize = 400;
-/// Time without an answer of the store after which a submission is also forwarded to another gateway. The store answers in
-/// a few milliseconds, and within about 300 ms when it is slow. After this delay, a gateway that the store answers still
-/// accepts the submission well within the callers' objective of 400 ms.
+/// Time without an answer of the store after which a submission is also forwarded to another gateway. The store answers
+/// in a few milliseconds, and within about 300 ms when it is slow. After this delay, a gateway that the store answers
+/// still accepts the submission well within the callers' objective of 400 ms.
 const FORWARD_DELAY: Duration = Duration::from_millis(200);
 /// Retry time in refusals.
 const RETRY_AFTER_MS: u64 = 300;
-/// Hexadecimal digits of the digest in the keys of parts; 64 bits suffice to tell apart submissions with the same job name.
+/// Hexadecimal digits of the digest in the keys of parts; 64 bits suffice to tell apart submissions with the same job
+/// name.
 const DIGEST_CHARS: usize = 16;
 
 /// A submission whose body was received but not parsed.
@@ -169,8 +170,8 @@
     }
 }
 
-/// Accepts a submission here. Runs in a task of its own, so that it completes even if the caller disconnects: the job may be
-/// stored by then, and needs an owner.
+/// Accepts a submission here. Runs in a task of its own, so that it completes even if the caller disconnects: the job
+/// may be stored by then, and needs an owner.
 async fn accept_locally(
     env: &Rc<JobEnv>,
     directory: &Directory,
@@ -188,8 +189,8 @@
                 let job = JobName::clone(&submitted.job);
                 let elapsed_ms = began.elapsed().as_millis() as u64;
                 log::info!(job = &*job, items = items.len(), elapsed_ms; "job: accepted");
-                // After this delay the submission is forwarded. The caller may have got its answer from the other gateway and
-                // cancelled the job there.
+                // After this delay the submission is forwarded. The caller may have got its answer from the other
+                // gateway and cancelled the job there.
                 let is_new = began.elapsed() < FORWARD_DELAY;
                 start(&env, &directory, JobOwnership { job, header, version, gaps, is_new }, items);
                 SubmissionOutcome::Accepted
@@ -241,8 +242,8 @@
     }
 }
 
-/// Writes parts and header concurrently. While parts are missing beside an existing header, the outcome is unknown, as they
-/// may be written when the submission is sent again.
+/// Writes parts and header concurrently. While parts are missing beside an existing header, the outcome is unknown, as
+/// they may be written when the submission is sent again.
 async fn accept(env: &JobEnv, submitted: &Submitted, header: &JobHeader) -> Acceptance {
     let parts = create_parts(env, submitted, header);
     match join(create_header(env, &submitted.job, header), parts).await {
@@ -285,8 +286,8 @@
     if doubtful { Acceptance::Unknown } else { Acceptance::NotAccepted }
 }
 
-/// Reads the existing header; `None` if it cannot be read. If it equals the own header, an earlier create whose answer was
-/// lost has written it.
+/// Reads the existing header; `None` if it cannot be read. If it equals the own header, an earlier create whose answer
+/// was lost has written it.
 async fn existing_header(env: &JobEnv, job: &JobName, header: &JobHeader) -> Option<Acceptance> {
     let (found, version) = env.current_header(job).await.ok()?;
     Some(if found == *header { Acceptance::New(version) } else { Acceptance::Earlier(found) })
--- a/crates/samphiredoor/tests/it/platform/ends.rs
+++ b/crates/samphiredoor/tests/it/platform/ends.rs
@@ -15,16 +15,17 @@
 const SLOW: Duration = Duration::from_millis(150);
 /// Enough to run for about twenty seconds.
 const ITEMS: usize = 200;
-/// Enough that other gateways sweep for jobs three times meanwhile.
-const ITEMS_FOR_THREE_SWEEPS: usize = 60;
-/// Time after which a gateway that never sent a heartbeat counts as gone in its own cell.
-const GONE_WITHOUT_HEARTBEAT: Duration = Duration::from_millis(3_200);
+/// Enough that other gateways scan for orphaned jobs three times meanwhile.
+const ITEMS_FOR_THREE_SCANS: usize = 60;
+/// Time after which a gateway that never sent a heartbeat counts as dead in its own cell.
+const DEAD_WITHOUT_HEARTBEAT: Duration = Duration::from_millis(3_200);
 /// Number of gateways that form two cells.
 const TWO_CELLS: usize = 14;
 /// First gateway of the second cell.
 const FIRST_OF_SECOND_CELL: usize = 9;
 
-/// Starts gateways that receive each other's heartbeats, with a target that is slow enough for a job to run for a while.
+/// Starts gateways that receive each other's heartbeats, with a target that is slow enough for a job to run for a
+/// while.
 fn gateways(count: usize) -> (Platform, PlatformTarget) {
     let mut platform = Platform::new(BINARY);
     let target = platform.start_target("t-1", SLOW);
@@ -39,8 +40,8 @@
     (platform, target)
 }
 
-/// Submits a job that the sweeps of other gateways do not find, as the store gives them an older list.
-fn submit_hidden_from_sweeps(platform: &Platform, target: &PlatformTarget, owner: usize) {
+/// Submits a job that the scans of other gateways do not find, as the store gives them an older list.
+fn submit_hidden_from_scans(platform: &Platform, target: &PlatformTarget, owner: usize) {
     platform.store.keep_for_stale_lists();
     assert_eq!(platform.submit_many(owner, "job-1", ITEMS).status, 202);
     wait_until("items run", || !target.runs().is_empty());
@@ -64,15 +65,15 @@
     assert_eq!(target.runs().len(), runs);
 }
 
-// The owner is alive and reaches the store, but the others never received a heartbeat from it. Guards against acknowledging
-// the cancellation without the owner because it seems to be gone.
+// The owner is alive and reaches the store, but the others never received a heartbeat from it. Guards against
+// acknowledging the cancellation without the owner because it seems to be dead.
 #[test]
 fn a_cancellation_reaches_an_owner_that_never_sent_a_heartbeat() {
     let (mut platform, target) = gateways(2);
-    std::thread::sleep(GONE_WITHOUT_HEARTBEAT);
+    std::thread::sleep(DEAD_WITHOUT_HEARTBEAT);
     platform.way_fault = StoreFault::GatewaysHidden;
     let owner = platform.start_gateway();
-    submit_hidden_from_sweeps(&platform, &target, owner);
+    submit_hidden_from_scans(&platform, &target, owner);
     wait_cancelled(&platform, 0);
     assert_stopped(&platform, &target, owner);
 }
@@ -95,8 +96,8 @@
     platform.restart_gateway(0);
     platform.wait_ready(0);
     platform.wait_logged(0, "peers: cells worked out cells=2");
-    std::thread::sleep(GONE_WITHOUT_HEARTBEAT);
-    submit_hidden_from_sweeps(&platform, &target, FIRST_OF_SECOND_CELL);
+    std::thread::sleep(DEAD_WITHOUT_HEARTBEAT);
+    submit_hidden_from_scans(&platform, &target, FIRST_OF_SECOND_CELL);
     wait_cancelled(&platform, 0);
     assert_stopped(&platform, &target, FIRST_OF_SECOND_CELL);
 }
@@ -109,20 +110,21 @@
     platform.way_fault = StoreFault::GatewaysHidden;
     platform.restart_gateway(1);
     platform.wait_ready(1);
-    submit_hidden_from_sweeps(&platform, &target, 1);
+    submit_hidden_from_scans(&platform, &target, 1);
     wait_cancelled(&platform, 0);
     assert_stopped(&platform, &target, 1);
 }
 
-// The others have not read the registration of the owner yet. Guards against taking over its jobs, which ran each item twice.
+// The others have not read the registration of the owner yet. Guards against taking over its jobs, which ran each item
+// twice.
 #[test]
 fn a_job_is_not_taken_over_from_a_live_owner_that_never_sent_a_heartbeat() {
     let (mut platform, _target) = gateways(2);
-    std::thread::sleep(GONE_WITHOUT_HEARTBEAT);
+    std::thread::sleep(DEAD_WITHOUT_HEARTBEAT);
     platform.way_fault = StoreFault::GatewaysHidden;
     let owner = platform.start_gateway();
-    assert_eq!(platform.submit_many(owner, "job-1", ITEMS_FOR_THREE_SWEEPS).status, 202);
-    platform.all_results(owner, "job-1", ITEMS_FOR_THREE_SWEEPS);
+    assert_eq!(platform.submit_many(owner, "job-1", ITEMS_FOR_THREE_SCANS).status, 202);
+    platform.all_results(owner, "job-1", ITEMS_FOR_THREE_SCANS);
     for other in [0, 1] {
         assert_eq!(platform.times_logged(other, "job: taken"), 0, "taken over by gateway-{other}");
     }
@@ -132,7 +134,7 @@
 #[test]
 fn a_resumed_owner_runs_no_item_of_a_cancelled_job() {
     let (mut platform, target) = gateways(3);
-    submit_hidden_from_sweeps(&platform, &target, 0);
+    submit_hidden_from_scans(&platform, &target, 0);
     platform.gateway(0).signal("STOP");
     wait_cancelled(&platform, 1);
     platform.gateway(0).signal("CONT");
@@ -180,7 +182,7 @@
         #[test]
         fn $name() {
             let (mut platform, target) = gateways(3);
-            submit_hidden_from_sweeps(&platform, &target, 0);
+            submit_hidden_from_scans(&platform, &target, 0);
             let (gap, over): (fn(&mut Platform), fn(&mut Platform)) = ($gap, $over);
             gap(&mut platform);
             platform.store.put("jobends", "job-1", json!({}));
@@ -190,8 +192,8 @@
     )*};
 }
 
-// The owner is cut off from the other gateways or from the store, so that they may acknowledge a cancellation without it. It
-// must then find the cancellation in the store by itself.
+// The owner is isolated from the other gateways or from the store, so that they may acknowledge a cancellation without
+// it. It must then find the cancellation in the store by itself.
 finds_cancellation! {
     an_owner_without_heartbeats_from_others_finds_the_cancellation:
         |it| [1, 2].iter().for_each(|number| it.signal(*number, "STOP")),
--- a/crates/samphiredoor/tests/it/platform/jobs.rs
+++ b/crates/samphiredoor/tests/it/platform/jobs.rs
@@ -1,5 +1,5 @@
-//! Batch jobs on a fleet of gateways: a job is accepted once, each item gets one result, and results keep their positions at
-//! every gateway, also after crashes, pauses and store faults.
+//! Batch jobs on a fleet of gateways: a job is accepted once, each item gets one result, and results keep their
+//! positions at every gateway, also after crashes, pauses and store faults.
 
 use std::time::Duration;
 
@@ -71,8 +71,8 @@
     }
 }
 
-// An item that a target rejects permanently, or that fails as often as the route allows, is reported as failed and not run
-// again.
+// An item that a target rejects permanently, or that fails as often as the route allows, is reported as failed and not
+// run again.
 #[test]
 fn items_that_fail_permanently_are_reported_as_failed() {
     let (platform, target) = two_gateways(FAST);
@@ -113,8 +113,8 @@
     assert!(target.runs().is_empty());
 }
 
-// The gateway that accepted a job is killed before any item is finished. Another one must take the job over and record each
-// result once.
+// The gateway that accepted a job is killed before any item is finished. Another one must take the job over and record
+// each result once.
 #[test]
 fn a_job_survives_a_crash_of_its_owner() {
     let (mut platform, _target) = two_gateways(SLOW);
@@ -124,13 +124,13 @@
     assert_eq!(ids(&results), ITEMS);
 }
 
-// The gateway that owns a job is killed while its items are half done. Guards against losing their partial outputs: with a
-// hundred half-done items, running them again from the beginning wasted half a minute of the fleet's work.
+// The gateway that owns a job is killed while its items are half done. Guards against losing their partial outputs:
+// with a hundred half-done items, running them again from the beginning wasted half a minute of the fleet's work.
 #[test]
 fn items_resume_after_a_crash_of_their_owner() {
     let (mut platform, target) = two_gateways(Duration::from_millis(1_200));
-    // With three gateways, the two that remain still receive heartbeats from half of the others, so they do not count as cut
-    // off.
+    // With three gateways, the two that remain still receive heartbeats from half of the others, so they do not count
+    // as off.
     platform.start_gateway();
     platform.wait_logged(2, "peers: heard");
     assert_eq!(platform.submit(0, "job-1", &ITEMS).status, 202);
@@ -142,8 +142,8 @@
     assert_eq!(begun, ITEMS.len(), "each item is started once");
 }
 
-// A caller cancels a job at a gateway that has just started and has received no heartbeats yet. Guards against acknowledging
-// the cancellation because the owner seems to be gone, while its items run on.
+// A caller cancels a job at a gateway that has just started and has received no heartbeats yet. Guards against
+// acknowledging the cancellation because the owner seems to be dead, while its items run on.
 #[test]
 fn a_cancellation_at_a_new_gateway_reaches_the_owner() {
     let (mut platform, target) = two_gateways(SLOW);
@@ -167,7 +167,7 @@
     platform.set_way_fault(0, StoreFault::WatchesSilent);
     platform.start_gateway();
     platform.start_gateway();
-    // Without heartbeats for this long, the others consider the owner gone.
+    // Without heartbeats for this long, the others declare the owner dead.
     std::thread::sleep(Duration::from_secs(4));
     assert_eq!(platform.submit_many(0, "job-1", 200).status, 202);
     wait_until("the end is acknowledged", || platform.end(1, "job-1").status == 200);
@@ -179,9 +179,9 @@
     assert_eq!(target.runs().len(), runs, "no item of 200 runs on");
 }
 
-// A job is taken over from a gateway that was killed and restarted, so that only the new owner can append to its log. Guards
-// against an owner that still reads the store for segments of others at each read: three times a second for each job that is
-// read.
+// A job is taken over from a gateway that was killed and restarted, so that only the new owner can append to its log.
+// Guards against an owner that still reads the store for segments of others at each read: three times a second for each
+// job that is read.
 #[test]
 fn reads_after_a_takeover_from_a_restarted_owner_make_no_store_calls() {
     let (mut platform, _target) = two_gateways(Duration::from_millis(1_800));
@@ -205,8 +205,8 @@
     assert_eq!(reads() - before, 0);
 }
 
-// The owner of a job is paused, another gateway takes the job over and finishes it, and the owner resumes with results of its
-// own. Both must return the same results at the same positions.
+// The owner of a job is paused, another gateway takes the job over and finishes it, and the owner resumes with results
+// of its own. Both must return the same results at the same positions.
 #[test]
 fn a_resumed_former_owner_does_not_move_results() {
     let (mut platform, _target) = two_gateways(SLOW);
@@ -220,8 +220,8 @@
     assert_eq!(platform.all_results(1, "job-1", ITEMS.len()), results);
 }
 
-// A job's results are due to be written while the store does not answer. Guards against a job task that waits for a time in
-// the past without yielding: it blocked the whole process, and no caller was answered any more.
+// A job's results are due to be written while the store does not answer. Guards against a job task that waits for a
+// time in the past without yielding: it blocked the whole process, and no caller was answered any more.
 #[test]
 fn online_requests_are_answered_while_results_cannot_be_written() {
     let (platform, target) = two_gateways(FAST);
@@ -238,8 +238,9 @@
     assert_eq!(ids(&platform.all_results(0, "job-1", ITEMS.len())), ITEMS);
 }
 
-// Only one gateway is cut off from the store and stops its runs; then the store becomes unavailable for all. Guards against
-// job tasks that check the ownership again as soon as they are refused: a thousand calls a second, each of which is charged.
+// Only one gateway is isolated from the store and stops its runs; then the store becomes unavailable for all. Guards
+// against job tasks that check the ownership again as soon as they are refused: a thousand calls a second, each of
+// which is charged.
 #[test]
 fn ownership_checks_are_limited_while_the_store_is_unavailable() {
     let (platform, _target) = two_gateways(Duration::from_secs(2));
@@ -255,14 +256,14 @@
     let reads = || platform.store.calls().get("GET orderedjobs").copied().unwrap_or(0);
     let before = reads();
     std::thread::sleep(Duration::from_secs(1));
-    // One every 150 ms, and the sweeps of two gateways.
+    // One every 150 ms, and the scans of two gateways.
     assert!(reads() - before <= 10, "{} reads in a second", reads() - before);
 }
 
-// The store does not answer any gateway for some seconds, and the owner of a job notices that before the other gateway does.
-// Guards against an owner that considers itself the only one without the store: it stopped all items and started them again
-// after the outage, so that results came seconds later although nobody could have taken over the job. In an outage of three
-// seconds this was logged at five of nine gateways.
+// The store does not answer any gateway for some seconds, and the owner of a job notices that before the other gateway
+// does. Guards against an owner that considers itself the only one without the store: it stopped all items and started
+// them again after the outage, so that results came seconds later although nobody could have taken over the job. In an
+// outage of three seconds this was logged at five of nine gateways.
 #[test]
 fn a_store_outage_for_all_gateways_stops_no_item() {
     let mut platform = Platform::new(BINARY);
@@ -315,8 +316,8 @@
     };
 }
 
-// The store stops answering one gateway and serves the other. Guards against refusing submissions at the first one, each
-// after some seconds of waiting for the store: the other gateway must accept them in its place.
+// The store stops answering one gateway and serves the other. Guards against refusing submissions at the first one,
+// each after some seconds of waiting for the store: the other gateway must accept them in its place.
 store_fails_for_one_gateway! {
     a_submission_is_forwarded_when_the_store_is_silent: Silent,
     a_submission_is_forwarded_when_the_store_refuses: Busy,
@@ -333,8 +334,8 @@
     assert_eq!(target.runs().len(), ITEMS.len());
 }
 
-// Each call to a slow store takes a quarter of a second, and the submission must be acknowledged in less than half a second.
-// So the header must not wait for the parts.
+// Each call to a slow store takes a quarter of a second, and the submission must be acknowledged in less than half a
+// second. So the header must not wait for the parts.
 #[test]
 fn a_submission_is_written_in_one_round_trip() {
     let (platform, _target) = two_gateways(FAST);
@@ -343,8 +344,8 @@
     assert_eq!(ids(&platform.all_results(1, "job-1", ITEMS.len())), ITEMS);
 }
 
-// The header of a job exists without its parts. The job is not accepted, but no answer may rule out that it will be: when its
-// caller sends it again, each item runs once.
+// The header of a job exists without its parts. The job is not accepted, but no answer may rule out that it will be:
+// when its caller sends it again, each item runs once.
 #[test]
 fn a_job_with_missing_parts_can_be_resubmitted() {
     let (platform, target) = two_gateways(FAST);
@@ -358,8 +359,9 @@
     assert_eq!(target.runs().len(), ITEMS.len());
 }
 
-// The header of a job is written at once, its parts only later. Meanwhile its caller cancels it at another gateway, which
-// cannot tell the owner, as that has not started the job. The owner must find the cancellation when it starts the job.
+// The header of a job is written at once, its parts only later. Meanwhile its caller cancels it at another gateway,
+// which cannot tell the owner, as that has not started the job. The owner must find the cancellation when it starts the
+// job.
 #[test]
 fn a_job_cancelled_before_it_starts_is_not_run() {
     let (platform, target) = two_gateways(FAST);
@@ -385,8 +387,8 @@
 macro_rules! store_fails_for_all {
     ($($name:ident: $fault:expr;)*) => {
         $(
-            // Answers of the store are lost, and some calls take effect long after their timeout. The job must be accepted
-            // once, and each item must have one result.
+            // Answers of the store are lost, and some calls take effect long after their timeout. The job must be
+            // accepted once, and each item must have one result.
             #[test]
             fn $name() {
                 let (platform, _target) = two_gateways(FAST);
