--- a/crates/samphiredoor-gateway/src/jobs/item_run.rs
+++ b/crates/samphiredoor-gateway/src/jobs/item_run.rs
@@ -173,9 +173,7 @@
     }
 
     async fn attempt(&self, route: &Route, call: &mut Call) -> Outcome {
-        let Some(service) = route.service(rand::random()) else {
-            return Outcome::RetryLater;
-        };
+        let Some(service) = route.service(rand::random()) else { return Outcome::RetryLater };
         let mut ticket = self.env.placer.ask(self.request_spec(service, &call.headers));
         let (target, address) = match ticket.placed().await {
             Placed::Go { target, address } => (target, address),
@@ -278,9 +276,7 @@
                     events.push(&frame.into_data().unwrap_or_default());
                     self.output.borrow_mut().consume(&mut events);
                 }
-                Some(Some(Some(Err(_)))) => {
-                    return (Outcome::ResponseLost, AttemptEnd::Lost);
-                }
+                Some(Some(Some(Err(_)))) => return (Outcome::ResponseLost, AttemptEnd::Lost),
                 Some(Some(None)) if events.take_rest().is_empty() => {
                     return (
                         Outcome::Finished(self.output.borrow().complete()),
--- a/crates/samphiredoor-gateway/src/jobs/mod.rs
+++ b/crates/samphiredoor-gateway/src/jobs/mod.rs
@@ -1,4 +1,4 @@
-//! Batch jobs: each is accepted once, run by one gateway at a time, and readable through every gateway.
+//! Batch jobs: each is accepted once, run by the gateway that owns it, and readable through every gateway.
 //!
 //! `submit` makes a job durable, `pass_on` forwards a submission to another gateway when the store does not answer this
 //! one. `job_task` runs a job that this process owns, `item_run` runs one of its items. `reads` answers callers and
