--- a/crates/samphiredoor-gateway/src/jobs/orphan_scan.rs
+++ b/crates/samphiredoor-gateway/src/jobs/orphan_scan.rs
@@ -172,7 +172,7 @@
 }
 
 /// Asks an owner from which no heartbeat was ever received whether it is alive; `false` without asking for any other
-/// owner. A gateway that is new in the fleet is not in their list of peers until they have read its registration.
+/// owner. Heartbeats of a gateway that is new in the fleet are only accepted by peers that have read its registration.
 async fn confirms_alive(env: &JobEnv, owner: &JobOwner) -> bool {
     let (process, incarnation) = (Name::from(&*owner.process), owner.incarnation);
     if process.is_empty() || process == env.name || env.roster.was_heard(&process, incarnation) {
--- a/crates/samphiredoor/tests/it/platform/ends.rs
+++ b/crates/samphiredoor/tests/it/platform/ends.rs
@@ -48,7 +48,7 @@
 }
 
 fn wait_cancelled(platform: &Platform, at: usize) {
-    wait_until("the end is acknowledged", || platform.end(at, "job-1").status == 200);
+    wait_until("the cancellation is acknowledged", || platform.end(at, "job-1").status == 200);
 }
 
 /// Waits until the owner has stopped the job, and checks that it did not run all items.
--- a/crates/samphiredoor/tests/it/platform/jobs.rs
+++ b/crates/samphiredoor/tests/it/platform/jobs.rs
@@ -130,7 +130,7 @@
 fn items_resume_after_a_crash_of_their_owner() {
     let (mut platform, target) = two_gateways(Duration::from_millis(1_200));
     // With three gateways, the two that remain still receive heartbeats from half of the others, so they do not count
-    // as off.
+    // as isolated.
     platform.start_gateway();
     platform.wait_logged(2, "peers: heard");
     assert_eq!(platform.submit(0, "job-1", &ITEMS).status, 202);
@@ -150,7 +150,7 @@
     assert_eq!(platform.submit_many(0, "job-1", 40).status, 202);
     wait_until("items run", || !target.runs().is_empty());
     let started = platform.start_gateway();
-    wait_until("the end is acknowledged", || platform.end(started, "job-1").status == 200);
+    wait_until("the cancellation is acknowledged", || platform.end(started, "job-1").status == 200);
     std::thread::sleep(SLOW);
     let runs = target.runs().len();
     std::thread::sleep(SLOW * 10);
@@ -170,7 +170,7 @@
     // Without heartbeats for this long, the others declare the owner dead.
     std::thread::sleep(Duration::from_secs(4));
     assert_eq!(platform.submit_many(0, "job-1", 200).status, 202);
-    wait_until("the end is acknowledged", || platform.end(1, "job-1").status == 200);
+    wait_until("the cancellation is acknowledged", || platform.end(1, "job-1").status == 200);
     platform.set_way_fault(0, StoreFault::None);
     platform.wait_logged(1, "peers: heard peer=gateway-0");
     std::thread::sleep(Duration::from_secs(6));
@@ -263,7 +263,7 @@
 // The store does not answer any gateway for some seconds, and the owner of a job notices that before the other gateway
 // does. Guards against an owner that considers itself the only one without the store: it stopped all items and started
 // them again after the outage, so that results came seconds later although nobody could have taken over the job. In an
-// outage of three seconds this was logged at five of nine gateways.
+// outage of three seconds, five of nine gateways logged that they stopped their runs.
 #[test]
 fn a_store_outage_for_all_gateways_stops_no_item() {
     let mut platform = Platform::new(BINARY);
