--- a/crates/samphiredoor-gateway/src/jobs/pass_on.rs
+++ b/crates/samphiredoor-gateway/src/jobs/forward.rs
@@ -16,11 +16,11 @@
 
 use super::{
     JobEnv,
-    submit::{SubmissionOutcome, Submitted},
+    submit::{SubmissionOutcome, SubmittedJob},
 };
 
 /// Path prefix of forwarded submissions.
-pub const ROOT: &str = "/submissions";
+pub const PATH_PREFIX: &str = "/submissions";
 /// Most gateways that are tried until one can be reached.
 const MAX_PEERS: usize = 3;
 /// Timeout for connecting; a round trip between regions takes 24 ms.
@@ -30,8 +30,8 @@
 const MAX_ANSWER_BYTES: usize = 64 * 1024;
 
 /// Forwards a submission to the nearest gateways in turn, until one can be reached, and returns its outcome.
-pub async fn pass_on(env: &JobEnv, submitted: &Submitted) -> SubmissionOutcome {
-    let takers = env.roster.takers();
+pub async fn forward(env: &JobEnv, submitted: &SubmittedJob) -> SubmissionOutcome {
+    let takers = env.roster.takeover_candidates();
     for address in takers.into_iter().take(MAX_PEERS) {
         let pool = Pool::new(address).with_connect_timeout(CONNECT_TIMEOUT);
         let end = match within(RESPONSE_TIMEOUT, send(env, &pool, submitted)).await {
@@ -53,9 +53,13 @@
     SubmissionOutcome::Refused
 }
 
-async fn send(env: &JobEnv, pool: &Pool, submitted: &Submitted) -> Result<StatusCode, SendError> {
+async fn send(
+    env: &JobEnv,
+    pool: &Pool,
+    submitted: &SubmittedJob,
+) -> Result<StatusCode, SendError> {
     let names = env.platform.dialect.headers();
-    let request = Request::post(format!("{ROOT}{}", submitted.path))
+    let request = Request::post(format!("{PATH_PREFIX}{}", submitted.path))
         .header(header::HOST, &submitted.host)
         .header(&names.request_id, &*submitted.job)
         .body(Body::full(Bytes::clone(&submitted.body)))
--- a/crates/samphiredoor-gateway/src/jobs/item_run.rs
+++ b/crates/samphiredoor-gateway/src/jobs/item_run.rs
@@ -20,7 +20,7 @@
     Name,
     dispatch::Class,
     ordered::{Item, ItemEnd, JobName, OutputPart, PartialOutput},
-    placement::{Ask, AttemptEnd},
+    placement::{AttemptEnd, RequestSpec},
     routes::{Route, RouteKind, RouteTable},
 };
 use samphiredoor_net::{
@@ -33,7 +33,7 @@
 use super::{JobEnv, send_permit::SendPermit};
 use crate::{
     events::{EventBuffer, is_event_stream},
-    placement::{Placed, Ticket},
+    placement::{Decision, Ticket},
     target_client,
 };
 
@@ -174,11 +174,11 @@
 
     async fn attempt(&self, route: &Route, call: &mut Call) -> Outcome {
         let Some(service) = route.service(rand::random()) else { return Outcome::RetryLater };
-        let mut ticket = self.env.placer.ask(self.request_spec(service, &call.headers));
-        let (target, address) = match ticket.placed().await {
-            Placed::Go { target, address } => (target, address),
-            Placed::Refused { .. } => return Outcome::RetryLater,
-            Placed::Recalled => return Outcome::Resume,
+        let mut ticket = self.env.placement.request(self.request_spec(service, &call.headers));
+        let (target, address) = match ticket.next_decision().await {
+            Decision::Dispatch { target, address } => (target, address),
+            Decision::Refused { .. } => return Outcome::RetryLater,
+            Decision::Preempted => return Outcome::Resume,
         };
         if !self.permit.is_valid() {
             return Outcome::Resume;
@@ -190,7 +190,7 @@
             None => (Outcome::Resume, AttemptEnd::Cut),
             Some(Some(Ok(response))) => {
                 if let Some(load) = self.env.platform.dialect.reported_load(response.headers()) {
-                    self.env.placer.reported(&target, load);
+                    self.env.placement.report_load(&target, load);
                 }
                 self.read_response(response, &mut ticket).await
             }
@@ -211,27 +211,27 @@
             let ran_ms = self.env.clock.now().mono_ms - began_ms;
             self.output.borrow_mut().ran_ms += ran_ms;
         }
-        ticket.ended(end);
+        ticket.report_end(end);
         outcome
     }
 
-    fn request_spec(&self, service: &Name, headers: &HeaderMap) -> Ask {
-        Ask {
-            request: self.env.placer.next_request(),
+    fn request_spec(&self, service: &Name, headers: &HeaderMap) -> RequestSpec {
+        RequestSpec {
+            request: self.env.placement.next_request(),
             class: Class::Batch,
             service: Name::clone(service),
             priority: 0,
             affinity: self.env.platform.dialect.affinity(headers),
-            tried: SmallVec::new(),
-            until_ms: self.due_at_ms,
-            ran_ms: self.output.borrow().ran_ms,
+            tried_targets: SmallVec::new(),
+            deadline_ms: self.due_at_ms,
+            prior_run_ms: self.output.borrow().ran_ms,
         }
     }
 
     fn set_headers(&self, call: &mut Call, target: &Name) {
         let names = self.env.platform.dialect.headers();
         let left = self.give_up_at.saturating_duration_since(Instant::now()).min(MAX_ATTEMPT_TIME);
-        target_client::address(call, names, target, left);
+        target_client::set_target_headers(call, names, target, left);
         if let Some(last) = self.last_event() {
             call.headers.insert(names.last_event_id.clone(), HeaderValue::from(last));
         }
@@ -242,7 +242,9 @@
         response: hyper::Response<Answer>,
         ticket: &mut Ticket,
     ) -> (Outcome, AttemptEnd) {
-        if let Some(end) = target_client::not_run(self.env.platform.dialect.headers(), &response) {
+        if let Some(end) =
+            target_client::not_run_reason(self.env.platform.dialect.headers(), &response)
+        {
             return (Outcome::RetryLater, end);
         }
         let (parts, body) = response.into_parts();
@@ -332,7 +334,7 @@
 /// Waits for a future or for the preemption of the attempt; `None` if it was preempted.
 async fn or_preempted<F: Future>(ticket: &mut Ticket, future: F) -> Option<F::Output> {
     let future = std::pin::pin!(future);
-    let preempted = std::pin::pin!(ticket.placed());
+    let preempted = std::pin::pin!(ticket.next_decision());
     match select(future, preempted).await {
         Either::Left((output, _)) => Some(output),
         Either::Right(_) => None,
--- a/crates/samphiredoor-gateway/src/jobs/job_task/ending.rs
+++ b/crates/samphiredoor-gateway/src/jobs/job_task/ending.rs
@@ -31,7 +31,7 @@
 
     pub(super) fn lose_ownership(&mut self) {
         log::info!(job = &*self.ownership.job; "job: another process owns it");
-        self.env.metrics.job("lost");
+        self.env.metrics.job_event("lost");
         self.stop_runs();
         self.phase = Phase::Done;
     }
@@ -43,8 +43,8 @@
 
     /// Marks the job as finished in its header, so that no process takes it over.
     pub(super) fn close(&mut self, how: &'static str) {
-        log::info!(job = &*self.ownership.job, how, results = self.log.standing().len(); "job: closed");
-        self.env.metrics.job(how);
+        log::info!(job = &*self.ownership.job, how, results = self.log.committed().len(); "job: closed");
+        self.env.metrics.job_event(how);
         self.phase = Phase::Closing;
         self.ownership.header.finished = true;
         self.write_header();
@@ -65,14 +65,14 @@
         if now < until {
             return;
         }
-        if self.log_call_in_flight || self.queue_outputs(now) || !self.log.is_settled() {
+        if self.log_call_in_flight || self.queue_outputs(now) || !self.log.is_flushed() {
             // Writes the pending results at once instead of batching them, as the hand-over waits for them.
             self.write_at = Some(now);
             self.phase = Phase::HandingOver(now + STORE_RETRY_PAUSE);
             return;
         }
         log::info!(job = &*self.ownership.job, outputs = self.outputs.len(); "job: handed over");
-        self.env.metrics.job("handed_over");
+        self.env.metrics.job_event("handed_over");
         self.phase = Phase::Closing;
         self.ownership.header.owner.process.clear();
         self.write_header();
--- a/crates/samphiredoor-gateway/src/jobs/job_task/mod.rs
+++ b/crates/samphiredoor-gateway/src/jobs/job_task/mod.rs
@@ -30,7 +30,7 @@
     JobEnv, directory::Directory, item_run::SharedOutput, send_permit::SendPermit,
     stored::ReadError, submit::duration_until,
 };
-use crate::edge::ResultsPage;
+use crate::platform_api::ResultsPage;
 
 /// Interval at which a running job checks whether this process is isolated from the store.
 const STORE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
@@ -192,7 +192,7 @@
         let due_in = duration_until(&env, ownership.header.due_unix_ms).as_millis() as u64;
         let due_at_ms = env.clock.now().mono_ms + due_in;
         let granted = ownership.is_new.then_some(ownership.gaps);
-        let (gaps, health) = (env.gaps.clone(), env.health.clone());
+        let (gaps, health) = (env.liveness_gaps.clone(), env.health.clone());
         let permit = Rc::new(SendPermit::new(gaps, health, messages.clone(), granted));
         JobTask {
             permit,
@@ -251,7 +251,7 @@
                 self.readers.push(Reader { after, arrived: Instant::now(), until, reply });
             }
             JobMessage::Item { id, reply } => {
-                let found = self.items.find(&id).filter(|(item, _)| !self.log.is_decided(*item));
+                let found = self.items.find(&id).filter(|(item, _)| !self.log.has_result(*item));
                 let _ = reply.send(found.map(|(_, it)| Arc::clone(it)));
             }
             JobMessage::RunEnded { item, end } => self.run_ended(item, end),
@@ -312,6 +312,6 @@
     }
 
     fn is_complete(&self) -> bool {
-        self.log.standing().len() as u32 == self.items.len()
+        self.log.committed().len() as u32 == self.items.len()
     }
 }
--- a/crates/samphiredoor-gateway/src/jobs/job_task/results.rs
+++ b/crates/samphiredoor-gateway/src/jobs/job_task/results.rs
@@ -11,7 +11,7 @@
 };
 
 use super::{JobMessage, JobTask, Phase, ReadReply, Reader};
-use crate::{edge::ResultsPage, jobs::STORE_RETRY_PAUSE};
+use crate::{jobs::STORE_RETRY_PAUSE, platform_api::ResultsPage};
 
 /// Minimum time between two reads for segments of other processes; callers poll twice a second.
 const FOREIGN_CHECK_INTERVAL: Duration = Duration::from_millis(300);
@@ -25,7 +25,7 @@
 impl JobTask {
     pub(super) fn advance_log(&mut self, now: Instant) {
         let due = self.write_at.is_some_and(|it| it <= now);
-        let reading = !self.log.is_read() && self.write_at.is_none();
+        let reading = !self.log.is_caught_up() && self.write_at.is_none();
         if self.log_call_in_flight || !self.is_active() || !(due || reading) {
             return;
         }
@@ -68,7 +68,7 @@
 
     pub(super) fn log_call_answered(&mut self, answer: &StoreAnswer) {
         self.log_call_in_flight = false;
-        let before = self.log.standing().len();
+        let before = self.log.committed().len();
         let step = self.log.answered(answer);
         if let Some(since) = self.foreign_check_at
             && *answer == StoreAnswer::Absent
@@ -83,14 +83,14 @@
             }
             step => self.run_log_step(step),
         }
-        let standing = self.log.standing().len();
+        let standing = self.log.committed().len();
         if !matches!(answer, StoreAnswer::Unavailable | StoreAnswer::Unknown) {
             self.store_failures = 0;
         }
         if standing > before {
             log::info!(job = &*self.ownership.job, standing, items = self.items.len(); "job: results committed");
         }
-        if self.log.take_foreign() && self.items_started {
+        if self.log.take_other_writer_seen() && self.items_started {
             self.spawn_store_call(
                 StoreOp::Get { key: header_key(&self.ownership.job) },
                 JobMessage::HeaderRead,
@@ -105,7 +105,7 @@
     }
 
     pub(super) fn answer_readers(&mut self, now: Instant) {
-        if !self.log.is_read() && !self.items_started {
+        if !self.log.is_caught_up() && !self.items_started {
             return;
         }
         let readers = std::mem::take(&mut self.readers);
@@ -120,7 +120,7 @@
     }
 
     pub(super) fn reply_to(&self, reader: &Reader, now: Instant) -> Option<ReadReply> {
-        let standing = self.log.standing().len();
+        let standing = self.log.committed().len();
         if reader.after < standing || self.is_complete() {
             return Some(ReadReply::Page(self.page(reader.after.min(standing))));
         }
@@ -137,7 +137,9 @@
     /// and readers that got its results from it must also get them here. A process that receives heartbeats from less
     /// than half of the fleet may itself be such a former owner.
     pub(super) fn may_have_other_writers(&self) -> bool {
-        self.may_have_been_taken || self.former_owner_may_write() || !self.env.roster.hears_most()
+        self.may_have_been_taken
+            || self.former_owner_may_write()
+            || !self.env.roster.at_least_half_live()
     }
 
     /// Whether a former owner may still append. After a restart it does not, except for a last write that takes effect
@@ -160,7 +162,7 @@
             && !self.log_call_in_flight
         {
             self.foreign_check_at = Some(Instant::now());
-            self.log.reread();
+            self.log.request_reread();
             let step = self.log.step();
             self.run_log_step(step);
         }
@@ -171,7 +173,7 @@
     }
 
     pub(super) fn page(&self, after: usize) -> ResultsPage {
-        let results = page_of(&self.log.standing()[after..]);
+        let results = page_of(&self.log.committed()[after..]);
         ResultsPage { total: self.items.len() as usize, next: after + results.len(), results }
     }
 }
--- a/crates/samphiredoor-gateway/src/jobs/job_task/runs.rs
+++ b/crates/samphiredoor-gateway/src/jobs/job_task/runs.rs
@@ -50,7 +50,7 @@
     fn check_ownership(&mut self) {
         self.checking = true;
         let (env, messages) = (Rc::clone(&self.env), self.messages.clone());
-        let (job, gaps) = (JobName::clone(&self.ownership.job), self.env.gaps.count());
+        let (job, gaps) = (JobName::clone(&self.ownership.job), self.env.liveness_gaps.count());
         let is_known = gaps == self.ownership.gaps;
         compio::runtime::spawn(async move {
             let header = async {
@@ -112,16 +112,16 @@
     }
 
     pub(super) fn start_items(&mut self) {
-        if self.items_started || self.suspended || !self.log.is_read() {
+        if self.items_started || self.suspended || !self.log.is_caught_up() {
             return;
         }
         self.items_started = true;
-        for (item, output) in self.log.take_kept() {
+        for (item, output) in self.log.take_saved_outputs() {
             self.outputs
                 .entry(item)
                 .or_insert_with(|| Rc::new(RefCell::new(Output::from_saved(output))));
         }
-        let open: Vec<u32> = (0..self.items.len()).filter(|it| !self.log.is_decided(*it)).collect();
+        let open: Vec<u32> = (0..self.items.len()).filter(|it| !self.log.has_result(*it)).collect();
         for item in open {
             self.start_run(item);
         }
@@ -162,13 +162,13 @@
 
     pub(super) fn run_ended(&mut self, item: u32, end: ItemEnd) {
         self.runs.remove(&item);
-        if self.log.is_decided(item) || matches!(self.phase, Phase::Closing | Phase::Retained(_)) {
+        if self.log.has_result(item) || matches!(self.phase, Phase::Closing | Phase::Retained(_)) {
             return;
         }
-        match self.items.ended(item, end) {
+        match self.items.run_ended(item, end) {
             ItemStep::Record(result) => self.record(result),
-            ItemStep::Again { pause_ms } => {
-                self.retries.push((Instant::now() + Duration::from_millis(pause_ms), item));
+            ItemStep::Retry { backoff_ms } => {
+                self.retries.push((Instant::now() + Duration::from_millis(backoff_ms), item));
             }
         }
     }
@@ -218,7 +218,7 @@
         self.give_up_at = Instant::now() + FAR_FUTURE;
         for item in 0..self.items.len() {
             if let ItemStep::Record(result) = self.items.give_up(item)
-                && !self.log.is_decided(item)
+                && !self.log.has_result(item)
             {
                 log::warn!(job = &*self.ownership.job, item = &*result.id; "job: item given up, its deadline has passed");
                 self.record(result);
--- a/crates/samphiredoor-gateway/src/jobs/gaps.rs
+++ b/crates/samphiredoor-gateway/src/jobs/liveness_gaps.rs
@@ -31,7 +31,7 @@
 
 /// Shared handle to the gap detector of this process.
 #[derive(Clone)]
-pub struct Gaps {
+pub struct LivenessGaps {
     state: Rc<State>,
 }
 
@@ -53,9 +53,9 @@
     isolated_since: Cell<Option<Instant>>,
 }
 
-impl Gaps {
+impl LivenessGaps {
     /// Creates a detector that counts gaps from now on.
-    pub fn new(clock: Clock, roster: Roster, health: StoreHealth) -> Gaps {
+    pub fn new(clock: Clock, roster: Roster, health: StoreHealth) -> LivenessGaps {
         let state = State {
             checked: Cell::new(clock.now()),
             clock,
@@ -67,13 +67,13 @@
             was_connected: Cell::default(),
             isolated_since: Cell::default(),
         };
-        Gaps { state: Rc::new(state) }
+        LivenessGaps { state: Rc::new(state) }
     }
 
     /// Number of gaps so far, including one that has just ended.
     pub fn count(&self) -> u64 {
         self.check_clocks();
-        self.state.recorded.get() + self.state.health.regains()
+        self.state.recorded.get() + self.state.health.recoveries()
     }
 
     /// Checks for gaps periodically for as long as the process runs.
@@ -100,7 +100,7 @@
     }
 
     fn check_store(&self) {
-        let regains = self.state.health.regains();
+        let regains = self.state.health.recoveries();
         if self.state.handled_recoveries.replace(regains) != regains {
             self.state.settles_at.set(Some(Instant::now() + SETTLE_TIME));
         }
@@ -109,7 +109,7 @@
     fn check_peers(&self) {
         let state = &self.state;
         let is_over = |at: Instant| at.elapsed() >= ISOLATION_REPEAT;
-        match (state.roster.is_cut_off(), state.isolated_since.get()) {
+        match (state.roster.is_isolated(), state.isolated_since.get()) {
             (true, None) if state.was_connected.get() => self.set_isolated(Some(Instant::now())),
             (true, Some(at)) if is_over(at) => self.set_isolated(Some(Instant::now())),
             (true, _) => {}
--- a/crates/samphiredoor-gateway/src/jobs/mod.rs
+++ b/crates/samphiredoor-gateway/src/jobs/mod.rs
@@ -1,17 +1,17 @@
 //! Batch jobs: each is accepted once, run by the gateway that owns it, and readable through every gateway.
 //!
-//! `submit` makes a job durable, `pass_on` forwards a submission to another gateway when the store does not answer this
+//! `submit` makes a job durable, `forward` forwards a submission to another gateway when the store does not answer this
 //! one. `job_task` runs a job that this process owns, `item_run` runs one of its items. `reads` answers callers and
 //! other gateways, `peer_call` is the protocol between gateways, and `stored` reads jobs from the store. `orphan_scan`
-//! takes over jobs whose owner is dead. After `gaps`, in which other gateways may have taken over or cancelled a job,
-//! `send_permit` holds its items back until the store has been read again.
+//! takes over jobs whose owner is dead. After `liveness_gaps`, in which other gateways may have taken over or cancelled
+//! a job, `send_permit` holds its items back until the store has been read again.
 
 mod directory;
-mod gaps;
+pub mod forward;
 mod item_run;
 mod job_task;
+mod liveness_gaps;
 mod orphan_scan;
-pub mod pass_on;
 mod peer_call;
 mod reads;
 mod send_permit;
@@ -22,20 +22,20 @@
 
 use samphiredoor_core::{
     Name,
-    ordered::{JobHeader, JobName, JobOwner, end_key, header_key, read_header},
+    ordered::{JobHeader, JobName, JobOwner, cancellation_key, header_key, read_header},
     store::{StoreAnswer, StoreOp, Version},
 };
 use samphiredoor_net::clock::Clock;
 
-pub use gaps::Gaps;
+pub use liveness_gaps::LivenessGaps;
 pub use reads::Jobs;
-pub use submit::{Acceptors, Submitted};
+pub use submit::{Forwarding, SubmittedJob};
 
 use crate::{
-    edge::Platform,
     metrics::Metrics,
-    peers::{OwnedJob, Owners, Roster, STORE_LOST},
-    placement::Placer,
+    peers::{JobOwners, OwnedJob, Roster, STORE_LOST_AFTER},
+    placement::PlacementHandle,
+    platform_api::Platform,
     routes::Routes,
     store_health::StoreHealth,
     target_client::TargetClient,
@@ -61,25 +61,25 @@
     /// Routes in force.
     pub routes: Routes,
     /// Assigns requests to targets.
-    pub placer: Placer,
+    pub placement: PlacementHandle,
     /// Connections to targets.
     pub targets: TargetClient,
     /// Other gateways and their liveness.
     pub roster: Roster,
     /// Owners of jobs as announced by other gateways.
-    pub owners: Owners,
+    pub owners: JobOwners,
     /// Whether the store answers this process, and whether it answers other gateways.
     pub health: StoreHealth,
     /// Periods in which other gateways may have declared this process dead.
-    pub gaps: Gaps,
+    pub liveness_gaps: LivenessGaps,
     /// Channel on which newly owned jobs are announced to other gateways.
-    pub owned: flume::Sender<OwnedJob>,
+    pub announcements: flume::Sender<OwnedJob>,
     /// Metrics of this process.
     pub metrics: Rc<Metrics>,
     /// Monotonic and wall-clock time.
     pub clock: Clock,
     /// How long a job is kept after its submission.
-    pub keep: Duration,
+    pub retention: Duration,
     /// Whether a graceful shutdown has begun.
     pub stopping: Rc<Cell<bool>>,
 }
@@ -95,13 +95,13 @@
 
     /// Whether the store answers other gateways but not this process, so that they take over its jobs.
     fn is_isolated_from_store(&self) -> bool {
-        self.health.is_lost_for(STORE_LOST) && self.health.is_alone()
+        self.health.is_lost_for(STORE_LOST_AFTER) && self.health.is_lost_only_here()
     }
 
     /// Announces to other gateways that this process owns a job.
     fn announce_ownership(&self, job: &JobName, items: u32) {
         // Fails only while the process exits.
-        let _ = self.owned.send(OwnedJob { name: JobName::clone(job), items });
+        let _ = self.announcements.send(OwnedJob { name: JobName::clone(job), items });
     }
 
     /// Creates an object whose content follows from its key, so that an existing object counts as success. Returns
@@ -141,7 +141,7 @@
 
     /// Whether the caller has cancelled a job.
     async fn is_cancelled(&self, job: &JobName) -> Result<bool, ReadError> {
-        match self.call(StoreOp::Get { key: end_key(job) }).await {
+        match self.call(StoreOp::Get { key: cancellation_key(job) }).await {
             StoreAnswer::Object(_) => Ok(true),
             StoreAnswer::Absent => Ok(false),
             _ => Err(ReadError::Unavailable),
@@ -151,7 +151,7 @@
     async fn call(&self, op: StoreOp) -> StoreAnswer {
         let answer = self.platform.store.call(op).await;
         if !matches!(answer, StoreAnswer::Unavailable | StoreAnswer::Unknown) {
-            self.health.heard();
+            self.health.record_answer();
         }
         answer
     }
@@ -162,7 +162,7 @@
     let env = Rc::new(env);
     let directory = Directory::default();
     let stored = StoredJobs::new(Rc::clone(&env));
-    compio::runtime::spawn(env.gaps.clone().run()).detach();
+    compio::runtime::spawn(env.liveness_gaps.clone().run()).detach();
     compio::runtime::spawn(orphan_scan::run(Rc::clone(&env), directory.clone(), stored.clone()))
         .detach();
     Jobs::new(env, directory, stored)
--- a/crates/samphiredoor-gateway/src/jobs/orphan_scan.rs
+++ b/crates/samphiredoor-gateway/src/jobs/orphan_scan.rs
@@ -10,8 +10,8 @@
 use samphiredoor_core::{
     Name,
     ordered::{
-        Item, Items, JobHeader, JobName, JobOwner, ResultLog, end_key, header_key, part_key,
-        read_header, segment_key,
+        Item, Items, JobHeader, JobName, JobOwner, ResultLog, cancellation_key, header_key,
+        part_key, read_header, segment_key,
     },
     store::{Kind, Labels, ObjectKey, StoreAnswer, StoreOp, Version},
 };
@@ -25,8 +25,8 @@
     stored::{ReadError, StoredJobs},
 };
 use crate::{
-    edge::Freshness,
     peers::{Liveness, registered_address},
+    platform_api::Freshness,
     watch::list_all,
 };
 
@@ -55,7 +55,7 @@
         if !env.stopping.get() {
             scan(&env, &directory, &stored).await;
         }
-        let processes = env.roster.heard_count() as u32 + 1;
+        let processes = env.roster.live_count() as u32 + 1;
         compio::time::sleep(FLEET_SCAN_INTERVAL.saturating_mul(processes).max(MIN_SCAN_INTERVAL))
             .await;
     }
@@ -66,10 +66,10 @@
     let store = &*env.platform.store;
     let listed = list_all(store, Kind::OrderedJob, Freshness::MayBeStale).await;
     let Some((objects, _)) = listed else {
-        env.health.doubt();
+        env.health.raise_suspicion();
         return;
     };
-    env.health.heard();
+    env.health.record_answer();
     for object in &objects {
         match read_header(object) {
             // A job that another process has finished may still have a task here.
@@ -79,7 +79,7 @@
             Ok(header) if is_expired(env, &header) => expired.push((object.name.clone(), header)),
             Ok(_) => {}
             Err(fault) => {
-                env.metrics.foreign("job");
+                env.metrics.invalid_entry("job");
                 log::warn!(job = &*object.name, fault:% = fault; "job: header ignored");
             }
         }
@@ -95,14 +95,14 @@
 
 /// Whether a finished job is past its retention period.
 fn is_expired(env: &JobEnv, header: &JobHeader) -> bool {
-    let kept = env.keep + RETENTION_MARGIN;
+    let kept = env.retention + RETENTION_MARGIN;
     env.clock.now().unix_ms > header.accepted_unix_ms + kept.as_millis() as u64
 }
 
 /// Removes all objects of a job, the header last, so that a later scan repeats a removal that was interrupted.
 async fn remove(env: &JobEnv, job: &JobName, header: &JobHeader) {
     let parts = (0..header.parts).map(|it| part_key(job, &header.digest, it));
-    for key in parts.chain([end_key(job)]) {
+    for key in parts.chain([cancellation_key(job)]) {
         if !delete(env, key).await {
             return;
         }
@@ -117,7 +117,7 @@
     }
     if delete(env, header_key(job)).await {
         log::info!(job = &**job; "job: removed, its retention period is over");
-        env.metrics.job("removed");
+        env.metrics.job_event("removed");
     }
 }
 
@@ -160,22 +160,23 @@
         // store call whose outcome it gave up on.
         return true;
     }
-    let gone = env.roster.liveness(&owner.process, owner.incarnation) == Liveness::Gone;
-    gone && env.roster.hears_most() && !has_live_announced_owner(env, job)
+    let gone = env.roster.liveness(&owner.process, owner.incarnation) == Liveness::Dead;
+    gone && env.roster.at_least_half_live() && !has_live_announced_owner(env, job)
 }
 
 /// Whether a live process has announced that it owns the job. The list of jobs may be seconds older than the
 /// announcement, and without this check each process of the fleet would read the job's header to find that out.
 fn has_live_announced_owner(env: &JobEnv, job: &JobName) -> bool {
-    let owner = env.owners.of(job);
-    owner.is_some_and(|it| env.roster.liveness(&it.process, it.incarnation) == Liveness::Works)
+    let owner = env.owners.get(job);
+    owner.is_some_and(|it| env.roster.liveness(&it.process, it.incarnation) == Liveness::Alive)
 }
 
 /// Asks an owner from which no heartbeat was ever received whether it is alive; `false` without asking for any other
 /// owner. Heartbeats of a gateway that is new in the fleet are only accepted by peers that have read its registration.
 async fn confirms_alive(env: &JobEnv, owner: &JobOwner) -> bool {
     let (process, incarnation) = (Name::from(&*owner.process), owner.incarnation);
-    if process.is_empty() || process == env.name || env.roster.was_heard(&process, incarnation) {
+    if process.is_empty() || process == env.name || env.roster.has_been_seen(&process, incarnation)
+    {
         return false;
     }
     let address = match env.roster.address(&process) {
@@ -226,7 +227,7 @@
     version: Version,
     closed: bool,
 ) -> Option<JobOwnership> {
-    let (previous, gaps) = (header.owner.clone(), env.gaps.count());
+    let (previous, gaps) = (header.owner.clone(), env.liveness_gaps.count());
     let former = match previous.process.as_str() {
         "" => header.former.clone(),
         _ => Some(previous.clone()),
@@ -247,14 +248,14 @@
         job = &**job, from = previous.process, from_incarnation = previous.incarnation, ended = closed;
         "job: taken over"
     );
-    env.metrics.job("taken");
+    env.metrics.job_event("taken");
     Some(JobOwnership { job: JobName::clone(job), header, version, gaps, is_new: false })
 }
 
 fn start(env: &Rc<JobEnv>, directory: &Directory, owned: JobOwnership, items: Vec<Item>) {
     let Some((messages, inbox)) = directory.open(&owned.job) else { return };
     env.announce_ownership(&owned.job, owned.header.items);
-    let log = ResultLog::to_be_read(JobName::clone(&owned.job));
+    let log = ResultLog::unread(JobName::clone(&owned.job));
     let items = Items::new(items, owned.header.attempts);
     let task = JobTask::new(Rc::clone(env), owned, items, log, messages);
     compio::runtime::spawn(task.run(inbox, directory.clone())).detach();
@@ -262,7 +263,7 @@
 
 /// Offers a job that was handed over to the nearest live processes, until one of three answers.
 pub async fn offer(env: Rc<JobEnv>, job: JobName) {
-    for address in env.roster.takers().into_iter().take(3) {
+    for address in env.roster.takeover_candidates().into_iter().take(3) {
         let pool = Pool::new(address).with_connect_timeout(OFFER_TIMEOUT);
         let call = PeerCall::Offer { job: JobName::clone(&job) };
         if exchange(&pool, &call, OFFER_TIMEOUT).await.is_some() {
--- a/crates/samphiredoor-gateway/src/jobs/reads.rs
+++ b/crates/samphiredoor-gateway/src/jobs/reads.rs
@@ -13,7 +13,7 @@
 
 use hyper::{Method, Response, StatusCode, Uri, header};
 use samphiredoor_core::{
-    ordered::{JobHeader, JobName, end_key},
+    ordered::{JobHeader, JobName, cancellation_key},
     store::{Labels, StoreOp, Value},
     verdict::Refusal,
 };
@@ -26,12 +26,12 @@
     orphan_scan,
     peer_call::{PeerCall, exchange},
     stored::{ReadError, StoredJobs},
-    submit::{self, Acceptors, Submitted},
+    submit::{self, Forwarding, SubmittedJob},
 };
 use crate::{
-    edge::{JobCall, ResultsPage},
-    front::{plain, refused},
-    peers::{Liveness, Owner, STORE_LOST, registered_address},
+    front::{json_message, refusal_response},
+    peers::{Liveness, Owner, STORE_LOST_AFTER, registered_address},
+    platform_api::{JobCall, ResultsPage},
 };
 
 /// Upper limit of the time that a read waits for a result, whatever the caller asks for.
@@ -78,25 +78,25 @@
     }
 
     /// Accepts a submission, or says why it is refused.
-    pub async fn submit(&self, submitted: Submitted, acceptors: Acceptors) -> Response<Body> {
+    pub async fn submit(&self, submitted: SubmittedJob, acceptors: Forwarding) -> Response<Body> {
         submit::submit(&self.env, &self.directory, submitted, acceptors).await
     }
 
     /// Answers a caller's request; a read waits at most `wait` for a result.
-    pub async fn answer(&self, call: JobCall, wait: Duration) -> Response<Body> {
+    pub async fn handle(&self, call: JobCall, wait: Duration) -> Response<Body> {
         let wait = wait.min(MAX_RESULT_WAIT);
         let until = Instant::now() + wait;
         match call {
             JobCall::Read { job, after } => self.read(&job, after, until).await,
             JobCall::Body { job, item } => self.body(&job, &item).await,
-            JobCall::End { job } => self.cancel(&job).await,
+            JobCall::Cancel { job } => self.cancel(&job).await,
         }
     }
 
     /// Answers another gateway from local state or from the store, without forwarding the request again.
-    pub async fn answer_peer(&self, method: &Method, uri: &Uri) -> Response<Body> {
+    pub async fn handle_peer(&self, method: &Method, uri: &Uri) -> Response<Body> {
         let Some(call) = PeerCall::parse(method, uri) else {
-            return plain(StatusCode::NOT_FOUND, "no such call");
+            return json_message(StatusCode::NOT_FOUND, "no such call");
         };
         match call {
             PeerCall::Read { job, after, wait_ms } => {
@@ -120,21 +120,21 @@
                     orphan_scan::take_over_if_orphaned(&env, &directory, &stored, &job).await;
                 })
                 .detach();
-                plain(StatusCode::OK, "heard")
+                json_message(StatusCode::OK, "heard")
             }
             PeerCall::CheckAlive { incarnation } => {
                 match incarnation == self.env.incarnation
-                    && !self.env.health.is_lost_for(STORE_LOST)
+                    && !self.env.health.is_lost_for(STORE_LOST_AFTER)
                 {
-                    true => plain(StatusCode::OK, "works"),
-                    false => plain(StatusCode::NOT_FOUND, "does not work"),
+                    true => json_message(StatusCode::OK, "works"),
+                    false => json_message(StatusCode::NOT_FOUND, "does not work"),
                 }
             }
         }
     }
 
     /// Hands over all jobs, and waits until that is done, at most for `limit`.
-    pub async fn release(&self, limit: Duration) {
+    pub async fn hand_over_all(&self, limit: Duration) {
         self.directory.hand_over_all();
         let until = Instant::now() + limit;
         while self.directory.len() > 0 && Instant::now() < until {
@@ -222,7 +222,7 @@
         let item = answer.recv_async().await.ok()?;
         Some(match item {
             Some(item) => self.item_response(&item),
-            None => plain(StatusCode::NOT_FOUND, "no such item, or its result stands"),
+            None => json_message(StatusCode::NOT_FOUND, "no such item, or its result stands"),
         })
     }
 
@@ -236,7 +236,7 @@
     fn item_response(&self, item: &samphiredoor_core::ordered::Item) -> Response<Body> {
         match self.env.platform.dialect.item_body(item) {
             Ok(body) => Response::new(Body::full(body)),
-            Err(problem) => plain(StatusCode::INTERNAL_SERVER_ERROR, &problem),
+            Err(problem) => json_message(StatusCode::INTERNAL_SERVER_ERROR, &problem),
         }
     }
 
@@ -246,14 +246,20 @@
         }
         if !self.write_cancellation(job).await {
             log::warn!(job = &**job; "job: cancellation could not be written");
-            return plain(StatusCode::GATEWAY_TIMEOUT, "the end may not stand; send it again");
+            return json_message(
+                StatusCode::GATEWAY_TIMEOUT,
+                "the end may not stand; send it again",
+            );
         }
         let Some(by) = self.prove_stopped(job).await else {
             log::warn!(job = &**job; "job: cancellation is written, but its owner has not confirmed it");
-            return plain(StatusCode::GATEWAY_TIMEOUT, "the job may still run; send the end again");
+            return json_message(
+                StatusCode::GATEWAY_TIMEOUT,
+                "the job may still run; send the end again",
+            );
         };
         log::info!(job = &**job, by:? = by; "job: cancelled by its caller");
-        plain(StatusCode::OK, "ended")
+        json_message(StatusCode::OK, "ended")
     }
 
     /// Makes the owner of a cancelled job stop it; `None` if a process may still run the job.
@@ -285,9 +291,9 @@
     fn is_gone(&self, owner: &Owner) -> bool {
         let (process, incarnation) = (&*owner.process, owner.incarnation);
         let roster = &self.env.roster;
-        let is_heard = roster.heard_address(process, incarnation).is_some();
+        let is_heard = roster.live_address(process, incarnation).is_some();
         let liveness = roster.liveness(process, incarnation);
-        !is_heard && liveness == Liveness::Gone && roster.hears_most()
+        !is_heard && liveness == Liveness::Dead && roster.at_least_half_live()
     }
 
     /// Tells the owner to cancel its job. Owners that are shutting down, have lost the store or send no heartbeats are
@@ -311,7 +317,7 @@
     /// Address of an owner: from its heartbeats, or else from its registration in the store.
     async fn owner_address(&self, owner: &Owner) -> Option<SocketAddr> {
         let roster = &self.env.roster;
-        let heard = roster.heard_address(&owner.process, owner.incarnation);
+        let heard = roster.live_address(&owner.process, owner.incarnation);
         if heard.is_some() {
             return heard;
         }
@@ -322,11 +328,11 @@
     /// Answers a gateway that read one incarnation of this process as the owner of a cancelled job.
     async fn answer_cancelled(&self, job: &str, incarnation: u64) -> Response<Body> {
         match self.cancel_local(job).await {
-            true => plain(StatusCode::OK, "ended"),
+            true => json_message(StatusCode::OK, "ended"),
             false if incarnation != self.env.incarnation => {
-                plain(StatusCode::GONE, "that start is over")
+                json_message(StatusCode::GONE, "that start is over")
             }
-            false => plain(StatusCode::NOT_FOUND, "not here"),
+            false => json_message(StatusCode::NOT_FOUND, "not here"),
         }
     }
 
@@ -342,13 +348,13 @@
 
     async fn write_cancellation(&self, job: &JobName) -> bool {
         let value: Value = b"{}".as_slice().into();
-        let create = StoreOp::Create { key: end_key(job), labels: Labels::new(), value };
+        let create = StoreOp::Create { key: cancellation_key(job), labels: Labels::new(), value };
         self.env.create_idempotent(create).await
     }
 
     /// Last announced owner of a job; the store is read only if no announcement was received.
     async fn last_known_owner(&self, job: &JobName) -> Result<Owner, ReadError> {
-        match self.env.owners.of(job) {
+        match self.env.owners.get(job) {
             Some(owner) => Ok(owner),
             None => Ok(owner_in_header(&self.stored.header(job).await?)),
         }
@@ -359,7 +365,7 @@
         if owner.process == self.env.name {
             return None;
         }
-        let alive = self.env.roster.liveness(&owner.process, owner.incarnation) == Liveness::Works;
+        let alive = self.env.roster.liveness(&owner.process, owner.incarnation) == Liveness::Alive;
         alive.then(|| self.env.roster.address(&owner.process)).flatten()
     }
 
@@ -394,7 +400,7 @@
 
 fn error_response(error: ReadError) -> Response<Body> {
     match error {
-        ReadError::NotFound => plain(StatusCode::NOT_FOUND, "no such job or item"),
-        ReadError::Unavailable => refused(Refusal::StoreUnavailable, RETRY_AFTER_MS),
+        ReadError::NotFound => json_message(StatusCode::NOT_FOUND, "no such job or item"),
+        ReadError::Unavailable => refusal_response(Refusal::StoreUnavailable, RETRY_AFTER_MS),
     }
 }
--- a/crates/samphiredoor-gateway/src/jobs/send_permit.rs
+++ b/crates/samphiredoor-gateway/src/jobs/send_permit.rs
@@ -6,7 +6,7 @@
 
 use std::{cell::Cell, time::Duration};
 
-use super::{gaps::Gaps, job_task::JobMessage};
+use super::{job_task::JobMessage, liveness_gaps::LivenessGaps};
 use crate::store_health::StoreHealth;
 
 /// Interval at which a waiting item checks the permit again.
@@ -14,7 +14,7 @@
 
 /// Permit of one job, shared by its task and the runs of its items. A liveness gap invalidates it.
 pub struct SendPermit {
-    gaps: Gaps,
+    gaps: LivenessGaps,
     health: StoreHealth,
     messages: flume::Sender<JobMessage>,
     /// Number of gaps before the last successful check of the job; `None` before the first one.
@@ -27,7 +27,7 @@
     /// Creates a permit that is valid as of a number of gaps, or not yet granted with `None`. `messages` leads to the
     /// job's task, which grants it.
     pub fn new(
-        gaps: Gaps,
+        gaps: LivenessGaps,
         health: StoreHealth,
         messages: flume::Sender<JobMessage>,
         granted: Option<u64>,
--- a/crates/samphiredoor-gateway/src/jobs/stored.rs
+++ b/crates/samphiredoor-gateway/src/jobs/stored.rs
@@ -15,7 +15,7 @@
 };
 
 use super::{JobEnv, job_task::page_of};
-use crate::edge::ResultsPage;
+use crate::platform_api::ResultsPage;
 
 /// Cached bytes of results beyond which the jobs that were cached first are evicted.
 const CACHE_BYTES: usize = 1_500_000;
--- a/crates/samphiredoor-gateway/src/jobs/submit.rs
+++ b/crates/samphiredoor-gateway/src/jobs/submit.rs
@@ -14,20 +14,20 @@
 use futures_util::future::{Either, join, select};
 use hyper::{Response, StatusCode};
 use samphiredoor_core::{
-    ordered::{Item, Items, JobHeader, JobName, ResultLog, cut_parts, header_key, part_key},
-    routes::BatchRule,
+    ordered::{Item, Items, JobHeader, JobName, ResultLog, header_key, part_key, split_into_parts},
+    routes::BatchTimes,
     store::{Labels, StoreAnswer, StoreOp, Version},
-    verdict::{Doubt, Refusal},
+    verdict::{MayHaveRunReason, Refusal},
 };
 use samphiredoor_net::{Body, pool::within};
 
 use super::{
     JobEnv, STORE_ATTEMPTS, STORE_RETRY_PAUSE,
     directory::Directory,
+    forward::forward,
     job_task::{JobOwnership, JobTask},
-    pass_on::pass_on,
 };
-use crate::front::{plain, refused};
+use crate::front::{json_message, refusal_response};
 
 /// Maximum number of jobs with a task in this process. Further submissions are refused, as their items would not run in
 /// time.
@@ -43,7 +43,7 @@
 const DIGEST_CHARS: usize = 16;
 
 /// A submission whose body was received but not parsed.
-pub struct Submitted {
+pub struct SubmittedJob {
     /// Name of the job, from the caller's request id.
     pub job: JobName,
     /// `Host` header of the submission.
@@ -51,7 +51,7 @@
     /// Path of the submission, without the prefix of forwarded ones.
     pub path: String,
     /// When the results are due and given up according to its route.
-    pub rule: BatchRule,
+    pub rule: BatchTimes,
     /// Failed attempts at targets after which an item is given up.
     pub attempts: u32,
     /// Version of the routes that its route was found in.
@@ -74,11 +74,11 @@
 
 /// Which gateways may accept a submission, to prevent it from being forwarded twice.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Acceptors {
+pub enum Forwarding {
     /// Also another one, if the store does not answer this process.
-    Any,
+    Allowed,
     /// Only this one, because the submission was forwarded to it.
-    ThisOne,
+    Forbidden,
 }
 
 /// Outcome of a submission at one or two gateways. Its names appear in the log.
@@ -111,8 +111,8 @@
 pub async fn submit(
     env: &Rc<JobEnv>,
     directory: &Directory,
-    submitted: Submitted,
-    acceptors: Acceptors,
+    submitted: SubmittedJob,
+    acceptors: Forwarding,
 ) -> Response<Body> {
     if directory.has(&submitted.job) {
         return accepted();
@@ -121,7 +121,7 @@
         Ok(items) => items,
         Err(problem) => {
             log::info!(job = &*submitted.job, problem; "job: submission cannot be parsed");
-            return plain(StatusCode::BAD_REQUEST, &problem);
+            return json_message(StatusCode::BAD_REQUEST, &problem);
         }
     };
     if env.stopping.get() || directory.len() >= MAX_OPEN_JOBS {
@@ -130,16 +130,18 @@
     }
     let submitted = Rc::new(submitted);
     let end = match acceptors {
-        Acceptors::ThisOne => accept_locally(env, directory, &submitted, items).await,
-        Acceptors::Any => accept_or_forward(env, directory, &submitted, items).await,
+        Forwarding::Forbidden => accept_locally(env, directory, &submitted, items).await,
+        Forwarding::Allowed => accept_or_forward(env, directory, &submitted, items).await,
     };
     match end {
         SubmissionOutcome::Accepted => accepted(),
-        SubmissionOutcome::Conflict => plain(StatusCode::CONFLICT, "another job has this id"),
+        SubmissionOutcome::Conflict => {
+            json_message(StatusCode::CONFLICT, "another job has this id")
+        }
         SubmissionOutcome::Refused => refuse(env, &submitted.job, Refusal::StoreUnavailable),
         SubmissionOutcome::Perhaps => {
             log::warn!(job = &*submitted.job; "job: unknown whether it was accepted");
-            plain(StatusCode::GATEWAY_TIMEOUT, Doubt::StoreAnswerLost.label())
+            json_message(StatusCode::GATEWAY_TIMEOUT, MayHaveRunReason::StoreAnswerLost.label())
         }
     }
 }
@@ -148,11 +150,11 @@
 async fn accept_or_forward(
     env: &Rc<JobEnv>,
     directory: &Directory,
-    submitted: &Rc<Submitted>,
+    submitted: &Rc<SubmittedJob>,
     items: Vec<Item>,
 ) -> SubmissionOutcome {
     if env.health.is_lost() {
-        match pass_on(env, submitted).await {
+        match forward(env, submitted).await {
             SubmissionOutcome::Refused => {}
             end => return end,
         }
@@ -161,7 +163,7 @@
     if let Some(end) = within(FORWARD_DELAY, &mut here).await {
         return end;
     }
-    let elsewhere = pin!(pass_on(env, submitted));
+    let elsewhere = pin!(forward(env, submitted));
     match select(here, elsewhere).await {
         Either::Left((SubmissionOutcome::Accepted, _))
         | Either::Right((SubmissionOutcome::Accepted, _)) => SubmissionOutcome::Accepted,
@@ -175,14 +177,14 @@
 async fn accept_locally(
     env: &Rc<JobEnv>,
     directory: &Directory,
-    submitted: &Rc<Submitted>,
+    submitted: &Rc<SubmittedJob>,
     items: Vec<Item>,
 ) -> SubmissionOutcome {
     let (sender, ended) = flume::bounded(1);
     let (env, directory) = (Rc::clone(env), directory.clone());
     let submitted = Rc::clone(submitted);
     compio::runtime::spawn(async move {
-        let (began, gaps) = (Instant::now(), env.gaps.count());
+        let (began, gaps) = (Instant::now(), env.liveness_gaps.count());
         let header = new_header(&env, &submitted, items.len());
         let end = match accept(&env, &submitted, &header).await {
             Acceptance::New(version) => {
@@ -210,16 +212,16 @@
 }
 
 fn accepted() -> Response<Body> {
-    plain(StatusCode::ACCEPTED, "accepted")
+    json_message(StatusCode::ACCEPTED, "accepted")
 }
 
 fn refuse(env: &JobEnv, job: &str, reason: Refusal) -> Response<Body> {
     log::info!(job, reason:% = reason; "job: refused");
     env.metrics.refused(reason);
-    refused(reason, RETRY_AFTER_MS)
+    refusal_response(reason, RETRY_AFTER_MS)
 }
 
-fn new_header(env: &JobEnv, submitted: &Submitted, items: usize) -> JobHeader {
+fn new_header(env: &JobEnv, submitted: &SubmittedJob, items: usize) -> JobHeader {
     let now_ms = env.clock.now().unix_ms;
     let mut digest = blake3::hash(&submitted.body).to_hex().to_string();
     digest.truncate(DIGEST_CHARS);
@@ -244,7 +246,7 @@
 
 /// Writes parts and header concurrently. While parts are missing beside an existing header, the outcome is unknown, as
 /// they may be written when the submission is sent again.
-async fn accept(env: &JobEnv, submitted: &Submitted, header: &JobHeader) -> Acceptance {
+async fn accept(env: &JobEnv, submitted: &SubmittedJob, header: &JobHeader) -> Acceptance {
     let parts = create_parts(env, submitted, header);
     match join(create_header(env, &submitted.job, header), parts).await {
         (Acceptance::NotAccepted, _) => Acceptance::NotAccepted,
@@ -254,10 +256,10 @@
 }
 
 /// Writes the parts, and returns whether all of them exist.
-async fn create_parts(env: &JobEnv, submitted: &Submitted, header: &JobHeader) -> bool {
+async fn create_parts(env: &JobEnv, submitted: &SubmittedJob, header: &JobHeader) -> bool {
     // The body was parsed as JSON before, so it is valid UTF-8.
     let text = String::from_utf8_lossy(&submitted.body);
-    for (part, value) in cut_parts(&text).into_iter().enumerate() {
+    for (part, value) in split_into_parts(&text).into_iter().enumerate() {
         let key = part_key(&submitted.job, &header.digest, part as u32);
         let create = StoreOp::Create { key, labels: Labels::new(), value };
         if !env.create_idempotent(create).await {
@@ -295,7 +297,7 @@
 
 fn start(env: &Rc<JobEnv>, directory: &Directory, owned: JobOwnership, items: Vec<Item>) {
     let Some((messages, inbox)) = directory.open(&owned.job) else { return };
-    env.metrics.job("accepted");
+    env.metrics.job_event("accepted");
     env.announce_ownership(&owned.job, owned.header.items);
     let log = ResultLog::new(JobName::clone(&owned.job));
     let items = Items::new(items, owned.header.attempts);
--- a/crates/samphiredoor/tests/it/platform/ends.rs
+++ b/crates/samphiredoor/tests/it/platform/cancellations.rs
@@ -48,7 +48,7 @@
 }
 
 fn wait_cancelled(platform: &Platform, at: usize) {
-    wait_until("the cancellation is acknowledged", || platform.end(at, "job-1").status == 200);
+    wait_until("the cancellation is acknowledged", || platform.cancel(at, "job-1").status == 200);
 }
 
 /// Waits until the owner has stopped the job, and checks that it did not run all items.
@@ -168,7 +168,7 @@
     let before = updates();
     platform.store.set_fault(StoreFault::HeaderUpdatesHeld);
     wait_until("the job is being taken over", || updates() > before);
-    assert_eq!(platform.end(1, "job-1").status, 200);
+    assert_eq!(platform.cancel(1, "job-1").status, 200);
     target.fail_next(0, TargetFault::None);
     platform.store.set_fault(StoreFault::None);
     wait_until("the job is closed", || {
--- a/crates/samphiredoor/tests/it/platform/jobs.rs
+++ b/crates/samphiredoor/tests/it/platform/jobs.rs
@@ -56,7 +56,7 @@
 fn an_unknown_job_is_not_found() {
     let (platform, _target) = two_gateways(FAST);
     assert_eq!(platform.results(0, "job-9", 0).status, 404);
-    assert_eq!(platform.end(0, "job-9").status, 404);
+    assert_eq!(platform.cancel(0, "job-9").status, 404);
     assert_eq!(platform.item(0, "job-9", "item-a").status, 404);
 }
 
@@ -104,8 +104,8 @@
     let (platform, target) = two_gateways(SLOW);
     target.fail_next(1_000, TargetFault::Full);
     assert_eq!(platform.submit(0, "job-1", &ITEMS).status, 202);
-    assert_eq!(platform.end(1, "job-1").status, 200);
-    assert_eq!(platform.end(0, "job-1").status, 200);
+    assert_eq!(platform.cancel(1, "job-1").status, 200);
+    assert_eq!(platform.cancel(0, "job-1").status, 200);
     wait_until("the job is closed", || {
         platform.store.spec("orderedjobs", "job-1").is_some_and(|it| it["finished"] == true)
     });
@@ -150,7 +150,9 @@
     assert_eq!(platform.submit_many(0, "job-1", 40).status, 202);
     wait_until("items run", || !target.runs().is_empty());
     let started = platform.start_gateway();
-    wait_until("the cancellation is acknowledged", || platform.end(started, "job-1").status == 200);
+    wait_until("the cancellation is acknowledged", || {
+        platform.cancel(started, "job-1").status == 200
+    });
     std::thread::sleep(SLOW);
     let runs = target.runs().len();
     std::thread::sleep(SLOW * 10);
@@ -170,7 +172,7 @@
     // Without heartbeats for this long, the others declare the owner dead.
     std::thread::sleep(Duration::from_secs(4));
     assert_eq!(platform.submit_many(0, "job-1", 200).status, 202);
-    wait_until("the cancellation is acknowledged", || platform.end(1, "job-1").status == 200);
+    wait_until("the cancellation is acknowledged", || platform.cancel(1, "job-1").status == 200);
     platform.set_way_fault(0, StoreFault::None);
     platform.wait_logged(1, "peers: heard peer=gateway-0");
     std::thread::sleep(Duration::from_secs(6));
@@ -371,7 +373,7 @@
     std::thread::scope(|scope| {
         let submission = scope.spawn(|| platform.submit(0, "job-1", &ITEMS).status);
         wait_until("the header exists", || platform.store.spec("orderedjobs", "job-1").is_some());
-        assert_eq!(platform.end(1, "job-1").status, 504);
+        assert_eq!(platform.cancel(1, "job-1").status, 504);
         // Wait past the delay after which a submission is forwarded; before it, no caller has been told that the job is
         // accepted, and its owner does not check for a cancellation.
         std::thread::sleep(Duration::from_millis(300));
