--- a/crates/samphiredoor-gateway/src/jobs/job_task/mod.rs
+++ b/crates/samphiredoor-gateway/src/jobs/job_task/mod.rs
@@ -49,7 +49,7 @@
     /// Version of that header in the store.
     pub version: Version,
     /// Number of liveness gaps before the header was written.
-    pub gaps: u64,
+    pub gap_count: u64,
     /// Whether no caller can have cancelled the job yet, because no gateway has reported it as accepted.
     pub is_new: bool,
 }
@@ -57,7 +57,7 @@
 /// Result of reading from the store whether this process still owns a job and may run it.
 pub struct OwnershipCheck {
     /// Number of liveness gaps before the store was read.
-    gaps: u64,
+    gap_count: u64,
     /// Answer to the read of the header; `None` if there was no gap since this process wrote it.
     header: Option<StoreAnswer>,
     /// Whether the caller has cancelled the job.
@@ -191,7 +191,7 @@
         let give_up_at = Instant::now() + duration_until(&env, ownership.header.give_up_unix_ms);
         let due_in = duration_until(&env, ownership.header.due_unix_ms).as_millis() as u64;
         let due_at_ms = env.clock.now().mono_ms + due_in;
-        let granted = ownership.is_new.then_some(ownership.gaps);
+        let granted = ownership.is_new.then_some(ownership.gap_count);
         let (gaps, health) = (env.liveness_gaps.clone(), env.health.clone());
         let permit = Rc::new(SendPermit::new(gaps, health, messages.clone(), granted));
         JobTask {
--- a/crates/samphiredoor-gateway/src/jobs/job_task/runs.rs
+++ b/crates/samphiredoor-gateway/src/jobs/job_task/runs.rs
@@ -50,8 +50,9 @@
     fn check_ownership(&mut self) {
         self.checking = true;
         let (env, messages) = (Rc::clone(&self.env), self.messages.clone());
-        let (job, gaps) = (JobName::clone(&self.ownership.job), self.env.liveness_gaps.count());
-        let is_known = gaps == self.ownership.gaps;
+        let (job, gap_count) =
+            (JobName::clone(&self.ownership.job), self.env.liveness_gaps.count());
+        let is_known = gap_count == self.ownership.gap_count;
         compio::runtime::spawn(async move {
             let header = async {
                 match is_known {
@@ -62,7 +63,7 @@
             let (header, cancelled) = join(header, env.is_cancelled(&job)).await;
             // Fails only if the job's task has ended.
             let _ = messages.send(JobMessage::OwnershipChecked(OwnershipCheck {
-                gaps,
+                gap_count,
                 header,
                 cancelled,
             }));
@@ -78,7 +79,7 @@
         match (check.header.as_ref().map(|it| self.names_this_process(it)), check.cancelled) {
             (Some(Some(false)), _) => self.lose_ownership(),
             (_, Ok(true)) => drop(self.cancel()),
-            (None | Some(Some(true)), Ok(false)) => self.permit_items(check.gaps),
+            (None | Some(Some(true)), Ok(false)) => self.permit_items(check.gap_count),
             (Some(None), _) | (_, Err(_)) => {
                 self.store_failures += 1;
                 self.next_check_at = Instant::now() + self.store_pause();
@@ -86,8 +87,8 @@
         }
     }
 
-    fn permit_items(&mut self, gaps: u64) {
-        self.permit.grant(gaps);
+    fn permit_items(&mut self, gap_count: u64) {
+        self.permit.grant(gap_count);
         if std::mem::take(&mut self.suspended) {
             self.items_started = false;
         }
--- a/crates/samphiredoor-gateway/src/jobs/orphan_scan.rs
+++ b/crates/samphiredoor-gateway/src/jobs/orphan_scan.rs
@@ -227,7 +227,7 @@
     version: Version,
     closed: bool,
 ) -> Option<JobOwnership> {
-    let (previous, gaps) = (header.owner.clone(), env.liveness_gaps.count());
+    let (previous, gap_count) = (header.owner.clone(), env.liveness_gaps.count());
     let former = match previous.process.as_str() {
         "" => header.former.clone(),
         _ => Some(previous.clone()),
@@ -249,7 +249,7 @@
         "job: taken over"
     );
     env.metrics.job_event("taken");
-    Some(JobOwnership { job: JobName::clone(job), header, version, gaps, is_new: false })
+    Some(JobOwnership { job: JobName::clone(job), header, version, gap_count, is_new: false })
 }
 
 fn start(env: &Rc<JobEnv>, directory: &Directory, owned: JobOwnership, items: Vec<Item>) {
--- a/crates/samphiredoor-gateway/src/jobs/send_permit.rs
+++ b/crates/samphiredoor-gateway/src/jobs/send_permit.rs
@@ -61,8 +61,8 @@
     }
 
     /// Grants the permit as of a number of gaps.
-    pub fn grant(&self, gaps: u64) {
-        self.granted.set(Some(gaps));
+    pub fn grant(&self, gap_count: u64) {
+        self.granted.set(Some(gap_count));
         self.wanted.set(false);
     }
 }
--- a/crates/samphiredoor-gateway/src/jobs/submit.rs
+++ b/crates/samphiredoor-gateway/src/jobs/submit.rs
@@ -184,7 +184,7 @@
     let (env, directory) = (Rc::clone(env), directory.clone());
     let submitted = Rc::clone(submitted);
     compio::runtime::spawn(async move {
-        let (began, gaps) = (Instant::now(), env.liveness_gaps.count());
+        let (began, gap_count) = (Instant::now(), env.liveness_gaps.count());
         let header = new_header(&env, &submitted, items.len());
         let end = match accept(&env, &submitted, &header).await {
             Acceptance::New(version) => {
@@ -194,7 +194,12 @@
                 // After this delay the submission is forwarded. The caller may have got its answer from the other
                 // gateway and cancelled the job there.
                 let is_new = began.elapsed() < FORWARD_DELAY;
-                start(&env, &directory, JobOwnership { job, header, version, gaps, is_new }, items);
+                start(
+                    &env,
+                    &directory,
+                    JobOwnership { job, header, version, gap_count, is_new },
+                    items,
+                );
                 SubmissionOutcome::Accepted
             }
             Acceptance::Earlier(found) if found.digest == header.digest => {
