--- a/crates/samphiredoor-gateway/src/jobs/job_task/mod.rs
+++ b/crates/samphiredoor-gateway/src/jobs/job_task/mod.rs
@@ -302,12 +302,12 @@
             Phase::HandingOver(until) | Phase::Retained(until) => Some(until),
             Phase::Closing | Phase::Done => None,
         };
-        let again = self.retries.iter().map(|(at, _)| *at).min();
-        let again = again.filter(|_| self.phase == Phase::Running && !self.suspended);
+        let retry = self.retries.iter().map(|(at, _)| *at).min();
+        let retry = retry.filter(|_| self.phase == Phase::Running && !self.suspended);
         let reader = self.readers.iter().map(|it| it.until).min();
         let write_at = self.write_at.filter(|_| self.is_active() && !self.log_call_in_flight);
         let check = (self.phase == Phase::Running).then(|| Instant::now() + STORE_CHECK_INTERVAL);
-        let times = [phase, again, reader, write_at, check];
+        let times = [phase, retry, reader, write_at, check];
         times.into_iter().flatten().min().unwrap_or_else(|| Instant::now() + FAR_FUTURE)
     }
 
--- a/crates/samphiredoor-gateway/src/jobs/job_task/results.rs
+++ b/crates/samphiredoor-gateway/src/jobs/job_task/results.rs
@@ -83,12 +83,12 @@
             }
             step => self.run_log_step(step),
         }
-        let standing = self.log.committed().len();
+        let committed = self.log.committed().len();
         if !matches!(answer, StoreAnswer::Unavailable | StoreAnswer::Unknown) {
             self.store_failures = 0;
         }
-        if standing > before {
-            log::info!(job = &*self.ownership.job, standing, items = self.items.len(); "job: results committed");
+        if committed > before {
+            log::info!(job = &*self.ownership.job, standing = committed, items = self.items.len(); "job: results committed");
         }
         if self.log.take_other_writer_seen() && self.items_started {
             self.spawn_store_call(
@@ -120,13 +120,13 @@
     }
 
     pub(super) fn reply_to(&self, reader: &Reader, now: Instant) -> Option<ReadReply> {
-        let standing = self.log.committed().len();
-        if reader.after < standing || self.is_complete() {
-            return Some(ReadReply::Page(self.page(reader.after.min(standing))));
+        let committed = self.log.committed().len();
+        if reader.after < committed || self.is_complete() {
+            return Some(ReadReply::Page(self.page(reader.after.min(committed))));
         }
         let is_checked = !self.may_have_other_writers() || self.log_end_seen_at >= reader.arrived;
         let is_over = now >= reader.until || !self.is_active();
-        match (is_over, is_checked && reader.after == standing) {
+        match (is_over, is_checked && reader.after == committed) {
             (true, true) => Some(ReadReply::Page(self.page(reader.after))),
             (true, false) => Some(ReadReply::UseStore),
             (false, _) => None,
--- a/crates/samphiredoor-gateway/src/jobs/liveness_gaps.rs
+++ b/crates/samphiredoor-gateway/src/jobs/liveness_gaps.rs
@@ -100,8 +100,8 @@
     }
 
     fn check_store(&self) {
-        let regains = self.state.health.recoveries();
-        if self.state.handled_recoveries.replace(regains) != regains {
+        let recoveries = self.state.health.recoveries();
+        if self.state.handled_recoveries.replace(recoveries) != recoveries {
             self.state.settles_at.set(Some(Instant::now() + SETTLE_TIME));
         }
     }
--- a/crates/samphiredoor-gateway/src/jobs/orphan_scan.rs
+++ b/crates/samphiredoor-gateway/src/jobs/orphan_scan.rs
@@ -160,8 +160,8 @@
         // store call whose outcome it gave up on.
         return true;
     }
-    let gone = env.roster.liveness(&owner.process, owner.incarnation) == Liveness::Dead;
-    gone && env.roster.at_least_half_live() && !has_live_announced_owner(env, job)
+    let dead = env.roster.liveness(&owner.process, owner.incarnation) == Liveness::Dead;
+    dead && env.roster.at_least_half_live() && !has_live_announced_owner(env, job)
 }
 
 /// Whether a live process has announced that it owns the job. The list of jobs may be seconds older than the
