--- a/crates/samphiredoor-gateway/src/jobs/mod.rs
+++ b/crates/samphiredoor-gateway/src/jobs/mod.rs
@@ -58,7 +58,7 @@
     pub incarnation: u64,
     /// Object store, and the formats of callers and targets.
     pub platform: Platform,
-    /// Routes in force.
+    /// Active routes.
     pub routes: Routes,
     /// Assigns requests to targets.
     pub placement: PlacementHandle,
--- a/crates/samphiredoor/tests/it/platform/jobs.rs
+++ b/crates/samphiredoor/tests/it/platform/jobs.rs
@@ -271,7 +271,7 @@
     let mut platform = Platform::new(BINARY);
     let target = platform.start_target("t-1", Duration::from_millis(1_000));
     platform.start_gateway();
-    // With such a long watch timeout this gateway does not notice the outage by its own watches.
+    // With `routes_within_ms` and `targets_within_ms` this long, the gateway does not notice the outage by its watches.
     platform.within_ms = 600_000;
     platform.start_gateway();
     platform.wait_logged(0, "peers: heard");
