--- a/crates/samphiredoor-gateway/src/jobs/item_run.rs
+++ b/crates/samphiredoor-gateway/src/jobs/item_run.rs
@@ -1,4 +1,7 @@
-//! One run of an item: it waits for a place, is recalled for online requests, and goes on after its last event.
+//! One run of a batch item: waits for a slot at a target, sends the item and collects its output.
+//!
+//! The item may be preempted by online requests. After a preemption or a lost response it resumes after the last event
+//! that it has received.
 
 use std::{
     cell::RefCell,
@@ -27,79 +30,81 @@
 };
 use smallvec::SmallVec;
 
-use super::{JobEnv, clearance::Clearance};
+use super::{JobEnv, send_permit::SendPermit};
 use crate::{
     events::{EventBuffer, is_event_stream},
     placement::{Decision, Ticket},
     target_client,
 };
 
-/// Silence after which an item is sent to another target. Online requests that join a batch hold up its events for some
-/// hundred milliseconds at most; an engine short of memory may hold up one for longer.
-const SILENCE: Duration = Duration::from_millis(2_500);
-/// Pause before an item is sent again that did not run.
-const NOT_RUN_PAUSE: Duration = Duration::from_millis(60);
-/// Pause before looking again for routes that are not known yet.
+/// Time without any data from the target after which the attempt counts as lost and the item is sent again. Online
+/// requests that join a batch delay its events by a few hundred milliseconds at most; an engine short of memory may
+/// delay one for longer.
+const IDLE_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// Pause before an item is sent again that was not run by the target, or got no target.
+const RETRY_PAUSE: Duration = Duration::from_millis(60);
+/// Interval at which an item checks for routes while this process has none that are recent enough.
 const NO_ROUTES_PAUSE: Duration = Duration::from_millis(200);
-/// Longest time that a target is asked to work on one send.
-const LONGEST_SEND: Duration = Duration::from_secs(30);
-/// Bytes of a failed answer that are read so that the connection can be kept.
-const MAX_FAILURE_BYTES: usize = 64 * 1024;
+/// Upper limit of the deadline that is sent to a target with one attempt.
+const MAX_ATTEMPT_TIME: Duration = Duration::from_secs(30);
+/// Maximum size of an error body that is read so that the connection can be reused.
+const MAX_ERROR_BYTES: usize = 64 * 1024;
 
-/// An item to run.
+/// An item to run, with what it shares with its job.
 pub struct ItemRun {
-    /// Handles.
+    /// Handles shared by all jobs.
     pub env: Rc<JobEnv>,
-    /// Job, for logs.
+    /// Job of the item, for logs.
     pub job: JobName,
-    /// Host under which it is sent.
+    /// `Host` header of the submission, also used for the item's requests.
     pub host: String,
-    /// Path of the submission, by which the route is found.
+    /// Path of the submission, which selects the route.
     pub route_path: String,
     /// Version of the routes under which the job was accepted.
     pub routes_version: u64,
-    /// The item.
+    /// The item as it was submitted.
     pub item: Arc<Item>,
-    /// When the job is due, by the monotonic clock.
+    /// When the job is due, on the monotonic clock.
     pub due_at_ms: u64,
-    /// When the item is of no use any more.
+    /// When the item is given up.
     pub give_up_at: Instant,
-    /// What has arrived of it.
+    /// Output received so far, also by earlier runs.
     pub output: SharedOutput,
-    /// Whether it may be sent.
-    pub clearance: Rc<Clearance>,
+    /// Permit that must be valid whenever the item is sent.
+    pub permit: Rc<SendPermit>,
 }
 
-/// Output of an item as far as it has arrived.
+/// Output of an item received so far.
 #[derive(Debug, Default)]
 pub struct Output {
     text: Vec<u8>,
     has_data: bool,
-    last: Option<u64>,
-    /// Bytes of the text that the job's log keeps, and the event up to which it does.
-    kept_bytes: usize,
-    kept_last: Option<u64>,
-    /// How long the runs in this process took that put it out.
+    last_event: Option<u64>,
+    /// Length of the text that was passed to the job's log to be saved.
+    saved_bytes: usize,
+    /// Last event that was passed to the job's log.
+    saved_event: Option<u64>,
+    /// Total time of the attempts in this process that produced output.
     ran_ms: u64,
 }
 
-/// Output that the run of an item fills, and that its job can hand over.
+/// Output that the run of an item appends to, and that the job's task reads to save it.
 pub type SharedOutput = Rc<RefCell<Output>>;
 
-/// What became of one send.
-enum Sent {
-    /// The item is over.
-    Over(ItemEnd),
-    /// It was cut and can go on at once.
-    GoOn,
-    /// It did not run; try another target a little later.
-    Later,
-    /// The answer was lost.
-    Lost,
+/// Outcome of one attempt to run the item at a target.
+enum Outcome {
+    /// The run ends with this result.
+    Finished(ItemEnd),
+    /// The attempt was preempted or not sent; the item can be sent again at once.
+    Resume,
+    /// The target did not run the item, or there was none; retry after a short pause.
+    RetryLater,
+    /// The response was cut off or did not arrive; the item may have run.
+    ResponseLost,
 }
 
 impl ItemRun {
-    /// Runs the item until it is over or something went wrong on the way.
+    /// Runs the item until it has a result, or until a response without any event was lost.
     pub async fn run(self) -> ItemEnd {
         let body = match self.env.platform.dialect.item_body(&self.item) {
             Ok(body) => body,
@@ -108,25 +113,25 @@
                 return ItemEnd::Impossible;
             }
         };
-        let Some(mut call) = self.call(body) else { return ItemEnd::Impossible };
+        let Some(mut call) = self.build_call(body) else { return ItemEnd::Impossible };
         loop {
-            self.clearance.wait().await;
+            self.permit.wait().await;
             let Some(table) = self.routes() else {
                 compio::time::sleep(NO_ROUTES_PAUSE).await;
                 continue;
             };
-            let Some(route) = self.route(&table) else { return self.ended(ItemEnd::NoRoute) };
-            match self.send(&route, &mut call).await {
-                Sent::Over(end) => return self.ended(end),
-                Sent::GoOn => {}
-                Sent::Later => compio::time::sleep(NOT_RUN_PAUSE).await,
-                Sent::Lost if self.last().is_some() => {}
-                Sent::Lost => return self.ended(ItemEnd::NoAnswer),
+            let Some(route) = self.route(&table) else { return self.finish(ItemEnd::NoRoute) };
+            match self.attempt(&route, &mut call).await {
+                Outcome::Finished(end) => return self.finish(end),
+                Outcome::Resume => {}
+                Outcome::RetryLater => compio::time::sleep(RETRY_PAUSE).await,
+                Outcome::ResponseLost if self.last_event().is_some() => {}
+                Outcome::ResponseLost => return self.finish(ItemEnd::NoAnswer),
             }
         }
     }
 
-    fn ended(&self, end: ItemEnd) -> ItemEnd {
+    fn finish(&self, end: ItemEnd) -> ItemEnd {
         let label = match end {
             ItemEnd::Completed { .. } => "completed",
             ItemEnd::Failed => "failed",
@@ -139,19 +144,19 @@
         end
     }
 
-    /// Routes that can tell the job's: a process that has just started may have none, or older ones than those under
-    /// which the job was accepted elsewhere, and would give up items whose route it does not know yet.
+    /// Current routes, if they are at least as new as those under which the job was accepted. A process that has just
+    /// started may have none or older ones, and would give up items whose route it does not have yet.
     fn routes(&self) -> Option<Arc<RouteTable>> {
         self.env.routes.current().filter(|it| it.version >= self.routes_version)
     }
 
-    /// Route of the job now; the operators may have moved it since the submission.
+    /// Current batch route of the job; operators may have changed it since the submission.
     fn route(&self, table: &RouteTable) -> Option<Arc<Route>> {
         let route = table.find(&self.host, &self.route_path)?;
         matches!(route.kind, RouteKind::Batch(_)).then(|| Arc::clone(route))
     }
 
-    fn call(&self, body: Bytes) -> Option<Call> {
+    fn build_call(&self, body: Bytes) -> Option<Call> {
         let uri: Uri = self.item.path.parse().ok()?;
         let mut headers = HeaderMap::new();
         for (name, value) in &self.item.headers {
@@ -163,52 +168,54 @@
         Some(Call { method: Method::POST, uri, headers, body })
     }
 
-    fn last(&self) -> Option<u64> {
-        self.output.borrow().last
+    fn last_event(&self) -> Option<u64> {
+        self.output.borrow().last_event
     }
 
-    async fn send(&self, route: &Route, call: &mut Call) -> Sent {
-        let Some(service) = route.service(rand::random()) else { return Sent::Later };
-        let mut ticket = self.env.placement.request(self.ask(service, &call.headers));
+    async fn attempt(&self, route: &Route, call: &mut Call) -> Outcome {
+        let Some(service) = route.service(rand::random()) else { return Outcome::RetryLater };
+        let mut ticket = self.env.placement.request(self.request_spec(service, &call.headers));
         let (target, address) = match ticket.next_decision().await {
             Decision::Dispatch { target, address } => (target, address),
-            Decision::Refused { .. } => return Sent::Later,
-            Decision::Preempted => return Sent::GoOn,
+            Decision::Refused { .. } => return Outcome::RetryLater,
+            Decision::Preempted => return Outcome::Resume,
         };
-        if !self.clearance.holds() {
-            return Sent::GoOn;
+        if !self.permit.is_valid() {
+            return Outcome::Resume;
         }
         self.set_headers(call, &target);
-        let (began_ms, before) = (self.env.clock.now().mono_ms, self.last());
-        let sending = within(SILENCE, self.env.targets.send(&target, address, call));
-        let (sent, end) = match or_recall(&mut ticket, sending).await {
-            None => (Sent::GoOn, AttemptEnd::Cut),
+        let (began_ms, before) = (self.env.clock.now().mono_ms, self.last_event());
+        let sending = within(IDLE_TIMEOUT, self.env.targets.send(&target, address, call));
+        let (outcome, end) = match or_preempted(&mut ticket, sending).await {
+            None => (Outcome::Resume, AttemptEnd::Cut),
             Some(Some(Ok(response))) => {
                 if let Some(load) = self.env.platform.dialect.reported_load(response.headers()) {
                     self.env.placement.report_load(&target, load);
                 }
-                self.read(response, &mut ticket).await
+                self.read_response(response, &mut ticket).await
             }
-            Some(Some(Err(SendError::NotSent(_)))) => (Sent::Later, AttemptEnd::Unreachable),
-            Some(Some(Err(SendError::MayHaveRun(_)))) => (Sent::Lost, AttemptEnd::Lost),
-            Some(None) => (Sent::Lost, AttemptEnd::Silent),
+            Some(Some(Err(SendError::NotSent(_)))) => {
+                (Outcome::RetryLater, AttemptEnd::Unreachable)
+            }
+            Some(Some(Err(SendError::MayHaveRun(_)))) => (Outcome::ResponseLost, AttemptEnd::Lost),
+            Some(None) => (Outcome::ResponseLost, AttemptEnd::Silent),
         };
         if end != AttemptEnd::Answered {
             log::info!(
                 job = &*self.job, item = &*self.item.id, target = &*target, end:? = end,
-                after = self.last().unwrap_or(0);
+                after = self.last_event().unwrap_or(0);
                 "item: attempt ended"
             );
         }
-        if self.last() > before {
+        if self.last_event() > before {
             let ran_ms = self.env.clock.now().mono_ms - began_ms;
             self.output.borrow_mut().ran_ms += ran_ms;
         }
         ticket.report_end(end);
-        sent
+        outcome
     }
 
-    fn ask(&self, service: &Name, headers: &HeaderMap) -> RequestSpec {
+    fn request_spec(&self, service: &Name, headers: &HeaderMap) -> RequestSpec {
         RequestSpec {
             request: self.env.placement.next_request(),
             class: Class::Batch,
@@ -223,95 +230,98 @@
 
     fn set_headers(&self, call: &mut Call, target: &Name) {
         let names = self.env.platform.dialect.headers();
-        let left = self.give_up_at.saturating_duration_since(Instant::now()).min(LONGEST_SEND);
+        let left = self.give_up_at.saturating_duration_since(Instant::now()).min(MAX_ATTEMPT_TIME);
         target_client::set_target_headers(call, names, target, left);
-        if let Some(last) = self.last() {
+        if let Some(last) = self.last_event() {
             call.headers.insert(names.last_event_id.clone(), HeaderValue::from(last));
         }
     }
 
-    async fn read(
+    async fn read_response(
         &self,
         response: hyper::Response<Answer>,
         ticket: &mut Ticket,
-    ) -> (Sent, AttemptEnd) {
+    ) -> (Outcome, AttemptEnd) {
         if let Some(end) =
             target_client::not_run_reason(self.env.platform.dialect.headers(), &response)
         {
-            return (Sent::Later, end);
+            return (Outcome::RetryLater, end);
         }
         let (parts, body) = response.into_parts();
         if parts.status.is_success() && is_event_stream(&parts.headers) {
             return self.read_events(body, ticket).await;
         }
-        let whole = within(SILENCE, read_whole(body, MAX_FAILURE_BYTES)).await;
+        let whole = within(IDLE_TIMEOUT, read_whole(body, MAX_ERROR_BYTES)).await;
         if !matches!(whole, Some(Ok(_))) {
-            return (Sent::Lost, AttemptEnd::Lost);
+            return (Outcome::ResponseLost, AttemptEnd::Lost);
         }
-        let sent = match parts.status {
-            StatusCode::INTERNAL_SERVER_ERROR => Sent::Over(ItemEnd::Failed),
-            StatusCode::UNPROCESSABLE_ENTITY => Sent::Over(ItemEnd::Impossible),
+        let outcome = match parts.status {
+            StatusCode::INTERNAL_SERVER_ERROR => Outcome::Finished(ItemEnd::Failed),
+            StatusCode::UNPROCESSABLE_ENTITY => Outcome::Finished(ItemEnd::Impossible),
             status => {
-                log::warn!(job = &*self.job, item = &*self.item.id, status = status.as_u16(); "item: unexpected answer");
-                Sent::Over(ItemEnd::NoAnswer)
+                log::warn!(job = &*self.job, item = &*self.item.id, status = status.as_u16(); "item: unexpected response");
+                Outcome::Finished(ItemEnd::NoAnswer)
             }
         };
-        (sent, AttemptEnd::Answered)
+        (outcome, AttemptEnd::Answered)
     }
 
-    async fn read_events(&self, mut body: Answer, ticket: &mut Ticket) -> (Sent, AttemptEnd) {
+    async fn read_events(&self, mut body: Answer, ticket: &mut Ticket) -> (Outcome, AttemptEnd) {
         use http_body_util::BodyExt;
         let mut events = EventBuffer::default();
         loop {
-            let piece = within(SILENCE, body.frame());
-            match or_recall(ticket, piece).await {
-                None => return (Sent::GoOn, AttemptEnd::Cut),
-                Some(None) => return (Sent::Lost, AttemptEnd::Silent),
+            let piece = within(IDLE_TIMEOUT, body.frame());
+            match or_preempted(ticket, piece).await {
+                None => return (Outcome::Resume, AttemptEnd::Cut),
+                Some(None) => return (Outcome::ResponseLost, AttemptEnd::Silent),
                 Some(Some(Some(Ok(frame)))) => {
                     events.push(&frame.into_data().unwrap_or_default());
-                    self.output.borrow_mut().take(&mut events);
+                    self.output.borrow_mut().consume(&mut events);
                 }
-                Some(Some(Some(Err(_)))) => return (Sent::Lost, AttemptEnd::Lost),
+                Some(Some(Some(Err(_)))) => return (Outcome::ResponseLost, AttemptEnd::Lost),
                 Some(Some(None)) if events.take_rest().is_empty() => {
-                    return (Sent::Over(self.output.borrow().complete()), AttemptEnd::Answered);
+                    return (
+                        Outcome::Finished(self.output.borrow().complete()),
+                        AttemptEnd::Answered,
+                    );
                 }
-                Some(Some(None)) => return (Sent::Lost, AttemptEnd::Lost),
+                Some(Some(None)) => return (Outcome::ResponseLost, AttemptEnd::Lost),
             }
         }
     }
 }
 
 impl Output {
-    fn take(&mut self, events: &mut EventBuffer) {
+    fn consume(&mut self, events: &mut EventBuffer) {
         while let Some(event) = events.next() {
-            if event.id.is_some() && event.id <= self.last {
+            if event.id.is_some() && event.id <= self.last_event {
                 continue;
             }
-            self.last = event.id.or(self.last);
+            self.last_event = event.id.or(self.last_event);
             event.append_data(&mut self.text, !self.has_data);
             self.has_data |= event.has_data();
         }
     }
 
-    /// Output that the job's log has kept.
-    pub fn kept(partial: PartialOutput) -> Output {
-        let (last, kept_bytes) = (Some(partial.last), partial.text.len());
+    /// Restores the output that was read from the job's log.
+    pub fn from_saved(partial: PartialOutput) -> Output {
+        let (last_event, saved_bytes) = (Some(partial.last), partial.text.len());
         Output {
             text: partial.text.into_bytes(),
-            has_data: kept_bytes > 0,
-            last,
-            kept_bytes,
-            kept_last: last,
+            has_data: saved_bytes > 0,
+            last_event,
+            saved_bytes,
+            saved_event: last_event,
             ran_ms: 0,
         }
     }
 
-    /// What has come since the last part that was taken.
-    pub fn take_part(&mut self, item: u32) -> Option<OutputPart> {
-        let last = self.last.filter(|it| Some(*it) > self.kept_last)?;
-        let text = String::from_utf8_lossy(&self.text[self.kept_bytes..]).into_owned();
-        let after = self.kept_last.replace(last);
-        self.kept_bytes = self.text.len();
+    /// Takes the output received since the last call; `None` if there was no new event.
+    pub fn take_unsaved(&mut self, item: u32) -> Option<OutputPart> {
+        let last = self.last_event.filter(|it| Some(*it) > self.saved_event)?;
+        let text = String::from_utf8_lossy(&self.text[self.saved_bytes..]).into_owned();
+        let after = self.saved_event.replace(last);
+        self.saved_bytes = self.text.len();
         Some(OutputPart { item, after, last, text })
     }
 
@@ -321,11 +331,11 @@
     }
 }
 
-/// Waits for something, or for the recall of the place; `None` after a recall.
-async fn or_recall<F: Future>(ticket: &mut Ticket, future: F) -> Option<F::Output> {
+/// Waits for a future or for the preemption of the attempt; `None` if it was preempted.
+async fn or_preempted<F: Future>(ticket: &mut Ticket, future: F) -> Option<F::Output> {
     let future = std::pin::pin!(future);
-    let recall = std::pin::pin!(ticket.next_decision());
-    match select(future, recall).await {
+    let preempted = std::pin::pin!(ticket.next_decision());
+    match select(future, preempted).await {
         Either::Left((output, _)) => Some(output),
         Either::Right(_) => None,
     }
--- a/crates/samphiredoor-gateway/src/jobs/job_task/mod.rs
+++ b/crates/samphiredoor-gateway/src/jobs/job_task/mod.rs
@@ -1,9 +1,10 @@
-//! The task that owns one job: it runs the items, appends their results, and answers readers.
+//! The task that owns one job: it runs the items, appends their results to the log, and answers readers.
 //!
-//! Everything that must hold rests on the log's conditional creates. The task only works while it believes that the job
-//! is its own; a wrong belief costs runs.
+//! Correctness rests only on the conditional creates of the log's segments. The task runs items while this process is
+//! the owner as far as it can tell; if it no longer is, items are run twice but no result is recorded twice.
 //!
-//! `runs` holds what is done with the items, `results` the log and its readers, `ending` how the job leaves this process.
+//! `runs` handles the runs of items, `results` the log and its readers, and `ending` the ways in which a job leaves
+//! this process.
 
 mod ending;
 mod results;
@@ -26,91 +27,93 @@
 pub use results::page_of;
 
 use super::{
-    JobEnv, clearance::Clearance, directory::Directory, item_run::SharedOutput, stored::Unread,
-    submit::until,
+    JobEnv, directory::Directory, item_run::SharedOutput, send_permit::SendPermit,
+    stored::ReadError, submit::duration_until,
 };
 use crate::platform_api::ResultsPage;
 
-/// How often a working job looks whether its process still reaches the store.
-const LOOK_PAUSE: Duration = Duration::from_millis(500);
-/// A wait of no length does not let other tasks run: with a time that has passed the task would hold the whole process.
-const SHORTEST_WAIT: Duration = Duration::from_millis(1);
-const FOREVER: Duration = Duration::from_secs(3_600);
+/// Interval at which a running job checks whether this process is isolated from the store.
+const STORE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
+/// Minimum wait for a message. A wait of zero does not yield to other tasks, so that a wakeup time in the past would
+/// block the whole process.
+const MIN_WAIT: Duration = Duration::from_millis(1);
+/// Stands for a time that is never reached.
+const FAR_FUTURE: Duration = Duration::from_secs(3_600);
 
 /// A job that this process owns.
-pub struct OwnedJob {
-    /// Name.
+pub struct JobOwnership {
+    /// Job that is owned.
     pub job: JobName,
-    /// Header as it stands.
+    /// Last written header, with this process as the owner.
     pub header: JobHeader,
-    /// Version of the header.
+    /// Version of that header in the store.
     pub version: Version,
-    /// Gaps of this process before the header was written.
-    pub gaps: u64,
-    /// Whether its end need not be looked for: nobody else has heard of the job.
+    /// Number of liveness gaps before the header was written.
+    pub gap_count: u64,
+    /// Whether no caller can have cancelled the job yet, because no gateway has reported it as accepted.
     pub is_new: bool,
 }
 
-/// What the store has of a job after a gap.
-pub struct Look {
-    /// Gaps of this process before it was asked.
-    gaps: u64,
-    /// Answer to the read of the header; `None` if it is known.
+/// Result of reading from the store whether this process still owns a job and may run it.
+pub struct OwnershipCheck {
+    /// Number of liveness gaps before the store was read.
+    gap_count: u64,
+    /// Answer to the read of the header; `None` if there was no gap since this process wrote it.
     header: Option<StoreAnswer>,
-    /// Whether the job is ended.
-    ended: Result<bool, Unread>,
+    /// Whether the caller has cancelled the job.
+    cancelled: Result<bool, ReadError>,
 }
 
-/// What a job's task is told.
+/// Message to a job's task.
 pub enum JobMessage {
-    /// Read results.
+    /// Reads results.
     Read {
-        /// Number of results that the reader has.
+        /// Number of results that the reader already has.
         after: usize,
-        /// Until when to wait for one more.
+        /// When to answer even if there is no further result.
         until: Instant,
-        /// Where the answer goes.
+        /// Receives the answer.
         reply: flume::Sender<ReadReply>,
     },
-    /// Read an item as it was submitted, unless its result stands.
+    /// Reads an item as it was submitted, unless its result is committed.
     Item {
-        /// Name of the item.
+        /// Id of the item.
         id: String,
-        /// Where the answer goes.
+        /// Receives the item, or `None`.
         reply: flume::Sender<Option<Arc<Item>>>,
     },
     /// A run of an item ended.
     RunEnded {
-        /// Which item.
+        /// Index of the item.
         item: u32,
-        /// How.
+        /// Outcome of the run.
         end: ItemEnd,
     },
-    /// The log's call was answered.
-    Stored(StoreAnswer),
-    /// The header was read, to see whose the job is.
-    Header(StoreAnswer),
-    /// An item waits until it may be sent.
-    Held,
-    /// The store was asked whether items may be sent.
-    Looked(Look),
-    /// The last write of the header was answered.
+    /// The store has answered the log's call.
+    LogCallAnswered(StoreAnswer),
+    /// The header was read to find out whether this process still owns the job.
+    HeaderRead(StoreAnswer),
+    /// An item waits for the permit to be sent.
+    PermitWanted,
+    /// The store was read to decide whether items may be sent.
+    OwnershipChecked(OwnershipCheck),
+    /// The store has answered the last write of the header.
     HeaderWritten(StoreAnswer),
-    /// The caller has ended the job.
-    Ended {
-        /// Told whether nothing of the job is run here any more, nor by an owner to whom this process hands it.
+    /// The caller has cancelled the job.
+    Cancel {
+        /// Receives whether the job runs neither here nor at a process that this one hands it over to.
         reply: Option<flume::Sender<bool>>,
     },
-    /// A planned stop has begun.
-    Release,
+    /// A graceful shutdown has begun.
+    HandOver,
 }
 
 /// Answer to a reader.
 pub enum ReadReply {
-    /// Results.
+    /// Results, or none if the wait was over.
     Page(ResultsPage),
-    /// The reader knows more than this process: read the store.
-    Elsewhere,
+    /// The results here may be outdated or the job has left this process; read the store.
+    UseStore,
 }
 
 struct Reader {
@@ -122,124 +125,127 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Phase {
-    /// Items run.
-    Working,
-    /// Nothing is run any more; results that wait are written, and the job is handed over then.
-    Releasing(Instant),
-    /// All results stand, or the caller has ended it; the header is being written.
+    /// The items are run.
+    Running,
+    /// No items run. Pending results are written, and the job is handed over at the given time at the earliest.
+    HandingOver(Instant),
+    /// The job is finished, cancelled or handed over, and the header is being written.
     Closing,
-    /// Only readers are answered, until then.
-    Lingering(Instant),
-    /// The task ends.
-    Over,
+    /// The job is finished or cancelled; readers are answered from memory until the given time.
+    Retained(Instant),
+    /// The task ends at its next step.
+    Done,
 }
 
-/// The task of one job.
+/// State of the task of one job.
 pub struct JobTask {
     env: Rc<JobEnv>,
-    owned: OwnedJob,
+    ownership: JobOwnership,
     items: Items,
     log: ResultLog,
     messages: flume::Sender<JobMessage>,
     runs: HashMap<u32, JoinHandle<()>>,
     outputs: HashMap<u32, SharedOutput>,
-    again: Vec<(Instant, u32)>,
+    /// Items that are to be run again, and when.
+    retries: Vec<(Instant, u32)>,
     readers: Vec<Reader>,
     phase: Phase,
-    calling: bool,
+    log_call_in_flight: bool,
+    /// When the log takes its next step; `None` if no write or retry is pending.
     write_at: Option<Instant>,
-    /// When outputs were last given to the log.
-    kept_at: Instant,
+    /// When partial outputs were last passed to the log.
+    saved_at: Instant,
     give_up_at: Instant,
     due_at_ms: u64,
-    started: bool,
-    /// When the task began.
-    began: Instant,
-    /// Whether others may have taken the job while this process alone missed the store.
-    displaced: bool,
-    /// Whether runs are held back until it is known whose the job is.
+    /// Whether runs of all items without a result were started.
+    items_started: bool,
+    /// When the task was created.
+    started_at: Instant,
+    /// Whether other processes may have taken over the job while only this one was isolated from the store.
+    may_have_been_taken: bool,
+    /// Whether runs are stopped until the store confirms that this process owns the job.
     suspended: bool,
-    /// Calls of the log in a row that got no usable answer.
-    failures: u32,
-    /// Whether items may be sent.
-    clearance: Rc<Clearance>,
-    /// Whether the store is being asked for that.
-    looking: bool,
-    /// Earliest next time, after an answer that was of no use.
-    look_at: Instant,
-    /// Start of the last read that found no further segment.
-    checked_at: Instant,
-    /// Start of the last look for segments of other processes.
-    checking_since: Option<Instant>,
+    /// Consecutive store calls without a usable answer, for the retry backoff.
+    store_failures: u32,
+    /// Permit to send items, shared with their runs.
+    permit: Rc<SendPermit>,
+    /// Whether the store is being read to grant the permit.
+    checking: bool,
+    /// Earliest time of the next such read, after one without a usable answer.
+    next_check_at: Instant,
+    /// Start of the last read that found no further segment at the end of the log.
+    log_end_seen_at: Instant,
+    /// Start of the last read for segments of other processes.
+    foreign_check_at: Option<Instant>,
 }
 
 impl JobTask {
-    /// Task of a job; `messages` is its own inbox.
+    /// Creates the task of a job; `messages` sends to its own inbox.
     pub fn new(
         env: Rc<JobEnv>,
-        owned: OwnedJob,
+        ownership: JobOwnership,
         items: Items,
         log: ResultLog,
         messages: flume::Sender<JobMessage>,
     ) -> JobTask {
-        let give_up_at = Instant::now() + until(&env, owned.header.give_up_unix_ms);
-        let due_in = until(&env, owned.header.due_unix_ms).as_millis() as u64;
+        let give_up_at = Instant::now() + duration_until(&env, ownership.header.give_up_unix_ms);
+        let due_in = duration_until(&env, ownership.header.due_unix_ms).as_millis() as u64;
         let due_at_ms = env.clock.now().mono_ms + due_in;
-        let given = owned.is_new.then_some(owned.gaps);
+        let granted = ownership.is_new.then_some(ownership.gap_count);
         let (gaps, health) = (env.liveness_gaps.clone(), env.health.clone());
-        let clearance = Rc::new(Clearance::new(gaps, health, messages.clone(), given));
+        let permit = Rc::new(SendPermit::new(gaps, health, messages.clone(), granted));
         JobTask {
-            clearance,
-            began: Instant::now(),
-            displaced: false,
+            permit,
+            started_at: Instant::now(),
+            may_have_been_taken: false,
             suspended: false,
-            failures: 0,
-            looking: false,
-            look_at: Instant::now(),
-            checked_at: Instant::now(),
-            checking_since: None,
+            store_failures: 0,
+            checking: false,
+            next_check_at: Instant::now(),
+            log_end_seen_at: Instant::now(),
+            foreign_check_at: None,
             env,
-            owned,
+            ownership,
             items,
             log,
             messages,
             runs: HashMap::new(),
             outputs: HashMap::new(),
-            again: Vec::new(),
+            retries: Vec::new(),
             readers: Vec::new(),
-            phase: Phase::Working,
-            calling: false,
+            phase: Phase::Running,
+            log_call_in_flight: false,
             write_at: None,
-            kept_at: Instant::now(),
+            saved_at: Instant::now(),
             give_up_at,
             due_at_ms,
-            started: false,
+            items_started: false,
         }
     }
 
-    /// Works until the job is over, lost or handed over.
+    /// Runs the task until the job is finished and no longer retained, handed over, or owned by another process.
     pub async fn run(mut self, inbox: flume::Receiver<JobMessage>, directory: Directory) {
-        self.proceed();
-        while self.phase != Phase::Over {
-            let left = self.next_time().saturating_duration_since(Instant::now());
-            match within(left.max(SHORTEST_WAIT), inbox.recv_async()).await {
-                Some(Ok(message)) => self.take(message),
+        self.advance();
+        while self.phase != Phase::Done {
+            let left = self.next_wakeup().saturating_duration_since(Instant::now());
+            match within(left.max(MIN_WAIT), inbox.recv_async()).await {
+                Some(Ok(message)) => self.handle(message),
                 Some(Err(_)) => break,
                 None => {}
             }
-            self.proceed();
+            self.advance();
         }
-        match self.owned.header.finished {
-            true => directory.close(&self.owned.job),
-            false => directory.leave(&self.owned.job),
+        match self.ownership.header.finished {
+            true => directory.close(&self.ownership.job),
+            false => directory.remove(&self.ownership.job),
         }
         for reader in self.readers.drain(..) {
-            // A reader that has gone needs no answer.
-            let _ = reader.reply.send(ReadReply::Elsewhere);
+            // Fails if the reader has disconnected.
+            let _ = reader.reply.send(ReadReply::UseStore);
         }
     }
 
-    fn take(&mut self, message: JobMessage) {
+    fn handle(&mut self, message: JobMessage) {
         match message {
             JobMessage::Read { after, until, reply } => {
                 self.readers.push(Reader { after, arrived: Instant::now(), until, reply });
@@ -249,60 +255,60 @@
                 let _ = reply.send(found.map(|(_, it)| Arc::clone(it)));
             }
             JobMessage::RunEnded { item, end } => self.run_ended(item, end),
-            JobMessage::Stored(answer) => self.stored(&answer),
-            JobMessage::Header(answer) => self.header_read(&answer),
-            // What waits is looked at after each message.
-            JobMessage::Held => {}
-            JobMessage::Looked(look) => self.looked(&look),
+            JobMessage::LogCallAnswered(answer) => self.log_call_answered(&answer),
+            JobMessage::HeaderRead(answer) => self.header_answered(&answer),
+            // Handled by `advance`, which runs after each message.
+            JobMessage::PermitWanted => {}
+            JobMessage::OwnershipChecked(check) => self.ownership_checked(&check),
             JobMessage::HeaderWritten(answer) => self.header_written(&answer),
-            JobMessage::Ended { reply } => {
-                let is_over = self.ended();
+            JobMessage::Cancel { reply } => {
+                let is_over = self.cancel();
                 if let Some(reply) = reply {
-                    // Whoever has gone needs no answer.
+                    // Fails if the sender of the message no longer waits.
                     let _ = reply.send(is_over);
                 }
             }
-            JobMessage::Release => self.release(),
+            JobMessage::HandOver => self.begin_hand_over(),
         }
     }
 
-    /// Does what time and state ask for.
-    fn proceed(&mut self) {
+    /// Takes all steps that are due in the current state.
+    fn advance(&mut self) {
         let now = Instant::now();
-        if self.phase == Phase::Working {
-            self.hold_or_look();
+        if self.phase == Phase::Running {
+            self.suspend_or_recheck();
             self.start_items();
-            self.run_again(now);
-            self.keep_outputs(now);
+            self.start_due_retries(now);
+            self.save_outputs(now);
             if now >= self.give_up_at {
-                self.give_up_rest();
+                self.give_up_remaining();
             }
         }
-        self.step_log(now);
+        self.advance_log(now);
         self.answer_readers(now);
         match self.phase {
-            Phase::Working if self.is_complete() => self.close("finished"),
-            Phase::Releasing(until) => self.hand_over(now, until),
-            Phase::Lingering(until) if now >= until => self.phase = Phase::Over,
+            Phase::Running if self.is_complete() => self.close("finished"),
+            Phase::HandingOver(until) => self.hand_over(now, until),
+            Phase::Retained(until) if now >= until => self.phase = Phase::Done,
             _ => {}
         }
     }
 
-    /// When there is something to do without a message. What cannot be done yet has no time: the message that makes it
-    /// possible wakes the task.
-    fn next_time(&self) -> Instant {
+    /// Time of the next step that needs no message. Steps that cannot be taken yet are left out, as the message that
+    /// enables them also wakes the task.
+    fn next_wakeup(&self) -> Instant {
         let phase = match self.phase {
-            Phase::Working => Some(self.give_up_at),
-            Phase::Releasing(until) | Phase::Lingering(until) => Some(until),
-            Phase::Closing | Phase::Over => None,
+            Phase::Running => Some(self.give_up_at),
+            Phase::HandingOver(until) | Phase::Retained(until) => Some(until),
+            Phase::Closing | Phase::Done => None,
         };
-        let again = self.again.iter().map(|(at, _)| *at).min();
-        let again = again.filter(|_| self.phase == Phase::Working && !self.suspended);
+        let retry = self.retries.iter().map(|(at, _)| *at).min();
+        let retry = retry.filter(|_| self.phase == Phase::Running && !self.suspended);
         let reader = self.readers.iter().map(|it| it.until).min();
-        let write_at = self.write_at.filter(|_| self.is_active() && !self.calling);
-        let look = (self.phase == Phase::Working).then(|| Instant::now() + LOOK_PAUSE);
-        let times = [phase, again, reader, write_at, look];
-        times.into_iter().flatten().min().unwrap_or_else(|| Instant::now() + FOREVER)
+        let write_at = self.write_at.filter(|_| self.is_active() && !self.log_call_in_flight);
+        let check = (self.phase == Phase::Running).then(|| Instant::now() + STORE_CHECK_INTERVAL);
+        let times = [phase, retry, reader, write_at, check];
+        times.into_iter().flatten().min().unwrap_or_else(|| Instant::now() + FAR_FUTURE)
     }
 
     fn is_complete(&self) -> bool {
--- a/crates/samphiredoor-gateway/src/jobs/liveness_gaps.rs
+++ b/crates/samphiredoor-gateway/src/jobs/liveness_gaps.rs
@@ -1,8 +1,9 @@
-//! Gaps in which other gateways may have taken this process for gone.
+//! Liveness gaps: periods in which other gateways may have declared this process dead.
 //!
-//! They take its jobs then, and acknowledge ends of jobs that it cannot be told of. Such a gap is a sleep of this process, an
-//! outage of the store, or a time in which it hears less than half of the others: who takes a process for gone hears at
-//! least half of all.
+//! They then take over its jobs, and acknowledge cancellations of jobs without being able to reach it. A gap is a pause
+//! of this process, an outage of the store, or a period in which it receives heartbeats from less than half of the
+//! other gateways. The last one suffices because a gateway declares another one dead only while it receives heartbeats
+//! from at least half of the fleet.
 
 use std::{
     cell::Cell,
@@ -15,19 +16,20 @@
 
 use crate::{peers::Roster, store_health::StoreHealth};
 
-/// Time between two looks at the clocks and at who is heard.
-const TICK: Duration = Duration::from_millis(500);
-/// Time between two looks at the clocks that only a process has which slept or stood still; one that is silent for 2.5 s
-/// counts as gone.
-const ASLEEP: Duration = Duration::from_millis(1_500);
-/// Time after which a process that is still cut off counts a further gap.
-const CUT_OFF_PAUSE: Duration = Duration::from_millis(2_000);
+/// Interval between two checks of the clocks, the store and the peers.
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
+/// Time between two checks of the clocks from which the process counts as paused, for example because its host slept.
+/// Peers declare a process dead after 2.5 s without a heartbeat.
+const MIN_PAUSE: Duration = Duration::from_millis(1_500);
+/// Interval at which a process that stays isolated records a further gap.
+const ISOLATION_REPEAT: Duration = Duration::from_millis(2_000);
 
-/// Time after a gap in which all others have heard this process again. Until then they may still take its jobs, also after
-/// these were looked for, so that they are looked for once more.
-const SETTLED: Duration = Duration::from_millis(2_500);
+/// Time after a gap by which all peers have received a heartbeat of this process again. Until then they may still take
+/// over its jobs, even after their headers were checked, so another gap is counted afterwards and they are checked
+/// again.
+const SETTLE_TIME: Duration = Duration::from_millis(2_500);
 
-/// Handle to the gaps of this process.
+/// Shared handle to the gap detector of this process.
 #[derive(Clone)]
 pub struct LivenessGaps {
     state: Rc<State>,
@@ -37,97 +39,104 @@
     clock: Clock,
     roster: Roster,
     health: StoreHealth,
-    looked: Cell<Now>,
-    noted: Cell<u64>,
-    regains: Cell<u64>,
-    settled_at: Cell<Option<Instant>>,
-    has_heard_most: Cell<bool>,
-    cut_off: Cell<Option<Instant>>,
+    /// Time of the last check of the clocks.
+    checked: Cell<Now>,
+    /// Number of gaps, without the store's recoveries.
+    recorded: Cell<u64>,
+    /// Recoveries of the store after which a further check of the jobs is scheduled.
+    handled_recoveries: Cell<u64>,
+    /// When the gap after the last one is counted.
+    settles_at: Cell<Option<Instant>>,
+    /// Whether heartbeats of at least half of the fleet have arrived since the start.
+    was_connected: Cell<bool>,
+    /// When the process was last recorded as isolated; `None` while it is not.
+    isolated_since: Cell<Option<Instant>>,
 }
 
 impl LivenessGaps {
-    /// No gaps yet.
+    /// Creates a detector that counts gaps from now on.
     pub fn new(clock: Clock, roster: Roster, health: StoreHealth) -> LivenessGaps {
         let state = State {
-            looked: Cell::new(clock.now()),
+            checked: Cell::new(clock.now()),
             clock,
             roster,
             health,
-            noted: Cell::default(),
-            regains: Cell::default(),
-            settled_at: Cell::default(),
-            has_heard_most: Cell::default(),
-            cut_off: Cell::default(),
+            recorded: Cell::default(),
+            handled_recoveries: Cell::default(),
+            settles_at: Cell::default(),
+            was_connected: Cell::default(),
+            isolated_since: Cell::default(),
         };
         LivenessGaps { state: Rc::new(state) }
     }
 
-    /// Number of gaps so far.
+    /// Number of gaps so far, including one that has just ended.
     pub fn count(&self) -> u64 {
-        self.look_at_clocks();
-        self.state.noted.get() + self.state.health.recoveries()
+        self.check_clocks();
+        self.state.recorded.get() + self.state.health.recoveries()
     }
 
-    /// Looks for gaps for as long as the process runs.
+    /// Checks for gaps periodically for as long as the process runs.
     pub async fn run(self) {
         loop {
-            compio::time::sleep(TICK).await;
-            self.look_at_clocks();
-            self.look_at_store();
-            self.look_at_peers();
+            compio::time::sleep(CHECK_INTERVAL).await;
+            self.check_clocks();
+            self.check_store();
+            self.check_peers();
             self.settle();
         }
     }
 
-    /// The monotonic clock may stand still while a host sleeps; the wall clock may be set.
-    fn look_at_clocks(&self) {
+    /// Detects pauses of the process by both clocks: the monotonic clock may stand still while a host sleeps, and the
+    /// wall clock may be set.
+    fn check_clocks(&self) {
         let now = self.state.clock.now();
-        let before = self.state.looked.replace(now);
+        let before = self.state.checked.replace(now);
         let passed_ms =
             (now.mono_ms - before.mono_ms).max(now.unix_ms.saturating_sub(before.unix_ms));
-        if Duration::from_millis(passed_ms) >= ASLEEP {
-            self.note("slept");
+        if Duration::from_millis(passed_ms) >= MIN_PAUSE {
+            self.record("slept");
         }
     }
 
-    fn look_at_store(&self) {
-        let regains = self.state.health.recoveries();
-        if self.state.regains.replace(regains) != regains {
-            self.state.settled_at.set(Some(Instant::now() + SETTLED));
+    fn check_store(&self) {
+        let recoveries = self.state.health.recoveries();
+        if self.state.handled_recoveries.replace(recoveries) != recoveries {
+            self.state.settles_at.set(Some(Instant::now() + SETTLE_TIME));
         }
     }
 
-    fn look_at_peers(&self) {
+    fn check_peers(&self) {
         let state = &self.state;
-        let is_over = |at: Instant| at.elapsed() >= CUT_OFF_PAUSE;
-        match (state.roster.is_isolated(), state.cut_off.get()) {
-            (true, None) if state.has_heard_most.get() => self.note_cut_off(Some(Instant::now())),
-            (true, Some(at)) if is_over(at) => self.note_cut_off(Some(Instant::now())),
+        let is_over = |at: Instant| at.elapsed() >= ISOLATION_REPEAT;
+        match (state.roster.is_isolated(), state.isolated_since.get()) {
+            (true, None) if state.was_connected.get() => self.set_isolated(Some(Instant::now())),
+            (true, Some(at)) if is_over(at) => self.set_isolated(Some(Instant::now())),
             (true, _) => {}
-            (false, Some(_)) => self.note_cut_off(None),
-            (false, None) => state.has_heard_most.set(true),
+            (false, Some(_)) => self.set_isolated(None),
+            (false, None) => state.was_connected.set(true),
         }
     }
 
-    fn note_cut_off(&self, since: Option<Instant>) {
-        self.state.cut_off.set(since);
-        self.note("cut off");
+    fn set_isolated(&self, since: Option<Instant>) {
+        self.state.isolated_since.set(since);
+        self.record("cut off");
     }
 
-    fn note(&self, why: &'static str) {
-        log::info!(why; "jobs: others may take this process for gone");
-        self.state.settled_at.set(Some(Instant::now() + SETTLED));
-        self.add();
+    fn record(&self, why: &'static str) {
+        log::info!(why; "jobs: peers may have declared this process dead");
+        self.state.settles_at.set(Some(Instant::now() + SETTLE_TIME));
+        self.increment();
     }
 
     fn settle(&self) {
-        if self.state.settled_at.get().is_some_and(|it| it <= Instant::now()) {
-            self.state.settled_at.set(None);
-            self.add();
+        if self.state.settles_at.get().is_some_and(|it| it <= Instant::now()) {
+            self.state.settles_at.set(None);
+            self.increment();
         }
     }
 
-    fn add(&self) {
-        self.state.noted.set(self.state.noted.get() + 1);
+    fn increment(&self) {
+        self.state.recorded.set(self.state.recorded.get() + 1);
     }
 }
--- a/crates/samphiredoor-gateway/src/jobs/stored.rs
+++ b/crates/samphiredoor-gateway/src/jobs/stored.rs
@@ -1,4 +1,4 @@
-//! What the store has of a job, for readers at processes that do not own it.
+//! Reads of jobs from the store, with a cache, for gateways that do not own them.
 
 use std::{
     cell::RefCell,
@@ -17,22 +17,22 @@
 use super::{JobEnv, job_task::page_of};
 use crate::platform_api::ResultsPage;
 
-/// Bytes of results that are kept for readers; beyond it the jobs that were read first are forgotten.
+/// Cached bytes of results beyond which the jobs that were cached first are evicted.
 const CACHE_BYTES: usize = 1_500_000;
-/// Headers that are kept.
+/// Number of cached jobs beyond which the ones that were cached first are evicted.
 const CACHE_JOBS: usize = 512;
 
-/// Why something of a job cannot be told.
+/// Why a read of a job failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Unread {
-    /// There is no such job or item.
-    Absent,
-    /// The store is of no help now.
+pub enum ReadError {
+    /// The job or item does not exist.
+    NotFound,
+    /// The store gave no usable answer; a later read may succeed.
     Unavailable,
 }
 
 #[derive(Default)]
-struct Cached {
+struct CachedJob {
     header: Option<JobHeader>,
     results: Vec<ItemResult>,
     segments: u32,
@@ -41,20 +41,20 @@
 
 #[derive(Default)]
 struct Cache {
-    jobs: HashMap<JobName, Cached>,
-    order: VecDeque<JobName>,
+    jobs: HashMap<JobName, CachedJob>,
+    insertion_order: VecDeque<JobName>,
     bytes: usize,
 }
 
 impl Cache {
-    fn entry(&mut self, job: &JobName) -> &mut Cached {
+    fn entry(&mut self, job: &JobName) -> &mut CachedJob {
         if !self.jobs.contains_key(job) {
-            self.order.push_back(JobName::clone(job));
+            self.insertion_order.push_back(JobName::clone(job));
         }
-        while self.bytes > CACHE_BYTES || self.order.len() > CACHE_JOBS {
-            let Some(oldest) = self.order.pop_front() else { break };
+        while self.bytes > CACHE_BYTES || self.insertion_order.len() > CACHE_JOBS {
+            let Some(oldest) = self.insertion_order.pop_front() else { break };
             if oldest == *job {
-                self.order.push_back(oldest);
+                self.insertion_order.push_back(oldest);
                 break;
             }
             let removed = self.jobs.remove(&oldest);
@@ -66,7 +66,7 @@
     fn add(&mut self, job: &JobName, segment: u32, results: Vec<ItemResult>) {
         let bytes: usize = results.iter().map(|it| it.text.len()).sum();
         let cached = self.entry(job);
-        // Another reader may have added it meanwhile.
+        // Another reader may have added the segment meanwhile.
         if cached.segments == segment {
             cached.results.extend(results);
             cached.segments += 1;
@@ -76,7 +76,7 @@
     }
 }
 
-/// Handle to what the store has of jobs.
+/// Shared handle for reading jobs from the store.
 #[derive(Clone)]
 pub struct StoredJobs {
     env: Rc<JobEnv>,
@@ -84,17 +84,17 @@
 }
 
 impl StoredJobs {
-    /// Handle with an empty cache.
+    /// Creates a handle with an empty cache.
     pub fn new(env: Rc<JobEnv>) -> StoredJobs {
         StoredJobs { env, cache: Rc::default() }
     }
 
-    /// A job's header; the owner in it may be an earlier one.
+    /// A job's header, from the cache if possible, so that its owner may be outdated.
     ///
     /// # Errors
     ///
-    /// Why it cannot be told.
-    pub async fn header(&self, job: &JobName) -> Result<JobHeader, Unread> {
+    /// If the job does not exist or the store gives no usable answer.
+    pub async fn header(&self, job: &JobName) -> Result<JobHeader, ReadError> {
         let cached = self.cache.borrow_mut().entry(job).header.clone();
         match cached {
             Some(header) => Ok(header),
@@ -102,23 +102,23 @@
         }
     }
 
-    /// A job's header as it stands now, with its version.
+    /// Reads a job's current header, with its version, from the store.
     ///
     /// # Errors
     ///
-    /// Why it cannot be told.
-    pub async fn current_header(&self, job: &JobName) -> Result<(JobHeader, Version), Unread> {
+    /// If the job does not exist or the store gives no usable answer.
+    pub async fn current_header(&self, job: &JobName) -> Result<(JobHeader, Version), ReadError> {
         let (header, version) = self.env.current_header(job).await?;
         self.cache.borrow_mut().entry(job).header = Some(header.clone());
         Ok((header, version))
     }
 
-    /// Results from a position on, as they stand.
+    /// Committed results from a position on.
     ///
     /// # Errors
     ///
-    /// Why they cannot be told.
-    pub async fn results(&self, job: &JobName, after: usize) -> Result<ResultsPage, Unread> {
+    /// If the job does not exist or the store gives no usable answer.
+    pub async fn results(&self, job: &JobName, after: usize) -> Result<ResultsPage, ReadError> {
         let total = self.header(job).await?.items as usize;
         loop {
             let segment = {
@@ -134,14 +134,14 @@
                 StoreAnswer::Object(stored) => {
                     let Ok(read) = read_segment(&stored) else {
                         log::error!(job = &**job, segment; "job: segment cannot be read");
-                        return Err(Unread::Unavailable);
+                        return Err(ReadError::Unavailable);
                     };
                     self.cache.borrow_mut().add(job, segment, read.results);
                 }
                 StoreAnswer::Absent => {
                     return Ok(ResultsPage { total, next: after, results: Vec::new() });
                 }
-                _ => return Err(Unread::Unavailable),
+                _ => return Err(ReadError::Unavailable),
             }
         }
     }
@@ -150,40 +150,41 @@
     ///
     /// # Errors
     ///
-    /// Why they cannot be told; [`Unread::Absent`] for a job that is not accepted yet.
-    pub async fn items(&self, job: &JobName, header: &JobHeader) -> Result<Vec<Item>, Unread> {
+    /// [`ReadError::NotFound`] for a job that is not accepted yet, as parts of it are missing.
+    pub async fn items(&self, job: &JobName, header: &JobHeader) -> Result<Vec<Item>, ReadError> {
         let mut text = String::new();
         for part in 0..header.parts {
             let key = part_key(job, &header.digest, part);
             match self.env.call(StoreOp::Get { key }).await {
                 StoreAnswer::Object(stored) => {
-                    text.push_str(&read_part(&stored).map_err(|_| Unread::Unavailable)?);
+                    text.push_str(&read_part(&stored).map_err(|_| ReadError::Unavailable)?);
                 }
-                StoreAnswer::Absent => return Err(Unread::Absent),
-                _ => return Err(Unread::Unavailable),
+                StoreAnswer::Absent => return Err(ReadError::NotFound),
+                _ => return Err(ReadError::Unavailable),
             }
         }
         self.env.platform.dialect.submission(text.as_bytes()).map_err(|problem| {
             log::error!(job = &**job, problem; "job: stored submission cannot be read");
-            Unread::Unavailable
+            ReadError::Unavailable
         })
     }
 
-    /// One item, unless its result stands.
+    /// One item as it was submitted, unless its result is committed.
     ///
     /// # Errors
     ///
-    /// Why it cannot be told.
-    pub async fn item(&self, job: &JobName, id: &str) -> Result<Arc<Item>, Unread> {
+    /// [`ReadError::NotFound`] if there is no such item, or if it has a result.
+    pub async fn item(&self, job: &JobName, id: &str) -> Result<Arc<Item>, ReadError> {
         let header = self.header(job).await?;
-        // Reads all results that stand.
+        // Loads all committed results into the cache.
         self.results(job, header.items as usize).await?;
         let decided = self.cache.borrow_mut().entry(job).results.iter().any(|it| &*it.id == id);
         if decided {
-            return Err(Unread::Absent);
+            return Err(ReadError::NotFound);
         }
-        // A job that is not accepted yet may be soon: nothing says that it has no such item.
-        let items = self.items(job, &header).await.map_err(|_| Unread::Unavailable)?;
-        items.into_iter().find(|it| &*it.id == id).map(Arc::new).ok_or(Unread::Absent)
+        // A job that is not accepted yet may be accepted soon, so a missing part does not mean that the item does not
+        // exist.
+        let items = self.items(job, &header).await.map_err(|_| ReadError::Unavailable)?;
+        items.into_iter().find(|it| &*it.id == id).map(Arc::new).ok_or(ReadError::NotFound)
     }
 }
--- a/crates/samphiredoor-gateway/src/jobs/submit.rs
+++ b/crates/samphiredoor-gateway/src/jobs/submit.rs
@@ -1,7 +1,8 @@
-//! From a submission to a durable job.
+//! Acceptance of submissions as durable jobs.
 //!
-//! The parts of the submission are written under names of its content, and the header beside them: when all of them stand,
-//! the job is accepted. A submission that comes again finds what stands and is told the same.
+//! The submission is split into parts, which are stored under keys with a digest of its content. The header is written
+//! at the same time, and the job is accepted once the header and all parts exist. A submission that is sent again finds
+//! the existing objects and gets the same answer.
 
 use std::{
     pin::pin,
@@ -21,79 +22,82 @@
 use samphiredoor_net::{Body, pool::within};
 
 use super::{
-    JobEnv, STORE_PAUSE, STORE_TRIES,
+    JobEnv, STORE_ATTEMPTS, STORE_RETRY_PAUSE,
     directory::Directory,
     forward::forward,
-    job_task::{JobTask, OwnedJob},
+    job_task::{JobOwnership, JobTask},
 };
 use crate::front::{json_message, refusal_response};
 
-/// Jobs that one process works on at once; beyond it submissions are refused, as their items would not run in time.
+/// Maximum number of jobs with a task in this process. Further submissions are refused, as their items would not run in
+/// time.
 const MAX_OPEN_JOBS: usize = 400;
-/// How long the store alone is waited for. It answers in a few milliseconds, and a slow one within some 300 ms; another
-/// gateway that it answers accepts the submission well within the callers' objective of 400 ms then.
-const STORE_PATIENCE: Duration = Duration::from_millis(200);
-/// When to come back after a refusal.
+/// Time without an answer of the store after which a submission is also forwarded to another gateway. The store answers
+/// in a few milliseconds, and within about 300 ms when it is slow. After this delay, a gateway that the store answers
+/// still accepts the submission well within the callers' objective of 400 ms.
+const FORWARD_DELAY: Duration = Duration::from_millis(200);
+/// Retry time in refusals.
 const RETRY_AFTER_MS: u64 = 300;
-/// Longest digest that names the parts; 64 bits tell two submissions under one name apart.
+/// Hexadecimal digits of the digest in the keys of parts; 64 bits suffice to tell apart submissions with the same job
+/// name.
 const DIGEST_CHARS: usize = 16;
 
-/// A submission as it was read.
+/// A submission whose body was received but not parsed.
 pub struct SubmittedJob {
-    /// Name of the job.
+    /// Name of the job, from the caller's request id.
     pub job: JobName,
-    /// Host that the caller named.
+    /// `Host` header of the submission.
     pub host: String,
-    /// Path that the caller named.
+    /// Path of the submission, without the prefix of forwarded ones.
     pub path: String,
-    /// Times of its route.
+    /// When the results are due and given up according to its route.
     pub rule: BatchTimes,
-    /// Failures at targets that its route allows for an item.
+    /// Failed attempts at targets after which an item is given up.
     pub attempts: u32,
-    /// Version of the routes by which it was read.
+    /// Version of the routes that its route was found in.
     pub routes_version: u64,
-    /// Whole body.
+    /// Whole request body.
     pub body: Bytes,
 }
 
-/// What became of an acceptance.
-enum Accepted {
-    /// The header stands, in this version, and is ours.
+/// Outcome of an attempt to store a job.
+enum Acceptance {
+    /// This attempt has created the job; the header has this version.
     New(Version),
-    /// The job was accepted before.
-    Before(JobHeader),
-    /// Nothing of the job stands that this attempt could have accepted.
-    No,
-    /// The header may stand.
-    Perhaps,
+    /// Another attempt has created the job with this header.
+    Earlier(JobHeader),
+    /// This attempt has created no header.
+    NotAccepted,
+    /// This attempt may have created the header, or parts are missing.
+    Unknown,
 }
 
-/// Which gateways may accept a submission.
+/// Which gateways may accept a submission, to prevent it from being forwarded twice.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Forwarding {
-    /// Another one, if the store does not answer this process.
+    /// Also another one, if the store does not answer this process.
     Allowed,
-    /// Only this one: the submission was passed on to it.
+    /// Only this one, because the submission was forwarded to it.
     Forbidden,
 }
 
-/// How a submission ended.
+/// Outcome of a submission at one or two gateways. Its names appear in the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum SubmissionEnd {
-    /// The job stands.
+pub enum SubmissionOutcome {
+    /// The job is stored.
     Accepted,
-    /// Another job has its name.
+    /// A job with another content has the same name.
     Conflict,
-    /// No gateway has accepted it, and none will.
+    /// No gateway has accepted the submission, and none will.
     Refused,
-    /// It may have been accepted.
+    /// The submission may have been accepted.
     Perhaps,
 }
 
-impl SubmissionEnd {
-    /// End of a submission that two gateways tried to accept.
-    fn or(self, other: SubmissionEnd) -> SubmissionEnd {
-        use SubmissionEnd::{Accepted, Conflict, Perhaps, Refused};
+impl SubmissionOutcome {
+    /// Combined outcome of a submission that two gateways tried to accept.
+    fn merge(self, other: SubmissionOutcome) -> SubmissionOutcome {
+        use SubmissionOutcome::{Accepted, Conflict, Perhaps, Refused};
         match (self, other) {
             (Accepted, _) | (_, Accepted) => Accepted,
             (Conflict, _) | (_, Conflict) => Conflict,
@@ -103,7 +107,7 @@
     }
 }
 
-/// Accepts a submission, and starts to work on it.
+/// Accepts a submission, starts the task of its job, and returns the answer to the caller.
 pub async fn submit(
     env: &Rc<JobEnv>,
     directory: &Directory,
@@ -116,7 +120,7 @@
     let items = match env.platform.dialect.submission(&submitted.body) {
         Ok(items) => items,
         Err(problem) => {
-            log::info!(job = &*submitted.job, problem; "job: submission cannot be read");
+            log::info!(job = &*submitted.job, problem; "job: submission cannot be parsed");
             return json_message(StatusCode::BAD_REQUEST, &problem);
         }
     };
@@ -126,80 +130,90 @@
     }
     let submitted = Rc::new(submitted);
     let end = match acceptors {
-        Forwarding::Forbidden => accept_here(env, directory, &submitted, items).await,
-        Forwarding::Allowed => accept_anywhere(env, directory, &submitted, items).await,
+        Forwarding::Forbidden => accept_locally(env, directory, &submitted, items).await,
+        Forwarding::Allowed => accept_or_forward(env, directory, &submitted, items).await,
     };
     match end {
-        SubmissionEnd::Accepted => accepted(),
-        SubmissionEnd::Conflict => json_message(StatusCode::CONFLICT, "another job has this id"),
-        SubmissionEnd::Refused => refuse(env, &submitted.job, Refusal::StoreUnavailable),
-        SubmissionEnd::Perhaps => {
-            log::warn!(job = &*submitted.job; "job: acceptance in doubt");
+        SubmissionOutcome::Accepted => accepted(),
+        SubmissionOutcome::Conflict => {
+            json_message(StatusCode::CONFLICT, "another job has this id")
+        }
+        SubmissionOutcome::Refused => refuse(env, &submitted.job, Refusal::StoreUnavailable),
+        SubmissionOutcome::Perhaps => {
+            log::warn!(job = &*submitted.job; "job: unknown whether it was accepted");
             json_message(StatusCode::GATEWAY_TIMEOUT, MayHaveRunReason::StoreAnswerLost.label())
         }
     }
 }
 
-/// Accepts a submission here, or at another gateway if the store does not answer this one in time.
-async fn accept_anywhere(
+/// Accepts a submission here, and forwards it to another gateway if the store does not answer this one in time.
+async fn accept_or_forward(
     env: &Rc<JobEnv>,
     directory: &Directory,
     submitted: &Rc<SubmittedJob>,
     items: Vec<Item>,
-) -> SubmissionEnd {
+) -> SubmissionOutcome {
     if env.health.is_lost() {
         match forward(env, submitted).await {
-            SubmissionEnd::Refused => {}
+            SubmissionOutcome::Refused => {}
             end => return end,
         }
     }
-    let mut here = pin!(accept_here(env, directory, submitted, items));
-    if let Some(end) = within(STORE_PATIENCE, &mut here).await {
+    let mut here = pin!(accept_locally(env, directory, submitted, items));
+    if let Some(end) = within(FORWARD_DELAY, &mut here).await {
         return end;
     }
     let elsewhere = pin!(forward(env, submitted));
     match select(here, elsewhere).await {
-        Either::Left((SubmissionEnd::Accepted, _))
-        | Either::Right((SubmissionEnd::Accepted, _)) => SubmissionEnd::Accepted,
-        Either::Left((end, elsewhere)) => end.or(elsewhere.await),
-        Either::Right((end, here)) => end.or(here.await),
+        Either::Left((SubmissionOutcome::Accepted, _))
+        | Either::Right((SubmissionOutcome::Accepted, _)) => SubmissionOutcome::Accepted,
+        Either::Left((end, elsewhere)) => end.merge(elsewhere.await),
+        Either::Right((end, here)) => end.merge(here.await),
     }
 }
 
-/// Accepts a submission here. Goes on when its caller no longer waits: the job may stand by then, and somebody has to
-/// work on it.
-async fn accept_here(
+/// Accepts a submission here. Runs in a task of its own, so that it completes even if the caller disconnects: the job
+/// may be stored by then, and needs an owner.
+async fn accept_locally(
     env: &Rc<JobEnv>,
     directory: &Directory,
     submitted: &Rc<SubmittedJob>,
     items: Vec<Item>,
-) -> SubmissionEnd {
+) -> SubmissionOutcome {
     let (sender, ended) = flume::bounded(1);
     let (env, directory) = (Rc::clone(env), directory.clone());
     let submitted = Rc::clone(submitted);
     compio::runtime::spawn(async move {
-        let (began, gaps) = (Instant::now(), env.liveness_gaps.count());
+        let (began, gap_count) = (Instant::now(), env.liveness_gaps.count());
         let header = new_header(&env, &submitted, items.len());
         let end = match accept(&env, &submitted, &header).await {
-            Accepted::New(version) => {
+            Acceptance::New(version) => {
                 let job = JobName::clone(&submitted.job);
                 let elapsed_ms = began.elapsed().as_millis() as u64;
                 log::info!(job = &*job, items = items.len(), elapsed_ms; "job: accepted");
-                // After that time another gateway may have told the caller, who may have ended the job there.
-                let is_new = began.elapsed() < STORE_PATIENCE;
-                start(&env, &directory, OwnedJob { job, header, version, gaps, is_new }, items);
-                SubmissionEnd::Accepted
+                // After this delay the submission is forwarded. The caller may have got its answer from the other
+                // gateway and cancelled the job there.
+                let is_new = began.elapsed() < FORWARD_DELAY;
+                start(
+                    &env,
+                    &directory,
+                    JobOwnership { job, header, version, gap_count, is_new },
+                    items,
+                );
+                SubmissionOutcome::Accepted
+            }
+            Acceptance::Earlier(found) if found.digest == header.digest => {
+                SubmissionOutcome::Accepted
             }
-            Accepted::Before(found) if found.digest == header.digest => SubmissionEnd::Accepted,
-            Accepted::Before(_) => SubmissionEnd::Conflict,
-            Accepted::No => SubmissionEnd::Refused,
-            Accepted::Perhaps => SubmissionEnd::Perhaps,
+            Acceptance::Earlier(_) => SubmissionOutcome::Conflict,
+            Acceptance::NotAccepted => SubmissionOutcome::Refused,
+            Acceptance::Unknown => SubmissionOutcome::Perhaps,
         };
-        // The caller may have been told by another gateway.
+        // Fails if the caller was answered by another gateway or has disconnected.
         let _ = sender.send(end);
     })
     .detach();
-    ended.recv_async().await.unwrap_or(SubmissionEnd::Perhaps)
+    ended.recv_async().await.unwrap_or(SubmissionOutcome::Perhaps)
 }
 
 fn accepted() -> Response<Body> {
@@ -235,61 +249,61 @@
     }
 }
 
-/// Writes parts and header at once: the job is accepted when all of them stand. A header without its parts is in doubt, as
-/// the parts may come with the next sending.
-async fn accept(env: &JobEnv, submitted: &SubmittedJob, header: &JobHeader) -> Accepted {
+/// Writes parts and header concurrently. While parts are missing beside an existing header, the outcome is unknown, as
+/// they may be written when the submission is sent again.
+async fn accept(env: &JobEnv, submitted: &SubmittedJob, header: &JobHeader) -> Acceptance {
     let parts = create_parts(env, submitted, header);
     match join(create_header(env, &submitted.job, header), parts).await {
-        (Accepted::No, _) => Accepted::No,
-        (_, false) => Accepted::Perhaps,
+        (Acceptance::NotAccepted, _) => Acceptance::NotAccepted,
+        (_, false) => Acceptance::Unknown,
         (accepted, true) => accepted,
     }
 }
 
-/// Writes the parts; says whether all of them stand.
+/// Writes the parts, and returns whether all of them exist.
 async fn create_parts(env: &JobEnv, submitted: &SubmittedJob, header: &JobHeader) -> bool {
-    // Read as JSON before, so it is text.
+    // The body was parsed as JSON before, so it is valid UTF-8.
     let text = String::from_utf8_lossy(&submitted.body);
     for (part, value) in split_into_parts(&text).into_iter().enumerate() {
         let key = part_key(&submitted.job, &header.digest, part as u32);
         let create = StoreOp::Create { key, labels: Labels::new(), value };
-        if !env.create_known(create).await {
+        if !env.create_idempotent(create).await {
             return false;
         }
     }
     true
 }
 
-async fn create_header(env: &JobEnv, job: &JobName, header: &JobHeader) -> Accepted {
+async fn create_header(env: &JobEnv, job: &JobName, header: &JobHeader) -> Acceptance {
     let mut doubtful = false;
-    for _ in 0..STORE_TRIES {
+    for _ in 0..STORE_ATTEMPTS {
         let (key, value) = (header_key(job), header.value());
         match env.call(StoreOp::Create { key, labels: Labels::new(), value }).await {
-            StoreAnswer::Object(stored) => return Accepted::New(stored.version),
+            StoreAnswer::Object(stored) => return Acceptance::New(stored.version),
             StoreAnswer::Taken | StoreAnswer::Unknown => {
                 doubtful = true;
-                if let Some(accepted) = found(env, job, header).await {
+                if let Some(accepted) = existing_header(env, job, header).await {
                     return accepted;
                 }
             }
             _ => {}
         }
-        compio::time::sleep(STORE_PAUSE).await;
+        compio::time::sleep(STORE_RETRY_PAUSE).await;
     }
-    if doubtful { Accepted::Perhaps } else { Accepted::No }
+    if doubtful { Acceptance::Unknown } else { Acceptance::NotAccepted }
 }
 
-/// Reads the header that stands, if it can be read: an earlier call of this process whose answer was lost may have
-/// written it.
-async fn found(env: &JobEnv, job: &JobName, header: &JobHeader) -> Option<Accepted> {
+/// Reads the existing header; `None` if it cannot be read. If it equals the own header, an earlier create whose answer
+/// was lost has written it.
+async fn existing_header(env: &JobEnv, job: &JobName, header: &JobHeader) -> Option<Acceptance> {
     let (found, version) = env.current_header(job).await.ok()?;
-    Some(if found == *header { Accepted::New(version) } else { Accepted::Before(found) })
+    Some(if found == *header { Acceptance::New(version) } else { Acceptance::Earlier(found) })
 }
 
-fn start(env: &Rc<JobEnv>, directory: &Directory, owned: OwnedJob, items: Vec<Item>) {
+fn start(env: &Rc<JobEnv>, directory: &Directory, owned: JobOwnership, items: Vec<Item>) {
     let Some((messages, inbox)) = directory.open(&owned.job) else { return };
     env.metrics.job_event("accepted");
-    env.tell_owned(&owned.job, owned.header.items);
+    env.announce_ownership(&owned.job, owned.header.items);
     let log = ResultLog::new(JobName::clone(&owned.job));
     let items = Items::new(items, owned.header.attempts);
     let task = JobTask::new(Rc::clone(env), owned, items, log, messages);
@@ -297,7 +311,7 @@
     compio::runtime::spawn(task.run(inbox, directory)).detach();
 }
 
-/// Time from now to a wall-clock time.
-pub fn until(env: &JobEnv, unix_ms: u64) -> Duration {
+/// Time from now until a wall-clock time; zero if that has passed.
+pub fn duration_until(env: &JobEnv, unix_ms: u64) -> Duration {
     Duration::from_millis(unix_ms.saturating_sub(env.clock.now().unix_ms))
 }
