--- a/crates/samphiredoor-core/tests/placement/harness.rs
+++ b/crates/samphiredoor-core/tests/placement/harness.rs
@@ -1,4 +1,4 @@
-//! A placement with its targets, and short names for its events.
+//! A placement under a virtual clock, and shorthands for its input events.
 
 use samphiredoor_core::{
     Name,
@@ -13,11 +13,11 @@
 pub const SLOTS: u32 = 8;
 const SEED: u64 = 11;
 
-/// A placement under a clock of its own.
-pub struct World {
+/// A placement under a virtual clock.
+pub struct Fixture {
     pub placement: Placement,
     pub now_ms: u64,
-    next: u64,
+    next_request: u64,
 }
 
 pub fn location(region: &str, zone: &str) -> Location {
@@ -36,19 +36,19 @@
     }
 }
 
-impl World {
-    /// Door `door-m` in `north`, with the given targets.
-    pub fn new(entries: Vec<TargetEntry>) -> World {
-        let placement = Placement::new("door-m".into(), location("brisbane", "north"), SEED);
-        let mut world = World { placement, now_ms: 1_000, next: 1 };
-        world.input(Input::Targets(entries));
-        world
+impl Fixture {
+    /// Creates gateway `gateway-m` in `north`, with the given targets.
+    pub fn new(entries: Vec<TargetEntry>) -> Fixture {
+        let placement = Placement::new("gateway-m".into(), location("brisbane", "north"), SEED);
+        let mut fixture = Fixture { placement, now_ms: 1_000, next_request: 1 };
+        fixture.input(Input::Targets(entries));
+        fixture
     }
 
-    /// Door with so many targets in its own zone, named `t-0` and so on.
-    pub fn with_targets(count: usize) -> World {
+    /// Creates a gateway with `count` targets in its own zone, named `t-0` and so on.
+    pub fn with_targets(count: usize) -> Fixture {
         let entries = (0..count).map(|it| entry(&format!("t-{it}"), location("brisbane", "north")));
-        World::new(entries.collect())
+        Fixture::new(entries.collect())
     }
 
     pub fn input(&mut self, input: Input) -> Vec<Action> {
@@ -57,33 +57,34 @@
         out
     }
 
+    /// Advances the clock and sends a tick.
     pub fn wait(&mut self, ms: u64) -> Vec<Action> {
         self.now_ms += ms;
         self.input(Input::Tick)
     }
 
-    pub fn ask(&mut self, class: Class) -> (RequestId, Vec<Action>) {
-        self.ask_without(class, &[])
+    pub fn request(&mut self, class: Class) -> (RequestId, Vec<Action>) {
+        self.request_with_tried(class, &[])
     }
 
-    pub fn ask_without(&mut self, class: Class, tried: &[&str]) -> (RequestId, Vec<Action>) {
-        let mut ask = self.new_ask(class, self.now_ms + 60);
-        ask.tried_targets = tried.iter().map(|it| Name::from(*it)).collect::<SmallVec<[Name; 2]>>();
-        (ask.request, self.input(Input::Request(ask)))
+    /// Adds a request that was already tried on these targets.
+    pub fn request_with_tried(&mut self, class: Class, tried: &[&str]) -> (RequestId, Vec<Action>) {
+        let mut spec = self.new_spec(class, self.now_ms + 60);
+        spec.tried_targets =
+            tried.iter().map(|it| Name::from(*it)).collect::<SmallVec<[Name; 2]>>();
+        (spec.request, self.input(Input::Request(spec)))
     }
 
-    /// An item that is due in so long and has run for so long.
-    pub fn ask_item(&mut self, due_in_ms: u64, ran_ms: u64) -> (RequestId, Vec<Action>) {
-        let ask = RequestSpec {
-            prior_run_ms: ran_ms,
-            ..self.new_ask(Class::Batch, self.now_ms + due_in_ms)
-        };
-        (ask.request, self.input(Input::Request(ask)))
+    /// Adds an item with this time until it is due and this time of earlier runs.
+    pub fn request_item(&mut self, due_in_ms: u64, prior_run_ms: u64) -> (RequestId, Vec<Action>) {
+        let spec =
+            RequestSpec { prior_run_ms, ..self.new_spec(Class::Batch, self.now_ms + due_in_ms) };
+        (spec.request, self.input(Input::Request(spec)))
     }
 
-    fn new_ask(&mut self, class: Class, until_ms: u64) -> RequestSpec {
-        let request = RequestId(self.next);
-        self.next += 1;
+    fn new_spec(&mut self, class: Class, deadline_ms: u64) -> RequestSpec {
+        let request = RequestId(self.next_request);
+        self.next_request += 1;
         RequestSpec {
             request,
             class,
@@ -91,7 +92,7 @@
             priority: 0,
             affinity: 0,
             tried_targets: SmallVec::new(),
-            deadline_ms: until_ms,
+            deadline_ms,
             prior_run_ms: 0,
         }
     }
@@ -100,21 +101,22 @@
         self.input(Input::Ended { request, end })
     }
 
-    pub fn peer(&mut self, door: &str, loads: &[(&str, u32, u32)]) -> Vec<Action> {
+    /// Delivers the loads of a peer: target, online requests, items.
+    pub fn peer(&mut self, peer: &str, loads: &[(&str, u32, u32)]) -> Vec<Action> {
         let load = |&(target, online, batch): &(&str, u32, u32)| GatewayLoad {
             target: name_hash(target),
             online,
             batch,
         };
         let state = GatewayState { loads: loads.iter().map(load).collect(), waiting: Vec::new() };
-        self.input(Input::Peer { peer: door.into(), state })
+        self.input(Input::Peer { peer: peer.into(), state })
     }
 
-    /// Another door tells that so many items wait at it.
-    pub fn peer_waits(&mut self, door: &str, items: u32) -> Vec<Action> {
+    /// Delivers a peer's number of waiting items.
+    pub fn peer_waiting(&mut self, peer: &str, items: u32) -> Vec<Action> {
         let waiting = vec![WaitingItems { service: name_hash("reader"), items }];
         let state = GatewayState { loads: Vec::new(), waiting };
-        self.input(Input::Peer { peer: door.into(), state })
+        self.input(Input::Peer { peer: peer.into(), state })
     }
 
     pub fn report(&mut self, target: &str, running: u32, waiting: u32) -> Vec<Action> {
@@ -123,7 +125,7 @@
     }
 }
 
-/// Target that a request was sent to, if it was.
+/// Target that a request was dispatched to, if it was.
 pub fn sent_to(request: RequestId, actions: &[Action]) -> Option<String> {
     actions.iter().find_map(|action| match action {
         Action::Dispatch { request: it, target, .. } if *it == request => Some(target.to_string()),
--- a/crates/samphiredoor-gateway/src/store_health.rs
+++ b/crates/samphiredoor-gateway/src/store_health.rs
@@ -1,10 +1,10 @@
-//! Whether the store answers this process, and whether it answers others.
+//! Tracks whether the store answers this process, and whether it answers other processes meanwhile.
 //!
-//! A process that alone misses the store has to stop its items: others take its jobs, and it hears neither of that nor of
-//! the jobs' ends. Where the store is silent for all, nobody can take them, and to stop them throws away what they have put
-//! out. The processes notice a silence one after the other, so what the others last said of the store does not tell the two
-//! apart. This does: another process was answered after this one had lost the store, and a call that this one made later
-//! than that was lost again.
+//! A process that alone has lost the store must stop its batch items: other processes take over its jobs, and it
+//! learns neither of that nor of the end of a job. If the store answers no process, no job can be taken over, and stopping
+//! the items would only discard their output. The last reports of other processes do not tell the two cases apart, because
+//! processes detect an outage at different times. A store therefore counts as lost only here once it has answered another
+//! process after this one lost it, and a call that this one made later than that has failed as well.
 
 use std::{
     cell::Cell,
@@ -14,78 +14,79 @@
 
 #[derive(Default)]
 struct State {
-    heard: Cell<Option<Instant>>,
+    /// When the store last answered a call of this process.
+    answered_at: Cell<Option<Instant>>,
     lost_since: Cell<Option<Instant>>,
     /// When the store first answered another process after this one had lost it.
-    others_heard: Cell<Option<Instant>>,
-    alone: Cell<bool>,
-    doubts: Cell<u64>,
-    regains: Cell<u64>,
+    peer_answered_at: Cell<Option<Instant>>,
+    lost_only_here: Cell<bool>,
+    suspicions: Cell<u64>,
+    recoveries: Cell<u64>,
 }
 
-/// Handle to what is known of the store.
+/// Handle to the store's health as this process sees it; clones share the same state.
 #[derive(Clone, Default)]
 pub struct StoreHealth {
     state: Rc<State>,
 }
 
 impl StoreHealth {
-    /// Whether the store does not answer now.
+    /// Whether the store is unreachable now.
     pub fn is_lost(&self) -> bool {
         self.state.lost_since.get().is_some()
     }
 
-    /// Whether the store has not answered for some time.
+    /// Whether the store has been unreachable for at least some time.
     pub fn is_lost_for(&self, at_least: Duration) -> bool {
         self.state.lost_since.get().is_some_and(|it| it.elapsed() >= at_least)
     }
 
-    /// Whether the store answers others while it does not answer this process.
+    /// Whether the store answers other processes while this one cannot reach it.
     pub fn is_lost_only_here(&self) -> bool {
-        self.state.alone.get()
+        self.state.lost_only_here.get()
     }
 
     /// Time since the store last answered a call; `None` before the first answer.
     pub fn time_since_answer(&self) -> Option<Duration> {
-        Some(self.state.heard.get()?.elapsed())
+        Some(self.state.answered_at.get()?.elapsed())
     }
 
-    /// Notes that the store has answered a call.
+    /// Records that the store has answered a call.
     pub fn record_answer(&self) {
-        self.state.heard.set(Some(Instant::now()));
+        self.state.answered_at.set(Some(Instant::now()));
     }
 
-    /// Notes that the store has answered another process at some moment.
+    /// Records that the store answered another process at some time.
     pub fn record_peer_answer(&self, at: Instant) {
         let since_loss = self.state.lost_since.get().is_some_and(|it| at > it);
-        if since_loss && self.state.others_heard.get().is_none() {
-            self.state.others_heard.set(Some(at));
+        if since_loss && self.state.peer_answered_at.get().is_none() {
+            self.state.peer_answered_at.set(Some(at));
         }
     }
 
-    /// Notes that a call got no usable answer that was made at some moment.
-    pub fn record_failure(&self, asked: Instant) {
-        if self.state.others_heard.get().is_some_and(|it| asked > it) {
-            self.state.alone.set(true);
+    /// Records that a call that was sent at some time got no usable answer.
+    pub fn record_failure(&self, sent: Instant) {
+        if self.state.peer_answered_at.get().is_some_and(|it| sent > it) {
+            self.state.lost_only_here.set(true);
         }
     }
 
-    /// Notes a reason to doubt that the store answers.
+    /// Records that a call got no answer. Waiting watches are then issued again, as the store may have dropped them too.
     pub fn raise_suspicion(&self) {
-        self.state.doubts.set(self.state.doubts.get() + 1);
+        self.state.suspicions.set(self.state.suspicions.get() + 1);
     }
 
-    /// Number of doubts so far.
+    /// Number of calls of [`StoreHealth::raise_suspicion`] so far.
     pub fn suspicions(&self) -> u64 {
-        self.state.doubts.get()
+        self.state.suspicions.get()
     }
 
-    /// Number of times that the store was lost and answered again.
+    /// Number of times that the store became reachable again.
     pub fn recoveries(&self) -> u64 {
-        self.state.regains.get()
+        self.state.recoveries.get()
     }
 
-    /// Notes that the store does not answer.
+    /// Marks the store as unreachable.
     pub fn mark_lost(&self) {
         if self.state.lost_since.get().is_none() {
             log::warn!("store: lost");
@@ -93,12 +94,12 @@
         }
     }
 
-    /// Notes that the store answers again.
+    /// Marks the store as reachable again.
     pub fn mark_recovered(&self) {
         if let Some(since) = self.state.lost_since.take() {
-            let alone = self.state.alone.take();
-            self.state.regains.set(self.state.regains.get() + 1);
-            self.state.others_heard.set(None);
+            let alone = self.state.lost_only_here.take();
+            self.state.recoveries.set(self.state.recoveries.get() + 1);
+            self.state.peer_answered_at.set(None);
             log::info!(away_ms = since.elapsed().as_millis() as u64, alone; "store: regained");
         }
     }
