--- a/crates/samphiredoor-gateway/src/peers/datagram.rs
+++ b/crates/samphiredoor-gateway/src/peers/datagram.rs
@@ -1,14 +1,14 @@
-//! The datagrams by which gateways tell each other what they were not asked for.
+//! Encoding of the datagrams that gateways push to each other.
 
 use capnp::{message, serialize_packed};
 use samphiredoor_schema::peer_capnp::gateway_datagram;
 
 use super::{status::Status, summary::Summary};
 
-/// Bytes of the largest datagram; one packet on common links.
+/// Bytes of the largest datagram, which fits into one packet on common links.
 pub const MAX_BYTES: usize = 1_400;
 
-/// One datagram.
+/// Content of one datagram.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Datagram {
     /// State of one gateway.
@@ -18,7 +18,7 @@
 }
 
 impl Datagram {
-    /// Bytes of the datagram.
+    /// Encodes the datagram as a packed Cap'n Proto message.
     pub fn encode(&self) -> Vec<u8> {
         let mut message = message::Builder::new_default();
         let root = message.init_root::<gateway_datagram::Builder<'_>>();
@@ -32,11 +32,11 @@
         bytes
     }
 
-    /// Reads a datagram.
+    /// Decodes a received datagram.
     ///
     /// # Errors
     ///
-    /// It is none.
+    /// The bytes are not a packed message, or their content is neither a status nor a summary.
     pub fn decode(bytes: &[u8]) -> capnp::Result<Datagram> {
         let options = message::ReaderOptions::new();
         let message = serialize_packed::read_message(bytes, options)?;
--- a/crates/samphiredoor-gateway/src/peers/followed.rs
+++ b/crates/samphiredoor-gateway/src/peers/followed.rs
@@ -1,8 +1,8 @@
-//! What one gateway of a cell hears of the store, for the others of the cell.
+//! Relayed watches: one gateway of a cell watches the store, and the others of the cell watch through it.
 //!
-//! If every gateway watched the store, each change would cost a call of each. So one gateway of a cell follows the store,
-//! and the others watch through it. They ask the store themselves as soon as it does not answer them, or as gateways of
-//! other cells have seen more than it.
+//! If every gateway watched the store itself, each change would cost one store call per gateway. A gateway that watches
+//! through another one falls back to the store as soon as that one does not respond, or gateways of other cells have seen
+//! newer changes.
 
 use std::{
     cell::RefCell,
@@ -25,63 +25,66 @@
 use super::Roster;
 use crate::{edge::Change, front::plain};
 
-/// Beginning of the paths of the calls.
+/// Prefix of the paths of relayed watches; the kind follows it.
 pub const ROOT: &str = "/followed/";
-/// Longest wait for a connection within an availability zone.
+/// Connect timeout; the two gateways are in the same availability zone.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(100);
-/// Time beyond the wait within which the other gateway begins to answer.
-const MARGIN: Duration = Duration::from_millis(300);
-/// Longest silence within its answer; it tells all of its cell at once, and a small host's link carries a large
-/// configuration to each in turn.
-const SILENCE: Duration = Duration::from_millis(1_000);
-/// Entries of a few thousand targets take less than a megabyte, a configuration up to one.
+/// Time beyond the requested wait within which the response has to begin.
+const RESPONSE_MARGIN: Duration = Duration::from_millis(300);
+/// Longest pause within the response. The other gateway responds to its whole cell at once, and a small host's link carries
+/// a large configuration to each gateway in turn.
+const READ_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// Largest accepted response. Entries of a few thousand targets take less than a megabyte, a configuration up to one.
 const MAX_BYTES: usize = 8 * 1024 * 1024;
 
-/// Which start of a gateway told something, and how often it had missed the store by then.
+/// Period of a relaying gateway without a restart or an interruption of its watch. If it differs between two responses,
+/// entries may have lapsed in the store in between.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Source {
-    /// Which start of it.
+    /// Number of this start of the gateway; a restart has a higher one.
     pub incarnation: u64,
-    /// How often it has missed the store.
+    /// Number of times that its watch of this kind was interrupted, as by an outage of the store.
     pub outages: u64,
 }
 
-/// What another gateway has seen.
+/// Response of another gateway to a watch.
 #[derive(Debug)]
 pub struct Told {
-    /// Who told it.
+    /// Incarnation and outages of the other gateway at the time.
     pub by: Source,
-    /// What is new.
+    /// Difference from the version that was asked for.
     pub news: News,
 }
 
 #[derive(Default)]
-struct OfKind {
+struct WatchedKind {
     cache: WatchCache,
     outages: u64,
+    /// Wakes the calls that wait for a change.
     waiting: Vec<flume::Sender<()>>,
 }
 
-/// Handle to what this process has seen of the kinds that it follows.
+/// Handle to the watch caches of this process, and client of the gateway that watches the store for its cell.
 #[derive(Clone)]
 pub struct Followed {
     roster: Roster,
-    kinds: Rc<RefCell<BTreeMap<&'static str, OfKind>>>,
+    /// Caches by [`Kind::path`].
+    kinds: Rc<RefCell<BTreeMap<&'static str, WatchedKind>>>,
     pools: Rc<RefCell<HashMap<SocketAddr, Pool>>>,
 }
 
 impl Followed {
-    /// Handle of a process that has seen nothing yet.
+    /// Handle with empty caches.
     pub fn new(roster: Roster) -> Followed {
         Followed { roster, kinds: Rc::default(), pools: Rc::default() }
     }
 
-    /// Takes a list of all objects of a kind.
+    /// Replaces the cache of a kind with a list of all its objects.
     pub fn listed(&self, kind: Kind, all: &[Stored], version: Version) {
         self.update(kind, |it| it.cache.listed(all, version));
     }
 
-    /// Takes changes of a kind, up to a version.
+    /// Adds to the cache all changes of a kind up to a version.
     pub fn changed(&self, kind: Kind, changes: &[Change], version: Version) {
         self.update(kind, |it| {
             for change in changes {
@@ -94,91 +97,93 @@
         });
     }
 
-    /// Notes that the store answers again.
+    /// Counts an interruption of the watch of a kind, once the store responds again.
     pub fn regained(&self, kind: Kind) {
         self.kinds.borrow_mut().entry(kind.path()).or_default().outages += 1;
     }
 
-    fn update(&self, kind: Kind, change: impl FnOnce(&mut OfKind)) {
+    fn update(&self, kind: Kind, change: impl FnOnce(&mut WatchedKind)) {
         let mut kinds = self.kinds.borrow_mut();
-        let of_kind = kinds.entry(kind.path()).or_default();
-        change(of_kind);
-        for waiting in of_kind.waiting.drain(..) {
-            // One that has stopped waiting needs no word.
+        let watched = kinds.entry(kind.path()).or_default();
+        change(watched);
+        for waiting in watched.waiting.drain(..) {
+            // Fails if the call has ended meanwhile.
             let _ = waiting.send(());
         }
     }
 
-    /// Answers another gateway.
+    /// Responds to a watch of another gateway as soon as there is a change, or when its wait is over.
     pub async fn answer(&self, uri: &Uri) -> Response<Body> {
-        let Some(call) = Call::parse(uri) else {
+        let Some(call) = WatchCall::parse(uri) else {
             return plain(StatusCode::NOT_FOUND, "no such call");
         };
         let until = Instant::now() + call.wait;
         loop {
-            let Some((told, changed)) = self.told(&call) else {
+            let Some((told, changed)) = self.changes_for(&call) else {
                 return plain(StatusCode::NOT_FOUND, "this kind is not followed here");
             };
             let left = until.saturating_duration_since(Instant::now());
             if told.news != News::None || left.is_zero() {
                 return Response::new(Body::full(encode(&told)));
             }
-            // Whether something has changed or the time is over, the next look tells.
+            // The next iteration finds out whether there was a change or the wait is over.
             let _ = within(left, changed.recv_async()).await;
         }
     }
 
-    /// What is new for a call, and a channel on which the next change is told.
-    fn told(&self, call: &Call) -> Option<(Told, flume::Receiver<()>)> {
+    /// Changes since the version of a call, and a channel that receives a message at the next change; `None` if this process
+    /// does not watch the kind.
+    fn changes_for(&self, call: &WatchCall) -> Option<(Told, flume::Receiver<()>)> {
         let mut kinds = self.kinds.borrow_mut();
-        let of_kind = kinds.get_mut(&*call.kind)?;
-        let news = of_kind.cache.since(call.since);
+        let watched = kinds.get_mut(&*call.kind)?;
+        let news = watched.cache.since(call.since);
         let (waiting, changed) = flume::bounded(1);
-        of_kind.waiting.retain(|it| !it.is_disconnected());
-        of_kind.waiting.push(waiting);
+        watched.waiting.retain(|it| !it.is_disconnected());
+        watched.waiting.push(waiting);
         let incarnation = self.roster.own().incarnation;
-        let by = Source { incarnation, outages: of_kind.outages };
+        let by = Source { incarnation, outages: watched.outages };
         Some((Told { by, news }, changed))
     }
 
-    /// Where the gateway is met that follows the store for this one, if it is another one.
+    /// Address of the gateway that watches the store for the own cell, unless it is this one.
     pub fn follower(&self) -> Option<SocketAddr> {
         self.roster.follower()
     }
 
-    /// Waits for changes of a kind after a version, as another gateway sees them; `None` if it does not tell.
+    /// Waits at most `wait` for changes of a kind after a version, through the gateway at an address; `None` if that gateway
+    /// gives no usable response.
     pub async fn watch(
         self,
-        at: SocketAddr,
+        address: SocketAddr,
         kind: Kind,
         since: Version,
         wait: Duration,
     ) -> Option<Told> {
-        let pool = self.pool(at);
+        let pool = self.pool(address);
         let path = format!("{ROOT}{}?since={}&wait_ms={}", kind.path(), since.0, wait.as_millis());
         let request =
             Request::get(path).header(header::HOST, "gateway").body(Body::empty()).ok()?;
-        exchange(&pool, request, wait + MARGIN).await
+        fetch(&pool, request, wait + RESPONSE_MARGIN).await
     }
 
-    fn pool(&self, at: SocketAddr) -> Pool {
+    fn pool(&self, address: SocketAddr) -> Pool {
         let mut pools = self.pools.borrow_mut();
-        // Those of gateways that spoke before are not needed any more.
-        pools.retain(|address, _| *address == at);
-        let new = || Pool::new(at).with_connect_timeout(CONNECT_TIMEOUT);
-        pools.entry(at).or_insert_with(new).clone()
+        // Drops the connections to gateways that this one watched through before.
+        pools.retain(|it, _| *it == address);
+        let new = || Pool::new(address).with_connect_timeout(CONNECT_TIMEOUT);
+        pools.entry(address).or_insert_with(new).clone()
     }
 }
 
-/// What another gateway asks for.
-struct Call {
+/// Parameters of a watch, from the path and query of its call.
+struct WatchCall {
     kind: String,
     since: Option<Version>,
     wait: Duration,
 }
 
-impl Call {
-    fn parse(uri: &Uri) -> Option<Call> {
+impl WatchCall {
+    fn parse(uri: &Uri) -> Option<WatchCall> {
         let kind = uri.path().strip_prefix(ROOT)?.to_owned();
         let query = uri.query()?;
         let number = |key: &str| {
@@ -186,12 +191,12 @@
             pairs.filter(|(name, _)| *name == key).find_map(|(_, it)| it.parse::<u64>().ok())
         };
         let since = number("since").map(Version);
-        Some(Call { kind, since, wait: Duration::from_millis(number("wait_ms")?) })
+        Some(WatchCall { kind, since, wait: Duration::from_millis(number("wait_ms")?) })
     }
 }
 
-async fn exchange(pool: &Pool, request: Request<Body>, head: Duration) -> Option<Told> {
-    let limits = FetchLimits::new(SILENCE, MAX_BYTES).with_head(head);
+async fn fetch(pool: &Pool, request: Request<Body>, head_timeout: Duration) -> Option<Told> {
+    let limits = FetchLimits::new(READ_TIMEOUT, MAX_BYTES).with_head(head_timeout);
     let fetched = pool.fetch(request, limits).await.ok()?;
     if fetched.status != StatusCode::OK {
         return None;
@@ -199,7 +204,7 @@
     match decode(&fetched.body) {
         Ok(told) => Some(told),
         Err(err) => {
-            log::warn!(problem:% = err; "peers: what another gateway has seen cannot be read");
+            log::warn!(problem:% = err; "peers: unreadable response to a relayed watch");
             None
         }
     }
--- a/crates/samphiredoor-gateway/src/peers/listener.rs
+++ b/crates/samphiredoor-gateway/src/peers/listener.rs
@@ -1,4 +1,4 @@
-//! Takes what other gateways tell.
+//! Receives the datagrams of other gateways.
 
 use std::{
     net::SocketAddr,
@@ -17,101 +17,102 @@
 };
 use crate::{metrics::Metrics, placement::Placer, store_health::StoreHealth};
 
-/// Takes the datagrams of other gateways.
+/// Task that receives datagrams and applies them to the state of this process.
 pub struct Listener {
-    /// Socket to receive from.
+    /// Socket that datagrams are received on.
     pub socket: Rc<UdpSocket>,
-    /// Other gateways.
+    /// Updated with the state of the senders.
     pub roster: Roster,
-    /// What the own cell's gateways told.
+    /// Updated with the statuses of the own cell's gateways.
     pub mates: Mates,
-    /// Where the loads of others are told.
+    /// Updated with the requests of other gateways at targets.
     pub placer: Placer,
-    /// Where the owners of jobs are told.
+    /// Updated with the owners of jobs.
     pub owners: Owners,
-    /// Whether the store answers.
+    /// Updated with the time since the store last responded to others.
     pub health: StoreHealth,
-    /// Counters.
+    /// Counts unreadable datagrams and live peers.
     pub metrics: Rc<Metrics>,
 }
 
 impl Listener {
-    /// Listens for as long as the process runs.
+    /// Runs until the process ends.
     pub async fn run(self) {
         loop {
             let buffer = Vec::with_capacity(MAX_BYTES);
             let compio::BufResult(received, buffer) = self.socket.recv_from(buffer).await;
             match received {
-                Ok(_) => self.take(&buffer).await,
-                Err(err) => log::warn!(problem:% = err; "peers: datagram lost"),
+                Ok(_) => self.apply(&buffer).await,
+                Err(err) => log::warn!(problem:% = err; "peers: cannot receive a datagram"),
             }
         }
     }
 
-    async fn take(&self, bytes: &[u8]) {
+    async fn apply(&self, bytes: &[u8]) {
         match Datagram::decode(bytes) {
-            Ok(Datagram::Status(status)) => self.take_status(status),
-            Ok(Datagram::Summary(summary)) => self.take_summary(summary).await,
+            Ok(Datagram::Status(status)) => self.apply_status(status),
+            Ok(Datagram::Summary(summary)) => self.apply_summary(summary).await,
             Err(err) => {
                 self.metrics.foreign("datagram");
-                log::warn!(problem:% = err; "peers: datagram ignored");
+                log::warn!(problem:% = err; "peers: unreadable datagram ignored");
             }
         }
     }
 
-    fn take_status(&self, status: Status) {
+    fn apply_status(&self, status: Status) {
         let name = Name::from(&*status.name);
-        if self.roster.heard(&status) {
+        if self.roster.apply_status(&status) {
             self.metrics.peers(self.roster.heard_count());
-            self.others_reach_store(status.store_silent_ms);
+            self.note_store_response(status.store_silent_ms);
             for job in &status.jobs {
                 let owner = Owner { process: Name::clone(&name), incarnation: status.incarnation };
-                self.owners.learn(&job.name, owner);
+                self.owners.record(&job.name, owner);
             }
-            if self.roster.is_mate(&name) {
-                self.mates.told(&status);
+            if self.roster.is_in_own_cell(&name) {
+                self.mates.record(&status);
             }
         }
-        // Also of gateways whose entries were not read yet: a process that has just started would take their places for
-        // free and fill targets that are full.
+        // This includes gateways whose entries have not been read yet. Otherwise a process that has just started would count
+        // their slots as free and overload targets that are full.
         self.placer.peer(name, status.requests);
     }
 
-    async fn take_summary(&self, mut summary: Summary) {
+    async fn apply_summary(&self, mut summary: Summary) {
         if std::mem::take(&mut summary.forward) {
             let bytes = Datagram::Summary(summary.clone()).encode();
-            send_to_all(&self.socket, bytes, self.roster.mates()).await;
+            send_to_all(&self.socket, bytes, self.roster.cell_peers()).await;
         }
         if self.roster.is_own_cell(&summary.cell) {
             return;
         }
         let members: Vec<Option<Name>> =
-            summary.members.iter().map(|it| self.roster.heard_of(it)).collect();
+            summary.members.iter().map(|it| self.roster.apply_member(it)).collect();
         self.metrics.peers(self.roster.heard_count());
         self.roster.sightings().told(&summary.seen);
-        self.others_reach_store(summary.store_silent_ms);
+        self.note_store_response(summary.store_silent_ms);
         for job in &summary.jobs {
-            let place = usize::from(job.member);
+            let index = usize::from(job.member);
             if let (Some(Some(process)), Some(member)) =
-                (members.get(place), summary.members.get(place))
+                (members.get(index), summary.members.get(index))
             {
                 let process = Name::clone(process);
                 let owner = Owner { process, incarnation: member.incarnation };
-                self.owners.learn(&job.name, owner);
+                self.owners.record(&job.name, owner);
             }
         }
         self.placer.peer(summary.cell.into(), summary.requests);
     }
 
-    fn others_reach_store(&self, silent_ms: u32) {
-        let silent = Duration::from_millis(silent_ms.into());
-        if let Some(answered) = Instant::now().checked_sub(silent) {
-            self.health.others_heard(answered);
+    /// Notes that the store responded to another process `store_silent_ms` ago.
+    fn note_store_response(&self, store_silent_ms: u32) {
+        let elapsed = Duration::from_millis(store_silent_ms.into());
+        if let Some(responded_at) = Instant::now().checked_sub(elapsed) {
+            self.health.others_heard(responded_at);
         }
     }
 }
 
-/// Sends the same datagram to several gateways.
+/// Sends one datagram to several gateways; failures are only logged, as any datagram may be lost.
 pub(super) async fn send_to_all(socket: &UdpSocket, mut bytes: Vec<u8>, to: Vec<SocketAddr>) {
     for address in to {
         let compio::BufResult(sent, back) = socket.send_to(bytes, address).await;
--- a/crates/samphiredoor-gateway/src/peers/mates.rs
+++ b/crates/samphiredoor-gateway/src/peers/mates.rs
@@ -1,4 +1,4 @@
-//! What the gateways of the own cell last told, this one among them, and its sum for other cells.
+//! Latest statuses of the gateways of the own cell, including this one, and the summary of them for other cells.
 
 use std::{
     cell::RefCell,
@@ -15,23 +15,24 @@
 
 use super::{
     Roster,
-    roster::GONE,
+    roster::DEAD_AFTER,
     status::Status,
     summary::{Member, MemberJob, Summary},
 };
 use crate::sightings::SeenChanges;
 
-/// How long a job that a gateway has come to own is told; some summaries are sent in that time, and some are lost.
-const JOB_TOLD_FOR: Duration = Duration::from_millis(1_800);
-/// Jobs that are remembered meanwhile.
+/// How long summaries announce a job after its owner first reported it. Several summaries are sent in that time, as some
+/// datagrams are lost.
+const JOB_ANNOUNCE_TIME: Duration = Duration::from_millis(1_800);
+/// Most jobs that are announced at a time.
 const MAX_JOBS: usize = 64;
 
-struct Told {
+struct ReceivedStatus {
     at: Instant,
     status: Status,
 }
 
-struct ToldJob {
+struct AnnouncedJob {
     at: Instant,
     owner: Name,
     job: JobName,
@@ -39,19 +40,19 @@
 
 #[derive(Default)]
 struct State {
-    told: BTreeMap<Name, Told>,
-    jobs: VecDeque<ToldJob>,
+    statuses: BTreeMap<Name, ReceivedStatus>,
+    jobs: VecDeque<AnnouncedJob>,
 }
 
-/// Handle to what the gateways of the own cell last told.
+/// Handle to the latest statuses of the own cell's gateways.
 #[derive(Clone, Default)]
 pub struct Mates {
     state: Rc<RefCell<State>>,
 }
 
 impl Mates {
-    /// Takes the status of a gateway, be it this one's own.
-    pub fn told(&self, status: &Status) {
+    /// Stores a status that was received, or this gateway's own one when it is sent.
+    pub fn record(&self, status: &Status) {
         let mut state = self.state.borrow_mut();
         let (name, at) = (Name::from(&*status.name), Instant::now());
         for job in &status.jobs {
@@ -62,31 +63,32 @@
                 state.jobs.pop_front();
             }
             let (owner, job) = (Name::clone(&name), JobName::clone(&job.name));
-            state.jobs.push_back(ToldJob { at, owner, job });
+            state.jobs.push_back(AnnouncedJob { at, owner, job });
         }
-        state.told.insert(name, Told { at, status: status.clone() });
-        state.told.retain(|_, it| it.at.elapsed() < GONE);
-        state.jobs.retain(|it| it.at.elapsed() < JOB_TOLD_FOR);
+        state.statuses.insert(name, ReceivedStatus { at, status: status.clone() });
+        state.statuses.retain(|_, it| it.at.elapsed() < DEAD_AFTER);
+        state.jobs.retain(|it| it.at.elapsed() < JOB_ANNOUNCE_TIME);
     }
 
-    /// Sum of what the own cell's gateways told, for the gateways of another cell; `None` before anybody told anything.
+    /// Summary of the own cell for the gateways of another cell; `None` before the first status.
     ///
-    /// Requests at targets of the receiving cell are left out: its gateways are told of them directly.
+    /// Requests at targets of the receiving cell are left out, as its gateways receive them directly in statuses.
     pub fn summary(&self, roster: &Roster, receiver: CellId) -> Option<Summary> {
         let cells = roster.cells();
         let own = roster.own_cell()?;
         let state = self.state.borrow();
         let doors = cells.doors(own).iter();
-        let told: Vec<&Told> = doors.filter_map(|it| state.told.get(it)).collect();
-        if told.is_empty() {
+        let received: Vec<&ReceivedStatus> =
+            doors.filter_map(|it| state.statuses.get(it)).collect();
+        if received.is_empty() {
             return None;
         }
-        let requests = told.iter().map(|it| &it.status.requests);
+        let requests = received.iter().map(|it| &it.status.requests);
         let requests = sum_of(requests, |target| cells.of_target(target) == Some(receiver));
-        let members: Vec<Member> = told.iter().map(|it| member(it)).collect();
-        let place_of = |owner: &Name| told.iter().position(|it| *it.status.name == **owner);
+        let members: Vec<Member> = received.iter().map(|it| member(it)).collect();
+        let index_of = |owner: &Name| received.iter().position(|it| *it.status.name == **owner);
         let jobs = state.jobs.iter().filter_map(|it| {
-            Some(MemberJob { member: place_of(&it.owner)? as u16, name: JobName::clone(&it.job) })
+            Some(MemberJob { member: index_of(&it.owner)? as u16, name: JobName::clone(&it.job) })
         });
         Some(Summary {
             cell: cells.name(own)?.to_string(),
@@ -94,27 +96,28 @@
             members,
             requests,
             jobs: jobs.collect(),
-            seen: newest(told.iter().map(|it| it.status.seen)),
-            store_silent_ms: told.iter().map(|it| store_silent_ms(it)).min()?,
+            seen: newest(received.iter().map(|it| it.status.seen)),
+            store_silent_ms: received.iter().map(|it| store_silent_ms(it)).min()?,
         })
     }
 }
 
-fn member(told: &Told) -> Member {
-    let status = &told.status;
+fn member(received: &ReceivedStatus) -> Member {
+    let status = &received.status;
     Member {
         key: key_of(&status.name),
         incarnation: status.incarnation,
         routes_version: status.routes_version,
-        heard_ms: told.at.elapsed().as_millis().try_into().unwrap_or(u16::MAX),
+        heard_ms: received.at.elapsed().as_millis().try_into().unwrap_or(u16::MAX),
         store_reached: status.store_reached,
         stopping: status.stopping,
     }
 }
 
-fn store_silent_ms(told: &Told) -> u32 {
-    let since = told.at.elapsed().as_millis().try_into().unwrap_or(u32::MAX);
-    told.status.store_silent_ms.saturating_add(since)
+/// Time since the store last responded to a gateway, including the age of its status.
+fn store_silent_ms(received: &ReceivedStatus) -> u32 {
+    let age_ms = received.at.elapsed().as_millis().try_into().unwrap_or(u32::MAX);
+    received.status.store_silent_ms.saturating_add(age_ms)
 }
 
 fn newest(seen: impl Iterator<Item = SeenChanges>) -> SeenChanges {
--- a/crates/samphiredoor-gateway/src/peers/mod.rs
+++ b/crates/samphiredoor-gateway/src/peers/mod.rs
@@ -1,8 +1,9 @@
-//! Other gateways: how they find each other, and what they tell each other all the time.
+//! Discovery of the other gateways (peers), and the state that gateways exchange.
 //!
-//! Each gateway registers its address in the store and follows the others' entries. Its state goes as datagrams to the
-//! gateways of its cell, and to those whose targets it uses; of all others it hears sums, cell by cell. Everything here is
-//! a hint; a datagram that is lost is made good by the next one.
+//! Each gateway registers its address in the store and watches the entries of the others. It sends its state as UDP
+//! datagrams to the gateways of its cell and to those whose targets it uses; the state of all other gateways arrives as one
+//! summary for each cell. All of this is advisory: a lost datagram is superseded by the next one, and the store remains
+//! authoritative.
 
 mod datagram;
 pub mod followed;
@@ -31,19 +32,19 @@
 pub use status::OwnedJob;
 pub use teller::Teller;
 
-/// How long the store may be silent before others are told that this process does not reach it. They may take its jobs
-/// from then on, so it holds its runs back from then on as well.
+/// Time without a response of the store after which this process reports to its peers that the store is unreachable. From
+/// then on they may take over its jobs, so it suspends its own runs from then on as well.
 pub const STORE_LOST: Duration = Duration::from_millis(1_000);
 
-/// This process, as others know it.
+/// Identity, location and address of this process, as its peers see them.
 #[derive(Debug, Clone)]
 pub struct Own {
-    /// Name.
+    /// Name under which it is registered in the store.
     pub name: Name,
-    /// Which start.
+    /// Number of this start of the process; a restart has a higher one.
     pub incarnation: u64,
-    /// Where it stands.
+    /// Region and availability zone.
     pub place: Place,
-    /// Where it listens for others.
+    /// Address for calls and datagrams of peers.
     pub address: SocketAddr,
 }
--- a/crates/samphiredoor-gateway/src/peers/owners.rs
+++ b/crates/samphiredoor-gateway/src/peers/owners.rs
@@ -1,7 +1,7 @@
-//! Whose jobs are, as gateways tell each other.
+//! Cache of job owners, filled from the statuses and summaries of other gateways.
 //!
-//! A hint that spares a read of the store for each job at each gateway; a wrong one costs a call to a gateway that then
-//! reads the store itself.
+//! It saves each gateway a read of the store for each job. A stale entry costs a call to a gateway that then reads the
+//! store itself.
 
 use std::{
     cell::RefCell,
@@ -11,46 +11,48 @@
 
 use samphiredoor_core::{Name, ordered::JobName};
 
-/// Jobs that are remembered; a fleet of a hundred gateways takes some ten a second, and callers read for some minutes.
+/// Most jobs in the cache. A fleet of a hundred gateways accepts about ten jobs a second, and callers read results for some
+/// minutes.
 const MAX_JOBS: usize = 2_000;
 
-/// One start of a process.
+/// The process incarnation that owns a job.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Owner {
     /// Name of the process.
     pub process: Name,
-    /// Which start of it.
+    /// Number of this start of the process; a restart has a higher one.
     pub incarnation: u64,
 }
 
 #[derive(Debug, Default)]
-struct Known {
+struct Cache {
     owners: HashMap<JobName, Owner>,
+    /// Jobs in order of insertion, oldest first, for eviction.
     order: VecDeque<JobName>,
 }
 
-/// Handle to the owners that this process has heard of.
+/// Handle to the cache; clones share it.
 #[derive(Clone, Default)]
 pub struct Owners {
-    known: Rc<RefCell<Known>>,
+    cache: Rc<RefCell<Cache>>,
 }
 
 impl Owners {
-    /// Takes word of an owner.
-    pub fn learn(&self, job: &JobName, owner: Owner) {
-        let mut known = self.known.borrow_mut();
-        if known.owners.insert(JobName::clone(job), owner).is_none() {
-            known.order.push_back(JobName::clone(job));
+    /// Stores the owner of a job, and evicts the oldest job when the cache is full.
+    pub fn record(&self, job: &JobName, owner: Owner) {
+        let mut cache = self.cache.borrow_mut();
+        if cache.owners.insert(JobName::clone(job), owner).is_none() {
+            cache.order.push_back(JobName::clone(job));
         }
-        if known.order.len() > MAX_JOBS
-            && let Some(oldest) = known.order.pop_front()
+        if cache.order.len() > MAX_JOBS
+            && let Some(oldest) = cache.order.pop_front()
         {
-            known.owners.remove(&oldest);
+            cache.owners.remove(&oldest);
         }
     }
 
-    /// Last known owner of a job.
+    /// Last reported owner of a job.
     pub fn of(&self, job: &str) -> Option<Owner> {
-        self.known.borrow().owners.get(job).cloned()
+        self.cache.borrow().owners.get(job).cloned()
     }
 }
--- a/crates/samphiredoor-gateway/src/peers/registration.rs
+++ b/crates/samphiredoor-gateway/src/peers/registration.rs
@@ -1,4 +1,4 @@
-//! Entries of gateways in the store, by which they find each other.
+//! Registration of gateways in the store, through which they discover each other.
 
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 
@@ -16,44 +16,46 @@
     watch::{Follower, Seen},
 };
 
-/// Wait of a process that was not registered before it looks for the others: those that start together have registered by
-/// then, and are not seen one by one.
-const FOLLOW_PAUSE: Duration = Duration::from_millis(1_200);
-/// Pause before registering is tried again.
-const REGISTER_PAUSE: Duration = Duration::from_millis(500);
+/// Time that a newly registered process waits before it reads changes of the other entries. Gateways that start together
+/// have registered by then, so their entries arrive in one batch instead of one by one.
+const STARTUP_SETTLE_TIME: Duration = Duration::from_millis(1_200);
+/// Interval between attempts to register.
+const REGISTER_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Registers this process until the store has it.
-async fn register(own: Own, store: Rc<dyn ObjectStore>, found: Found) {
+/// Writes this process's entry to the store, and retries until the store has it.
+async fn register(own: Own, store: Rc<dyn ObjectStore>, found: OwnEntry) {
     let key = ObjectKey::new(Kind::Door, Name::clone(&own.name));
-    let value: Value = entry(&own);
+    let value: Value = encode_entry(&own);
     loop {
         let answer = match found {
-            Found::Nothing => create(&*store, &key, &value).await,
-            Found::Other => replace(&*store, &key, &value).await,
-            Found::Same => return,
+            OwnEntry::Missing => create(&*store, &key, &value).await,
+            OwnEntry::Outdated => replace(&*store, &key, &value).await,
+            OwnEntry::Current => return,
         };
         match answer {
             StoreAnswer::Object(_) => return,
-            answer => log::warn!(answer:? = answer; "peers: not registered yet"),
+            answer => log::warn!(answer:? = answer; "peers: registration failed, will be retried"),
         }
-        compio::time::sleep(REGISTER_PAUSE).await;
+        compio::time::sleep(REGISTER_RETRY_INTERVAL).await;
     }
 }
 
-/// What a list has of the own entry.
+/// State of this process's own entry in a list of all gateways.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Found {
-    Nothing,
-    /// An entry of an earlier start that tells something else.
-    Other,
-    Same,
+enum OwnEntry {
+    Missing,
+    /// Written by an earlier incarnation with another address or location.
+    Outdated,
+    Current,
 }
 
-fn find(own: &Own, all: &[Stored]) -> Found {
+fn find_own_entry(own: &Own, all: &[Stored]) -> OwnEntry {
     match all.iter().find(|it| it.name == own.name) {
-        None => Found::Nothing,
-        Some(stored) if read_entry(&stored.value) == read_entry(&entry(own)) => Found::Same,
-        Some(_) => Found::Other,
+        None => OwnEntry::Missing,
+        Some(stored) if parse_entry(&stored.value) == parse_entry(&encode_entry(own)) => {
+            OwnEntry::Current
+        }
+        Some(_) => OwnEntry::Outdated,
     }
 }
 
@@ -69,15 +71,15 @@
 async fn replace(store: &dyn ObjectStore, key: &ObjectKey, value: &Value) -> StoreAnswer {
     let found = store.call(StoreOp::Get { key: key.clone() }).await;
     let StoreAnswer::Object(stored) = found else { return found };
-    // The store may have written it in another form.
-    if read_entry(&stored.value) == read_entry(value) {
+    // Parsed entries are compared because the store may return the same JSON in another form.
+    if parse_entry(&stored.value) == parse_entry(value) {
         return StoreAnswer::Object(stored);
     }
     let (key, version) = (key.clone(), stored.version);
     store.call(StoreOp::Update { key, version, labels: Labels::new(), value: value.clone() }).await
 }
 
-fn entry(own: &Own) -> Value {
+fn encode_entry(own: &Own) -> Value {
     let entry = json!({
         "address": own.address.to_string(),
         "region": &*own.place.region,
@@ -86,8 +88,8 @@
     entry.to_string().into_bytes().into()
 }
 
-/// Registers this process if it is not registered yet, and follows the entries of all gateways: at once after a restart, when
-/// the others are registered already.
+/// Registers this process unless its entry is current, and applies the entries of all gateways to the roster. A restarted
+/// process whose entry is current does not wait, as the other gateways are registered already.
 pub async fn run(
     roster: Roster,
     placer: Placer,
@@ -98,47 +100,47 @@
     loop {
         match follower.next().await {
             Seen::All(all) => {
-                all.iter().for_each(|it| take_entry(&roster, it));
-                let found = find(roster.own(), &all);
-                if !std::mem::replace(&mut registering, true) && found != Found::Same {
+                all.iter().for_each(|it| apply_entry(&roster, it));
+                let found = find_own_entry(roster.own(), &all);
+                if !std::mem::replace(&mut registering, true) && found != OwnEntry::Current {
                     let register = register(roster.own().clone(), Rc::clone(&store), found);
                     compio::runtime::spawn(register).detach();
-                    compio::time::sleep(FOLLOW_PAUSE).await;
+                    compio::time::sleep(STARTUP_SETTLE_TIME).await;
                     continue;
                 }
             }
             Seen::Changes(changes) => changes.iter().for_each(|it| match it {
-                Change::Written(stored) => take_entry(&roster, stored),
+                Change::Written(stored) => apply_entry(&roster, stored),
                 Change::Deleted(name) => roster.remove(name),
             }),
             Seen::Lost | Seen::Regained => continue,
         }
-        roster.listed();
+        roster.mark_listed();
         let own_targets = roster.own_targets();
         let (cells, mates, targets) =
-            (roster.cells().len(), roster.mates().len(), own_targets.len());
+            (roster.cells().len(), roster.cell_peers().len(), own_targets.len());
         log::info!(cells, mates, targets; "peers: cells worked out");
         placer.own_targets(own_targets);
     }
 }
 
-/// Where a gateway listens, as it has registered in the store.
+/// Address that a gateway has registered in the store.
 pub async fn registered_address(store: &dyn ObjectStore, name: &Name) -> Option<SocketAddr> {
     let key = ObjectKey::new(Kind::Door, Name::clone(name));
     match store.call(StoreOp::Get { key }).await {
-        StoreAnswer::Object(stored) => Some(read_entry(&stored.value)?.0),
+        StoreAnswer::Object(stored) => Some(parse_entry(&stored.value)?.0),
         _ => None,
     }
 }
 
-fn take_entry(roster: &Roster, stored: &Stored) {
-    match read_entry(&stored.value) {
+fn apply_entry(roster: &Roster, stored: &Stored) {
+    match parse_entry(&stored.value) {
         Some((address, place)) => roster.register(Name::clone(&stored.name), address, place),
-        None => log::warn!(peer = &*stored.name; "peers: entry ignored"),
+        None => log::warn!(peer = &*stored.name; "peers: invalid entry ignored"),
     }
 }
 
-fn read_entry(value: &[u8]) -> Option<(SocketAddr, Place)> {
+fn parse_entry(value: &[u8]) -> Option<(SocketAddr, Place)> {
     let entry: serde_json::Value = serde_json::from_slice(value).ok()?;
     let text = |key: &str| entry.get(key)?.as_str();
     let place = Place {
--- a/crates/samphiredoor-gateway/src/peers/relay.rs
+++ b/crates/samphiredoor-gateway/src/peers/relay.rs
@@ -1,11 +1,12 @@
-//! Routes from other gateways, for a process that the store does not answer.
+//! Fetching routes from peers when the store does not respond.
 //!
-//! Statuses tell the version that each gateway has in force. A process that stays behind asks the nearest gateway that is
-//! ahead; the routes are the same object that the store holds, and only a higher version is put in force.
+//! Statuses report the routes version that each gateway has in force. A process that remains behind fetches the routes from
+//! the nearest gateway that is ahead. The response is the same object that the store holds, and only a higher version is
+//! put in force.
 //!
-//! Many processes may be behind at once, as after the loss of a whole region, and the routes may be large. So a process
-//! asks beyond its region only now and then, such that about one of the region's begins at each look, and tells a few
-//! others at once, who then have the routes to tell as well.
+//! Many processes may be behind at once, such as after the loss of a whole region, and the routes may be large. A process
+//! therefore fetches from other regions with a probability at which about one process of its region does so per check. Each
+//! gateway serves only a few requests per check interval; processes that have received the routes then serve them as well.
 
 use std::{
     cell::Cell,
@@ -25,69 +26,71 @@
 use super::{Roster, roster::RoutesHolder};
 use crate::{edge::ObjectStore, front::plain, routes::Routes, watch::was_heard};
 
-/// Path of the call.
+/// Path at which peers serve their routes.
 pub const PATH: &str = "/routes";
-/// How often a process looks whether it is behind. Each gateway hears of a change by its own watch within this time, so
-/// only those that the store does not answer ask another one.
-const LOOK_PAUSE: Duration = Duration::from_millis(500);
-/// Longest wait for another gateway to begin its answer, and longest silence within it.
-const SILENCE: Duration = Duration::from_millis(500);
-/// A configuration fits into one object of the store.
+/// How often a process checks whether it is behind. Each gateway receives a change through its own watch within this time,
+/// so only gateways to which the store does not respond ask a peer.
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
+/// Timeout for the connection to a peer, for the start of its response, and for each pause within the response.
+const READ_TIMEOUT: Duration = Duration::from_millis(500);
+/// Largest accepted response; a configuration fits into one object of the store.
 const MAX_BYTES: usize = 2 * 1024 * 1024;
-/// Processes that are told the routes within the time of one look; a small host's link carries a few large configurations in that time.
-const TOLD_IN_A_LOOK: u32 = 3;
+/// Most requests served within one check interval; a small host's link carries a few large configurations in that time.
+const SERVED_PER_INTERVAL: u32 = 3;
 
-/// Asks others for newer routes for as long as the process runs.
+/// Fetches newer routes from peers until the process ends.
 pub async fn run(
     roster: Roster,
     routes: Routes,
     store: Rc<dyn ObjectStore>,
     relayed: flume::Sender<Stored>,
 ) {
-    let mut behind = 0;
+    let mut behind_version = 0;
     loop {
-        compio::time::sleep(LOOK_PAUSE).await;
+        compio::time::sleep(CHECK_INTERVAL).await;
         let holder = roster.newest_routes().filter(|it| it.version > routes.version());
         let Some(holder) = holder else {
-            behind = 0;
+            behind_version = 0;
             continue;
         };
-        // Behind at two looks: not just a little later than the other.
-        if std::mem::replace(&mut behind, routes.version().max(1)) != routes.version().max(1) {
+        // Only a process that is behind at two checks in a row asks; a change may arrive slightly later than at the peer.
+        if std::mem::replace(&mut behind_version, routes.version().max(1))
+            != routes.version().max(1)
+        {
             continue;
         }
-        if holder.distance == Distance::Far && !may_ask_beyond(&roster, &*store) {
+        if holder.distance == Distance::Far && !may_ask_other_region(&roster, &*store) {
             continue;
         }
-        ask(&holder, &relayed).await;
+        fetch_from(&holder, &relayed).await;
     }
 }
 
-/// Whether this process asks beyond its region now. One to which the store's answer is coming does not, as both would share
-/// the line, and of the others about one at each look.
-fn may_ask_beyond(roster: &Roster, store: &dyn ObjectStore) -> bool {
-    let chance = 1.0 / roster.heard_in_region() as f64;
-    !was_heard(store, LOOK_PAUSE) && rand::random_bool(chance)
+/// Whether this process asks a gateway of another region at this check. A process that is receiving a response of the store
+/// does not, as the two transfers would share the link; of the others in the region about one does.
+fn may_ask_other_region(roster: &Roster, store: &dyn ObjectStore) -> bool {
+    let chance = 1.0 / roster.live_in_region() as f64;
+    !was_heard(store, CHECK_INTERVAL) && rand::random_bool(chance)
 }
 
-async fn ask(holder: &RoutesHolder, relayed: &flume::Sender<Stored>) {
+async fn fetch_from(holder: &RoutesHolder, relayed: &flume::Sender<Stored>) {
     let RoutesHolder { version, address, .. } = *holder;
-    match fetch(address).await {
+    match request_routes(address).await {
         Some(stored) => {
             log::info!(version, peer:% = address; "routes: taken from another gateway");
             // Fails only when the process ends.
             let _ = relayed.send(stored);
         }
         None => {
-            log::info!(version, peer:% = address; "routes: another gateway did not tell them");
+            log::info!(version, peer:% = address; "routes: cannot be fetched from another gateway");
         }
     }
 }
 
-async fn fetch(address: SocketAddr) -> Option<Stored> {
+async fn request_routes(address: SocketAddr) -> Option<Stored> {
     let request = Request::get(PATH).header(header::HOST, "gateway").body(Body::empty()).ok()?;
-    let limits = FetchLimits::new(SILENCE, MAX_BYTES);
-    let pool = Pool::new(address).with_connect_timeout(SILENCE);
+    let limits = FetchLimits::new(READ_TIMEOUT, MAX_BYTES);
+    let pool = Pool::new(address).with_connect_timeout(READ_TIMEOUT);
     let fetched = pool.fetch(request, limits).await.ok()?;
     let name = fetched.headers.get(header::CONTENT_LOCATION)?.to_str().ok()?.into();
     if fetched.status != StatusCode::OK {
@@ -101,26 +104,26 @@
     })
 }
 
-/// What others are told of the routes in force.
+/// Serves the routes in force to peers, at a limited rate.
 #[derive(Clone)]
 pub struct RoutesRelay {
     routes: Routes,
-    /// When the present count began, and the count.
-    told: Rc<Cell<(Instant, u32)>>,
+    /// Start of the current interval, and the requests in it.
+    served: Rc<Cell<(Instant, u32)>>,
 }
 
 impl RoutesRelay {
-    /// Relay of these routes.
+    /// Relay that serves these routes.
     pub fn new(routes: Routes) -> RoutesRelay {
-        RoutesRelay { routes, told: Rc::new(Cell::new((Instant::now(), 0))) }
+        RoutesRelay { routes, served: Rc::new(Cell::new((Instant::now(), 0))) }
     }
 
-    /// Answer to the call: the object that the routes in force were read from, and its name.
+    /// Response to a peer: the stored object that the routes in force were read from, with its name as the content location.
     pub fn answer(&self) -> Response<Body> {
         let Some(source) = self.routes.source() else {
             return plain(StatusCode::NOT_FOUND, "no routes yet");
         };
-        if !self.may_tell() {
+        if !self.is_within_limit() {
             return plain(StatusCode::SERVICE_UNAVAILABLE, "others are being told");
         }
         let mut response = Response::new(Body::full(Bytes::copy_from_slice(&source.value)));
@@ -130,12 +133,13 @@
         response
     }
 
-    fn may_tell(&self) -> bool {
-        let (began, count) = match self.told.get() {
-            (began, _) if began.elapsed() >= LOOK_PAUSE => (Instant::now(), 0),
-            told => told,
+    /// Counts a request; returns whether it is within the limit of the current interval.
+    fn is_within_limit(&self) -> bool {
+        let (began, count) = match self.served.get() {
+            (began, _) if began.elapsed() >= CHECK_INTERVAL => (Instant::now(), 0),
+            served => served,
         };
-        self.told.set((began, count + 1));
-        count < TOLD_IN_A_LOOK
+        self.served.set((began, count + 1));
+        count < SERVED_PER_INTERVAL
     }
 }
--- a/crates/samphiredoor-gateway/src/peers/roster.rs
+++ b/crates/samphiredoor-gateway/src/peers/roster.rs
@@ -1,4 +1,4 @@
-//! Which other gateways there are, and which of them are heard.
+//! Table of the other gateways (peers): their addresses and cells, and which of them are live.
 
 use std::{
     cell::{Cell, RefCell},
@@ -19,35 +19,38 @@
 use super::{Own, status::Status, summary::Member};
 use crate::sightings::Sightings;
 
-/// Silence after which a gateway counts as gone. Statuses come at least twice a second and some are lost; jobs of a
-/// gateway that was taken for gone too early are run twice.
-pub(super) const GONE: Duration = Duration::from_millis(2_500);
-/// Silence after which the next gateway of a cell speaks for it. Statuses come at least twice a second.
-const SPEAKER_SILENT: Duration = Duration::from_millis(1_200);
-/// Gateways of a cell that speak for it: where one is lost, the others are still heard.
-const SPEAKERS: usize = 2;
-/// Silence after which a gateway of another cell counts as gone. All that speak for its cell may be lost at once, and the
-/// next ones begin later by the time in which that is noticed.
-const GONE_ELSEWHERE: Duration = GONE.saturating_add(SPEAKER_SILENT);
-/// Time after the first list of gateways from which this one speaks for its cell; by then it has heard the others.
-const SPEAKS_AFTER: Duration = Duration::from_millis(1_000);
-/// Time after the first list of gateways from which one of another cell that was never heard counts as gone. Its cell may
-/// have started as lately, and begins to speak later.
-const UNHEARD_ELSEWHERE: Duration =
-    GONE_ELSEWHERE.saturating_add(SPEAKS_AFTER).saturating_add(SPEAKER_SILENT);
-/// Time by which this process takes itself for cut off before others take it for gone: each last heard the other at a
-/// moment of its own.
-const CUT_OFF_MARGIN: Duration = Duration::from_millis(1_000);
-/// How long a gateway is remembered that is not heard, in the count of those that there should be.
-const FORGOTTEN: Duration = Duration::from_secs(30);
+/// Time without a status after which a gateway counts as dead. Statuses are sent at least twice a second and some are lost;
+/// jobs of a gateway that is declared dead too early run twice.
+pub(super) const DEAD_AFTER: Duration = Duration::from_millis(2_500);
+/// Time without a status after which the next gateway of a cell takes over sending the cell's summaries or watching the
+/// store for it. Statuses are sent at least twice a second.
+const FAILOVER_TIMEOUT: Duration = Duration::from_millis(1_200);
+/// Gateways of a cell that send its summaries, so that the loss of one does not interrupt them.
+const SUMMARY_SENDERS: usize = 2;
+/// Time without news of a gateway of another cell after which it counts as dead. All summary senders of its cell may fail
+/// at once, and their successors start only after the failover timeout.
+const DEAD_AFTER_OTHER_CELL: Duration = DEAD_AFTER.saturating_add(FAILOVER_TIMEOUT);
+/// Time after the first list of gateways from which this process may send summaries. By then it has received statuses of
+/// the other gateways of its cell.
+const SUMMARIES_START_AFTER: Duration = Duration::from_millis(1_000);
+/// Time after the first list of gateways from which a gateway of another cell that was never seen counts as dead. Its cell
+/// may have started at the same time, and starts to send summaries later.
+const NEVER_SEEN_DEAD_AFTER_OTHER_CELL: Duration =
+    DEAD_AFTER_OTHER_CELL.saturating_add(SUMMARIES_START_AFTER).saturating_add(FAILOVER_TIMEOUT);
+/// Time by which this process treats itself as isolated before its peers can declare it dead. The last datagrams of the two
+/// directions arrive at different moments.
+const ISOLATION_MARGIN: Duration = Duration::from_millis(1_000);
+/// Time without a status after which a gateway no longer counts among the expected ones.
+const FORGET_AFTER: Duration = Duration::from_secs(30);
 
 #[derive(Debug, Clone)]
 struct Peer {
     address: SocketAddr,
     place: Place,
-    heard: Option<Instant>,
-    /// Silence after which it counts as gone.
-    gone_after: Duration,
+    /// When its newest known status was received, by this process or, for another cell, by a gateway of that cell.
+    last_seen: Option<Instant>,
+    /// Time without a status after which it counts as dead.
+    dead_after: Duration,
     incarnation: u64,
     store_reached: bool,
     stopping: bool,
@@ -55,72 +58,73 @@
 }
 
 impl Peer {
-    fn is_heard(&self) -> bool {
-        self.heard.is_some_and(|it| it.elapsed() < self.gone_after)
+    fn is_live(&self) -> bool {
+        self.last_seen.is_some_and(|it| it.elapsed() < self.dead_after)
     }
 
-    /// Whether it was heard at a moment from which it cannot have taken this process for gone yet.
-    fn is_heard_with_margin(&self) -> bool {
-        self.heard.is_some_and(|it| it.elapsed() + CUT_OFF_MARGIN < self.gone_after)
+    /// Whether its last status is so recent that it cannot have declared this process dead yet.
+    fn is_live_with_margin(&self) -> bool {
+        self.last_seen.is_some_and(|it| it.elapsed() + ISOLATION_MARGIN < self.dead_after)
     }
 
-    /// Whether it was heard so lately that it may do something for its cell.
-    fn was_just_heard(&self) -> bool {
-        self.heard.is_some_and(|it| it.elapsed() < SPEAKER_SILENT)
+    /// Whether its last status is recent enough for it to send summaries or watch the store for its cell.
+    fn was_seen_recently(&self) -> bool {
+        self.last_seen.is_some_and(|it| it.elapsed() < FAILOVER_TIMEOUT)
     }
 
-    /// Whether it works on its jobs, or is about to hand them over. A job that is taken from a process that stops loses
-    /// what its items have put out: with twenty items half done, as much work as ten whole ones.
-    fn has_jobs(&self) -> bool {
-        self.is_heard() && self.store_reached
+    /// Whether it works on its jobs, or is about to hand them over. Taking a job over from a process that is stopping would
+    /// lose the partial output of its items: with twenty items half done, the work of ten whole items.
+    fn is_working(&self) -> bool {
+        self.is_live() && self.store_reached
     }
 
-    /// Whether it may take jobs of others.
-    fn takes_jobs(&self) -> bool {
-        self.has_jobs() && !self.stopping
+    /// Whether it can take over jobs of other gateways.
+    fn accepts_jobs(&self) -> bool {
+        self.is_working() && !self.stopping
     }
 }
 
-/// A gateway that has the newest routes in force.
+/// A live gateway that has the newest routes in force.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RoutesHolder {
-    /// Version of the routes.
+    /// Version of its routes.
     pub version: u64,
-    /// Where it listens.
+    /// Address for calls to it.
     pub address: SocketAddr,
-    /// How far it is.
+    /// Distance from this process.
     pub distance: Distance,
 }
 
-/// Handle to what is known of other gateways.
+/// Handle to the table of peers; clones share it.
 #[derive(Clone)]
 pub struct Roster {
     own: Rc<Own>,
     started: Instant,
-    /// When all gateways were first listed.
+    /// When the first complete list of gateways was applied.
     listed: Rc<Cell<Option<Instant>>>,
     peers: Rc<RefCell<BTreeMap<Name, Peer>>>,
-    /// Names of the peers by their keys.
+    /// Names of the peers by [`key_of`], which summaries identify gateways by.
     names: Rc<RefCell<BTreeMap<u64, Name>>>,
+    /// Locations of the targets by [`key_of`] of their names.
     targets: Rc<RefCell<BTreeMap<u64, Place>>>,
-    /// Worked out anew after a change of peers or targets.
+    /// Cached assignment of gateways and targets to cells; `None` after a change of either.
     cells: Rc<RefCell<Option<Rc<Cells>>>>,
     sightings: Sightings,
 }
 
-/// Whether another gateway works on its jobs.
+/// Whether one incarnation of another gateway works on its jobs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Liveness {
-    /// It is heard, and reaches the store; one that stops hands its jobs over itself.
+    /// It is live and reaches the store. A gateway that is stopping counts too, as it hands its jobs over itself.
     Works,
-    /// It is gone, has started anew, or does not reach the store.
+    /// It timed out, has restarted, or does not reach the store.
     Gone,
-    /// This process cannot tell yet.
+    /// This process has not been running long enough to decide, or a restarted gateway has not sent a status yet.
     Unknown,
 }
 
 impl Roster {
-    /// Roster without peers.
+    /// Empty table.
     pub fn new(own: Own) -> Roster {
         Roster {
             own: Rc::new(own),
@@ -134,22 +138,22 @@
         }
     }
 
-    /// This process.
+    /// Identity and address of this process.
     pub fn own(&self) -> &Own {
         &self.own
     }
 
-    /// Newest changes of the store that this process and others have seen.
+    /// Newest store versions that this process and its peers have seen.
     pub fn sightings(&self) -> &Sightings {
         &self.sightings
     }
 
-    /// Notes that all gateways are registered here that were when this process began to follow them.
-    pub fn listed(&self) {
+    /// Marks that the table holds all gateways that were registered when this process started to watch them.
+    pub fn mark_listed(&self) {
         self.listed.set(self.listed.get().or(Some(Instant::now())));
     }
 
-    /// Takes a gateway's registered address.
+    /// Adds a gateway, or updates its registered address and location.
     pub fn register(&self, name: Name, address: SocketAddr, place: Place) {
         if name == self.own.name {
             return;
@@ -160,8 +164,8 @@
         let peer = peers.entry(name).or_insert_with(|| Peer {
             address,
             place: place.clone(),
-            heard: None,
-            gone_after: GONE,
+            last_seen: None,
+            dead_after: DEAD_AFTER,
             incarnation: 0,
             store_reached: true,
             stopping: false,
@@ -171,14 +175,14 @@
         peer.place = place;
     }
 
-    /// Forgets a gateway that is no longer registered.
+    /// Removes a gateway that is no longer registered.
     pub fn remove(&self, name: &Name) {
         self.cells.take();
         self.names.borrow_mut().remove(&key_of(name));
         self.peers.borrow_mut().remove(name);
     }
 
-    /// Takes all targets as discovery knows them now.
+    /// Replaces the known targets, whose locations the cells depend on.
     pub fn targets<'a>(&self, targets: impl Iterator<Item = &'a TargetEntry>) {
         let places: BTreeMap<u64, Place> =
             targets.map(|it| (key_of(&it.name), it.place.clone())).collect();
@@ -188,7 +192,7 @@
         }
     }
 
-    /// Cells of the fleet as this process sees it.
+    /// Assignment of the known gateways and targets to cells.
     pub fn cells(&self) -> Rc<Cells> {
         let mut cells = self.cells.borrow_mut();
         let cells = cells.get_or_insert_with(|| {
@@ -201,100 +205,102 @@
         Rc::clone(cells)
     }
 
-    /// Cell of this process.
+    /// Cell that this process belongs to.
     pub fn own_cell(&self) -> Option<CellId> {
         self.cells().of_door(&self.own.name)
     }
 
-    /// Whether a cell of this name is that of this process.
+    /// Whether the own cell has this name.
     pub fn is_own_cell(&self, name: &str) -> bool {
         let own = self.own_cell().and_then(|it| self.cells().name(it));
         own.is_some_and(|it| *it == *name)
     }
 
-    /// Targets that the own cell shares.
+    /// Targets assigned to the own cell, by [`key_of`].
     pub fn own_targets(&self) -> HashSet<u64> {
         let cells = self.cells();
         self.own_cell().map(|it| cells.targets(it).collect()).unwrap_or_default()
     }
 
-    /// Whether another gateway is of the own cell.
-    pub fn is_mate(&self, name: &str) -> bool {
+    /// Whether a gateway belongs to the own cell.
+    pub fn is_in_own_cell(&self, name: &str) -> bool {
         let own = self.own_cell();
         own.is_some() && self.cells().of_door(name) == own
     }
 
     /// Addresses of the other gateways of the own cell.
-    pub fn mates(&self) -> Vec<SocketAddr> {
+    pub fn cell_peers(&self) -> Vec<SocketAddr> {
         self.own_cell().map(|it| self.addresses_in(it)).unwrap_or_default()
     }
 
-    /// Addresses of the other gateways of the own cell at a distance.
-    pub fn mates_at(&self, distance: Distance) -> Vec<SocketAddr> {
+    /// Addresses of the other gateways of the own cell that are at a distance.
+    pub fn cell_peers_at(&self, distance: Distance) -> Vec<SocketAddr> {
         let Some(own) = self.own_cell() else { return Vec::new() };
         let (cells, peers) = (self.cells(), self.peers.borrow());
-        let mates = cells.doors(own).iter().filter_map(|it| peers.get(it));
-        let at = mates.filter(|it| Distance::between(&self.own.place, &it.place) == distance);
+        let cell_peers = cells.doors(own).iter().filter_map(|it| peers.get(it));
+        let at = cell_peers.filter(|it| Distance::between(&self.own.place, &it.place) == distance);
         at.map(|it| it.address).collect()
     }
 
-    /// Addresses of the other gateways of a cell.
+    /// Addresses of the gateways of a cell, except this one.
     pub fn addresses_in(&self, cell: CellId) -> Vec<SocketAddr> {
         let (cells, peers) = (self.cells(), self.peers.borrow());
         let doors = cells.doors(cell).iter().filter_map(|it| peers.get(it));
         doors.map(|it| it.address).collect()
     }
 
-    /// Address of any gateway of a cell, if there is one of one that is heard.
-    pub fn any_in(&self, cell: CellId) -> Option<SocketAddr> {
+    /// Address of a random gateway of a cell: of a live one if there is any.
+    pub fn random_address_in(&self, cell: CellId) -> Option<SocketAddr> {
         let (cells, peers) = (self.cells(), self.peers.borrow());
         let doors: Vec<&Peer> = cells.doors(cell).iter().filter_map(|it| peers.get(it)).collect();
-        let heard: Vec<&Peer> = doors.iter().copied().filter(|it| it.is_heard()).collect();
-        let among = if heard.is_empty() { &doors } else { &heard };
-        among.choose(&mut rand::rng()).map(|it| it.address)
+        let live: Vec<&Peer> = doors.iter().copied().filter(|it| it.is_live()).collect();
+        let candidates = if live.is_empty() { &doors } else { &live };
+        candidates.choose(&mut rand::rng()).map(|it| it.address)
     }
 
-    /// Whether this process speaks for its cell: the first ones do that are heard, by their names.
-    pub fn speaks(&self) -> bool {
-        let listens = self.listed.get().is_some_and(|it| it.elapsed() >= SPEAKS_AFTER);
-        let before = self.before(Peer::was_just_heard);
-        listens && before.is_some_and(|it| it.len() < SPEAKERS)
+    /// Whether this process sends its cell's summaries: the first live gateways in order of name do.
+    pub fn sends_summaries(&self) -> bool {
+        let has_statuses =
+            self.listed.get().is_some_and(|it| it.elapsed() >= SUMMARIES_START_AFTER);
+        let before = self.preceding_peers(Peer::was_seen_recently);
+        has_statuses && before.is_some_and(|it| it.len() < SUMMARY_SENDERS)
     }
 
-    /// Address of the gateway that follows the store for the own cell, if it is another one: the first one does that is
-    /// heard and reaches the store. A process that has just started takes for heard whom it has not heard yet. `None` where
-    /// the whole fleet is one cell.
+    /// Address of the gateway that watches the store for the own cell, unless it is this process: the first live gateway in
+    /// order of name that reaches the store. Shortly after its start a process counts gateways that it has not seen yet as
+    /// live. `None` if the whole fleet is one cell.
     pub fn follower(&self) -> Option<SocketAddr> {
         if self.cells().len() < 2 {
             return None;
         }
-        let listens = self.listed.get().is_some_and(|it| it.elapsed() >= SPEAKER_SILENT);
-        let is_heard = |it: &Peer| it.was_just_heard() || (it.heard.is_none() && !listens);
-        self.before(|it| is_heard(it) && it.store_reached)?.first().copied()
+        let has_statuses = self.listed.get().is_some_and(|it| it.elapsed() >= FAILOVER_TIMEOUT);
+        let is_live =
+            |it: &Peer| it.was_seen_recently() || (it.last_seen.is_none() && !has_statuses);
+        self.preceding_peers(|it| is_live(it) && it.store_reached)?.first().copied()
     }
 
-    /// Addresses of the gateways of the own cell that stand before this one, by their names, and suit; `None` without a cell.
-    fn before(&self, suits: impl Fn(&Peer) -> bool) -> Option<Vec<SocketAddr>> {
+    /// Addresses of the gateways of the own cell whose names come before this one's and which match; `None` without a cell.
+    fn preceding_peers(&self, matches: impl Fn(&Peer) -> bool) -> Option<Vec<SocketAddr>> {
         let own = self.own_cell()?;
         let (cells, peers) = (self.cells(), self.peers.borrow());
         let before = cells.doors(own).iter().filter(|it| **it < self.own.name);
-        let suiting = before.filter_map(|it| peers.get(it)).filter(|it| suits(it));
-        Some(suiting.map(|it| it.address).collect())
+        let matching = before.filter_map(|it| peers.get(it)).filter(|it| matches(it));
+        Some(matching.map(|it| it.address).collect())
     }
 
-    /// Takes what a cell says of one of its gateways; the gateway's name, if it is registered.
-    pub fn heard_of(&self, member: &Member) -> Option<Name> {
+    /// Applies the state of a gateway from a summary of its cell; returns the gateway's name if it is registered.
+    pub fn apply_member(&self, member: &Member) -> Option<Name> {
         let name = self.names.borrow().get(&member.key).cloned()?;
         let mut peers = self.peers.borrow_mut();
         let peer = peers.get_mut(&name)?;
-        let heard = Instant::now().checked_sub(Duration::from_millis(member.heard_ms.into()));
-        // A cell whose speaker has been frozen tells of starts that are over.
-        let is_over = member.incarnation < peer.incarnation && peer.is_heard();
-        // What it has told itself since is newer.
-        if heard > peer.heard && !is_over {
-            note_heard(&name, peer, member.incarnation);
-            peer.heard = heard;
-            peer.gone_after = GONE_ELSEWHERE;
+        let last_seen = Instant::now().checked_sub(Duration::from_millis(member.heard_ms.into()));
+        // A summary sender that was frozen still reports incarnations that have ended.
+        let is_over = member.incarnation < peer.incarnation && peer.is_live();
+        // A status that came from the gateway itself may be newer than the summary.
+        if last_seen > peer.last_seen && !is_over {
+            log_if_newly_live(&name, peer, member.incarnation);
+            peer.last_seen = last_seen;
+            peer.dead_after = DEAD_AFTER_OTHER_CELL;
             peer.incarnation = member.incarnation;
             peer.store_reached = member.store_reached;
             peer.stopping = member.stopping;
@@ -303,14 +309,15 @@
         Some(name)
     }
 
-    /// Takes a status; says whether its gateway is registered.
-    pub fn heard(&self, status: &Status) -> bool {
-        let gone_after = if self.is_mate(&status.name) { GONE } else { GONE_ELSEWHERE };
+    /// Applies a status; returns whether its gateway is registered.
+    pub fn apply_status(&self, status: &Status) -> bool {
+        let dead_after =
+            if self.is_in_own_cell(&status.name) { DEAD_AFTER } else { DEAD_AFTER_OTHER_CELL };
         let mut peers = self.peers.borrow_mut();
         let Some(peer) = peers.get_mut(status.name.as_str()) else { return false };
-        note_heard(&status.name, peer, status.incarnation);
-        peer.heard = Some(Instant::now());
-        peer.gone_after = gone_after;
+        log_if_newly_live(&status.name, peer, status.incarnation);
+        peer.last_seen = Some(Instant::now());
+        peer.dead_after = dead_after;
         peer.incarnation = status.incarnation;
         peer.store_reached = status.store_reached;
         peer.stopping = status.stopping;
@@ -319,62 +326,66 @@
         true
     }
 
-    /// Whether a process, in one start of it, works on its jobs.
+    /// Whether one incarnation of a gateway works on its jobs.
     pub fn liveness(&self, name: &str, incarnation: u64) -> Liveness {
-        let is_near = self.cells().len() < 2 || self.is_mate(name);
-        let unheard_for = if is_near { GONE } else { UNHEARD_ELSEWHERE };
+        let is_near = self.cells().len() < 2 || self.is_in_own_cell(name);
+        let never_seen_dead_after =
+            if is_near { DEAD_AFTER } else { NEVER_SEEN_DEAD_AFTER_OTHER_CELL };
         let peers = self.peers.borrow();
-        match peers.get(name).filter(|it| it.is_heard()) {
-            Some(peer) if peer.incarnation == incarnation && peer.has_jobs() => Liveness::Works,
-            // It has started anew and was not heard since; what is heard may be its former start's last word.
+        match peers.get(name).filter(|it| it.is_live()) {
+            Some(peer) if peer.incarnation == incarnation && peer.is_working() => Liveness::Works,
+            // It has restarted, and the last status came from its previous incarnation.
             Some(peer) if peer.incarnation < incarnation => Liveness::Unknown,
             Some(_) => Liveness::Gone,
-            _ if self.listed.get().is_none_or(|it| it.elapsed() < unheard_for) => Liveness::Unknown,
+            _ if self.listed.get().is_none_or(|it| it.elapsed() < never_seen_dead_after) => {
+                Liveness::Unknown
+            }
             _ => Liveness::Gone,
         }
     }
 
-    /// Whether a process was heard in a later start than this one.
+    /// Whether a later incarnation of a gateway has been seen.
     pub fn has_restarted(&self, name: &str, incarnation: u64) -> bool {
         let peers = self.peers.borrow();
-        peers.get(name).is_some_and(|it| it.heard.is_some() && it.incarnation > incarnation)
+        peers.get(name).is_some_and(|it| it.last_seen.is_some() && it.incarnation > incarnation)
     }
 
-    /// Whether a process was heard in this start or a later one.
+    /// Whether this incarnation of a gateway or a later one has been seen.
     pub fn was_heard(&self, name: &str, incarnation: u64) -> bool {
         let peers = self.peers.borrow();
-        peers.get(name).is_some_and(|it| it.heard.is_some() && it.incarnation >= incarnation)
+        peers.get(name).is_some_and(|it| it.last_seen.is_some() && it.incarnation >= incarnation)
     }
 
-    /// Whether this process hears at least half of the gateways that there should be. One that hears fewer is cut off
-    /// itself: it would take the jobs of all others, and they would take them back. One that does not know yet which there
-    /// are hears nobody.
+    /// Whether at least half of the expected gateways are live. A process for which fewer are live is isolated itself: it
+    /// would take over the jobs of all others, and they would take them back. `false` before the first list of gateways.
     pub fn hears_most(&self) -> bool {
         self.listed.get().is_some() && self.heard_count() * 2 >= self.expected_count()
     }
 
-    /// Whether this process is about to hear less than half of the gateways that there should be.
+    /// Whether this process has lost, or is about to lose, contact with more than half of the expected gateways;
+    /// `true` before the first list of gateways.
     pub fn is_cut_off(&self) -> bool {
-        let heard = self.peers.borrow().values().filter(|it| it.is_heard_with_margin()).count();
-        self.listed.get().is_none() || heard * 2 < self.expected_count()
+        let live = self.peers.borrow().values().filter(|it| it.is_live_with_margin()).count();
+        self.listed.get().is_none() || live * 2 < self.expected_count()
     }
 
+    /// Number of peers that are registered and not forgotten, live or not.
     fn expected_count(&self) -> usize {
-        let expected = |it: &&Peer| match it.heard {
-            Some(heard) => heard.elapsed() < FORGOTTEN,
-            None => self.started.elapsed() < FORGOTTEN,
+        let expected = |it: &&Peer| match it.last_seen {
+            Some(last_seen) => last_seen.elapsed() < FORGET_AFTER,
+            None => self.started.elapsed() < FORGET_AFTER,
         };
         self.peers.borrow().values().filter(expected).count()
     }
 
-    /// Number of gateways that are heard.
+    /// Number of live gateways, without this one.
     pub fn heard_count(&self) -> usize {
         let peers = self.peers.borrow();
-        peers.values().filter(|it| it.is_heard()).count()
+        peers.values().filter(|it| it.is_live()).count()
     }
 
-    /// Place of this process among those that follow the store: all that are heard, or, in a fleet of several cells, one of
-    /// each.
+    /// Position of this process among those that watch the store: all live gateways, or one of each cell in a fleet of
+    /// several cells.
     pub fn place(&self) -> FleetPlace {
         let cells = self.cells();
         if let Some(own) = self.own_cell().filter(|_| cells.len() > 1) {
@@ -382,55 +393,55 @@
             return FleetPlace { position, processes: cells.len() };
         }
         let peers = self.peers.borrow();
-        let heard = peers.iter().filter(|(_, it)| it.is_heard());
+        let live = peers.iter().filter(|(_, it)| it.is_live());
         let (mut position, mut processes) = (0, 1);
-        for (name, _) in heard {
+        for (name, _) in live {
             processes += 1;
             position += usize::from(*name < self.own.name);
         }
         FleetPlace { position, processes }
     }
 
-    /// Address of a process, in one start of it, if it is heard, whatever it can do now.
+    /// Address of one incarnation of a gateway if it is live, also if it is stopping or does not reach the store.
     pub fn heard_address(&self, name: &str, incarnation: u64) -> Option<SocketAddr> {
         let peers = self.peers.borrow();
         let peer = peers.get(name).filter(|it| it.incarnation == incarnation)?;
-        peer.is_heard().then_some(peer.address)
+        peer.is_live().then_some(peer.address)
     }
 
-    /// Address of a gateway.
+    /// Registered address of a gateway, live or not.
     pub fn address(&self, name: &str) -> Option<SocketAddr> {
         self.peers.borrow().get(name).map(|it| it.address)
     }
 
-    /// The newest routes that a gateway which is heard has in force, and the nearest one that has them; any of those that
-    /// stand at one distance, so that many who ask do not all ask the same.
+    /// The nearest live gateway that has the newest routes in force, chosen at random among those at the same distance so
+    /// that requests of many processes are spread over them.
     pub fn newest_routes(&self) -> Option<RoutesHolder> {
         let peers = self.peers.borrow();
-        let heard: Vec<&Peer> = peers.values().filter(|it| it.is_heard()).collect();
-        let version = heard.iter().map(|it| it.routes_version).max()?;
-        let holders = heard.into_iter().filter(|it| it.routes_version == version).collect();
+        let live: Vec<&Peer> = peers.values().filter(|it| it.is_live()).collect();
+        let version = live.iter().map(|it| it.routes_version).max()?;
+        let holders = live.into_iter().filter(|it| it.routes_version == version).collect();
         let nearest = *self.nearest_first(holders).first()?;
         let distance = Distance::between(&self.own.place, &nearest.place);
         Some(RoutesHolder { version, address: nearest.address, distance })
     }
 
-    /// Number of gateways of the own region that are heard, this one included.
-    pub fn heard_in_region(&self) -> usize {
+    /// Number of live gateways in this process's region, including this one.
+    pub fn live_in_region(&self) -> usize {
         let peers = self.peers.borrow();
-        let near = |it: &&Peer| it.is_heard() && it.place.region == self.own.place.region;
+        let near = |it: &&Peer| it.is_live() && it.place.region == self.own.place.region;
         1 + peers.values().filter(near).count()
     }
 
-    /// Gateways that could take a job over: heard, reaching the store and not stopping; nearest first, and those at one
-    /// distance in any order, so that jobs are spread over them.
+    /// Addresses of the gateways that can take over a job (live, reaching the store and not stopping): nearest first, and in
+    /// random order at the same distance so that jobs are spread over them.
     pub fn takers(&self) -> Vec<SocketAddr> {
         let peers = self.peers.borrow();
-        let takers = peers.values().filter(|it| it.takes_jobs()).collect();
-        self.nearest_first(takers).into_iter().map(|it| it.address).collect()
+        let candidates = peers.values().filter(|it| it.accepts_jobs()).collect();
+        self.nearest_first(candidates).into_iter().map(|it| it.address).collect()
     }
 
-    /// Peers by their distance, those at one distance in any order.
+    /// Sorts peers by distance, in random order at the same distance.
     fn nearest_first<'a>(&self, mut peers: Vec<&'a Peer>) -> Vec<&'a Peer> {
         peers.shuffle(&mut rand::rng());
         peers.sort_by_key(|it| Distance::between(&self.own.place, &it.place));
@@ -438,8 +449,9 @@
     }
 }
 
-fn note_heard(name: &str, peer: &Peer, incarnation: u64) {
-    if !peer.is_heard() || peer.incarnation != incarnation {
+/// Logs that a gateway, or a new incarnation of it, has become live.
+fn log_if_newly_live(name: &str, peer: &Peer, incarnation: u64) {
+    if !peer.is_live() || peer.incarnation != incarnation {
         log::info!(peer = name, incarnation; "peers: heard");
     }
 }
--- a/crates/samphiredoor-gateway/src/peers/speaker.rs
+++ b/crates/samphiredoor-gateway/src/peers/speaker.rs
@@ -1,7 +1,7 @@
-//! Tells other cells what the own cell's gateways have told each other.
+//! Sends summaries of the own cell's state to the other cells.
 //!
-//! Two gateways of each cell speak for it, and the next one as soon as one of them is not heard any more. Each tells one
-//! gateway of each other cell, which passes it on in its own.
+//! The first two live gateways of a cell, in order of name, send its summaries; when one of them times out, the next one takes
+//! its place. Each sends a summary to one gateway of every other cell, and that gateway forwards it within its own cell.
 
 use std::{
     rc::Rc,
@@ -13,47 +13,47 @@
 
 use super::{Mates, Roster, datagram::Datagram, listener::send_to_all};
 
-/// How often a process whose fleet is one cell looks whether there are others by now.
-const ALONE_PAUSE: Duration = Duration::from_millis(800);
+/// Interval at which a process whose fleet is a single cell checks for other cells.
+const SINGLE_CELL_POLL_INTERVAL: Duration = Duration::from_millis(800);
 
-/// Speaks for the own cell while that is this process's part.
+/// Task that sends the own cell's summaries while this process is one of the cell's summary senders.
 pub struct Speaker {
-    /// Socket to send from.
+    /// Socket that datagrams are sent from.
     pub socket: Rc<UdpSocket>,
-    /// Other gateways.
+    /// Addresses and cells of the gateways.
     pub roster: Roster,
-    /// What the own cell's gateways told.
+    /// Latest statuses of the own cell's gateways, which the summaries are built from.
     pub mates: Mates,
 }
 
 impl Speaker {
-    /// Speaks for as long as the process runs.
+    /// Runs until the process ends.
     pub async fn run(self) {
-        let mut far_told = Instant::now();
+        let mut far_sent_at = Instant::now();
         loop {
-            let (near, far) = self.other_cells();
-            if near.is_empty() && far.is_empty() {
-                compio::time::sleep(ALONE_PAUSE).await;
+            let (same_region, other_regions) = self.split_other_cells();
+            if same_region.is_empty() && other_regions.is_empty() {
+                compio::time::sleep(SINGLE_CELL_POLL_INTERVAL).await;
                 continue;
             }
-            compio::time::sleep(pause(Distance::Region, &near)).await;
-            if !self.roster.speaks() {
+            compio::time::sleep(summary_interval(Distance::Region, &same_region)).await;
+            if !self.roster.sends_summaries() {
                 continue;
             }
-            for cell in near {
-                self.tell(cell).await;
+            for cell in same_region {
+                self.send_summary(cell).await;
             }
-            if far_told.elapsed() >= pause(Distance::Far, &far) {
-                far_told = Instant::now();
-                for cell in far {
-                    self.tell(cell).await;
+            if far_sent_at.elapsed() >= summary_interval(Distance::Far, &other_regions) {
+                far_sent_at = Instant::now();
+                for cell in other_regions {
+                    self.send_summary(cell).await;
                 }
             }
         }
     }
 
-    /// Other cells in the own region, and beyond it.
-    fn other_cells(&self) -> (Vec<CellId>, Vec<CellId>) {
+    /// The other cells of the own region, and the cells of other regions.
+    fn split_other_cells(&self) -> (Vec<CellId>, Vec<CellId>) {
         let (cells, own) = (self.roster.cells(), self.roster.own_cell());
         let others = cells.ids().filter(|it| Some(*it) != own);
         others.partition(|it| {
@@ -62,14 +62,14 @@
         })
     }
 
-    async fn tell(&self, cell: CellId) {
-        let Some(address) = self.roster.any_in(cell) else { return };
+    async fn send_summary(&self, cell: CellId) {
+        let Some(address) = self.roster.random_address_in(cell) else { return };
         let Some(summary) = self.mates.summary(&self.roster, cell) else { return };
         let bytes = Datagram::Summary(summary).encode();
         send_to_all(&self.socket, bytes, vec![address]).await;
     }
 }
 
-fn pause(distance: Distance, cells: &[CellId]) -> Duration {
+fn summary_interval(distance: Distance, cells: &[CellId]) -> Duration {
     Duration::from_millis(summary_pause_ms(distance, cells.len()))
 }
--- a/crates/samphiredoor-gateway/src/peers/status.rs
+++ b/crates/samphiredoor-gateway/src/peers/status.rs
@@ -1,4 +1,4 @@
-//! State of one gateway, as it tells it to others.
+//! Status of one gateway, which it sends to its peers.
 
 use samphiredoor_core::{
     ordered::JobName,
@@ -11,47 +11,47 @@
 
 use crate::sightings::SeenChanges;
 
-/// Targets in one datagram: eight to ten bytes each, packed.
+/// Most targets in one datagram; each takes eight to ten bytes when packed.
 const MAX_LOADS: usize = 100;
-/// Services in one datagram for which items wait.
+/// Most services with waiting items in one datagram.
 const MAX_SERVICES: usize = 8;
-/// Jobs in one datagram.
+/// Most jobs in one datagram.
 const MAX_JOBS: usize = 8;
 
-/// A job that a gateway has come to own.
+/// A job whose ownership a gateway has acquired recently.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct OwnedJob {
-    /// Its name.
+    /// Name of the job.
     pub name: JobName,
-    /// Number of its items.
+    /// Number of items in the job.
     pub items: u32,
 }
 
 /// State of a gateway.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Status {
-    /// Its name.
+    /// Name of the gateway.
     pub name: String,
-    /// Which start of it.
+    /// Number of this start of the gateway; a restart has a higher one.
     pub incarnation: u64,
     /// Version of the routes that it has in force.
     pub routes_version: u64,
-    /// Whether the store answers it.
+    /// Whether it reaches the store.
     pub store_reached: bool,
     /// Whether a planned stop is under way.
     pub stopping: bool,
-    /// Its requests at targets, and its items that wait.
+    /// Its requests at targets and its waiting items.
     pub requests: DoorState,
-    /// Jobs that it has come to own lately.
+    /// Jobs whose ownership it has acquired recently.
     pub jobs: Vec<OwnedJob>,
-    /// Newest changes that it has seen in the store.
+    /// Newest store versions that it has seen.
     pub seen: SeenChanges,
-    /// Time since the store last answered it; `u32::MAX` if it never did.
+    /// Time since the store last responded to it; `u32::MAX` if it never did.
     pub store_silent_ms: u32,
 }
 
 impl Status {
-    /// Writes it into a datagram.
+    /// Writes the status into a datagram, up to the limits of its lists.
     pub fn write(&self, mut root: gateway_status::Builder<'_>) {
         root.set_name(&self.name);
         root.set_incarnation(self.incarnation);
@@ -60,24 +60,24 @@
         root.set_stopping(self.stopping);
         root.set_store_silent_ms(self.store_silent_ms);
         write_seen(&self.seen, root.reborrow().init_seen());
-        let told = self.jobs.len().min(MAX_JOBS);
-        let mut jobs = root.reborrow().init_jobs(told as u32);
-        for (index, job) in self.jobs.iter().take(told).enumerate() {
+        let count = self.jobs.len().min(MAX_JOBS);
+        let mut jobs = root.reborrow().init_jobs(count as u32);
+        for (index, job) in self.jobs.iter().take(count).enumerate() {
             let mut it = jobs.reborrow().get(index as u32);
             it.set_name(&*job.name);
             it.set_items(job.items);
         }
-        let shown = self.requests.waiting.len().min(MAX_SERVICES) as u32;
-        write_waiting(&self.requests.waiting, root.reborrow().init_waiting(shown));
-        let shown = self.requests.loads.len().min(MAX_LOADS) as u32;
-        write_loads(&self.requests.loads, root.init_loads(shown));
+        let count = self.requests.waiting.len().min(MAX_SERVICES) as u32;
+        write_waiting(&self.requests.waiting, root.reborrow().init_waiting(count));
+        let count = self.requests.loads.len().min(MAX_LOADS) as u32;
+        write_loads(&self.requests.loads, root.init_loads(count));
     }
 
-    /// Reads it from a datagram.
+    /// Reads a status from a datagram.
     ///
     /// # Errors
     ///
-    /// It is no status.
+    /// The message is malformed.
     pub fn read(root: gateway_status::Reader<'_>) -> capnp::Result<Status> {
         let mut jobs = Vec::new();
         for job in root.get_jobs()? {
@@ -98,7 +98,7 @@
     }
 }
 
-/// Writes as many of the loads as the list was made for.
+/// Fills a list with loads; those beyond its length are left out.
 pub(super) fn write_loads(
     loads: &[DoorLoad],
     mut list: capnp::struct_list::Builder<'_, requests_at_target::Owned>,
@@ -111,7 +111,7 @@
     }
 }
 
-/// Writes as many of the waiting items as the list was made for.
+/// Fills a list with counts of waiting items; services beyond its length are left out.
 pub(super) fn write_waiting(
     waiting: &[WaitingItems],
     mut list: capnp::struct_list::Builder<'_, waiting_items::Owned>,
--- a/crates/samphiredoor-gateway/src/peers/summary.rs
+++ b/crates/samphiredoor-gateway/src/peers/summary.rs
@@ -1,4 +1,4 @@
-//! What a cell tells each other cell.
+//! Summary of a cell's state, which is sent to every other cell.
 
 use samphiredoor_core::{ordered::JobName, placement::DoorState};
 use samphiredoor_schema::peer_capnp::cell_summary;
@@ -6,60 +6,60 @@
 use super::status::{read_requests, read_seen, write_loads, write_seen, write_waiting};
 use crate::sightings::SeenChanges;
 
-/// Targets in one datagram; a cell has a dozen, and some requests at those of others.
+/// Most targets in one datagram. A cell has about a dozen targets, and requests at some targets of other cells.
 const MAX_LOADS: usize = 50;
-/// Services in one datagram for which items wait.
+/// Most services with waiting items in one datagram.
 const MAX_SERVICES: usize = 8;
-/// Jobs in one datagram, about thirty bytes each.
+/// Most jobs in one datagram; each takes about thirty bytes.
 const MAX_JOBS: usize = 12;
 
-/// A gateway of a cell, as the cell hears it.
+/// State of one gateway of the cell, as its summary sender last received it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Member {
-    /// Its name, by [`samphiredoor_core::placement::key_of`].
+    /// Hash of its name, see [`samphiredoor_core::placement::key_of`].
     pub key: u64,
-    /// Which start of it.
+    /// Number of this start of the gateway; a restart has a higher one.
     pub incarnation: u64,
     /// Version of the routes that it has in force.
     pub routes_version: u64,
-    /// Time since the cell heard it.
+    /// Age of its last status when the summary was made.
     pub heard_ms: u16,
-    /// Whether the store answers it.
+    /// Whether it reaches the store.
     pub store_reached: bool,
     /// Whether a planned stop is under way.
     pub stopping: bool,
 }
 
-/// A job that a member has come to own.
+/// A job whose ownership a member has acquired recently.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct MemberJob {
-    /// Place of its owner among the members.
+    /// Index of the owner in [`Summary::members`].
     pub member: u16,
-    /// Its name.
+    /// Name of the job.
     pub name: JobName,
 }
 
 /// State of a cell.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Summary {
-    /// Its name.
+    /// Name of the cell.
     pub cell: String,
-    /// Whether the receiver passes it on to the other gateways of its own cell.
+    /// Whether the receiver forwards the summary to the other gateways of its own cell.
     pub forward: bool,
-    /// Its gateways that are heard.
+    /// Live gateways of the cell.
     pub members: Vec<Member>,
-    /// Their requests at targets, and their items that wait.
+    /// Sums of the members' requests at targets and of their waiting items.
     pub requests: DoorState,
-    /// Jobs that they have come to own lately.
+    /// Jobs whose ownership the members have acquired recently.
     pub jobs: Vec<MemberJob>,
-    /// Newest changes that one of them has seen in the store.
+    /// Newest store versions that any member has seen.
     pub seen: SeenChanges,
-    /// Least time since the store answered one of them; `u32::MAX` if it never did.
+    /// Shortest time since the store responded to a member; `u32::MAX` if it never did.
     pub store_silent_ms: u32,
 }
 
 impl Summary {
-    /// Writes it into a datagram.
+    /// Writes the summary into a datagram, up to the limits of its lists.
     pub fn write(&self, mut root: cell_summary::Builder<'_>) {
         root.set_cell(&self.cell);
         root.set_forward(self.forward);
@@ -75,24 +75,24 @@
             it.set_store_reached(member.store_reached);
             it.set_stopping(member.stopping);
         }
-        let told = self.jobs.len().min(MAX_JOBS);
-        let mut jobs = root.reborrow().init_jobs(told as u32);
-        for (index, job) in self.jobs.iter().take(told).enumerate() {
+        let count = self.jobs.len().min(MAX_JOBS);
+        let mut jobs = root.reborrow().init_jobs(count as u32);
+        for (index, job) in self.jobs.iter().take(count).enumerate() {
             let mut it = jobs.reborrow().get(index as u32);
             it.set_member(job.member);
             it.set_name(&*job.name);
         }
-        let shown = self.requests.waiting.len().min(MAX_SERVICES) as u32;
-        write_waiting(&self.requests.waiting, root.reborrow().init_waiting(shown));
-        let shown = self.requests.loads.len().min(MAX_LOADS) as u32;
-        write_loads(&self.requests.loads, root.init_loads(shown));
+        let count = self.requests.waiting.len().min(MAX_SERVICES) as u32;
+        write_waiting(&self.requests.waiting, root.reborrow().init_waiting(count));
+        let count = self.requests.loads.len().min(MAX_LOADS) as u32;
+        write_loads(&self.requests.loads, root.init_loads(count));
     }
 
-    /// Reads it from a datagram.
+    /// Reads a summary from a datagram.
     ///
     /// # Errors
     ///
-    /// It is no summary.
+    /// The message is malformed.
     pub fn read(root: cell_summary::Reader<'_>) -> capnp::Result<Summary> {
         let members = root.get_members()?.iter().map(|it| Member {
             key: it.get_name(),
--- a/crates/samphiredoor-gateway/src/peers/teller.rs
+++ b/crates/samphiredoor-gateway/src/peers/teller.rs
@@ -1,8 +1,8 @@
-//! Tells other gateways the state of this one.
+//! Sends the status of this gateway to its peers.
 //!
-//! The gateways of the own cell are told of every change: those of the own availability zone at once, others, which there
-//! are only where the whole fleet is one cell, more seldom. Whoever shares a target that this process uses is told of its
-//! requests there.
+//! Gateways of the own cell receive every change: those in the same availability zone immediately, all others at most once
+//! per minimum interval (a cell spans several zones only if it is the whole fleet). Gateways of other cells receive the
+//! requests that this process has at targets of their cell.
 
 use std::{
     cell::Cell,
@@ -23,135 +23,143 @@
 };
 use crate::{placement::Told, routes::Routes, store_health::StoreHealth};
 
-/// Shortest time between two datagrams to gateways of the own region, whose targets are used when the own ones are full.
-const REGION_PAUSE: Duration = Duration::from_millis(100);
-/// Shortest time between two datagrams beyond the region, where bytes are dear and targets are the last choice.
-const FAR_PAUSE: Duration = Duration::from_millis(450);
-/// Time after which another cell is told anew what has not changed; loads of a silent gateway are forgotten later.
-const REPEAT: Duration = Duration::from_millis(400);
-/// Datagrams at each distance that name a job; one of them arrives even where some are lost.
+/// Shortest time between two datagrams to other zones of the own region, whose targets are used only when those of the own
+/// zone are full.
+const REGION_MIN_INTERVAL: Duration = Duration::from_millis(100);
+/// Shortest time between two datagrams to other regions, where traffic is expensive and targets are the last choice.
+const FAR_MIN_INTERVAL: Duration = Duration::from_millis(450);
+/// Time after which unchanged loads are sent to another cell again. Receivers keep the loads of a gateway that stops
+/// sending for longer than this.
+const RESEND_AFTER: Duration = Duration::from_millis(400);
+/// Datagrams at each distance that announce a job, so that one arrives even if some are lost.
 const JOB_REPEATS: u32 = 3;
 const FOREVER: Duration = Duration::from_secs(3_600);
 
-/// Tells other gateways the state of this one.
+/// Task that sends the status of this gateway to its peers.
 pub struct Teller {
-    /// This process.
+    /// Name and incarnation that the statuses carry.
     pub own: Own,
-    /// Socket to send from.
+    /// Socket that datagrams are sent from.
     pub socket: Rc<UdpSocket>,
-    /// Other gateways.
+    /// Addresses and cells of the peers.
     pub roster: Roster,
-    /// What the own cell's gateways told.
+    /// Receives a copy of each status for the own cell's summaries.
     pub mates: Mates,
-    /// Routes in force.
+    /// Routes whose version the statuses report.
     pub routes: Routes,
-    /// Whether the store answers.
+    /// Whether the store responds to this process.
     pub health: StoreHealth,
     /// Whether a planned stop is under way.
     pub stopping: Rc<Cell<bool>>,
 }
 
-/// What is told to the gateways of the own cell at one distance.
-struct Audience {
+/// Gateways of the own cell at one distance, and what they have not been sent yet.
+struct Recipients {
     distance: Distance,
-    pause: Duration,
-    told_at: Instant,
-    /// Whether there is something that they were not told.
-    behind: bool,
-    /// Whether they hold places that are waited for, so that they are told without a pause.
+    min_interval: Duration,
+    sent_at: Instant,
+    /// Whether the state has changed since the last datagram.
+    pending: bool,
+    /// Whether online requests here wait for slots that these gateways occupy, so that the minimum interval is skipped.
     urgent: bool,
+    /// Jobs to announce, each with the number of datagrams that still include it.
     jobs: Vec<(OwnedJob, u32)>,
 }
 
-impl Audience {
-    fn new(distance: Distance, pause: Duration) -> Audience {
-        Audience {
+impl Recipients {
+    fn new(distance: Distance, min_interval: Duration) -> Recipients {
+        Recipients {
             distance,
-            pause,
-            told_at: Instant::now(),
-            behind: false,
+            min_interval,
+            sent_at: Instant::now(),
+            pending: false,
             urgent: false,
             jobs: Vec::new(),
         }
     }
 
-    /// Notes that there is something to tell.
-    fn behind(&mut self, urgent: bool) {
-        self.behind = true;
+    /// Marks that the state has changed and has to be sent.
+    fn mark_pending(&mut self, urgent: bool) {
+        self.pending = true;
         self.urgent |= urgent;
     }
 
-    /// Time until they may be told.
-    fn left(&self) -> Duration {
-        match self.behind {
+    /// Time until the next datagram is due.
+    fn time_left(&self) -> Duration {
+        match self.pending {
             true if self.urgent => Duration::ZERO,
-            true => self.pause.saturating_sub(self.told_at.elapsed()),
+            true => self.min_interval.saturating_sub(self.sent_at.elapsed()),
             false => FOREVER,
         }
     }
 
-    /// Jobs to name this time; each is named a few times.
+    /// Jobs that the next datagram announces; counts the datagram against their repeats.
     fn take_jobs(&mut self) -> Vec<OwnedJob> {
-        let named: Vec<OwnedJob> = self.jobs.iter().map(|(job, _)| job.clone()).collect();
-        for (_, left) in &mut self.jobs {
-            *left -= 1;
+        let announced: Vec<OwnedJob> = self.jobs.iter().map(|(job, _)| job.clone()).collect();
+        for (_, repeats_left) in &mut self.jobs {
+            *repeats_left -= 1;
         }
-        self.jobs.retain(|(_, left)| *left > 0);
-        named
+        self.jobs.retain(|(_, repeats_left)| *repeats_left > 0);
+        announced
     }
 }
 
-/// What another cell was told last of the requests at its targets.
-struct ToldCell {
+/// The requests at another cell's targets that its gateways were last sent.
+struct SentLoads {
     loads: Vec<DoorLoad>,
     at: Instant,
 }
 
 impl Teller {
-    /// Sends a status for each change of the own loads, and for each job that this process comes to own.
-    pub async fn run(self, told: flume::Receiver<Told>, owned: flume::Receiver<OwnedJob>) {
-        let mut audiences = [
-            Audience::new(Distance::Zone, Duration::ZERO),
-            Audience::new(Distance::Region, REGION_PAUSE),
-            Audience::new(Distance::Far, FAR_PAUSE),
+    /// Sends a status after each update of this gateway's requests, and includes the jobs whose ownership it has acquired.
+    pub async fn run(self, updates: flume::Receiver<Told>, owned: flume::Receiver<OwnedJob>) {
+        let mut all_recipients = [
+            Recipients::new(Distance::Zone, Duration::ZERO),
+            Recipients::new(Distance::Region, REGION_MIN_INTERVAL),
+            Recipients::new(Distance::Far, FAR_MIN_INTERVAL),
         ];
-        let mut told_cells = BTreeMap::new();
+        let mut sent_to_cells = BTreeMap::new();
         let mut requests = DoorState::default();
         loop {
-            let left = audiences.iter().map(Audience::left).min().unwrap_or(FOREVER);
-            match within(left, told.recv_async()).await {
+            let left = all_recipients.iter().map(Recipients::time_left).min().unwrap_or(FOREVER);
+            match within(left, updates.recv_async()).await {
                 Some(Ok(new)) => {
                     requests = new.state;
-                    audiences.iter_mut().for_each(|it| it.behind(new.urgent));
-                    self.tell_other_cells(&requests, &mut told_cells).await;
+                    all_recipients.iter_mut().for_each(|it| it.mark_pending(new.urgent));
+                    self.send_to_other_cells(&requests, &mut sent_to_cells).await;
                 }
                 Some(Err(_)) => return,
                 None => {}
             }
             for job in owned.try_iter() {
-                audiences.iter_mut().for_each(|it| it.jobs.push((job.clone(), JOB_REPEATS)));
+                all_recipients.iter_mut().for_each(|it| it.jobs.push((job.clone(), JOB_REPEATS)));
             }
-            for audience in audiences.iter_mut().filter(|it| it.left().is_zero()) {
-                audience.behind = false;
-                audience.urgent = false;
-                audience.told_at = Instant::now();
-                let status = self.status(requests.clone(), audience.take_jobs());
-                self.mates.told(&status);
-                let to = self.roster.mates_at(audience.distance);
+            for recipients in all_recipients.iter_mut().filter(|it| it.time_left().is_zero()) {
+                recipients.pending = false;
+                recipients.urgent = false;
+                recipients.sent_at = Instant::now();
+                let status = self.status(requests.clone(), recipients.take_jobs());
+                self.mates.record(&status);
+                let to = self.roster.cell_peers_at(recipients.distance);
                 send_to_all(&self.socket, Datagram::Status(status).encode(), to).await;
             }
         }
     }
 
-    /// Tells each other cell of the requests at its targets, once more when there are none left.
-    async fn tell_other_cells(&self, requests: &DoorState, told: &mut BTreeMap<CellId, ToldCell>) {
+    /// Sends each other cell the requests at its targets, and an empty list once after the last one has ended.
+    async fn send_to_other_cells(
+        &self,
+        requests: &DoorState,
+        sent: &mut BTreeMap<CellId, SentLoads>,
+    ) {
         let (cells, own) = (self.roster.cells(), self.roster.own_cell());
         let mut by_cell = cells.loads_elsewhere(own, &requests.loads);
-        for cell in told.keys() {
+        for cell in sent.keys() {
             by_cell.entry(*cell).or_default();
         }
         for (cell, loads) in by_cell {
-            if told.get(&cell).is_some_and(|it| it.loads == loads && it.at.elapsed() < REPEAT) {
+            if sent.get(&cell).is_some_and(|it| it.loads == loads && it.at.elapsed() < RESEND_AFTER)
+            {
                 continue;
             }
             let requests = DoorState { loads: loads.clone(), waiting: Vec::new() };
@@ -159,9 +167,9 @@
             let to = self.roster.addresses_in(cell);
             send_to_all(&self.socket, Datagram::Status(status).encode(), to).await;
             if loads.is_empty() {
-                told.remove(&cell);
+                sent.remove(&cell);
             } else {
-                told.insert(cell, ToldCell { loads, at: Instant::now() });
+                sent.insert(cell, SentLoads { loads, at: Instant::now() });
             }
         }
     }
