--- a/crates/samphiredoor-core/src/news.rs
+++ b/crates/samphiredoor-core/src/news.rs
@@ -1,4 +1,5 @@
-//! Hints that doors tell each other at once. Safety never rests on one: each can be lost, late or doubled.
+//! Hints that gateways send each other immediately. Correctness never depends on them: each may be lost, delayed or
+//! duplicated.
 
 use std::{
     collections::{HashSet, VecDeque},
@@ -7,74 +8,74 @@
 
 use crate::Name;
 
-const SEEN_LEN: usize = 4_096;
+const MAX_SEEN: usize = 4_096;
 
-/// A hint.
+/// A hint to one or all gateways.
 #[derive(Debug, Clone, PartialEq)]
 pub enum News {
-    /// A job's header says that it is cancelled.
+    /// The header of this job is marked as cancelled.
     Cancelled(Name),
     /// A request may crash targets.
     Suspect {
         /// Hash of the request.
         fingerprint: u64,
-        /// Targets that were lost with it.
+        /// Number of targets that were lost while they ran it.
         deaths: u32,
         /// Whether its owner has lifted the suspicion.
         lifted: bool,
     },
-    /// A target refused connections or said that it leaves.
+    /// This target refused connections, or reported that it is leaving.
     Leaving(Name),
-    /// From a target's lender to a borrower: at most so many batch requests.
+    /// From the slot allocator of a target to a leaseholder: a new limit on its batch requests.
     Recall {
-        /// Which target.
+        /// Name of the target.
         target: Name,
         /// Most batch requests at once.
         batch_slots: u32,
-        /// Grows with each change by one lender.
+        /// Grows with each change by one allocator.
         epoch: u64,
     },
-    /// From a borrower to a target's lender: its own traffic there.
+    /// From a leaseholder to the slot allocator of a target: its own traffic there.
     Need(TargetLoad),
-    /// A newer manifest is in force.
+    /// A newer manifest, with this revision, is active.
     Revision(u64),
-    /// A job is free to be taken now.
+    /// This job was released by its owner and can be taken over now.
     HandedOver(Name),
-    /// The lease of a process has lapsed.
+    /// The lease of a process has expired.
     Lapsed {
-        /// Which process.
+        /// Name of the process.
         process: Name,
-        /// Which start of it.
+        /// Incarnation that held the lease.
         incarnation: u64,
     },
 }
 
-/// One door's own traffic at one target.
+/// Traffic of one gateway at one target.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TargetLoad {
-    /// Which target.
+    /// Name of the target.
     pub target: Name,
-    /// Online requests that run.
+    /// Online requests that are running.
     pub online_in_flight: u32,
     /// Online requests that may run soon.
     pub online_envelope: u32,
-    /// Batch requests that run.
+    /// Batch requests that are running.
     pub batch_in_flight: u32,
-    /// Batch requests that wait.
+    /// Batch requests that are waiting.
     pub batch_wanted: u32,
 }
 
-/// Who spread a hint to all doors, and as which of its own.
+/// Identity of a hint that is broadcast to all gateways.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Origin {
-    /// Name and incarnation of the door.
+    /// Name and incarnation of the gateway that sent it first.
     pub door: Name,
-    /// Grows with each hint that the door spreads.
+    /// Grows with each hint that this gateway broadcasts.
     pub number: u64,
 }
 
-/// Hints seen lately, so that each is passed on once. Bounded: one that was forgotten is passed on again, which costs
-/// a message and does no harm.
+/// Recently received hints, so that each is forwarded once. The set is bounded; a hint that was evicted is forwarded again,
+/// which costs one message and does no harm.
 #[derive(Debug, Default)]
 pub struct Seen {
     set: HashSet<Origin>,
@@ -82,13 +83,13 @@
 }
 
 impl Seen {
-    /// Remembers a hint; tells whether it was new.
+    /// Adds a hint; returns whether it was new.
     pub fn insert(&mut self, origin: &Origin) -> bool {
         if !self.set.insert(origin.clone()) {
             return false;
         }
         self.order.push_back(origin.clone());
-        if self.order.len() > SEEN_LEN
+        if self.order.len() > MAX_SEEN
             && let Some(oldest) = self.order.pop_front()
         {
             self.set.remove(&oldest);
@@ -97,7 +98,7 @@
     }
 }
 
-/// Name by which a door spreads hints: it differs between any two starts.
+/// Name of a gateway in [`Origin`]; it differs between any two incarnations.
 pub fn origin_name(process: &str, incarnation: u64) -> Name {
     Arc::from(format!("{process}/{incarnation:x}"))
 }
--- a/crates/samphiredoor-core/src/renewal.rs
+++ b/crates/samphiredoor-core/src/renewal.rs
@@ -1,55 +1,56 @@
-//! How long watches wait before they are asked anew.
+//! Timeouts of watches, staggered over the processes of the fleet.
 //!
-//! A store that is silent for a moment cuts no connection, and a watch that is asked meanwhile is never answered: its
-//! process hears of no change and cannot know that it is deaf. Only a call that ends shows that the store answers. If each
-//! process ended its watches every second, calls would grow with the fleet; so processes take turns. Whatever their
-//! number, a watch of the fleet ends in each turn, and its process tells the others the newest change that it saw. Whoever
-//! has not seen that one asks anew. How long a change takes therefore rests neither on how long the silence lasted, nor on
-//! how many are deaf at once, nor on what else a process asks.
+//! A store that stops responding for a moment need not close connections, and a watch sent in that time may never get a
+//! response: it is stalled, and its process misses all changes without any error. Only a call that completes shows that the
+//! store responds. If each process ended its watches every second, the number of calls would grow with the fleet, so the
+//! processes take turns. Whatever their number, one watch of the fleet ends in each turn, and its process reports the newest
+//! change that it has seen to the others; a process that has not seen that change starts a new watch. The delay of a change
+//! therefore depends neither on the length of the outage, nor on the number of stalled watches, nor on the other calls of a
+//! process.
 
 use std::time::Duration;
 
-/// Turns within the time in which a change has to be in force. One goes until a watch ends; the others are for the time
-/// limit of a watch that gets no answer, the word to the others, and their own calls.
+/// Turns within the time in which a change has to take effect. One turn passes until a watch ends; the others are for the
+/// timeout of a watch without a response, for the report to the other processes, and for their own calls.
 const TURNS: u32 = 5;
 
-/// What the last answer of a watch told.
+/// Content of the last response to a watch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LastAnswer {
-    /// Changes, which all processes were told at the same moment.
+    /// Changes, which all processes received at the same moment.
     Changes,
-    /// Nothing, when its time was over.
+    /// No changes; the wait of the watch was over.
     Nothing,
 }
 
-/// A process's place among those of the fleet that are heard.
+/// Position of a process among the live processes that watch the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FleetPlace {
-    /// Number of processes before this one.
+    /// Number of processes before this one in order of name.
     pub position: usize,
-    /// Number of all processes.
+    /// Number of processes, including this one.
     pub processes: usize,
 }
 
-/// How watches of one kind are renewed.
+/// Timeouts of the watches of one kind of objects.
 #[derive(Debug, Clone, Copy)]
 pub struct Renewal {
     turn: Duration,
 }
 
 impl Renewal {
-    /// Renewal for changes that have to be in force `within` some time.
+    /// Timeouts with which changes take effect `within` some time.
     pub fn new(within: Duration) -> Renewal {
         Renewal { turn: within / TURNS }
     }
 
-    /// Time in which one watch of the fleet ends.
+    /// Length of a turn, in which one watch of the fleet ends.
     pub fn turn(&self) -> Duration {
         self.turn
     }
 
-    /// How long a watch waits. After changes all processes ask at once, and the position spreads the ends of their watches;
-    /// from then on they stay spread.
+    /// Timeout of the next watch. After changes all processes send their watches at once, and the position spreads the
+    /// timeouts over the turns; later ones all have the same length, which keeps them spread.
     pub fn wait(&self, place: FleetPlace, last: LastAnswer) -> Duration {
         let turns = match last {
             LastAnswer::Changes => place.position + 1,
--- a/crates/samphiredoor-core/src/routes.rs
+++ b/crates/samphiredoor-core/src/routes.rs
@@ -1,8 +1,8 @@
-//! Which service answers a request: routes by host and path prefix, with weighted splits.
+//! Routes by host and path prefix, with weighted splits between services.
 //!
-//! A [`RouteTable`] is one version of the operators' routes. A process keeps the newest it has seen in a [`RouteLog`],
-//! which takes only higher versions: an older one that arrives late, from a slow read or a peer, would take effect
-//! again after callers have seen its successor.
+//! A [`RouteTable`] is one version of the operators' routes. A process keeps the newest version it has seen in a
+//! [`RouteLog`], which only accepts higher versions. Otherwise an older version that arrives late, from a slow read or a
+//! peer, would take effect again after callers have seen its successor.
 
 use std::{collections::HashMap, sync::Arc};
 
@@ -10,72 +10,72 @@
 
 use crate::Name;
 
-/// What may be done with a request that got no answer, and what its answer looks like.
+/// Form of a route's responses, and whether its requests can be retried.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RouteKind {
-    /// One answer; may run more than once.
+    /// One response; the request may run more than once.
     Repeatable,
-    /// One answer; runs at most once for each attempt of the caller.
+    /// One response; the request runs at most once for each attempt of the caller.
     Once,
     /// A stream of numbered events.
     Stream {
-        /// Whether another target can continue it after an event.
+        /// Whether another target can continue the stream after any event.
         resumable: bool,
     },
-    /// Jobs of many items that run later.
+    /// Batch jobs, whose items run after the submission.
     Batch(BatchRule),
 }
 
 impl RouteKind {
-    /// Whether a request may be sent again although an earlier send may have run.
+    /// Whether a request may be sent again although an earlier attempt may have run.
     pub fn is_repeatable(self) -> bool {
         matches!(self, RouteKind::Repeatable | RouteKind::Stream { resumable: true })
     }
 }
 
-/// Times of a batch route.
+/// Deadlines of the jobs of a batch route.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct BatchRule {
-    /// From submission to the time when all results are due.
+    /// Time from the submission until all results are due.
     pub due_ms: u64,
-    /// From submission to the time from which items may be given up.
+    /// Time from the submission after which items may be abandoned.
     pub give_up_ms: u64,
 }
 
-/// One service of a split.
+/// A service that receives a share of a route's requests.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Split {
-    /// Service.
+    /// Name of the service.
     pub service: Name,
-    /// Its part of the requests, against the sum of all weights.
+    /// Share of the requests, relative to the sum of all weights of the route.
     pub weight: u32,
 }
 
-/// One route.
+/// Maps requests by host and path prefix to services.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Route {
-    /// Name, for logs.
+    /// Identifies the route in logs.
     pub name: Name,
-    /// Host that callers name.
+    /// Host that callers address, without a port.
     pub host: Name,
-    /// Beginning of the path; ends with a slash.
+    /// Path prefix; ends with a slash.
     pub prefix: Name,
-    /// What may be done with its requests.
+    /// Form of the responses, and whether requests can be retried.
     pub kind: RouteKind,
-    /// Services that share its requests.
+    /// Services that share the requests.
     pub splits: SmallVec<[Split; 2]>,
-    /// Longest time that a caller is kept waiting.
+    /// Time limit of a request.
     pub timeout_ms: u64,
-    /// Time within which an answer begins, as callers want it.
+    /// Service-level objective: time within which responses should begin.
     pub objective_ms: u64,
-    /// Most targets on which one request runs.
+    /// Most targets that one request may run on.
     pub attempts: u32,
-    /// Urgency; 0 is the highest.
+    /// 0 is the highest priority.
     pub priority: u32,
 }
 
 impl Route {
-    /// Service for one request; `draw` is uniform in 0..1.
+    /// Picks the service for one request by weight; `draw` is a random number, uniform in 0..1.
     pub fn service(&self, draw: f64) -> Option<&Name> {
         let total: u32 = self.splits.iter().map(|it| it.weight).sum();
         let mut left = draw * f64::from(total);
@@ -89,21 +89,21 @@
     }
 }
 
-/// Bounds on what callers send.
+/// Limits on what callers send.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CallerLimits {
-    /// Bytes of a request's head.
+    /// Most bytes in a request's head.
     pub header_bytes: usize,
-    /// Bytes of a request's body.
+    /// Most bytes in a request's body.
     pub body_bytes: usize,
-    /// Longest wait for a request's head or for more of its body.
+    /// Timeout for reading a request's head, and for each pause within its body.
     pub header_ms: u64,
-    /// How long a connection may stay idle.
+    /// Time after which an idle connection is closed.
     pub idle_ms: u64,
 }
 
 impl Default for CallerLimits {
-    /// Bounds in force until the operators' are known; those of common HTTP servers.
+    /// Limits that apply until the operators' routes have been read; usual values of HTTP servers.
     fn default() -> CallerLimits {
         CallerLimits {
             header_bytes: 16 * 1024,
@@ -117,16 +117,16 @@
 /// One version of the operators' routes.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct RouteTable {
-    /// Version; 0 for the empty table before the first.
+    /// Version of the operators' routes; 0 for the empty initial table.
     pub version: u64,
-    /// Bounds on callers.
+    /// Limits on what callers send.
     pub limits: CallerLimits,
-    // Longest prefix first, so that the first match is the right one.
+    // Longest prefix first, so that the first match is the most specific route.
     by_host: HashMap<Name, Vec<Arc<Route>>>,
 }
 
 impl RouteTable {
-    /// Table of the given routes.
+    /// Creates a table from routes in any order.
     pub fn new(version: u64, limits: CallerLimits, routes: Vec<Route>) -> RouteTable {
         let mut by_host: HashMap<Name, Vec<Arc<Route>>> = HashMap::new();
         for route in routes {
@@ -138,19 +138,19 @@
         RouteTable { version, limits, by_host }
     }
 
-    /// Route of a request: the longest prefix among those of its host. A port in `host` does not count.
+    /// Route with the longest matching prefix among those of the host. A port in `host` is ignored.
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let host = host.rsplit_once(':').map_or(host, |(name, _)| name);
         let routes = self.by_host.get(host)?;
         routes.iter().find(|it| path.starts_with(&*it.prefix))
     }
 
-    /// Number of routes.
+    /// Number of routes, over all hosts.
     pub fn len(&self) -> usize {
         self.by_host.values().map(Vec::len).sum()
     }
 
-    /// Whether there is no route.
+    /// Whether the table has no routes.
     pub fn is_empty(&self) -> bool {
         self.by_host.is_empty()
     }
@@ -163,7 +163,7 @@
 }
 
 impl RouteLog {
-    /// Puts a table in force if its version is above the current one; says whether it did.
+    /// Replaces the table active if the new one has a higher version; returns whether it did.
     pub fn offer(&mut self, table: RouteTable) -> bool {
         if table.version <= self.current.version {
             return false;
@@ -172,7 +172,7 @@
         true
     }
 
-    /// Table in force; `None` before the first.
+    /// Table active; `None` before the first one.
     pub fn current(&self) -> Option<&Arc<RouteTable>> {
         (self.current.version > 0).then_some(&self.current)
     }
--- a/crates/samphiredoor-core/src/store.rs
+++ b/crates/samphiredoor-core/src/store.rs
@@ -1,53 +1,53 @@
-//! Calls to the platform's object store, as the decisions make them.
+//! Calls to the platform's object store, independent of its protocol.
 //!
-//! A call's answer tells two kinds of failure apart: [`StoreAnswer::Unavailable`] is known to have had no effect,
-//! [`StoreAnswer::Unknown`] may have taken effect. After the second, the object is read before it is written again.
+//! Answers distinguish two kinds of failure: a call with [`StoreAnswer::Unavailable`] had no effect, one with
+//! [`StoreAnswer::Unknown`] may have taken effect. After the latter, the object is read before it is written again.
 
 use std::{collections::BTreeMap, sync::Arc};
 
 /// Kind of a stored object.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Kind {
-    /// The manifest in force.
+    /// The active manifest.
     Manifest,
-    /// Job headers.
+    /// Header of a job.
     Job,
-    /// Chunks of a job's items.
+    /// Chunk of a job's items.
     Chunk,
-    /// Results of chunks.
+    /// Results of one chunk.
     Results,
-    /// Process leases.
+    /// Lease of a process.
     Process,
-    /// Shards of idempotency keys.
+    /// Shard of the idempotency keys.
     Keys,
-    /// Suspected requests.
+    /// Requests that are suspected of crashing targets.
     Suspects,
-    /// Orders to targets.
+    /// Orders to one target.
     Orders,
-    /// Pace of loads from the weight store.
+    /// Slots for concurrent loads from the weight store.
     Pace,
-    /// The platform's list of hosts, which the doors only read.
+    /// The platform's list of hosts, which the gateways only read.
     Hosts,
-    /// Addresses of doors, for each other.
+    /// Address of a gateway, for its peers.
     Door,
-    /// Headers of ordered jobs.
+    /// Header of an ordered job.
     OrderedJob,
-    /// Parts of the submissions of ordered jobs.
+    /// Part of the submission of an ordered job.
     JobPart,
-    /// Segments of the results of ordered jobs.
+    /// Segment of the results of an ordered job.
     JobSegment,
-    /// Ends of ordered jobs by their callers.
+    /// Cancellation of an ordered job by its caller.
     JobEnd,
     /// Routes, as the operators write them.
     Routes,
-    /// Targets, as they register themselves.
+    /// Entry with which a target registers itself.
     Targets,
-    /// Requests to empty a storage host.
+    /// Request to empty a storage host.
     Retirement,
 }
 
 impl Kind {
-    /// Name of the kind in the object API's paths.
+    /// Name of the kind in paths of the object API.
     pub fn path(self) -> &'static str {
         match self {
             Kind::Manifest => "manifests",
@@ -75,7 +75,7 @@
 /// Identity of a stored object.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ObjectKey {
-    /// Kind.
+    /// Kind of the object, which is its namespace.
     pub kind: Kind,
     /// Name, unique within the kind.
     pub name: Arc<str>,
@@ -88,7 +88,7 @@
     }
 }
 
-/// Version of a stored object, as the store gives it.
+/// Version of a stored object or of the whole store, assigned by the store; it grows with each write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Default)]
 pub struct Version(pub u64);
 
@@ -105,9 +105,9 @@
     pub name: Arc<str>,
     /// Version of the last write.
     pub version: Version,
-    /// Labels.
+    /// Labels of the last write.
     pub labels: Labels,
-    /// Content.
+    /// Content of the last write.
     pub value: Value,
 }
 
@@ -116,45 +116,45 @@
 pub enum StoreOp {
     /// Reads an object.
     Get {
-        /// Which object.
+        /// Identity of the object.
         key: ObjectKey,
     },
-    /// Creates an object if its name is free.
+    /// Creates an object if its name is not taken.
     Create {
-        /// Which object.
+        /// Identity of the new object.
         key: ObjectKey,
-        /// Labels.
+        /// Labels of the new object.
         labels: Labels,
-        /// Content.
+        /// Content of the new object.
         value: Value,
     },
     /// Replaces an object if it still has `version`.
     Update {
-        /// Which object.
+        /// Identity of the object.
         key: ObjectKey,
-        /// Version that must still stand.
+        /// Version that the object must still have.
         version: Version,
-        /// Labels.
+        /// New labels.
         labels: Labels,
-        /// Content.
+        /// New content.
         value: Value,
     },
     /// Deletes an object.
     Delete {
-        /// Which object.
+        /// Identity of the object.
         key: ObjectKey,
-        /// Version that must still stand; `None` for any.
+        /// Version that the object must still have; `None` for any.
         version: Option<Version>,
     },
     /// Reads one page of objects in order of their names.
     List {
-        /// Kind.
+        /// Kind of the objects.
         kind: Kind,
-        /// Names start with this.
+        /// Prefix of their names.
         prefix: Arc<str>,
-        /// Labels that must be equal.
+        /// Labels that they must have.
         labels: Labels,
-        /// Names after this one.
+        /// Name after which the page starts; `None` for the first page.
         after: Option<Arc<str>>,
         /// Most objects in the page.
         limit: usize,
@@ -171,18 +171,18 @@
     }
 }
 
-/// Answer to a call.
+/// Answer of the store to a call.
 #[derive(Debug, Clone, PartialEq)]
 pub enum StoreAnswer {
-    /// The object as read, or as it stands after a create or update.
+    /// The object as read, or as it is after a create or update.
     Object(Stored),
     /// One page of a list.
     Page {
         /// Objects in order of their names.
         items: Vec<Stored>,
-        /// Name to continue after, if there is more.
+        /// Name to continue after if there are more objects.
         next: Option<Arc<str>>,
-        /// Version of the store at the read, from which a watch can go on.
+        /// Version of the store at the time of the read, from which a watch can continue.
         version: Version,
     },
     /// The object was deleted.
@@ -193,7 +193,7 @@
     Taken,
     /// An update or delete found another version.
     Conflict,
-    /// The value is larger than the store holds.
+    /// The value exceeds the size limit of the store.
     TooLarge,
     /// The call had no effect: it was refused, or never sent.
     Unavailable,
--- a/crates/samphiredoor-core/src/verdict.rs
+++ b/crates/samphiredoor-core/src/verdict.rs
@@ -1,53 +1,53 @@
-//! What is known about whether a request has run.
+//! Outcome of a request with regard to whether it has run.
 //!
-//! Every border (target, store, peer, caller) speaks of a failed request with one [`Verdict`]. `NotRun` is a promise:
-//! it is only given where no byte of the request can have reached a target.
+//! Failures at every interface (target, store, peer, caller) are reported as a [`Verdict`]. `NotRun` is a guarantee: it is
+//! only returned if no byte of the request can have reached a target.
 
 use std::fmt;
 
-/// Whether a request may have run, and why it has no answer.
+/// Whether a request may have run, and the reason if it has no answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
     /// The request did not run; it can be sent again.
     NotRun {
-        /// When to come back, in milliseconds.
+        /// Time in milliseconds after which the caller should retry.
         retry_after_ms: u64,
-        /// Why.
+        /// Reason of the refusal.
         reason: Refusal,
     },
     /// The request may have run; only an idempotent one can be sent again.
     MayHaveRun {
-        /// Why.
+        /// Reason of the unknown outcome.
         reason: Doubt,
     },
-    /// The request ran and its whole answer was delivered.
+    /// The request ran and its complete answer was delivered.
     Done,
 }
 
-/// Why a request was refused before it ran.
+/// Reason for which a request was refused before it ran.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Refusal {
     /// The request itself is malformed.
     BadRequest,
-    /// No such service is declared.
+    /// The requested service is not declared.
     UnknownService,
-    /// No target of the service can take work.
+    /// No target of the service accepts work.
     NoTarget,
     /// All targets are at their limits and the queue is full.
     Overloaded,
-    /// The workspace is at its own limit.
+    /// The workspace has reached its own limit.
     WorkspaceLimit,
-    /// The deadline would pass first.
+    /// The deadline would pass before the request could run.
     DeadlineTooShort,
     /// Connections to the targets were refused.
     ConnectFailed,
-    /// The store is not reachable, and the request needs it.
+    /// The request needs the store, which is unreachable.
     StoreUnavailable,
     /// The request is suspected of crashing targets.
     Quarantined,
-    /// The same key came with other content.
+    /// The idempotency key was used before for a request with other content.
     KeyReused,
-    /// There is no room to remember another key.
+    /// The table of idempotency keys is full.
     KeysFull,
     /// The process is stopping.
     Stopping,
@@ -56,7 +56,7 @@
 }
 
 impl Refusal {
-    /// All reasons, for counters that stand at zero.
+    /// All reasons, so that their counters are exported before they first occur.
     pub const ALL: [Refusal; 13] = [
         Refusal::BadRequest,
         Refusal::UnknownService,
@@ -99,29 +99,29 @@
     }
 }
 
-/// Why it is not known whether a request ran.
+/// Reason for which it is unknown whether a request ran.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Doubt {
     /// The connection failed after the request was sent.
     ConnectionLost,
-    /// The answer was cut before its framing ended.
+    /// The answer was cut off before the end of its framing.
     AnswerCut,
     /// The deadline passed while the request ran.
     DeadlinePassed,
-    /// A record says that an earlier process meant to run it and left no outcome.
+    /// A stored record shows that an earlier process intended to run the request and recorded no outcome.
     IntentWithoutOutcome,
-    /// A write to the store was not answered.
+    /// A write to the store got no answer.
     StoreAnswerLost,
-    /// The same request, under the same key, is running now.
+    /// The same request, with the same idempotency key, is still running.
     StillRunning,
-    /// The request ran; its answer was too large to be kept.
+    /// The request ran, but its answer was too large to be stored.
     AnswerNotKept,
     /// Targets died while the request ran on them.
     TargetsDied,
 }
 
 impl Doubt {
-    /// All reasons, for counters that stand at zero.
+    /// All reasons, so that their counters are exported before they first occur.
     pub const ALL: [Doubt; 8] = [
         Doubt::ConnectionLost,
         Doubt::AnswerCut,
@@ -149,12 +149,12 @@
 }
 
 impl Doubt {
-    /// Whether a connection was lost, as by a target's death.
+    /// Whether a connection was lost, as in the crash of a target.
     pub fn is_loss(self) -> bool {
         matches!(self, Doubt::ConnectionLost | Doubt::AnswerCut)
     }
 
-    /// Reason by its label.
+    /// Parses a label.
     pub fn from_label(label: &str) -> Option<Doubt> {
         Doubt::ALL.into_iter().find(|it| it.label() == label)
     }
--- a/crates/samphiredoor-core/src/watch_cache.rs
+++ b/crates/samphiredoor-core/src/watch_cache.rs
@@ -1,8 +1,8 @@
-//! What a process has seen of one kind of objects, kept for others that watch through it.
+//! Cache of all objects of one kind, from which other processes can watch the kind.
 //!
-//! Each change is noted with the version from which on it has been seen, and who asks for the changes since a version gets
-//! the present state of all objects that were touched since. An object that was deleted and created again is therefore told
-//! as it stands, whatever the asking process knew of it.
+//! The cache keeps the names of the objects that changed last, each with the version of its change. A reader that asks for
+//! the changes since a version receives the current state of all objects that have changed after it. It thus ends up with
+//! the state of the cache whatever it held before, also of objects that were deleted and created again.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -11,95 +11,97 @@
     store::{Stored, Version},
 };
 
-/// Changes that are remembered; who asks for older ones gets all objects.
-const MAX_TOUCHED: usize = 1_024;
+/// Most changes in the log. A reader that asks for older ones receives all objects.
+const MAX_CHANGES: usize = 1_024;
 
-/// What is told to a process that watches.
+/// Difference between a version that a reader has and the state of the cache.
 #[derive(Debug, Clone, PartialEq)]
 pub enum News {
-    /// Nothing that it does not know.
+    /// The reader is up to date.
     None,
-    /// Objects that were touched, as they stand; `None` for those that are gone.
+    /// Current state of the objects that have changed; `None` for deleted ones.
     Touched {
         /// The objects, by name.
         objects: BTreeMap<Name, Option<Stored>>,
-        /// Version up to which that is so.
+        /// Version that the reader has once it has applied them.
         version: Version,
     },
-    /// All objects, as its version is older than what is remembered.
+    /// All objects, as the reader's version is older than the log of changes.
     All {
         /// The objects, in order of their names.
         objects: Vec<Stored>,
-        /// Version at which they stood so.
+        /// Version of the store that they belong to.
         version: Version,
     },
 }
 
-/// Objects of one kind, and what was touched lately.
+/// Objects of one kind, with a log of the latest changes.
 #[derive(Debug, Clone, Default)]
 pub struct WatchCache {
     objects: BTreeMap<Name, Stored>,
-    /// Version up to which everything is known; `None` before the first list.
+    /// Version up to which the cache includes all changes; `None` before the first list.
     version: Option<Version>,
-    touched: VecDeque<(Version, Name)>,
-    /// Version up to which changes are no longer remembered.
-    floor: Version,
+    /// Log of changes, oldest first.
+    changes: VecDeque<(Version, Name)>,
+    /// Version up to which changes may be missing from the log.
+    log_start: Version,
 }
 
 impl WatchCache {
-    /// Takes a list of all objects, as they stood at a version. An older one than what is known says nothing.
+    /// Replaces all objects with a list, as of a version. A list older than the cache is ignored.
     ///
-    /// What came and went since the changes before it is not known, so nobody is told those alone any more.
-    pub fn listed(&mut self, all: &[Stored], version: Version) {
-        if self.version.is_some_and(|known| version < known) {
+    /// The log is cleared, because objects may have been created and deleted between the last logged change and the list. No
+    /// reader can be brought up to date from earlier changes alone any more.
+    pub fn replace_all(&mut self, all: &[Stored], version: Version) {
+        if self.version.is_some_and(|current| version < current) {
             return;
         }
         self.objects = all.iter().map(|it| (Name::clone(&it.name), it.clone())).collect();
-        self.touched.clear();
-        self.floor = version;
-        self.known_up_to(version);
+        self.changes.clear();
+        self.log_start = version;
+        self.advance_to(version);
     }
 
-    /// Takes an object as it was written.
-    pub fn written(&mut self, stored: Stored) {
-        self.touch(stored.version, Name::clone(&stored.name));
+    /// Adds or replaces an object that was written.
+    pub fn insert(&mut self, stored: Stored) {
+        self.log_change(stored.version, Name::clone(&stored.name));
         self.objects.insert(Name::clone(&stored.name), stored);
     }
 
-    /// Takes that an object is gone, at a version at the latest.
-    pub fn deleted(&mut self, name: Name, version: Version) {
+    /// Removes an object that was deleted at this version or before it.
+    pub fn remove(&mut self, name: Name, version: Version) {
         self.objects.remove(&name);
-        self.touch(version, name);
+        self.log_change(version, name);
     }
 
-    /// Notes that all changes up to a version were taken.
-    pub fn known_up_to(&mut self, version: Version) {
+    /// Marks that the cache includes all changes up to a version.
+    pub fn advance_to(&mut self, version: Version) {
         self.version = self.version.max(Some(version));
     }
 
-    /// What a process does not know that knows everything up to a version, or nothing yet.
-    pub fn since(&self, since: Option<Version>) -> News {
+    /// Changes for a reader that has everything up to a version, or that has nothing yet.
+    pub fn changes_since(&self, since: Option<Version>) -> News {
         let Some(version) = self.version else { return News::None };
         match since {
             Some(since) if since >= version => News::None,
-            Some(since) if since >= self.floor => self.touched_since(since, version),
+            Some(since) if since >= self.log_start => self.logged_since(since, version),
             _ => News::All { objects: self.objects.values().cloned().collect(), version },
         }
     }
 
-    fn touched_since(&self, since: Version, version: Version) -> News {
-        let names = self.touched.iter().filter(|(touched, _)| *touched > since);
+    fn logged_since(&self, since: Version, version: Version) -> News {
+        let names = self.changes.iter().filter(|(changed, _)| *changed > since);
         let objects: BTreeMap<Name, Option<Stored>> =
             names.map(|(_, name)| (Name::clone(name), self.objects.get(name).cloned())).collect();
         if objects.is_empty() { News::None } else { News::Touched { objects, version } }
     }
 
-    fn touch(&mut self, version: Version, name: Name) {
-        self.touched.push_back((version, name));
-        if self.touched.len() > MAX_TOUCHED
-            && let Some((forgotten, _)) = self.touched.pop_front()
+    fn log_change(&mut self, version: Version, name: Name) {
+        self.changes.push_back((version, name));
+        if self.changes.len() > MAX_CHANGES
+            && let Some((evicted, _)) = self.changes.pop_front()
         {
-            self.floor = self.floor.max(forgotten);
+            self.log_start = self.log_start.max(evicted);
         }
     }
 }
--- a/crates/samphiredoor-core/tests/renewal.rs
+++ b/crates/samphiredoor-core/tests/renewal.rs
@@ -1,4 +1,4 @@
-//! Turns of a fleet's watches.
+//! Staggering of a fleet's watches: one ends in each turn, and their number does not grow with the fleet.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 
 const WITHIN: Duration = Duration::from_millis(2_500);
 
-/// Ends of all watches of a fleet until `until`, in order, after all were told the same change at zero.
+/// Times at which watches of a fleet end up to `until`, sorted, when all processes received the same change at zero.
 fn ends(renewal: Renewal, processes: usize, longest: Duration, until: Duration) -> Vec<Duration> {
     let mut ends = Vec::new();
     for position in 0..processes {
@@ -25,8 +25,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(19), ..ProptestConfig::default() })]
 
-    // All watches of a fleet are asked at the same moment, just as the store falls silent. Whatever the number of processes, and
-    // however long a watch may wait at most, one of them ends in each turn.
+    // All processes of a fleet send their watches at the same moment, just as the store stops responding. One of the watches
+    // ends in each turn, whatever the number of processes and the longest wait of a watch.
     #[test]
     fn one_watch_ends_in_each_turn(processes in 1usize..1_000, longest_s in 5u64..300) {
         let renewal = Renewal::new(WITHIN);
@@ -38,7 +38,7 @@
         }
     }
 
-    // Calls do not grow with the fleet, unless a watch may wait no longer.
+    // The number of calls does not depend on the number of processes, as long as watches may wait long enough.
     #[test]
     fn calls_do_not_grow_with_the_fleet(processes in 1usize..1_000) {
         let renewal = Renewal::new(WITHIN);
--- a/crates/samphiredoor-core/tests/routes.rs
+++ b/crates/samphiredoor-core/tests/routes.rs
@@ -1,4 +1,4 @@
-//! Tests of routes: which one serves a request, how splits share, and that versions never go back.
+//! Matching of requests to routes, weighted splits, and versions of the route table.
 
 use samphiredoor_core::routes::{
     BatchRule, CallerLimits, Route, RouteKind, RouteLog, RouteTable, Split,
@@ -29,7 +29,7 @@
     RouteTable::new(version, CallerLimits::default(), routes)
 }
 
-macro_rules! serves {
+macro_rules! route_matches {
     ($($name:ident: $host:expr, $path:expr => $route:expr;)*) => {
         $(
             #[test]
@@ -41,17 +41,17 @@
     };
 }
 
-serves! {
-    the_longest_prefix_of_the_host_serves: "desk", "/a/b/c/d" => Some("long");
-    a_shorter_prefix_serves_the_rest: "desk", "/a/x" => Some("short");
-    a_port_does_not_count: "desk:8080", "/a/x" => Some("short");
+route_matches! {
+    the_longest_prefix_of_the_host_matches: "desk", "/a/b/c/d" => Some("long");
+    a_shorter_prefix_matches_other_paths: "desk", "/a/x" => Some("short");
+    a_port_is_ignored: "desk:8080", "/a/x" => Some("short");
     another_host_has_its_own_routes: "farm", "/a/x" => None;
-    an_unknown_host_has_none: "yard", "/a/b/" => None;
-    a_prefix_ends_at_its_slash: "desk", "/ab" => None;
+    an_unknown_host_has_no_routes: "yard", "/a/b/" => None;
+    a_prefix_matches_whole_path_segments: "desk", "/ab" => None;
 }
 
 #[test]
-fn splits_share_by_weight() {
+fn requests_are_split_by_weight() {
     let route = route("r", "desk", "/", &[("one", 90), ("none", 0), ("two", 10)]);
     let share = |service: &str| {
         let draws = (0..1_000).map(|it| f64::from(it) / 1_000.0);
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn versions_never_go_back() {
+fn only_higher_versions_are_accepted() {
     let mut log = RouteLog::default();
     assert!(log.current().is_none());
     assert!(log.offer(table(7)));
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn only_what_may_run_again_is_repeatable() {
+fn only_repeatable_and_resumable_routes_may_be_retried() {
     let batch = RouteKind::Batch(BatchRule { due_ms: 1, give_up_ms: 1 });
     assert!(RouteKind::Repeatable.is_repeatable());
     assert!(RouteKind::Stream { resumable: true }.is_repeatable());
--- a/crates/samphiredoor-core/tests/watch_cache.rs
+++ b/crates/samphiredoor-core/tests/watch_cache.rs
@@ -1,4 +1,4 @@
-//! Whoever watches through another process sees what the store holds, whatever versions both begin from.
+//! A reader that watches through a cache has the state of the store at its version, whatever versions both start from.
 
 use std::collections::BTreeMap;
 
@@ -19,13 +19,13 @@
 enum Step {
     Write(u8),
     Delete(u8),
-    /// The cache's process hears of all changes so far.
+    /// The cache receives all changes so far.
     Watch,
-    /// The cache's process lists all objects anew.
+    /// The cache is replaced by a list of all objects.
     List,
-    /// A reader asks the store itself.
+    /// A reader lists the store itself.
     Direct(usize),
-    /// A reader asks the cache.
+    /// A reader asks the cache for changes.
     Relayed(usize),
 }
 
@@ -73,8 +73,8 @@
 }
 
 impl Reader {
-    fn take(&mut self, news: News) {
-        let version = match news {
+    fn apply(&mut self, changes: News) {
+        let version = match changes {
             News::None => return,
             News::All { objects, version } => {
                 let all = objects.into_iter().map(|it| (it.name, it.version.0));
@@ -91,7 +91,10 @@
                 version
             }
         };
-        assert!(self.version.is_none_or(|it| it < version), "news never lead back");
+        assert!(
+            self.version.is_none_or(|it| it < version),
+            "changes must not lead to an older version"
+        );
         self.version = Some(version);
     }
 }
@@ -107,7 +110,7 @@
     ]
 }
 
-fn play(steps: Vec<Step>) {
+fn run_steps(steps: Vec<Step>) {
     let mut store = Store::default();
     let mut cache = WatchCache::default();
     let mut cached: Option<u64> = None;
@@ -125,18 +128,18 @@
                 let Some(since) = cached else { continue };
                 for (version, name, state) in store.history.iter().filter(|it| it.0 > since) {
                     match state {
-                        Some(stored) => cache.written(stored.clone()),
-                        // The store does not tell when: at the version of the answer at the latest.
-                        None => cache.deleted(Name::clone(name), Version(store.version)),
+                        Some(stored) => cache.insert(stored.clone()),
+                        // The store does not report the version of a deletion, which is at most that of its response.
+                        None => cache.remove(Name::clone(name), Version(store.version)),
                     }
                     assert!(*version <= store.version);
                 }
-                cache.known_up_to(Version(store.version));
+                cache.advance_to(Version(store.version));
                 cached = Some(store.version);
             }
             Step::List => {
                 let all: Vec<Stored> = store.objects.values().cloned().collect();
-                cache.listed(&all, Version(store.version));
+                cache.replace_all(&all, Version(store.version));
                 cached = Some(store.version);
             }
             Step::Direct(reader) => {
@@ -145,10 +148,10 @@
             }
             Step::Relayed(reader) => {
                 let reader = &mut readers[reader];
-                let news = cache.since(reader.version);
-                let led = news != News::None;
-                reader.take(news);
-                if led {
+                let changes = cache.changes_since(reader.version);
+                let has_changes = changes != News::None;
+                reader.apply(changes);
+                if has_changes {
                     assert_eq!(reader.version, cached.map(Version));
                 }
                 if let Some(version) = reader.version {
@@ -160,30 +163,30 @@
 }
 
 #[test]
-fn a_reader_holds_what_stood_in_the_store() {
+fn a_reader_has_the_state_of_the_store_at_its_version() {
     let config = Config { cases: 2_000, failure_persistence: None, ..Config::default() };
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &SEED);
     let mut runner = TestRunner::new_with_rng(config, rng);
     runner
         .run(&prop::collection::vec(step(), 1..80), |steps| {
-            play(steps);
+            run_steps(steps);
             Ok(())
         })
         .unwrap();
 }
 
-// More changes come than are remembered. Who asks for older ones must not miss those that were forgotten.
+// There are more changes than the log holds. A reader that asks for older ones must not miss those that were evicted.
 #[test]
-fn who_asks_for_forgotten_changes_gets_all_objects() {
+fn a_reader_older_than_the_log_gets_all_objects() {
     let mut store = Store::default();
     let mut cache = WatchCache::default();
-    cache.listed(&[], Version(0));
+    cache.replace_all(&[], Version(0));
     for number in 0..5_000 {
         store.write(format!("object-{}", number % 7).into(), true);
-        cache.written(store.history.last().unwrap().2.clone().unwrap());
+        cache.insert(store.history.last().unwrap().2.clone().unwrap());
     }
-    cache.known_up_to(Version(store.version));
+    cache.advance_to(Version(store.version));
     let mut reader = Reader { version: Some(Version(3)), objects: store.at(3) };
-    reader.take(cache.since(reader.version));
+    reader.apply(cache.changes_since(reader.version));
     assert_eq!(reader.objects, store.at(store.version));
 }
--- a/crates/samphiredoor-gateway/src/peers/followed.rs
+++ b/crates/samphiredoor-gateway/src/peers/followed.rs
@@ -81,7 +81,7 @@
 
     /// Replaces the cache of a kind with a list of all its objects.
     pub fn listed(&self, kind: Kind, all: &[Stored], version: Version) {
-        self.update(kind, |it| it.cache.listed(all, version));
+        self.update(kind, |it| it.cache.replace_all(all, version));
     }
 
     /// Adds to the cache all changes of a kind up to a version.
@@ -89,11 +89,11 @@
         self.update(kind, |it| {
             for change in changes {
                 match change {
-                    Change::Written(stored) => it.cache.written(stored.clone()),
-                    Change::Deleted(name) => it.cache.deleted(Name::clone(name), version),
+                    Change::Written(stored) => it.cache.insert(stored.clone()),
+                    Change::Deleted(name) => it.cache.remove(Name::clone(name), version),
                 }
             }
-            it.cache.known_up_to(version);
+            it.cache.advance_to(version);
         });
     }
 
@@ -136,7 +136,7 @@
     fn changes_for(&self, call: &WatchCall) -> Option<(Told, flume::Receiver<()>)> {
         let mut kinds = self.kinds.borrow_mut();
         let watched = kinds.get_mut(&*call.kind)?;
-        let news = watched.cache.since(call.since);
+        let news = watched.cache.changes_since(call.since);
         let (waiting, changed) = flume::bounded(1);
         watched.waiting.retain(|it| !it.is_disconnected());
         watched.waiting.push(waiting);
