--- a/crates/samphiredoor-core/src/routes.rs
+++ b/crates/samphiredoor-core/src/routes.rs
@@ -163,7 +163,7 @@
 }
 
 impl RouteLog {
-    /// Replaces the table active if the new one has a higher version; returns whether it did.
+    /// Replaces the active table if the new one has a higher version; returns whether it did.
     pub fn offer(&mut self, table: RouteTable) -> bool {
         if table.version <= self.current.version {
             return false;
@@ -172,7 +172,7 @@
         true
     }
 
-    /// Table active; `None` before the first one.
+    /// Active table; `None` before the first one.
     pub fn current(&self) -> Option<&Arc<RouteTable>> {
         (self.current.version > 0).then_some(&self.current)
     }
--- a/crates/samphiredoor-gateway/src/peers/relay.rs
+++ b/crates/samphiredoor-gateway/src/peers/relay.rs
@@ -1,8 +1,8 @@
 //! Fetching routes from peers when the store does not respond.
 //!
-//! Statuses report the routes version that each gateway has active. A process that remains behind fetches the routes from
-//! the nearest gateway that is ahead. The response is the same object that the store holds, and only a higher version is
-//! put active.
+//! Statuses report the version of each gateway's active routes. A process that remains behind fetches the routes from
+//! the nearest gateway that is ahead. The response is the same object that the store holds, and only a higher version
+//! becomes active.
 //!
 //! Many processes may be behind at once, such as after the loss of a whole region, and the routes may be large. A process
 //! therefore fetches from other regions with a probability at which about one process of its region does so per check. Each
@@ -104,7 +104,7 @@
     })
 }
 
-/// Serves the routes active to peers, at a limited rate.
+/// Serves the active routes to peers, at a limited rate.
 #[derive(Clone)]
 pub struct RoutesRelay {
     routes: Routes,
@@ -118,7 +118,7 @@
         RoutesRelay { routes, served: Rc::new(Cell::new((Instant::now(), 0))) }
     }
 
-    /// Response to a peer: the stored object that the routes active were read from, with its name as the content location.
+    /// Response to a peer: the stored object that the active routes were read from, with its name as the content location.
     pub fn answer(&self) -> Response<Body> {
         let Some(source) = self.routes.source() else {
             return plain(StatusCode::NOT_FOUND, "no routes yet");
--- a/crates/samphiredoor-gateway/src/peers/roster.rs
+++ b/crates/samphiredoor-gateway/src/peers/roster.rs
@@ -84,7 +84,7 @@
     }
 }
 
-/// A live gateway that has the newest routes active.
+/// A live gateway that has the newest active routes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RoutesHolder {
     /// Version of its routes.
@@ -414,7 +414,7 @@
         self.peers.borrow().get(name).map(|it| it.address)
     }
 
-    /// The nearest live gateway that has the newest routes active, chosen at random among those at the same distance so
+    /// The nearest live gateway that has the newest active routes, chosen at random among those at the same distance so
     /// that requests of many processes are spread over them.
     pub fn newest_routes(&self) -> Option<RoutesHolder> {
         let peers = self.peers.borrow();
--- a/crates/samphiredoor-gateway/src/peers/status.rs
+++ b/crates/samphiredoor-gateway/src/peers/status.rs
@@ -34,7 +34,7 @@
     pub name: String,
     /// Number of this start of the gateway; a restart has a higher one.
     pub incarnation: u64,
-    /// Version of the routes that it has active.
+    /// Version of its active routes.
     pub routes_version: u64,
     /// Whether it reaches the store.
     pub store_reached: bool,
--- a/crates/samphiredoor-gateway/src/peers/summary.rs
+++ b/crates/samphiredoor-gateway/src/peers/summary.rs
@@ -20,7 +20,7 @@
     pub key: u64,
     /// Number of this start of the gateway; a restart has a higher one.
     pub incarnation: u64,
-    /// Version of the routes that it has active.
+    /// Version of its active routes.
     pub routes_version: u64,
     /// Age of its last status when the summary was made.
     pub heard_ms: u16,
