--- a/crates/samphiredoor/tests/it/platform/soak.rs
+++ b/crates/samphiredoor/tests/it/platform/soak.rs
@@ -1,8 +1,9 @@
-//! Random faults from outside, in series and overlapping, against real processes.
+//! Random external faults, one after another and overlapping, against real processes.
 //!
-//! What is checked while it runs: an answer is whole and the caller's own, or visibly none; what was refused never runs; what
-//! may run once runs once; a result that was read stays where it was. At the end, with all faults over: each accepted job
-//! that nobody ended has each item once, the same at every gateway.
+//! Checked during the run: an answer is complete and belongs to its request, or is visibly an error; a refused request never
+//! runs; a request that must not be repeated runs at most once; a result that was read keeps its position. Checked at the
+//! end, when all faults are over: each accepted job that was not cancelled has exactly one result for each item, and the same
+//! results at every gateway.
 //!
 //! More seeds: `SAMPHIREDOOR_SOAK=100..150 cargo test -p samphiredoor --test it soak`.
 
@@ -28,15 +29,16 @@
 const TARGETS: usize = 3;
 const STEPS: usize = 60;
 const PAUSE: Duration = Duration::from_millis(15);
-/// Tries for what must come once all faults are over; a taking of jobs needs some seconds.
-const SETTLE_TRIES: u32 = 600;
-const SETTLE_PAUSE: Duration = Duration::from_millis(50);
+/// Polls for the results of a job after all faults are over; a takeover of jobs needs some seconds.
+const SETTLE_POLLS: u32 = 600;
+const SETTLE_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 #[derive(Debug, Default)]
 struct Job {
     items: Vec<String>,
     accepted: bool,
-    ended: bool,
+    cancelled: bool,
+    /// Results that were read so far.
     seen: Vec<Value>,
 }
 
@@ -46,17 +48,19 @@
     targets: Vec<PlatformTarget>,
     paused: [bool; GATEWAYS],
     jobs: BTreeMap<String, Job>,
+    /// Requests that were refused as not run.
     refused: Vec<String>,
+    /// Requests that must run at most once.
     once: Vec<String>,
-    routes: u64,
-    next: u64,
+    routes_version: u64,
+    next_id: u64,
 }
 
 impl Soak {
     fn new(seed: u64) -> Soak {
         let mut platform = Platform::new(BINARY);
         platform.linked = true;
-        // A watch that is deaf stays so for longer than a run lasts, unless the gateway itself finds out.
+        // Longer than a whole run, so that a stalled watch ends only if the gateway itself detects it.
         platform.watch_ms = 300_000;
         let targets = (0..TARGETS).map(|it| platform.start_target(&format!("t-{it}"), PAUSE));
         let targets = targets.collect::<Vec<PlatformTarget>>();
@@ -71,51 +75,51 @@
             jobs: BTreeMap::new(),
             refused: Vec::new(),
             once: Vec::new(),
-            routes: 1,
-            next: 0,
+            routes_version: 1,
+            next_id: 0,
         }
     }
 
-    fn name(&mut self, prefix: &str) -> String {
-        self.next += 1;
-        format!("{prefix}-{}", self.next)
+    fn new_id(&mut self, prefix: &str) -> String {
+        self.next_id += 1;
+        format!("{prefix}-{}", self.next_id)
     }
 
-    /// A gateway that is not paused; the first is never paused or stopped for long.
-    fn any_gateway(&mut self) -> usize {
+    /// A random gateway that is not paused; the first one is never killed, paused or stopped.
+    fn random_gateway(&mut self) -> usize {
         let running: Vec<usize> = (0..GATEWAYS).filter(|it| !self.paused[*it]).collect();
         *running.choose(&mut self.rng).expect("one always runs")
     }
 
     fn step(&mut self) {
         match self.rng.random_range(0..23) {
-            0..=3 => self.submit(),
-            4..=7 => self.send(),
-            8..=10 => self.read(),
-            11 => self.end_a_job(),
-            12 | 13 => self.fault_of_store(),
-            14 | 15 => self.fault_of_target(),
-            16 => self.kill(),
-            17 => self.pause_or_wake(),
-            18 => self.stop(),
-            19..=21 => self.fault_of_link(),
+            0..=3 => self.submit_job(),
+            4..=7 => self.send_request(),
+            8..=10 => self.read_results(),
+            11 => self.cancel_job(),
+            12 | 13 => self.inject_store_fault(),
+            14 | 15 => self.inject_target_fault(),
+            16 => self.kill_gateway(),
+            17 => self.pause_or_resume_gateway(),
+            18 => self.stop_gateway(),
+            19..=21 => self.inject_link_fault(),
             _ => self.change_routes(),
         }
     }
 
-    fn submit(&mut self) {
-        let job = self.name("job");
+    fn submit_job(&mut self) {
+        let job = self.new_id("job");
         let items: Vec<String> =
             (0..self.rng.random_range(1..6)).map(|it| format!("{job}-{it}")).collect();
         let ids: Vec<&str> = items.iter().map(String::as_str).collect();
-        let gateway = self.any_gateway();
+        let gateway = self.random_gateway();
         let accepted = self.platform.submit(gateway, &job, &ids).status == 202;
         self.jobs.insert(job, Job { items, accepted, ..Job::default() });
     }
 
-    fn send(&mut self) {
-        let id = self.name("request");
-        let gateway = self.any_gateway();
+    fn send_request(&mut self) {
+        let id = self.new_id("request");
+        let gateway = self.random_gateway();
         let path = *["/unsafe/book", "/safe/ask", "/stream-resumable/check", "/stream/check"]
             .choose(&mut self.rng)
             .expect("a path");
@@ -134,8 +138,8 @@
         }
     }
 
-    fn read(&mut self) {
-        let gateway = self.any_gateway();
+    fn read_results(&mut self) {
+        let gateway = self.random_gateway();
         let Some(name) =
             self.jobs.keys().cloned().collect::<Vec<_>>().choose(&mut self.rng).cloned()
         else {
@@ -151,24 +155,21 @@
                 job.seen = outputs;
             }
         }
-        assert!(
-            !(job.accepted && answer.status == 404),
-            "{name} is not known at gateway {gateway}"
-        );
+        assert!(!(job.accepted && answer.status == 404), "{name} is unknown at gateway {gateway}");
     }
 
-    fn end_a_job(&mut self) {
-        let gateway = self.any_gateway();
+    fn cancel_job(&mut self) {
+        let gateway = self.random_gateway();
         let Some(name) =
             self.jobs.keys().cloned().collect::<Vec<_>>().choose(&mut self.rng).cloned()
         else {
             return;
         };
         self.platform.end(gateway, &name);
-        self.jobs.get_mut(&name).expect("a job").ended = true;
+        self.jobs.get_mut(&name).expect("a job").cancelled = true;
     }
 
-    fn fault_of_store(&mut self) {
+    fn inject_store_fault(&mut self) {
         let faults = [
             StoreFault::None,
             StoreFault::None,
@@ -185,7 +186,7 @@
         }
     }
 
-    fn fault_of_target(&mut self) {
+    fn inject_target_fault(&mut self) {
         let faults = [
             TargetFault::CutAfter(2),
             TargetFault::AnswerLost,
@@ -199,7 +200,7 @@
         self.targets.choose(&mut self.rng).expect("a target").fail_next(count, fault);
     }
 
-    fn fault_of_link(&mut self) {
+    fn inject_link_fault(&mut self) {
         let faults = [
             LinkFault::None,
             LinkFault::None,
@@ -217,20 +218,20 @@
         }
     }
 
-    fn kill(&mut self) {
+    fn kill_gateway(&mut self) {
         let gateway = self.rng.random_range(1..GATEWAYS);
         self.platform.gateway(gateway).kill();
         self.paused[gateway] = false;
         self.platform.restart_gateway(gateway);
     }
 
-    fn pause_or_wake(&mut self) {
+    fn pause_or_resume_gateway(&mut self) {
         let gateway = self.rng.random_range(1..GATEWAYS);
         self.paused[gateway] = !self.paused[gateway];
         self.platform.signal(gateway, if self.paused[gateway] { "STOP" } else { "CONT" });
     }
 
-    fn stop(&mut self) {
+    fn stop_gateway(&mut self) {
         let gateway = self.rng.random_range(1..GATEWAYS);
         if !self.paused[gateway] {
             self.platform.signal(gateway, "TERM");
@@ -240,11 +241,11 @@
     }
 
     fn change_routes(&mut self) {
-        self.routes += self.rng.random_range(1..4);
-        self.platform.put_routes(self.routes, 3);
+        self.routes_version += self.rng.random_range(1..4);
+        self.platform.put_routes(self.routes_version, 3);
     }
 
-    /// Ends all faults and checks what must hold then.
+    /// Ends all faults, waits for all results and checks them.
     fn settle(&mut self) {
         self.platform.store.set_fault(StoreFault::None);
         self.platform.links().into_iter().for_each(|it| it.set_fault(LinkFault::None));
@@ -255,9 +256,13 @@
             }
             self.platform.wait_ready(gateway);
         }
-        for (name, job) in self.jobs.iter().filter(|(_, it)| it.accepted && !it.ended) {
-            let results = self.whole(name, job);
-            assert_eq!(results[..job.seen.len()], job.seen[..], "{name}: a result moved");
+        for (name, job) in self.jobs.iter().filter(|(_, it)| it.accepted && !it.cancelled) {
+            let results = self.wait_for_results(name, job);
+            assert_eq!(
+                results[..job.seen.len()],
+                job.seen[..],
+                "{name}: the position of a result changed"
+            );
             for gateway in 1..GATEWAYS {
                 let others = self.platform.all_results(gateway, name, job.items.len());
                 assert_eq!(others, results, "{name} at gateway {gateway}");
@@ -267,34 +272,36 @@
         self.check_routes();
     }
 
-    /// Replaces all routes, and waits until each gateway serves the new one and none of the old ones.
+    /// Replaces all routes by a new one, and checks that each gateway serves it and none of the old ones.
     fn check_routes(&self) {
-        self.platform.put_newest_route(self.routes + 1);
+        self.platform.put_newest_route(self.routes_version + 1);
         for gateway in 0..GATEWAYS {
-            wait_until("the newest route is in force", || {
+            wait_until("the newest route is active", || {
                 self.platform.send(gateway, "/newest/ask", "newest", "").status == 200
             });
             assert_eq!(self.platform.send(gateway, "/safe/ask", "oldest", "").status, 404);
         }
     }
 
-    fn whole(&self, name: &str, job: &Job) -> Vec<Value> {
+    /// Waits until all items of a job have results, and checks that each has one and that the texts are complete.
+    fn wait_for_results(&self, name: &str, job: &Job) -> Vec<Value> {
         let mut results = Vec::new();
-        for _ in 0..SETTLE_TRIES {
+        for _ in 0..SETTLE_POLLS {
             results = self.platform.standing_results(0, name);
             if results.len() == job.items.len() {
                 let mut ids: Vec<&str> =
                     results.iter().filter_map(|it| it["id"].as_str()).collect();
                 ids.sort_unstable();
-                assert_eq!(ids, job.items, "{name}: each item once");
+                assert_eq!(ids, job.items, "{name}: one result for each item");
                 let text = self.targets[0].text();
-                let whole = |it: &&Value| it["state"] == "errored" || it["text"] == text.as_str();
-                assert!(results.iter().all(|it| whole(&it)), "{name}: whole texts");
+                let complete =
+                    |it: &&Value| it["state"] == "errored" || it["text"] == text.as_str();
+                assert!(results.iter().all(|it| complete(&it)), "{name}: complete texts");
                 return results;
             }
-            thread::sleep(SETTLE_PAUSE);
+            thread::sleep(SETTLE_POLL_INTERVAL);
         }
-        panic!("{name}: its items never stood, but {results:?}");
+        panic!("{name}: not all items have results: {results:?}");
     }
 
     fn check_runs(&self) {
@@ -306,12 +313,12 @@
             assert!(runs.get(id).copied().unwrap_or(0) <= 1, "{id} ran twice");
         }
         for id in &self.refused {
-            assert_eq!(runs.get(id), None, "{id} was refused as not run");
+            assert_eq!(runs.get(id), None, "{id} ran although it was refused");
         }
     }
 }
 
-fn play(seed: u64) {
+fn run_seed(seed: u64) {
     println!("seed {seed}");
     let mut soak = Soak::new(seed);
     for _ in 0..STEPS {
@@ -330,12 +337,12 @@
 }
 
 #[test]
-fn promises_hold_under_random_faults() {
-    seeds().for_each(play);
+fn guarantees_hold_under_random_faults() {
+    seeds().for_each(run_seed);
 }
 
 #[test]
-fn promises_hold_while_clients_go_on() {
+fn guarantees_hold_under_continuous_load() {
     let folder = std::env::temp_dir().join(format!("samphiredoor-soak-{}", std::process::id()));
     let options = soak::Options {
         binary: BINARY.into(),
@@ -344,6 +351,6 @@
         gateways: GATEWAYS,
         drills: false,
     };
-    soak::play_seeds(&options, 1..3).expect("every promise holds");
+    soak::play_seeds(&options, 1..3).expect("every guarantee holds");
     std::fs::remove_dir_all(folder).expect("the traces are removed");
 }
