--- a/crates/samphiredoor-core/src/lib.rs
+++ b/crates/samphiredoor-core/src/lib.rs
@@ -1,11 +1,11 @@
 //! The core logic of samphiredoor, without I/O.
 //!
-//! Nothing here opens a socket, reads a clock, starts a thread or draws unseeded random numbers: time and seeds are passed
-//! in as arguments, and events go in and actions come out. Each subsystem is a state machine that is owned by one task of the
-//! process and that property tests drive directly.
+//! Nothing here opens a socket, reads a clock, starts a thread or draws unseeded random numbers: time and seeds are
+//! passed in as arguments, and events go in and actions come out. Each subsystem is a state machine that is owned by
+//! one task of the process and that property tests drive directly.
 //!
-//! The platform's object store is the source of truth, and processes agree on its content by conditional updates. All other
-//! state (leases, heartbeats, load) is advisory: it makes the system faster, and correctness never depends on it.
+//! The platform's object store is the source of truth, and processes agree on its content by conditional updates. All
+//! other state (leases, heartbeats, load) is advisory: it makes the system faster, and correctness never depends on it.
 
 pub mod dispatch;
 pub mod keys;
--- a/crates/samphiredoor-core/src/news.rs
+++ b/crates/samphiredoor-core/src/news.rs
@@ -74,8 +74,8 @@
     pub number: u64,
 }
 
-/// Recently received hints, so that each is forwarded once. The set is bounded; a hint that was evicted is forwarded again,
-/// which costs one message and does no harm.
+/// Recently received hints, so that each is forwarded once. The set is bounded; a hint that was evicted is forwarded
+/// again, which costs one message and does no harm.
 #[derive(Debug, Default)]
 pub struct Seen {
     set: HashSet<Origin>,
--- a/crates/samphiredoor-core/src/renewal.rs
+++ b/crates/samphiredoor-core/src/renewal.rs
@@ -1,17 +1,17 @@
 //! Timeouts of watches, staggered over the processes of the fleet.
 //!
 //! A store that stops responding for a moment need not close connections, and a watch sent in that time may never get a
-//! response: it is stalled, and its process misses all changes without any error. Only a call that completes shows that the
-//! store responds. If each process ended its watches every second, the number of calls would grow with the fleet, so the
-//! processes take turns. Whatever their number, one watch of the fleet ends in each turn, and its process reports the newest
-//! change that it has seen to the others; a process that has not seen that change starts a new watch. The delay of a change
-//! therefore depends neither on the length of the outage, nor on the number of stalled watches, nor on the other calls of a
-//! process.
+//! response: it is stalled, and its process misses all changes without any error. Only a call that completes shows that
+//! the store responds. If each process ended its watches every second, the number of calls would grow with the fleet,
+//! so the processes take turns. Whatever their number, one watch of the fleet ends in each turn, and its process
+//! reports the newest change that it has seen to the others; a process that has not seen that change starts a new
+//! watch. The delay of a change therefore depends neither on the length of the outage, nor on the number of stalled
+//! watches, nor on the other calls of a process.
 
 use std::time::Duration;
 
-/// Turns within the time in which a change has to take effect. One turn passes until a watch ends; the others are for the
-/// timeout of a watch without a response, for the report to the other processes, and for their own calls.
+/// Turns within the time in which a change has to take effect. One turn passes until a watch ends; the others are for
+/// the timeout of a watch without a response, for the report to the other processes, and for their own calls.
 const TURNS: u32 = 5;
 
 /// Content of the last response to a watch.
--- a/crates/samphiredoor-core/src/verdict.rs
+++ b/crates/samphiredoor-core/src/verdict.rs
@@ -1,7 +1,7 @@
 //! Outcome of a request with regard to whether it has run.
 //!
-//! Failures at every interface (target, store, peer, caller) are reported as a [`Verdict`]. `NotRun` is a guarantee: it is
-//! only returned if no byte of the request can have reached a target.
+//! Failures at every interface (target, store, peer, caller) are reported as a [`Verdict`]. `NotRun` is a guarantee: it
+//! is only returned if no byte of the request can have reached a target.
 
 use std::fmt;
 
--- a/crates/samphiredoor-core/src/watch_cache.rs
+++ b/crates/samphiredoor-core/src/watch_cache.rs
@@ -1,8 +1,8 @@
 //! Cache of all objects of one kind, from which other processes can watch the kind.
 //!
-//! The cache keeps the names of the objects that changed last, each with the version of its change. A reader that asks for
-//! the changes since a version receives the current state of all objects that have changed after it. It thus ends up with
-//! the state of the cache whatever it held before, also of objects that were deleted and created again.
+//! The cache keeps the names of the objects that changed last, each with the version of its change. A reader that asks
+//! for the changes since a version receives the current state of all objects that have changed after it. It thus ends
+//! up with the state of the cache whatever it held before, also of objects that were deleted and created again.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -50,8 +50,8 @@
 impl WatchCache {
     /// Replaces all objects with a list, as of a version. A list older than the cache is ignored.
     ///
-    /// The log is cleared, because objects may have been created and deleted between the last logged change and the list. No
-    /// reader can be brought up to date from earlier changes alone any more.
+    /// The log is cleared, because objects may have been created and deleted between the last logged change and the
+    /// list. No reader can be brought up to date from earlier changes alone any more.
     pub fn replace_all(&mut self, all: &[Stored], version: Version) {
         if self.version.is_some_and(|current| version < current) {
             return;
--- a/crates/samphiredoor-core/tests/renewal.rs
+++ b/crates/samphiredoor-core/tests/renewal.rs
@@ -25,8 +25,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(19), ..ProptestConfig::default() })]
 
-    // All processes of a fleet send their watches at the same moment, just as the store stops responding. One of the watches
-    // ends in each turn, whatever the number of processes and the longest wait of a watch.
+    // All processes of a fleet send their watches at the same moment, just as the store stops responding. One of the
+    // watches ends in each turn, whatever the number of processes and the longest wait of a watch.
     #[test]
     fn one_watch_ends_in_each_turn(processes in 1usize..1_000, longest_s in 5u64..300) {
         let renewal = Renewal::new(WITHIN);
--- a/crates/samphiredoor-gateway/src/peers/followed.rs
+++ b/crates/samphiredoor-gateway/src/peers/followed.rs
@@ -1,8 +1,8 @@
 //! Relayed watches: one gateway of a cell watches the store, and the others of the cell watch through it.
 //!
 //! If every gateway watched the store itself, each change would cost one store call per gateway. A gateway that watches
-//! through another one falls back to the store as soon as that one does not respond, or gateways of other cells have seen
-//! newer changes.
+//! through another one falls back to the store as soon as that one does not respond, or gateways of other cells have
+//! seen newer changes.
 
 use std::{
     cell::RefCell,
@@ -31,8 +31,8 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(100);
 /// Time beyond the requested wait within which the response has to begin.
 const RESPONSE_MARGIN: Duration = Duration::from_millis(300);
-/// Longest pause within the response. The other gateway responds to its whole cell at once, and a small host's link carries
-/// a large configuration to each gateway in turn.
+/// Longest pause within the response. The other gateway responds to its whole cell at once, and a small host's link
+/// carries a large configuration to each gateway in turn.
 const READ_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// Largest accepted response. Entries of a few thousand targets take less than a megabyte, a configuration up to one.
 const MAX_BYTES: usize = 8 * 1024 * 1024;
@@ -131,8 +131,8 @@
         }
     }
 
-    /// Changes since the version of a call, and a channel that receives a message at the next change; `None` if this process
-    /// does not watch the kind.
+    /// Changes since the version of a call, and a channel that receives a message at the next change; `None` if this
+    /// process does not watch the kind.
     fn changes_for(&self, call: &WatchCall) -> Option<(Told, flume::Receiver<()>)> {
         let mut kinds = self.kinds.borrow_mut();
         let watched = kinds.get_mut(&*call.kind)?;
@@ -150,8 +150,8 @@
         self.roster.follower()
     }
 
-    /// Waits at most `wait` for changes of a kind after a version, through the gateway at an address; `None` if that gateway
-    /// gives no usable response.
+    /// Waits at most `wait` for changes of a kind after a version, through the gateway at an address; `None` if that
+    /// gateway gives no usable response.
     pub async fn watch(
         self,
         address: SocketAddr,
--- a/crates/samphiredoor-gateway/src/peers/listener.rs
+++ b/crates/samphiredoor-gateway/src/peers/listener.rs
@@ -72,8 +72,8 @@
                 self.mates.record(&status);
             }
         }
-        // This includes gateways whose entries have not been read yet. Otherwise a process that has just started would count
-        // their slots as free and overload targets that are full.
+        // This includes gateways whose entries have not been read yet. Otherwise a process that has just started would
+        // count their slots as free and overload targets that are full.
         self.placer.peer(name, status.requests);
     }
 
--- a/crates/samphiredoor-gateway/src/peers/mates.rs
+++ b/crates/samphiredoor-gateway/src/peers/mates.rs
@@ -21,8 +21,8 @@
 };
 use crate::sightings::SeenChanges;
 
-/// How long summaries announce a job after its owner first reported it. Several summaries are sent in that time, as some
-/// datagrams are lost.
+/// How long summaries announce a job after its owner first reported it. Several summaries are sent in that time, as
+/// some datagrams are lost.
 const JOB_ANNOUNCE_TIME: Duration = Duration::from_millis(1_800);
 /// Most jobs that are announced at a time.
 const MAX_JOBS: usize = 64;
--- a/crates/samphiredoor-gateway/src/peers/mod.rs
+++ b/crates/samphiredoor-gateway/src/peers/mod.rs
@@ -1,9 +1,9 @@
 //! Discovery of the other gateways (peers), and the state that gateways exchange.
 //!
 //! Each gateway registers its address in the store and watches the entries of the others. It sends its state as UDP
-//! datagrams to the gateways of its cell and to those whose targets it uses; the state of all other gateways arrives as one
-//! summary for each cell. All of this is advisory: a lost datagram is superseded by the next one, and the store remains
-//! authoritative.
+//! datagrams to the gateways of its cell (see [`samphiredoor_core::placement::Cells`]) and of the cells whose targets
+//! it uses; of all other cells it receives summaries. All of this is advisory: a lost datagram is superseded by the
+//! next one, and the store remains authoritative.
 
 mod datagram;
 pub mod followed;
@@ -32,8 +32,8 @@
 pub use status::OwnedJob;
 pub use teller::Teller;
 
-/// Time without a response of the store after which this process reports to its peers that the store is unreachable. From
-/// then on they may take over its jobs, so it suspends its own runs from then on as well.
+/// How long the store has to be lost before this process reports to its peers that it does not reach it. From then on
+/// they may take over its jobs, so this process holds its own runs back from then on as well.
 pub const STORE_LOST: Duration = Duration::from_millis(1_000);
 
 /// Identity, location and address of this process, as its peers see them.
--- a/crates/samphiredoor-gateway/src/peers/owners.rs
+++ b/crates/samphiredoor-gateway/src/peers/owners.rs
@@ -11,8 +11,8 @@
 
 use samphiredoor_core::{Name, ordered::JobName};
 
-/// Most jobs in the cache. A fleet of a hundred gateways accepts about ten jobs a second, and callers read results for some
-/// minutes.
+/// Most jobs in the cache. A fleet of a hundred gateways accepts about ten jobs a second, and callers read results for
+/// some minutes.
 const MAX_JOBS: usize = 2_000;
 
 /// The process incarnation that owns a job.
--- a/crates/samphiredoor-gateway/src/peers/registration.rs
+++ b/crates/samphiredoor-gateway/src/peers/registration.rs
@@ -16,8 +16,8 @@
     watch::{Follower, Seen},
 };
 
-/// Time that a newly registered process waits before it reads changes of the other entries. Gateways that start together
-/// have registered by then, so their entries arrive in one batch instead of one by one.
+/// Time that a newly registered process waits before it reads changes of the other entries. Gateways that start
+/// together have registered by then, so their entries arrive in one batch instead of one by one.
 const STARTUP_SETTLE_TIME: Duration = Duration::from_millis(1_200);
 /// Interval between attempts to register.
 const REGISTER_RETRY_INTERVAL: Duration = Duration::from_millis(500);
@@ -88,8 +88,8 @@
     entry.to_string().into_bytes().into()
 }
 
-/// Registers this process unless its entry is current, and applies the entries of all gateways to the roster. A restarted
-/// process whose entry is current does not wait, as the other gateways are registered already.
+/// Registers this process unless its entry is current, and applies the entries of all gateways to the roster. A
+/// restarted process whose entry is current does not wait, as the other gateways are registered already.
 pub async fn run(
     roster: Roster,
     placer: Placer,
--- a/crates/samphiredoor-gateway/src/peers/relay.rs
+++ b/crates/samphiredoor-gateway/src/peers/relay.rs
@@ -4,9 +4,10 @@
 //! the nearest gateway that is ahead. The response is the same object that the store holds, and only a higher version
 //! becomes active.
 //!
-//! Many processes may be behind at once, such as after the loss of a whole region, and the routes may be large. A process
-//! therefore fetches from other regions with a probability at which about one process of its region does so per check. Each
-//! gateway serves only a few requests per check interval; processes that have received the routes then serve them as well.
+//! Many processes may be behind at once, such as after the loss of a whole region, and the routes may be large. A
+//! process therefore fetches from other regions with a probability at which about one process of its region does so per
+//! check. Each gateway serves only a few requests per check interval; processes that have received the routes then
+//! serve them as well.
 
 use std::{
     cell::Cell,
@@ -28,8 +29,8 @@
 
 /// Path at which peers serve their routes.
 pub const PATH: &str = "/routes";
-/// How often a process checks whether it is behind. Each gateway receives a change through its own watch within this time,
-/// so only gateways to which the store does not respond ask a peer.
+/// How often a process checks whether it is behind. Each gateway receives a change through its own watch within this
+/// time, so only gateways to which the store does not respond ask a peer.
 const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 /// Timeout for the connection to a peer, for the start of its response, and for each pause within the response.
 const READ_TIMEOUT: Duration = Duration::from_millis(500);
@@ -53,7 +54,8 @@
             behind_version = 0;
             continue;
         };
-        // Only a process that is behind at two checks in a row asks; a change may arrive slightly later than at the peer.
+        // Only a process that is behind at two checks in a row asks; a change may arrive slightly later than at the
+        // peer.
         if std::mem::replace(&mut behind_version, routes.version().max(1))
             != routes.version().max(1)
         {
@@ -66,8 +68,8 @@
     }
 }
 
-/// Whether this process asks a gateway of another region at this check. A process that is receiving a response of the store
-/// does not, as the two transfers would share the link; of the others in the region about one does.
+/// Whether this process asks a gateway of another region at this check. A process that is receiving a response of the
+/// store does not, as the two transfers would share the link; of the others in the region about one does.
 fn may_ask_other_region(roster: &Roster, store: &dyn ObjectStore) -> bool {
     let chance = 1.0 / roster.live_in_region() as f64;
     !was_heard(store, CHECK_INTERVAL) && rand::random_bool(chance)
@@ -118,7 +120,8 @@
         RoutesRelay { routes, served: Rc::new(Cell::new((Instant::now(), 0))) }
     }
 
-    /// Response to a peer: the stored object that the active routes were read from, with its name as the content location.
+    /// Response to a peer: the stored object that the active routes were read from, with its name as the content
+    /// location.
     pub fn answer(&self) -> Response<Body> {
         let Some(source) = self.routes.source() else {
             return plain(StatusCode::NOT_FOUND, "no routes yet");
--- a/crates/samphiredoor-gateway/src/peers/roster.rs
+++ b/crates/samphiredoor-gateway/src/peers/roster.rs
@@ -19,26 +19,26 @@
 use super::{Own, status::Status, summary::Member};
 use crate::sightings::Sightings;
 
-/// Time without a status after which a gateway counts as dead. Statuses are sent at least twice a second and some are lost;
-/// jobs of a gateway that is declared dead too early run twice.
+/// Time without a status after which a gateway counts as dead. Statuses are sent at least twice a second and some are
+/// lost; jobs of a gateway that is declared dead too early run twice.
 pub(super) const DEAD_AFTER: Duration = Duration::from_millis(2_500);
 /// Time without a status after which the next gateway of a cell takes over sending the cell's summaries or watching the
 /// store for it. Statuses are sent at least twice a second.
 const FAILOVER_TIMEOUT: Duration = Duration::from_millis(1_200);
 /// Gateways of a cell that send its summaries, so that the loss of one does not interrupt them.
 const SUMMARY_SENDERS: usize = 2;
-/// Time without news of a gateway of another cell after which it counts as dead. All summary senders of its cell may fail
-/// at once, and their successors start only after the failover timeout.
+/// Time without news of a gateway of another cell after which it counts as dead. All summary senders of its cell may
+/// fail at once, and their successors start only after the failover timeout.
 const DEAD_AFTER_OTHER_CELL: Duration = DEAD_AFTER.saturating_add(FAILOVER_TIMEOUT);
-/// Time after the first list of gateways from which this process may send summaries. By then it has received statuses of
-/// the other gateways of its cell.
+/// Time after the first list of gateways from which this process may send summaries. By then it has received statuses
+/// of the other gateways of its cell.
 const SUMMARIES_START_AFTER: Duration = Duration::from_millis(1_000);
-/// Time after the first list of gateways from which a gateway of another cell that was never seen counts as dead. Its cell
-/// may have started at the same time, and starts to send summaries later.
+/// Time after the first list of gateways from which a gateway of another cell that was never seen counts as dead. Its
+/// cell may have started at the same time, and starts to send summaries later.
 const NEVER_SEEN_DEAD_AFTER_OTHER_CELL: Duration =
     DEAD_AFTER_OTHER_CELL.saturating_add(SUMMARIES_START_AFTER).saturating_add(FAILOVER_TIMEOUT);
-/// Time by which this process treats itself as isolated before its peers can declare it dead. The last datagrams of the two
-/// directions arrive at different moments.
+/// Time by which this process treats itself as isolated before its peers can declare it dead. The last datagrams of the
+/// two directions arrive at different moments.
 const ISOLATION_MARGIN: Duration = Duration::from_millis(1_000);
 /// Time without a status after which a gateway no longer counts among the expected ones.
 const FORGET_AFTER: Duration = Duration::from_secs(30);
@@ -72,8 +72,8 @@
         self.last_seen.is_some_and(|it| it.elapsed() < FAILOVER_TIMEOUT)
     }
 
-    /// Whether it works on its jobs, or is about to hand them over. Taking a job over from a process that is stopping would
-    /// lose the partial output of its items: with twenty items half done, the work of ten whole items.
+    /// Whether it works on its jobs, or is about to hand them over. Taking a job over from a process that is stopping
+    /// would lose the partial output of its items: with twenty items half done, the work of ten whole items.
     fn is_working(&self) -> bool {
         self.is_live() && self.store_reached
     }
@@ -266,9 +266,9 @@
         has_statuses && before.is_some_and(|it| it.len() < SUMMARY_SENDERS)
     }
 
-    /// Address of the gateway that watches the store for the own cell, unless it is this process: the first live gateway in
-    /// order of name that reaches the store. Shortly after its start a process counts gateways that it has not seen yet as
-    /// live. `None` if the whole fleet is one cell.
+    /// Address of the gateway that watches the store for the own cell, unless it is this process: the first live
+    /// gateway in order of name that reaches the store. Shortly after its start a process counts gateways that it has
+    /// not seen yet as live. `None` if the whole fleet is one cell.
     pub fn follower(&self) -> Option<SocketAddr> {
         if self.cells().len() < 2 {
             return None;
@@ -279,7 +279,8 @@
         self.preceding_peers(|it| is_live(it) && it.store_reached)?.first().copied()
     }
 
-    /// Addresses of the gateways of the own cell whose names come before this one's and which match; `None` without a cell.
+    /// Addresses of the gateways of the own cell whose names come before this one's and which match; `None` without a
+    /// cell.
     fn preceding_peers(&self, matches: impl Fn(&Peer) -> bool) -> Option<Vec<SocketAddr>> {
         let own = self.own_cell()?;
         let (cells, peers) = (self.cells(), self.peers.borrow());
@@ -356,8 +357,9 @@
         peers.get(name).is_some_and(|it| it.last_seen.is_some() && it.incarnation >= incarnation)
     }
 
-    /// Whether at least half of the expected gateways are live. A process for which fewer are live is isolated itself: it
-    /// would take over the jobs of all others, and they would take them back. `false` before the first list of gateways.
+    /// Whether at least half of the expected gateways are live. A process for which fewer are live is isolated itself:
+    /// it would take over the jobs of all others, and they would take them back. `false` before the first list of
+    /// gateways.
     pub fn hears_most(&self) -> bool {
         self.listed.get().is_some() && self.heard_count() * 2 >= self.expected_count()
     }
@@ -433,8 +435,8 @@
         1 + peers.values().filter(near).count()
     }
 
-    /// Addresses of the gateways that can take over a job (live, reaching the store and not stopping): nearest first, and in
-    /// random order at the same distance so that jobs are spread over them.
+    /// Addresses of the gateways that can take over a job (live, reaching the store and not stopping): nearest first,
+    /// and in random order at the same distance so that jobs are spread over them.
     pub fn takers(&self) -> Vec<SocketAddr> {
         let peers = self.peers.borrow();
         let candidates = peers.values().filter(|it| it.accepts_jobs()).collect();
--- a/crates/samphiredoor-gateway/src/peers/speaker.rs
+++ b/crates/samphiredoor-gateway/src/peers/speaker.rs
@@ -1,7 +1,7 @@
 //! Sends summaries of the own cell's state to the other cells.
 //!
-//! The first two live gateways of a cell, in order of name, send its summaries; when one of them times out, the next one takes
-//! its place. Each sends a summary to one gateway of every other cell, and that gateway forwards it within its own cell.
+//! The first two live gateways of a cell, in order of name, send its summaries; when one of them times out, the next
+//! one takes its place. Each sends a summary to one gateway of every other cell, which forwards it within its own cell.
 
 use std::{
     rc::Rc,
--- a/crates/samphiredoor-gateway/src/peers/teller.rs
+++ b/crates/samphiredoor-gateway/src/peers/teller.rs
@@ -1,8 +1,8 @@
 //! Sends the status of this gateway to its peers.
 //!
-//! Gateways of the own cell receive every change: those in the same availability zone immediately, all others at most once
-//! per minimum interval (a cell spans several zones only if it is the whole fleet). Gateways of other cells receive the
-//! requests that this process has at targets of their cell.
+//! Gateways of the own cell receive every change: those in the same availability zone immediately, all others at most
+//! once per minimum interval (a cell spans several zones only if it is the whole fleet). Gateways of other cells
+//! receive the requests that this process has at targets of their cell.
 
 use std::{
     cell::Cell,
@@ -23,8 +23,8 @@
 };
 use crate::{placement::Told, routes::Routes, store_health::StoreHealth};
 
-/// Shortest time between two datagrams to other zones of the own region, whose targets are used only when those of the own
-/// zone are full.
+/// Shortest time between two datagrams to other zones of the own region, whose targets are used only when those of the
+/// own zone are full.
 const REGION_MIN_INTERVAL: Duration = Duration::from_millis(100);
 /// Shortest time between two datagrams to other regions, where traffic is expensive and targets are the last choice.
 const FAR_MIN_INTERVAL: Duration = Duration::from_millis(450);
@@ -111,7 +111,8 @@
 }
 
 impl Teller {
-    /// Sends a status after each update of this gateway's requests, and includes the jobs whose ownership it has acquired.
+    /// Sends a status after each update of this gateway's requests, and includes the jobs whose ownership it has
+    /// acquired.
     pub async fn run(self, updates: flume::Receiver<Told>, owned: flume::Receiver<OwnedJob>) {
         let mut all_recipients = [
             Recipients::new(Distance::Zone, Duration::ZERO),
--- a/crates/samphiredoor/tests/it/platform/cells.rs
+++ b/crates/samphiredoor/tests/it/platform/cells.rs
@@ -33,8 +33,8 @@
     platform.wait_logged(by, &format!("peers: heard peer=gateway-{of} "));
 }
 
-// Gateways receive the full state of other cells only through summaries. Without them each cell would declare the other one dead
-// and take over its jobs.
+// Gateways receive the full state of other cells only through summaries. Without them each cell would declare the other
+// one dead and take over its jobs.
 #[test]
 fn gateways_receive_the_state_of_another_cell() {
     let mut platform = start_two_cells();
@@ -45,8 +45,8 @@
     platform.all_results(IN_FIRST_CELL, "job-1", ITEMS.len());
 }
 
-// A summary sender that owns a job is killed. The rest of its cell must stay live for the other cell, which must also learn
-// that the killed gateway is dead.
+// A summary sender that owns a job is killed. The rest of its cell must stay live for the other cell, which must also
+// learn that the killed gateway is dead.
 #[test]
 fn another_gateway_sends_summaries_after_a_sender_is_killed() {
     let mut platform = start_two_cells();
@@ -66,8 +66,8 @@
     });
 }
 
-// Both summary senders of a cell freeze. If the other cell declared the rest of that cell dead, it would take over their
-// jobs, and acknowledge cancellations of jobs that are still running.
+// Both summary senders of a cell freeze. If the other cell declared the rest of that cell dead, it would take over
+// their jobs, and acknowledge cancellations of jobs that are still running.
 #[test]
 fn a_cell_whose_summary_senders_freeze_is_not_declared_dead() {
     let platform = start_two_cells();
@@ -159,8 +159,8 @@
     };
 }
 
-// The watch relays lose the store for a moment, and entries of targets expire meanwhile. The gateways that watch through
-// them saw no outage themselves, and would remove all targets at once.
+// The watch relays lose the store for a moment, and entries of targets expire meanwhile. The gateways that watch
+// through them saw no outage themselves, and would remove all targets at once.
 #[test]
 fn targets_whose_entries_expire_during_an_outage_of_the_watch_relays_still_serve() {
     let platform = start_relaying_cells();
--- a/crates/samphiredoor/tests/it/platform/soak.rs
+++ b/crates/samphiredoor/tests/it/platform/soak.rs
@@ -1,9 +1,9 @@
 //! Random external faults, one after another and overlapping, against real processes.
 //!
-//! Checked during the run: an answer is complete and belongs to its request, or is visibly an error; a refused request never
-//! runs; a request that must not be repeated runs at most once; a result that was read keeps its position. Checked at the
-//! end, when all faults are over: each accepted job that was not cancelled has exactly one result for each item, and the same
-//! results at every gateway.
+//! Checked during the run: an answer is complete and belongs to its request, or is visibly an error; a refused request
+//! never runs; a request that must not be repeated runs at most once; a result that was read keeps its position.
+//! Checked at the end, when all faults are over: each accepted job that was not cancelled has exactly one result for
+//! each item, and the same results at every gateway.
 //!
 //! More seeds: `SAMPHIREDOOR_SOAK=100..150 cargo test -p samphiredoor --test it soak`.
 
