--- a/crates/samphiredoor-gateway/src/peers/followed.rs
+++ b/crates/samphiredoor-gateway/src/peers/followed.rs
@@ -38,7 +38,7 @@
 const MAX_BYTES: usize = 8 * 1024 * 1024;
 
 /// Period of a relaying gateway without a restart or an interruption of its watch. If it differs between two responses,
-/// entries may have lapsed in the store in between.
+/// entries may have expired in the store in between.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Source {
     /// Number of this start of the gateway; a restart has a higher one.
