--- a/crates/samphiredoor-core/src/news.rs
+++ b/crates/samphiredoor-core/src/hints.rs
@@ -77,7 +77,7 @@
 /// Recently received hints, so that each is forwarded once. The set is bounded; a hint that was evicted is forwarded
 /// again, which costs one message and does no harm.
 #[derive(Debug, Default)]
-pub struct Seen {
+pub struct SeenHints {
     set: HashSet<Origin>,
     order: VecDeque<Origin>,
 }
--- a/crates/samphiredoor-core/src/lib.rs
+++ b/crates/samphiredoor-core/src/lib.rs
@@ -8,13 +8,13 @@
 //! other state (leases, heartbeats, load) is advisory: it makes the system faster, and correctness never depends on it.
 
 pub mod dispatch;
+pub mod hints;
 pub mod keys;
 pub mod lease;
 pub mod ledger;
 pub mod manifest;
 pub mod manifest_log;
 pub mod membership;
-pub mod news;
 pub mod ordered;
 pub mod orders;
 pub mod placement;
--- a/crates/samphiredoor-core/src/placement/cells.rs
+++ b/crates/samphiredoor-core/src/placement/cells.rs
@@ -13,8 +13,8 @@
     ops::Range,
 };
 
-use super::{Distance, DoorLoad, DoorState, WaitingItems};
-use crate::{Name, dispatch::Place};
+use super::{Distance, GatewayLoad, GatewayState, WaitingItems};
+use crate::{Name, dispatch::Location};
 
 /// Doors that a cell has at most. More would know a larger part of the targets at once, and send as many messages more.
 const MOST_DOORS: usize = 12;
@@ -36,7 +36,7 @@
 
 #[derive(Debug, Clone)]
 struct Cell {
-    place: Place,
+    location: Location,
     /// Number among the cells of its availability zone.
     number: usize,
     doors: Vec<Name>,
@@ -51,8 +51,8 @@
 }
 
 impl Cells {
-    /// Cells of these doors, and of these targets by [`super::key_of`]. A fleet that is small enough is one cell.
-    pub fn new(doors: &BTreeMap<Name, Place>, targets: &BTreeMap<u64, Place>) -> Cells {
+    /// Cells of these doors, and of these targets by [`super::name_hash`]. A fleet that is small enough is one cell.
+    pub fn new(doors: &BTreeMap<Name, Location>, targets: &BTreeMap<u64, Location>) -> Cells {
         let mut cells = Cells::default();
         if doors.len() <= MOST_DOORS {
             cells.add_cells(doors.iter().collect(), 1);
@@ -84,17 +84,17 @@
     }
 
     /// Cell of a door.
-    pub fn of_door(&self, door: &str) -> Option<CellId> {
+    pub fn cell_of_gateway(&self, door: &str) -> Option<CellId> {
         self.doors.get(door).copied()
     }
 
     /// Cell whose doors share a target.
-    pub fn of_target(&self, target: u64) -> Option<CellId> {
+    pub fn cell_of_target(&self, target: u64) -> Option<CellId> {
         self.targets.get(&target).copied()
     }
 
     /// Doors of a cell, in order of their names.
-    pub fn doors(&self, cell: CellId) -> &[Name] {
+    pub fn gateways(&self, cell: CellId) -> &[Name] {
         self.cells.get(cell.0).map_or(&[], |it| &it.doors)
     }
 
@@ -104,14 +104,14 @@
     }
 
     /// Requests at targets of other cells than the own one, by cell.
-    pub fn loads_elsewhere(
+    pub fn loads_of_other_cells(
         &self,
         own: Option<CellId>,
-        loads: &[DoorLoad],
-    ) -> BTreeMap<CellId, Vec<DoorLoad>> {
-        let mut elsewhere: BTreeMap<CellId, Vec<DoorLoad>> = BTreeMap::new();
+        loads: &[GatewayLoad],
+    ) -> BTreeMap<CellId, Vec<GatewayLoad>> {
+        let mut elsewhere: BTreeMap<CellId, Vec<GatewayLoad>> = BTreeMap::new();
         for load in loads {
-            let cell = self.of_target(load.target).filter(|it| Some(*it) != own);
+            let cell = self.cell_of_target(load.target).filter(|it| Some(*it) != own);
             if let Some(cell) = cell {
                 elsewhere.entry(cell).or_default().push(*load);
             }
@@ -120,31 +120,31 @@
     }
 
     /// Where a cell's first door stands; the doors of a cell stand in one zone unless the whole fleet is one cell.
-    pub fn place(&self, cell: CellId) -> Option<&Place> {
-        self.cells.get(cell.0).map(|it| &it.place)
+    pub fn location(&self, cell: CellId) -> Option<&Location> {
+        self.cells.get(cell.0).map(|it| &it.location)
     }
 
     /// Name of a cell that doors with the same lists give it, too.
     pub fn name(&self, cell: CellId) -> Option<Name> {
         let cell = self.cells.get(cell.0)?;
-        Some(format!("cell {} {}", cell.place.availability_zone, cell.number).into())
+        Some(format!("cell {} {}", cell.location.availability_zone, cell.number).into())
     }
 
-    fn add_cells(&mut self, doors: Vec<(&Name, &Place)>, count: usize) {
+    fn add_cells(&mut self, doors: Vec<(&Name, &Location)>, count: usize) {
         for number in 0..count {
             let doors = &doors[part(doors.len(), number, count)];
-            let Some((_, place)) = doors.first() else { continue };
+            let Some((_, location)) = doors.first() else { continue };
             let id = CellId(self.cells.len());
             let doors: Vec<Name> = doors.iter().map(|(name, _)| Name::clone(name)).collect();
             self.doors.extend(doors.iter().map(|it| (Name::clone(it), id)));
-            self.cells.push(Cell { place: (*place).clone(), number, doors });
+            self.cells.push(Cell { location: (*location).clone(), number, doors });
         }
     }
 
     /// Gives each cell near these targets, which stand in one zone, its part of them.
-    fn share_out(&mut self, targets: &[(&u64, &Place)]) {
-        let Some((_, place)) = targets.first() else { return };
-        let near = self.nearest(place);
+    fn share_out(&mut self, targets: &[(&u64, &Location)]) {
+        let Some((_, location)) = targets.first() else { return };
+        let near = self.nearest(location);
         for (index, cell) in near.iter().enumerate() {
             let part = &targets[part(targets.len(), index, near.len())];
             self.targets.extend(part.iter().map(|(target, _)| (**target, *cell)));
@@ -152,18 +152,18 @@
     }
 
     /// Cells in a zone; where it has none, those of its region, or all.
-    fn nearest(&self, place: &Place) -> Vec<CellId> {
+    fn nearest(&self, location: &Location) -> Vec<CellId> {
         if self.cells.len() == 1 {
             return vec![CellId(0)];
         }
-        let cells_with = |wanted: &dyn Fn(&Place) -> bool| -> Vec<CellId> {
-            self.ids().filter(|it| wanted(&self.cells[it.0].place)).collect()
+        let cells_with = |wanted: &dyn Fn(&Location) -> bool| -> Vec<CellId> {
+            self.ids().filter(|it| wanted(&self.cells[it.0].location)).collect()
         };
-        let in_zone = cells_with(&|it| it == place);
+        let in_zone = cells_with(&|it| it == location);
         if !in_zone.is_empty() {
             return in_zone;
         }
-        let in_region = cells_with(&|it| it.region == place.region);
+        let in_region = cells_with(&|it| it.region == location.region);
         if !in_region.is_empty() {
             return in_region;
         }
@@ -171,11 +171,11 @@
     }
 }
 
-fn by_zone<K>(places: &BTreeMap<K, Place>) -> BTreeMap<(&str, &str), Vec<(&K, &Place)>> {
-    let mut zones: BTreeMap<(&str, &str), Vec<(&K, &Place)>> = BTreeMap::new();
-    for (name, place) in places {
-        let zone = (&*place.region, &*place.availability_zone);
-        zones.entry(zone).or_default().push((name, place));
+fn by_zone<K>(locations: &BTreeMap<K, Location>) -> BTreeMap<(&str, &str), Vec<(&K, &Location)>> {
+    let mut zones: BTreeMap<(&str, &str), Vec<(&K, &Location)>> = BTreeMap::new();
+    for (name, location) in locations {
+        let zone = (&*location.region, &*location.availability_zone);
+        zones.entry(zone).or_default().push((name, location));
     }
     zones
 }
@@ -187,24 +187,24 @@
 
 /// Time between two summaries of a cell to so many others at a distance. It grows with their number, so that what a door
 /// hears and passes on does not.
-pub fn summary_pause_ms(distance: Distance, cells: usize) -> u64 {
+pub fn summary_interval_ms(distance: Distance, cells: usize) -> u64 {
     let (per_cell_ms, shortest_ms) = match distance {
-        Distance::Far => (FAR_PAUSE_PER_CELL_MS, SHORTEST_FAR_PAUSE_MS),
+        Distance::OtherRegion => (FAR_PAUSE_PER_CELL_MS, SHORTEST_FAR_PAUSE_MS),
         _ => (REGION_PAUSE_PER_CELL_MS, SHORTEST_REGION_PAUSE_MS),
     };
     (per_cell_ms * cells as u64).clamp(shortest_ms, LONGEST_PAUSE_MS)
 }
 
 /// Requests of several doors in one sum, without those at targets that are left out.
-pub fn sum_of<'a>(
-    states: impl IntoIterator<Item = &'a DoorState>,
+pub fn sum_states<'a>(
+    states: impl IntoIterator<Item = &'a GatewayState>,
     left_out: impl Fn(u64) -> bool,
-) -> DoorState {
-    let mut loads: BTreeMap<u64, DoorLoad> = BTreeMap::new();
+) -> GatewayState {
+    let mut loads: BTreeMap<u64, GatewayLoad> = BTreeMap::new();
     let mut waiting: BTreeMap<u64, u32> = BTreeMap::new();
     for state in states {
         for load in state.loads.iter().filter(|it| !left_out(it.target)) {
-            let none = DoorLoad { online: 0, batch: 0, ..*load };
+            let none = GatewayLoad { online: 0, batch: 0, ..*load };
             let sum = loads.entry(load.target).or_insert(none);
             sum.online += load.online;
             sum.batch += load.batch;
@@ -214,5 +214,5 @@
         }
     }
     let waiting = waiting.into_iter().map(|(service, items)| WaitingItems { service, items });
-    DoorState { loads: loads.into_values().collect(), waiting: waiting.collect() }
+    GatewayState { loads: loads.into_values().collect(), waiting: waiting.collect() }
 }
--- a/crates/samphiredoor-core/src/routes.rs
+++ b/crates/samphiredoor-core/src/routes.rs
@@ -158,7 +158,7 @@
 
 /// The newest table that a process has seen.
 #[derive(Debug, Clone, Default)]
-pub struct RouteLog {
+pub struct LatestRoutes {
     current: Arc<RouteTable>,
 }
 
--- a/crates/samphiredoor-core/src/verdict.rs
+++ b/crates/samphiredoor-core/src/verdict.rs
@@ -101,7 +101,7 @@
 
 /// Reason for which it is unknown whether a request ran.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum Doubt {
+pub enum MayHaveRunReason {
     /// The connection failed after the request was sent.
     ConnectionLost,
     /// The answer was cut off before the end of its framing.
@@ -136,14 +136,14 @@
     /// Label of the reason in answers, counters and logs.
     pub fn label(self) -> &'static str {
         match self {
-            Doubt::ConnectionLost => "connection_lost",
-            Doubt::AnswerCut => "answer_cut",
-            Doubt::DeadlinePassed => "deadline_passed",
-            Doubt::IntentWithoutOutcome => "intent_without_outcome",
-            Doubt::StoreAnswerLost => "store_answer_lost",
-            Doubt::StillRunning => "still_running",
-            Doubt::AnswerNotKept => "answer_not_kept",
-            Doubt::TargetsDied => "targets_died",
+            MayHaveRunReason::ConnectionLost => "connection_lost",
+            MayHaveRunReason::AnswerCut => "answer_cut",
+            MayHaveRunReason::DeadlinePassed => "deadline_passed",
+            MayHaveRunReason::IntentWithoutOutcome => "intent_without_outcome",
+            MayHaveRunReason::StoreAnswerLost => "store_answer_lost",
+            MayHaveRunReason::StillRunning => "still_running",
+            MayHaveRunReason::AnswerNotKept => "answer_not_kept",
+            MayHaveRunReason::TargetsDied => "targets_died",
         }
     }
 }
@@ -151,7 +151,7 @@
 impl Doubt {
     /// Whether a connection was lost, as in the crash of a target.
     pub fn is_loss(self) -> bool {
-        matches!(self, Doubt::ConnectionLost | Doubt::AnswerCut)
+        matches!(self, MayHaveRunReason::ConnectionLost | MayHaveRunReason::AnswerCut)
     }
 
     /// Parses a label.
@@ -160,7 +160,7 @@
     }
 }
 
-impl fmt::Display for Doubt {
+impl fmt::Display for MayHaveRunReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(self.label())
     }
--- a/crates/samphiredoor-core/src/watch_cache.rs
+++ b/crates/samphiredoor-core/src/watch_cache.rs
@@ -93,7 +93,7 @@
         let names = self.changes.iter().filter(|(changed, _)| *changed > since);
         let objects: BTreeMap<Name, Option<Stored>> =
             names.map(|(_, name)| (Name::clone(name), self.objects.get(name).cloned())).collect();
-        if objects.is_empty() { News::None } else { News::Touched { objects, version } }
+        if objects.is_empty() { Delta::None } else { Delta::Changed { objects, version } }
     }
 
     fn log_change(&mut self, version: Version, name: Name) {
--- a/crates/samphiredoor-core/tests/routes.rs
+++ b/crates/samphiredoor-core/tests/routes.rs
@@ -1,7 +1,7 @@
 //! Matching of requests to routes, weighted splits, and versions of the route table.
 
 use samphiredoor_core::routes::{
-    BatchRule, CallerLimits, Route, RouteKind, RouteLog, RouteTable, Split,
+    BatchTimes, CallerLimits, LatestRoutes, Route, RouteKind, RouteTable, Split,
 };
 
 fn route(name: &str, host: &str, prefix: &str, splits: &[(&str, u32)]) -> Route {
@@ -64,11 +64,11 @@
 fn only_higher_versions_are_accepted() {
     let mut log = RouteLog::default();
     assert!(log.current().is_none());
-    assert!(log.offer(table(7)));
-    assert!(!log.offer(table(7)));
-    assert!(!log.offer(table(3)));
+    assert!(log.update_if_newer(table(7)));
+    assert!(!log.update_if_newer(table(7)));
+    assert!(!log.update_if_newer(table(3)));
     assert_eq!(log.current().map(|it| it.version), Some(7));
-    assert!(log.offer(table(20)));
+    assert!(log.update_if_newer(table(20)));
 }
 
 #[test]
--- a/crates/samphiredoor-core/tests/watch_cache.rs
+++ b/crates/samphiredoor-core/tests/watch_cache.rs
@@ -9,7 +9,7 @@
 use samphiredoor_core::{
     Name,
     store::{Labels, Stored, Version},
-    watch_cache::{News, WatchCache},
+    watch_cache::{Delta, WatchCache},
 };
 
 const SEED: [u8; 32] = *b"samphiredoor-watch-cache-seed-xx";
@@ -81,7 +81,7 @@
                 self.objects = all.collect();
                 version
             }
-            News::Touched { objects, version } => {
+            Delta::Changed { objects, version } => {
                 for (name, state) in objects {
                     match state {
                         Some(stored) => self.objects.insert(name, stored.version.0),
--- a/crates/samphiredoor-gateway/src/discovery.rs
+++ b/crates/samphiredoor-gateway/src/discovery.rs
@@ -11,14 +11,14 @@
 use samphiredoor_net::pool::within;
 
 use crate::{
-    edge::{Change, Dialect, Platform},
     metrics::Metrics,
     peers::Roster,
-    placement::Placer,
+    placement::PlacementHandle,
+    platform_api::{Change, Dialect, Platform},
     routes::Routes,
     store_health::StoreHealth,
     target_client::TargetClient,
-    watch::{Follower, Seen},
+    watch::{StoreEvent, Watcher},
 };
 
 /// How long an entry that is missing after an outage of the store still counts. Entries lapse while the store is away,
@@ -47,18 +47,18 @@
     }
 
     /// Follows the routes for as long as the process runs.
-    pub async fn run(self: Rc<Self>, mut follower: Follower) {
+    pub async fn run(self: Rc<Self>, mut watcher: Watcher) {
         loop {
-            match follower.next().await {
-                Seen::All(all) => all.into_iter().for_each(|it| self.offer(it)),
-                Seen::Changes(changes) => changes.into_iter().for_each(|it| match it {
+            match watcher.next().await {
+                StoreEvent::Snapshot(all) => all.into_iter().for_each(|it| self.offer(it)),
+                StoreEvent::Changes(changes) => changes.into_iter().for_each(|it| match it {
                     Change::Written(stored) => self.offer(stored),
                     Change::Deleted(name) => {
                         log::warn!(object = &*name; "routes: object deleted, keeping what is in force");
                     }
                 }),
-                Seen::Lost => self.health.lost(),
-                Seen::Regained => self.health.regained(),
+                StoreEvent::Lost => self.health.mark_lost(),
+                StoreEvent::Recovered => self.health.mark_recovered(),
             }
         }
     }
@@ -67,14 +67,14 @@
         match self.platform.dialect.routes(&stored) {
             Ok(Some(table)) => {
                 let (version, before, count) = (table.version, self.routes.version(), table.len());
-                if self.routes.offer(table, &stored) {
+                if self.routes.update_if_newer(table, &stored) {
                     self.metrics.routes_version(version);
                     log::info!(version, before, routes = count; "routes: in force");
                 }
             }
             Ok(None) => {}
             Err(problem) => {
-                self.metrics.foreign("routes");
+                self.metrics.invalid_entry("routes");
                 log::warn!(object = &*stored.name, problem; "routes: cannot be read, ignored");
             }
         }
@@ -86,7 +86,7 @@
     /// The platform.
     pub platform: Platform,
     /// Where the targets are told.
-    pub placer: Placer,
+    pub placement: PlacementHandle,
     /// Other gateways, which share the targets out.
     pub roster: Roster,
     /// Connections to targets.
@@ -99,17 +99,17 @@
 
 impl TargetsTask {
     /// Follows the targets for as long as the process runs.
-    pub async fn run(self, mut follower: Follower) {
+    pub async fn run(self, mut watcher: Watcher) {
         let mut table = TargetTable::default();
         loop {
             let left = table
                 .next_lapse()
                 .map_or(FOREVER, |it| it.saturating_duration_since(Instant::now()));
-            match within(left, follower.next()).await {
-                Some(Seen::All(all)) => table.replace(self.read_all(all)),
-                Some(Seen::Changes(changes)) => self.change(&mut table, changes),
-                Some(Seen::Lost) => continue,
-                Some(Seen::Regained) => {
+            match within(left, watcher.next()).await {
+                Some(StoreEvent::Snapshot(all)) => table.replace(self.read_all(all)),
+                Some(StoreEvent::Changes(changes)) => self.change(&mut table, changes),
+                Some(StoreEvent::Lost) => continue,
+                Some(StoreEvent::Recovered) => {
                     table.regained();
                     continue;
                 }
@@ -145,9 +145,9 @@
         self.known.set(Some(targets.len()));
         let names: HashSet<Name> = table.entries.keys().cloned().collect();
         self.client.keep_only(&names);
-        self.roster.targets(targets.iter());
-        self.placer.targets(targets);
-        self.placer.own_targets(self.roster.own_targets());
+        self.roster.set_targets(targets.iter());
+        self.placement.set_targets(targets);
+        self.placement.set_cell_targets(self.roster.own_cell_targets());
     }
 }
 
@@ -155,7 +155,7 @@
     match dialect.target(stored) {
         Ok(entry) => Some(entry),
         Err(problem) => {
-            metrics.foreign("target");
+            metrics.invalid_entry("target");
             log::warn!(target = &*stored.name, problem; "targets: entry ignored");
             None
         }
--- a/crates/samphiredoor-gateway/src/jobs/mod.rs
+++ b/crates/samphiredoor-gateway/src/jobs/mod.rs
@@ -1,16 +1,16 @@
 //! Batch jobs: taken once, run by one gateway, readable at all.
 //!
-//! `submit` makes a job durable, `pass_on` has another gateway do that, `job_task` owns it, `item_run` runs one item,
+//! `submit` makes a job durable, `forward` has another gateway do that, `job_task` owns it, `item_run` runs one item,
 //! `reads` answers callers about it, `peer_call` is what gateways ask each other about it, `stored` reads what the store has
 //! of it, and `sweep` takes jobs whose owner is gone.
-//! `clearance` holds items back after `gaps` in which others may have ended or taken the job.
+//! `clearance` holds items back after `liveness_gaps` in which others may have ended or taken the job.
 
 mod clearance;
 mod directory;
-mod gaps;
+pub mod forward;
 mod item_run;
 mod job_task;
-pub mod pass_on;
+mod liveness_gaps;
 mod peer_call;
 mod reads;
 mod stored;
@@ -21,20 +21,20 @@
 
 use samphiredoor_core::{
     Name,
-    ordered::{JobHeader, JobName, JobOwner, end_key, header_key, read_header},
+    ordered::{JobHeader, JobName, JobOwner, cancellation_key, header_key, read_header},
     store::{StoreAnswer, StoreOp, Version},
 };
 use samphiredoor_net::clock::Clock;
 
-pub use gaps::Gaps;
+pub use liveness_gaps::LivenessGaps;
 pub use reads::Jobs;
-pub use submit::{Acceptors, Submitted};
+pub use submit::{Forwarding, SubmittedJob};
 
 use crate::{
-    edge::Platform,
     metrics::Metrics,
-    peers::{OwnedJob, Owners, Roster, STORE_LOST},
-    placement::Placer,
+    peers::{JobOwners, OwnedJob, Roster, STORE_LOST_AFTER},
+    placement::PlacementHandle,
+    platform_api::Platform,
     routes::Routes,
     store_health::StoreHealth,
     target_client::TargetClient,
@@ -60,25 +60,25 @@
     /// Routes in force.
     pub routes: Routes,
     /// Places at targets.
-    pub placer: Placer,
+    pub placement: PlacementHandle,
     /// Connections to targets.
     pub targets: TargetClient,
     /// Other gateways.
     pub roster: Roster,
     /// Owners of jobs, as others tell.
-    pub owners: Owners,
+    pub owners: JobOwners,
     /// Whether the store answers this process.
     pub health: StoreHealth,
     /// Times in which others may have taken this process for gone.
-    pub gaps: Gaps,
+    pub liveness_gaps: LivenessGaps,
     /// Where the jobs that this process comes to own are told, for others.
-    pub owned: flume::Sender<OwnedJob>,
+    pub announcements: flume::Sender<OwnedJob>,
     /// Counters.
     pub metrics: Rc<Metrics>,
     /// Clock of the process.
     pub clock: Clock,
     /// How long a job is kept after its submission.
-    pub keep: Duration,
+    pub retention: Duration,
     /// Whether a planned stop is under way.
     pub stopping: Rc<Cell<bool>>,
 }
@@ -94,13 +94,13 @@
 
     /// Whether the store answers others, and not this process, so that they take its jobs.
     fn is_displaced(&self) -> bool {
-        self.health.is_lost_for(STORE_LOST) && self.health.is_alone()
+        self.health.is_lost_for(STORE_LOST_AFTER) && self.health.is_lost_only_here()
     }
 
     /// Tells others that this process owns a job.
     fn tell_owned(&self, job: &JobName, items: u32) {
         // Fails only when the process ends.
-        let _ = self.owned.send(OwnedJob { name: JobName::clone(job), items });
+        let _ = self.announcements.send(OwnedJob { name: JobName::clone(job), items });
     }
 
     /// Creates an object whose name tells its content, so that one that stands is as good; says whether it stands.
@@ -139,7 +139,7 @@
 
     /// Whether the caller has ended a job.
     async fn is_ended(&self, job: &JobName) -> Result<bool, Unread> {
-        match self.call(StoreOp::Get { key: end_key(job) }).await {
+        match self.call(StoreOp::Get { key: cancellation_key(job) }).await {
             StoreAnswer::Object(_) => Ok(true),
             StoreAnswer::Absent => Ok(false),
             _ => Err(Unread::Unavailable),
@@ -149,7 +149,7 @@
     async fn call(&self, op: StoreOp) -> StoreAnswer {
         let answer = self.platform.store.call(op).await;
         if !matches!(answer, StoreAnswer::Unavailable | StoreAnswer::Unknown) {
-            self.health.heard();
+            self.health.record_answer();
         }
         answer
     }
@@ -160,7 +160,7 @@
     let env = Rc::new(env);
     let directory = Directory::default();
     let stored = StoredJobs::new(Rc::clone(&env));
-    compio::runtime::spawn(env.gaps.clone().run()).detach();
+    compio::runtime::spawn(env.liveness_gaps.clone().run()).detach();
     compio::runtime::spawn(sweep::run(Rc::clone(&env), directory.clone(), stored.clone())).detach();
     Jobs::new(env, directory, stored)
 }
--- a/crates/samphiredoor-gateway/src/peers/mates.rs
+++ b/crates/samphiredoor-gateway/src/peers/cell_statuses.rs
@@ -10,7 +10,7 @@
 use samphiredoor_core::{
     Name,
     ordered::JobName,
-    placement::{CellId, key_of, sum_of},
+    placement::{CellId, name_hash, sum_states},
 };
 
 use super::{
@@ -19,7 +19,7 @@
     status::Status,
     summary::{Member, MemberJob, Summary},
 };
-use crate::sightings::SeenChanges;
+use crate::seen_versions::SeenChanges;
 
 /// How long summaries announce a job after its owner first reported it. Several summaries are sent in that time, as
 /// some datagrams are lost.
@@ -46,7 +46,7 @@
 
 /// Handle to the latest statuses of the own cell's gateways.
 #[derive(Clone, Default)]
-pub struct Mates {
+pub struct CellStatuses {
     state: Rc<RefCell<State>>,
 }
 
@@ -105,7 +105,7 @@
 fn member(received: &ReceivedStatus) -> Member {
     let status = &received.status;
     Member {
-        key: key_of(&status.name),
+        key: name_hash(&status.name),
         incarnation: status.incarnation,
         routes_version: status.routes_version,
         heard_ms: received.at.elapsed().as_millis().try_into().unwrap_or(u16::MAX),
--- a/crates/samphiredoor-gateway/src/peers/listener.rs
+++ b/crates/samphiredoor-gateway/src/peers/listener.rs
@@ -10,12 +10,12 @@
 use samphiredoor_core::Name;
 
 use super::{
-    Mates, Owner, Owners, Roster,
+    CellStatuses, JobOwners, Owner, Roster,
     datagram::{Datagram, MAX_BYTES},
     status::Status,
     summary::Summary,
 };
-use crate::{metrics::Metrics, placement::Placer, store_health::StoreHealth};
+use crate::{metrics::Metrics, placement::PlacementHandle, store_health::StoreHealth};
 
 /// Task that receives datagrams and applies them to the state of this process.
 pub struct Listener {
@@ -100,7 +100,7 @@
                 self.owners.record(&job.name, owner);
             }
         }
-        self.placer.peer(summary.cell.into(), summary.requests);
+        self.placement.set_peer_load(summary.cell.into(), summary.requests);
     }
 
     /// Notes that the store responded to another process `store_silent_ms` ago.
--- a/crates/samphiredoor-gateway/src/peers/mod.rs
+++ b/crates/samphiredoor-gateway/src/peers/mod.rs
@@ -5,32 +5,32 @@
 //! it uses; of all other cells it receives summaries. All of this is advisory: a lost datagram is superseded by the
 //! next one, and the store remains authoritative.
 
+mod cell_statuses;
 mod datagram;
-pub mod followed;
 mod listener;
-mod mates;
 mod owners;
 pub mod registration;
-pub mod relay;
 mod roster;
-mod speaker;
+pub mod routes_relay;
 mod status;
+mod status_sender;
 mod summary;
-mod teller;
+mod summary_sender;
+pub mod watch_relay;
 
 use std::{net::SocketAddr, time::Duration};
 
-use samphiredoor_core::{Name, dispatch::Place};
+use samphiredoor_core::{Name, dispatch::Location};
 
-pub use followed::Followed;
+pub use cell_statuses::CellStatuses;
 pub use listener::Listener;
-pub use mates::Mates;
-pub use owners::{Owner, Owners};
+pub use owners::{JobOwners, Owner};
 pub use registration::registered_address;
 pub use roster::{Liveness, Roster};
-pub use speaker::Speaker;
 pub use status::OwnedJob;
-pub use teller::Teller;
+pub use status_sender::StatusSender;
+pub use summary_sender::SummarySender;
+pub use watch_relay::WatchRelay;
 
 /// How long the store has to be lost before this process reports to its peers that it does not reach it. From then on
 /// they may take over its jobs, so this process holds its own runs back from then on as well.
--- a/crates/samphiredoor-gateway/src/peers/registration.rs
+++ b/crates/samphiredoor-gateway/src/peers/registration.rs
@@ -4,16 +4,16 @@
 
 use samphiredoor_core::{
     Name,
-    dispatch::Place,
+    dispatch::Location,
     store::{Kind, Labels, ObjectKey, StoreAnswer, StoreOp, Stored, Value},
 };
 use serde_json::json;
 
-use super::{Own, Roster};
+use super::{LocalGateway, Roster};
 use crate::{
-    edge::{Change, ObjectStore},
-    placement::Placer,
-    watch::{Follower, Seen},
+    placement::PlacementHandle,
+    platform_api::{Change, ObjectStore},
+    watch::{StoreEvent, Watcher},
 };
 
 /// Time that a newly registered process waits before it reads changes of the other entries. Gateways that start
@@ -82,8 +82,8 @@
 fn encode_entry(own: &Own) -> Value {
     let entry = json!({
         "address": own.address.to_string(),
-        "region": &*own.place.region,
-        "availability_zone": &*own.place.availability_zone,
+        "region": &*own.location.region,
+        "availability_zone": &*own.location.availability_zone,
     });
     entry.to_string().into_bytes().into()
 }
@@ -92,9 +92,9 @@
 /// restarted process whose entry is current does not wait, as the other gateways are registered already.
 pub async fn run(
     roster: Roster,
-    placer: Placer,
+    placement: PlacementHandle,
     store: Rc<dyn ObjectStore>,
-    mut follower: Follower,
+    mut watcher: Watcher,
 ) {
     let mut registering = false;
     loop {
@@ -113,14 +113,14 @@
                 Change::Written(stored) => apply_entry(&roster, stored),
                 Change::Deleted(name) => roster.remove(name),
             }),
-            Seen::Lost | Seen::Regained => continue,
+            StoreEvent::Lost | StoreEvent::Recovered => continue,
         }
         roster.mark_listed();
         let own_targets = roster.own_targets();
         let (cells, mates, targets) =
             (roster.cells().len(), roster.cell_peers().len(), own_targets.len());
         log::info!(cells, mates, targets; "peers: cells worked out");
-        placer.own_targets(own_targets);
+        placement.set_cell_targets(own_targets);
     }
 }
 
@@ -143,9 +143,9 @@
 fn parse_entry(value: &[u8]) -> Option<(SocketAddr, Place)> {
     let entry: serde_json::Value = serde_json::from_slice(value).ok()?;
     let text = |key: &str| entry.get(key)?.as_str();
-    let place = Place {
+    let location = Location {
         region: text("region")?.into(),
         availability_zone: text("availability_zone")?.into(),
     };
-    Some((text("address")?.parse().ok()?, place))
+    Some((text("address")?.parse().ok()?, location))
 }
--- a/crates/samphiredoor-gateway/src/peers/roster.rs
+++ b/crates/samphiredoor-gateway/src/peers/roster.rs
@@ -11,13 +11,13 @@
 use rand::seq::{IndexedRandom, SliceRandom};
 use samphiredoor_core::{
     Name,
-    dispatch::Place,
-    placement::{CellId, Cells, Distance, TargetEntry, key_of},
-    renewal::FleetPlace,
+    dispatch::Location,
+    placement::{CellId, Cells, Distance, TargetEntry, name_hash},
+    renewal::FleetPosition,
 };
 
-use super::{Own, status::Status, summary::Member};
-use crate::sightings::Sightings;
+use super::{LocalGateway, status::Status, summary::Member};
+use crate::seen_versions::SeenVersions;
 
 /// Time without a status after which a gateway counts as dead. Statuses are sent at least twice a second and some are
 /// lost; jobs of a gateway that is declared dead too early run twice.
@@ -98,7 +98,7 @@
 /// Handle to the table of peers; clones share it.
 #[derive(Clone)]
 pub struct Roster {
-    own: Rc<Own>,
+    local: Rc<LocalGateway>,
     started: Instant,
     /// When the first complete list of gateways was applied.
     listed: Rc<Cell<Option<Instant>>>,
@@ -109,7 +109,7 @@
     targets: Rc<RefCell<BTreeMap<u64, Place>>>,
     /// Cached assignment of gateways and targets to cells; `None` after a change of either.
     cells: Rc<RefCell<Option<Rc<Cells>>>>,
-    sightings: Sightings,
+    seen_versions: SeenVersions,
 }
 
 /// Whether one incarnation of another gateway works on its jobs.
@@ -127,14 +127,14 @@
     /// Empty table.
     pub fn new(own: Own) -> Roster {
         Roster {
-            own: Rc::new(own),
+            local: Rc::new(local),
             started: Instant::now(),
             listed: Rc::default(),
             peers: Rc::default(),
             names: Rc::default(),
             targets: Rc::default(),
             cells: Rc::default(),
-            sightings: Sightings::default(),
+            seen_versions: SeenVersions::default(),
         }
     }
 
@@ -159,7 +159,7 @@
             return;
         }
         self.cells.take();
-        self.names.borrow_mut().insert(key_of(&name), Name::clone(&name));
+        self.names.borrow_mut().insert(name_hash(&name), Name::clone(&name));
         let mut peers = self.peers.borrow_mut();
         let peer = peers.entry(name).or_insert_with(|| Peer {
             address,
@@ -172,13 +172,13 @@
             routes_version: 0,
         });
         peer.address = address;
-        peer.place = place;
+        peer.location = location;
     }
 
     /// Removes a gateway that is no longer registered.
     pub fn remove(&self, name: &Name) {
         self.cells.take();
-        self.names.borrow_mut().remove(&key_of(name));
+        self.names.borrow_mut().remove(&name_hash(name));
         self.peers.borrow_mut().remove(name);
     }
 
@@ -188,7 +188,7 @@
             targets.map(|it| (key_of(&it.name), it.place.clone())).collect();
         if *self.targets.borrow() != places {
             self.cells.take();
-            self.targets.replace(places);
+            self.targets.replace(locations);
         }
     }
 
@@ -197,8 +197,8 @@
         let mut cells = self.cells.borrow_mut();
         let cells = cells.get_or_insert_with(|| {
             let peers = self.peers.borrow();
-            let others = peers.iter().map(|(name, it)| (Name::clone(name), it.place.clone()));
-            let own = (Name::clone(&self.own.name), self.own.place.clone());
+            let others = peers.iter().map(|(name, it)| (Name::clone(name), it.location.clone()));
+            let own = (Name::clone(&self.local.name), self.local.location.clone());
             let doors = others.chain([own]).collect();
             Rc::new(Cells::new(&doors, &self.targets.borrow()))
         });
@@ -207,7 +207,7 @@
 
     /// Cell that this process belongs to.
     pub fn own_cell(&self) -> Option<CellId> {
-        self.cells().of_door(&self.own.name)
+        self.cells().cell_of_gateway(&self.local.name)
     }
 
     /// Whether the own cell has this name.
@@ -225,7 +225,7 @@
     /// Whether a gateway belongs to the own cell.
     pub fn is_in_own_cell(&self, name: &str) -> bool {
         let own = self.own_cell();
-        own.is_some() && self.cells().of_door(name) == own
+        own.is_some() && self.cells().cell_of_gateway(name) == own
     }
 
     /// Addresses of the other gateways of the own cell.
@@ -245,7 +245,7 @@
     /// Addresses of the gateways of a cell, except this one.
     pub fn addresses_in(&self, cell: CellId) -> Vec<SocketAddr> {
         let (cells, peers) = (self.cells(), self.peers.borrow());
-        let doors = cells.doors(cell).iter().filter_map(|it| peers.get(it));
+        let doors = cells.gateways(cell).iter().filter_map(|it| peers.get(it));
         doors.map(|it| it.address).collect()
     }
 
@@ -323,7 +323,7 @@
         peer.store_reached = status.store_reached;
         peer.stopping = status.stopping;
         peer.routes_version = status.routes_version;
-        self.sightings.told(&status.seen);
+        self.seen_versions.record_peers(&status.seen);
         true
     }
 
@@ -392,16 +392,16 @@
         let cells = self.cells();
         if let Some(own) = self.own_cell().filter(|_| cells.len() > 1) {
             let position = cells.ids().take_while(|it| *it != own).count();
-            return FleetPlace { position, processes: cells.len() };
+            return FleetPosition { position, processes: cells.len() };
         }
         let peers = self.peers.borrow();
         let live = peers.iter().filter(|(_, it)| it.is_live());
         let (mut position, mut processes) = (0, 1);
         for (name, _) in live {
             processes += 1;
-            position += usize::from(*name < self.own.name);
+            position += usize::from(*name < self.local.name);
         }
-        FleetPlace { position, processes }
+        FleetPosition { position, processes }
     }
 
     /// Address of one incarnation of a gateway if it is live, also if it is stopping or does not reach the store.
@@ -424,7 +424,7 @@
         let version = live.iter().map(|it| it.routes_version).max()?;
         let holders = live.into_iter().filter(|it| it.routes_version == version).collect();
         let nearest = *self.nearest_first(holders).first()?;
-        let distance = Distance::between(&self.own.place, &nearest.place);
+        let distance = Distance::between(&self.local.location, &nearest.location);
         Some(RoutesHolder { version, address: nearest.address, distance })
     }
 
@@ -446,7 +446,7 @@
     /// Sorts peers by distance, in random order at the same distance.
     fn nearest_first<'a>(&self, mut peers: Vec<&'a Peer>) -> Vec<&'a Peer> {
         peers.shuffle(&mut rand::rng());
-        peers.sort_by_key(|it| Distance::between(&self.own.place, &it.place));
+        peers.sort_by_key(|it| Distance::between(&self.local.location, &it.location));
         peers
     }
 }
--- a/crates/samphiredoor-gateway/src/peers/relay.rs
+++ b/crates/samphiredoor-gateway/src/peers/routes_relay.rs
@@ -25,7 +25,9 @@
 use samphiredoor_net::{Body, Pool, fetch::FetchLimits};
 
 use super::{Roster, roster::RoutesHolder};
-use crate::{edge::ObjectStore, front::plain, routes::Routes, watch::was_heard};
+use crate::{
+    front::json_message, platform_api::ObjectStore, routes::Routes, watch::received_within,
+};
 
 /// Path at which peers serve their routes.
 pub const PATH: &str = "/routes";
@@ -124,7 +126,7 @@
     /// location.
     pub fn answer(&self) -> Response<Body> {
         let Some(source) = self.routes.source() else {
-            return plain(StatusCode::NOT_FOUND, "no routes yet");
+            return json_message(StatusCode::NOT_FOUND, "no routes yet");
         };
         if !self.is_within_limit() {
             return plain(StatusCode::SERVICE_UNAVAILABLE, "others are being told");
--- a/crates/samphiredoor-gateway/src/peers/teller.rs
+++ b/crates/samphiredoor-gateway/src/peers/status_sender.rs
@@ -12,16 +12,16 @@
 };
 
 use compio::net::UdpSocket;
-use samphiredoor_core::placement::{CellId, Distance, DoorLoad, DoorState};
+use samphiredoor_core::placement::{CellId, Distance, GatewayLoad, GatewayState};
 use samphiredoor_net::pool::within;
 
 use super::{
-    Mates, Own, Roster, STORE_LOST,
+    CellStatuses, LocalGateway, Roster, STORE_LOST_AFTER,
     datagram::Datagram,
     listener::send_to_all,
     status::{OwnedJob, Status},
 };
-use crate::{placement::Told, routes::Routes, store_health::StoreHealth};
+use crate::{placement::OwnLoad, routes::Routes, store_health::StoreHealth};
 
 /// Shortest time between two datagrams to other zones of the own region, whose targets are used only when those of the
 /// own zone are full.
@@ -163,7 +163,7 @@
             {
                 continue;
             }
-            let requests = DoorState { loads: loads.clone(), waiting: Vec::new() };
+            let requests = GatewayState { loads: loads.clone(), waiting: Vec::new() };
             let status = self.status(requests, Vec::new());
             let to = self.roster.addresses_in(cell);
             send_to_all(&self.socket, Datagram::Status(status).encode(), to).await;
@@ -175,19 +175,19 @@
         }
     }
 
-    fn status(&self, requests: DoorState, jobs: Vec<OwnedJob>) -> Status {
+    fn status(&self, requests: GatewayState, jobs: Vec<OwnedJob>) -> Status {
         Status {
-            name: self.own.name.to_string(),
-            incarnation: self.own.incarnation,
+            name: self.local.name.to_string(),
+            incarnation: self.local.incarnation,
             routes_version: self.routes.version(),
-            store_reached: !self.health.is_lost_for(STORE_LOST),
+            store_reached: !self.health.is_lost_for(STORE_LOST_AFTER),
             stopping: self.stopping.get(),
             requests,
             jobs,
-            seen: self.roster.sightings().own(),
+            seen: self.roster.seen_versions().own(),
             store_silent_ms: self
                 .health
-                .silent()
+                .time_since_answer()
                 .map_or(u32::MAX, |it| it.as_millis().try_into().unwrap_or(u32::MAX)),
         }
     }
--- a/crates/samphiredoor-gateway/src/peers/summary.rs
+++ b/crates/samphiredoor-gateway/src/peers/summary.rs
@@ -1,10 +1,10 @@
 //! Summary of a cell's state, which is sent to every other cell.
 
-use samphiredoor_core::{ordered::JobName, placement::DoorState};
+use samphiredoor_core::{ordered::JobName, placement::GatewayState};
 use samphiredoor_schema::peer_capnp::cell_summary;
 
 use super::status::{read_requests, read_seen, write_loads, write_seen, write_waiting};
-use crate::sightings::SeenChanges;
+use crate::seen_versions::SeenChanges;
 
 /// Most targets in one datagram. A cell has about a dozen targets, and requests at some targets of other cells.
 const MAX_LOADS: usize = 50;
--- a/crates/samphiredoor-gateway/src/peers/speaker.rs
+++ b/crates/samphiredoor-gateway/src/peers/summary_sender.rs
@@ -9,9 +9,9 @@
 };
 
 use compio::net::UdpSocket;
-use samphiredoor_core::placement::{CellId, Distance, summary_pause_ms};
+use samphiredoor_core::placement::{CellId, Distance, summary_interval_ms};
 
-use super::{Mates, Roster, datagram::Datagram, listener::send_to_all};
+use super::{CellStatuses, Roster, datagram::Datagram, listener::send_to_all};
 
 /// Interval at which a process whose fleet is a single cell checks for other cells.
 const SINGLE_CELL_POLL_INTERVAL: Duration = Duration::from_millis(800);
@@ -57,8 +57,10 @@
         let (cells, own) = (self.roster.cells(), self.roster.own_cell());
         let others = cells.ids().filter(|it| Some(*it) != own);
         others.partition(|it| {
-            let place = cells.place(*it);
-            place.is_some_and(|it| Distance::between(&self.roster.own().place, it) != Distance::Far)
+            let location = cells.location(*it);
+            location.is_some_and(|it| {
+                Distance::between(&self.roster.local().location, it) != Distance::OtherRegion
+            })
         })
     }
 
--- a/crates/samphiredoor-gateway/src/peers/followed.rs
+++ b/crates/samphiredoor-gateway/src/peers/watch_relay.rs
@@ -17,13 +17,13 @@
 use samphiredoor_core::{
     Name,
     store::{Kind, Labels, Stored, Version},
-    watch_cache::{News, WatchCache},
+    watch_cache::{Delta, WatchCache},
 };
 use samphiredoor_net::{Body, Pool, fetch::FetchLimits, pool::within};
 use samphiredoor_schema::peer_capnp::followed_news;
 
 use super::Roster;
-use crate::{edge::Change, front::plain};
+use crate::{front::json_message, platform_api::Change};
 
 /// Prefix of the paths of relayed watches; the kind follows it.
 pub const ROOT: &str = "/followed/";
@@ -66,7 +66,7 @@
 
 /// Handle to the watch caches of this process, and client of the gateway that watches the store for its cell.
 #[derive(Clone)]
-pub struct Followed {
+pub struct WatchRelay {
     roster: Roster,
     /// Caches by [`Kind::path`].
     kinds: Rc<RefCell<BTreeMap<&'static str, WatchedKind>>>,
@@ -123,7 +123,7 @@
                 return plain(StatusCode::NOT_FOUND, "this kind is not followed here");
             };
             let left = until.saturating_duration_since(Instant::now());
-            if told.news != News::None || left.is_zero() {
+            if told.delta != Delta::None || left.is_zero() {
                 return Response::new(Body::full(encode(&told)));
             }
             // The next iteration finds out whether there was a change or the wait is over.
@@ -210,17 +210,17 @@
     }
 }
 
-fn encode(told: &Told) -> Vec<u8> {
+fn encode(told: &RelayedChanges) -> Vec<u8> {
     let mut message = message::Builder::new_default();
     let mut root = message.init_root::<followed_news::Builder<'_>>();
-    root.set_incarnation(told.by.incarnation);
-    root.set_outages(told.by.outages);
-    let (objects, version, is_whole): (Vec<(&Name, Option<&Stored>)>, _, _) = match &told.news {
-        News::None => (Vec::new(), Version::default(), false),
-        News::Touched { objects, version } => {
+    root.set_incarnation(told.epoch.incarnation);
+    root.set_outages(told.epoch.outages);
+    let (objects, version, is_whole): (Vec<(&Name, Option<&Stored>)>, _, _) = match &told.delta {
+        Delta::None => (Vec::new(), Version::default(), false),
+        Delta::Changed { objects, version } => {
             (objects.iter().map(|(name, it)| (name, it.as_ref())).collect(), *version, false)
         }
-        News::All { objects, version } => {
+        Delta::Snapshot { objects, version } => {
             (objects.iter().map(|it| (&it.name, Some(it))).collect(), *version, true)
         }
     };
@@ -242,11 +242,11 @@
     bytes
 }
 
-fn decode(bytes: &[u8]) -> capnp::Result<Told> {
+fn decode(bytes: &[u8]) -> capnp::Result<RelayedChanges> {
     let options = message::ReaderOptions::new();
     let message = serialize_packed::read_message(bytes, options)?;
     let root = message.get_root::<followed_news::Reader<'_>>()?;
-    let by = Source { incarnation: root.get_incarnation(), outages: root.get_outages() };
+    let epoch = RelayEpoch { incarnation: root.get_incarnation(), outages: root.get_outages() };
     let version = Version(root.get_version());
     let mut objects: BTreeMap<Name, Option<Stored>> = BTreeMap::new();
     for object in root.get_objects()? {
@@ -259,10 +259,10 @@
         };
         objects.insert(name, (!object.get_is_gone()).then_some(stored));
     }
-    let news = match root.get_is_whole() {
-        true => News::All { objects: objects.into_values().flatten().collect(), version },
-        false if objects.is_empty() => News::None,
-        false => News::Touched { objects, version },
+    let delta = match root.get_is_whole() {
+        true => Delta::Snapshot { objects: objects.into_values().flatten().collect(), version },
+        false if objects.is_empty() => Delta::None,
+        false => Delta::Changed { objects, version },
     };
-    Ok(Told { by, news })
+    Ok(RelayedChanges { epoch, delta })
 }
--- a/crates/samphiredoor-gateway/src/edge.rs
+++ b/crates/samphiredoor-gateway/src/platform_api.rs
@@ -102,7 +102,7 @@
     ) -> LocalBoxFuture<'_, Option<Page>>;
 
     /// When something of an answer last came that was no refusal; a large one comes for a while.
-    fn heard(&self) -> Option<Instant>;
+    fn last_received_at(&self) -> Option<Instant>;
 
     /// Waits at most `wait` for changes of a kind after a version.
     fn watch(&self, kind: Kind, since: Version, wait: Duration) -> LocalBoxFuture<'_, WatchAnswer>;
@@ -146,7 +146,7 @@
         item: String,
     },
     /// End the job.
-    End {
+    Cancel {
         /// Which job.
         job: JobName,
     },
@@ -169,7 +169,7 @@
     fn headers(&self) -> &HeaderNames;
 
     /// Whether a request asks for readiness.
-    fn is_readiness(&self, method: &Method, path: &str) -> bool;
+    fn is_readiness_check(&self, method: &Method, path: &str) -> bool;
 
     /// The job call that a request makes, if it is one.
     fn job_call(&self, method: &Method, uri: &Uri) -> Option<JobCall>;
@@ -212,5 +212,5 @@
     fn target(&self, stored: &Stored) -> Result<TargetEntry, String>;
 
     /// What is said of a storage host that keeps nothing any more.
-    fn emptied(&self) -> Value;
+    fn drained_status(&self) -> Value;
 }
