--- a/crates/samphiredoor-core/src/hints.rs
+++ b/crates/samphiredoor-core/src/hints.rs
@@ -12,7 +12,7 @@
 
 /// A hint to one or all gateways.
 #[derive(Debug, Clone, PartialEq)]
-pub enum News {
+pub enum Hint {
     /// The header of this job is marked as cancelled.
     Cancelled(Name),
     /// A request may crash targets.
@@ -82,7 +82,7 @@
     order: VecDeque<Origin>,
 }
 
-impl Seen {
+impl SeenHints {
     /// Adds a hint; returns whether it was new.
     pub fn insert(&mut self, origin: &Origin) -> bool {
         if !self.set.insert(origin.clone()) {
--- a/crates/samphiredoor-core/src/renewal.rs
+++ b/crates/samphiredoor-core/src/renewal.rs
@@ -25,7 +25,7 @@
 
 /// Position of a process among the live processes that watch the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct FleetPlace {
+pub struct FleetPosition {
     /// Number of processes before this one in order of name.
     pub position: usize,
     /// Number of processes, including this one.
@@ -51,7 +51,7 @@
 
     /// Timeout of the next watch. After changes all processes send their watches at once, and the position spreads the
     /// timeouts over the turns; later ones all have the same length, which keeps them spread.
-    pub fn wait(&self, place: FleetPlace, last: LastAnswer) -> Duration {
+    pub fn wait(&self, place: FleetPosition, last: LastAnswer) -> Duration {
         let turns = match last {
             LastAnswer::Changes => place.position + 1,
             LastAnswer::Nothing => place.processes,
--- a/crates/samphiredoor-core/src/routes.rs
+++ b/crates/samphiredoor-core/src/routes.rs
@@ -1,7 +1,7 @@
 //! Routes by host and path prefix, with weighted splits between services.
 //!
 //! A [`RouteTable`] is one version of the operators' routes. A process keeps the newest version it has seen in a
-//! [`RouteLog`], which only accepts higher versions. Otherwise an older version that arrives late, from a slow read or
+//! [`LatestRoutes`], which only accepts higher versions. Otherwise an older version that arrives late, from a slow read or
 //! a peer, would take effect again after callers have seen its successor.
 
 use std::{collections::HashMap, sync::Arc};
@@ -23,7 +23,7 @@
         resumable: bool,
     },
     /// Batch jobs, whose items run after the submission.
-    Batch(BatchRule),
+    Batch(BatchTimes),
 }
 
 impl RouteKind {
@@ -35,7 +35,7 @@
 
 /// Deadlines of the jobs of a batch route.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct BatchRule {
+pub struct BatchTimes {
     /// Time from the submission until all results are due.
     pub due_ms: u64,
     /// Time from the submission after which items may be abandoned.
@@ -162,9 +162,9 @@
     current: Arc<RouteTable>,
 }
 
-impl RouteLog {
+impl LatestRoutes {
     /// Replaces the active table if the new one has a higher version; returns whether it did.
-    pub fn offer(&mut self, table: RouteTable) -> bool {
+    pub fn update_if_newer(&mut self, table: RouteTable) -> bool {
         if table.version <= self.current.version {
             return false;
         }
--- a/crates/samphiredoor-core/src/verdict.rs
+++ b/crates/samphiredoor-core/src/verdict.rs
@@ -18,7 +18,7 @@
     /// The request may have run; only an idempotent one can be sent again.
     MayHaveRun {
         /// Reason of the unknown outcome.
-        reason: Doubt,
+        reason: MayHaveRunReason,
     },
     /// The request ran and its complete answer was delivered.
     Done,
@@ -120,17 +120,17 @@
     TargetsDied,
 }
 
-impl Doubt {
+impl MayHaveRunReason {
     /// All reasons, so that their counters are exported before they first occur.
-    pub const ALL: [Doubt; 8] = [
-        Doubt::ConnectionLost,
-        Doubt::AnswerCut,
-        Doubt::DeadlinePassed,
-        Doubt::IntentWithoutOutcome,
-        Doubt::StoreAnswerLost,
-        Doubt::StillRunning,
-        Doubt::AnswerNotKept,
-        Doubt::TargetsDied,
+    pub const ALL: [MayHaveRunReason; 8] = [
+        MayHaveRunReason::ConnectionLost,
+        MayHaveRunReason::AnswerCut,
+        MayHaveRunReason::DeadlinePassed,
+        MayHaveRunReason::IntentWithoutOutcome,
+        MayHaveRunReason::StoreAnswerLost,
+        MayHaveRunReason::StillRunning,
+        MayHaveRunReason::AnswerNotKept,
+        MayHaveRunReason::TargetsDied,
     ];
 
     /// Label of the reason in answers, counters and logs.
@@ -148,15 +148,15 @@
     }
 }
 
-impl Doubt {
+impl MayHaveRunReason {
     /// Whether a connection was lost, as in the crash of a target.
     pub fn is_loss(self) -> bool {
         matches!(self, MayHaveRunReason::ConnectionLost | MayHaveRunReason::AnswerCut)
     }
 
     /// Parses a label.
-    pub fn from_label(label: &str) -> Option<Doubt> {
-        Doubt::ALL.into_iter().find(|it| it.label() == label)
+    pub fn from_label(label: &str) -> Option<MayHaveRunReason> {
+        MayHaveRunReason::ALL.into_iter().find(|it| it.label() == label)
     }
 }
 
--- a/crates/samphiredoor-core/src/watch_cache.rs
+++ b/crates/samphiredoor-core/src/watch_cache.rs
@@ -16,18 +16,18 @@
 
 /// Difference between a version that a reader has and the state of the cache.
 #[derive(Debug, Clone, PartialEq)]
-pub enum News {
+pub enum Delta {
     /// The reader is up to date.
     None,
     /// Current state of the objects that have changed; `None` for deleted ones.
-    Touched {
+    Changed {
         /// The objects, by name.
         objects: BTreeMap<Name, Option<Stored>>,
         /// Version that the reader has once it has applied them.
         version: Version,
     },
     /// All objects, as the reader's version is older than the log of changes.
-    All {
+    Snapshot {
         /// The objects, in order of their names.
         objects: Vec<Stored>,
         /// Version of the store that they belong to.
@@ -80,16 +80,16 @@
     }
 
     /// Changes for a reader that has everything up to a version, or that has nothing yet.
-    pub fn changes_since(&self, since: Option<Version>) -> News {
-        let Some(version) = self.version else { return News::None };
+    pub fn changes_since(&self, since: Option<Version>) -> Delta {
+        let Some(version) = self.version else { return Delta::None };
         match since {
-            Some(since) if since >= version => News::None,
+            Some(since) if since >= version => Delta::None,
             Some(since) if since >= self.log_start => self.logged_since(since, version),
-            _ => News::All { objects: self.objects.values().cloned().collect(), version },
+            _ => Delta::Snapshot { objects: self.objects.values().cloned().collect(), version },
         }
     }
 
-    fn logged_since(&self, since: Version, version: Version) -> News {
+    fn logged_since(&self, since: Version, version: Version) -> Delta {
         let names = self.changes.iter().filter(|(changed, _)| *changed > since);
         let objects: BTreeMap<Name, Option<Stored>> =
             names.map(|(_, name)| (Name::clone(name), self.objects.get(name).cloned())).collect();
--- a/crates/samphiredoor-core/tests/routes.rs
+++ b/crates/samphiredoor-core/tests/routes.rs
@@ -62,7 +62,7 @@
 
 #[test]
 fn only_higher_versions_are_accepted() {
-    let mut log = RouteLog::default();
+    let mut log = LatestRoutes::default();
     assert!(log.current().is_none());
     assert!(log.update_if_newer(table(7)));
     assert!(!log.update_if_newer(table(7)));
@@ -73,7 +73,7 @@
 
 #[test]
 fn only_repeatable_and_resumable_routes_may_be_retried() {
-    let batch = RouteKind::Batch(BatchRule { due_ms: 1, give_up_ms: 1 });
+    let batch = RouteKind::Batch(BatchTimes { due_ms: 1, give_up_ms: 1 });
     assert!(RouteKind::Repeatable.is_repeatable());
     assert!(RouteKind::Stream { resumable: true }.is_repeatable());
     assert!(
--- a/crates/samphiredoor-core/tests/watch_cache.rs
+++ b/crates/samphiredoor-core/tests/watch_cache.rs
@@ -73,10 +73,10 @@
 }
 
 impl Reader {
-    fn apply(&mut self, changes: News) {
+    fn apply(&mut self, changes: Delta) {
         let version = match changes {
-            News::None => return,
-            News::All { objects, version } => {
+            Delta::None => return,
+            Delta::Snapshot { objects, version } => {
                 let all = objects.into_iter().map(|it| (it.name, it.version.0));
                 self.objects = all.collect();
                 version
@@ -149,7 +149,7 @@
             Step::Relayed(reader) => {
                 let reader = &mut readers[reader];
                 let changes = cache.changes_since(reader.version);
-                let has_changes = changes != News::None;
+                let has_changes = changes != Delta::None;
                 reader.apply(changes);
                 if has_changes {
                     assert_eq!(reader.version, cached.map(Version));
--- a/crates/samphiredoor-gateway/src/peers/cell_statuses.rs
+++ b/crates/samphiredoor-gateway/src/peers/cell_statuses.rs
@@ -50,7 +50,7 @@
     state: Rc<RefCell<State>>,
 }
 
-impl Mates {
+impl CellStatuses {
     /// Stores a status that was received, or this gateway's own one when it is sent.
     pub fn record(&self, status: &Status) {
         let mut state = self.state.borrow_mut();
@@ -77,14 +77,15 @@
         let cells = roster.cells();
         let own = roster.own_cell()?;
         let state = self.state.borrow();
-        let doors = cells.doors(own).iter();
+        let doors = cells.gateways(own).iter();
         let received: Vec<&ReceivedStatus> =
             doors.filter_map(|it| state.statuses.get(it)).collect();
         if received.is_empty() {
             return None;
         }
         let requests = received.iter().map(|it| &it.status.requests);
-        let requests = sum_of(requests, |target| cells.of_target(target) == Some(receiver));
+        let requests =
+            sum_states(requests, |target| cells.cell_of_target(target) == Some(receiver));
         let members: Vec<Member> = received.iter().map(|it| member(it)).collect();
         let index_of = |owner: &Name| received.iter().position(|it| *it.status.name == **owner);
         let jobs = state.jobs.iter().filter_map(|it| {
--- a/crates/samphiredoor-gateway/src/peers/listener.rs
+++ b/crates/samphiredoor-gateway/src/peers/listener.rs
@@ -24,11 +24,11 @@
     /// Updated with the state of the senders.
     pub roster: Roster,
     /// Updated with the statuses of the own cell's gateways.
-    pub mates: Mates,
+    pub cell_statuses: CellStatuses,
     /// Updated with the requests of other gateways at targets.
-    pub placer: Placer,
+    pub placement: PlacementHandle,
     /// Updated with the owners of jobs.
-    pub owners: Owners,
+    pub owners: JobOwners,
     /// Updated with the time since the store last responded to others.
     pub health: StoreHealth,
     /// Counts unreadable datagrams and live peers.
@@ -53,7 +53,7 @@
             Ok(Datagram::Status(status)) => self.apply_status(status),
             Ok(Datagram::Summary(summary)) => self.apply_summary(summary).await,
             Err(err) => {
-                self.metrics.foreign("datagram");
+                self.metrics.invalid_entry("datagram");
                 log::warn!(problem:% = err; "peers: unreadable datagram ignored");
             }
         }
@@ -62,19 +62,19 @@
     fn apply_status(&self, status: Status) {
         let name = Name::from(&*status.name);
         if self.roster.apply_status(&status) {
-            self.metrics.peers(self.roster.heard_count());
+            self.metrics.peers(self.roster.live_count());
             self.note_store_response(status.store_silent_ms);
             for job in &status.jobs {
                 let owner = Owner { process: Name::clone(&name), incarnation: status.incarnation };
                 self.owners.record(&job.name, owner);
             }
             if self.roster.is_in_own_cell(&name) {
-                self.mates.record(&status);
+                self.cell_statuses.record(&status);
             }
         }
         // This includes gateways whose entries have not been read yet. Otherwise a process that has just started would
         // count their slots as free and overload targets that are full.
-        self.placer.peer(name, status.requests);
+        self.placement.set_peer_load(name, status.requests);
     }
 
     async fn apply_summary(&self, mut summary: Summary) {
@@ -87,8 +87,8 @@
         }
         let members: Vec<Option<Name>> =
             summary.members.iter().map(|it| self.roster.apply_member(it)).collect();
-        self.metrics.peers(self.roster.heard_count());
-        self.roster.sightings().told(&summary.seen);
+        self.metrics.peers(self.roster.live_count());
+        self.roster.seen_versions().record_peers(&summary.seen);
         self.note_store_response(summary.store_silent_ms);
         for job in &summary.jobs {
             let index = usize::from(job.member);
@@ -107,7 +107,7 @@
     fn note_store_response(&self, store_silent_ms: u32) {
         let elapsed = Duration::from_millis(store_silent_ms.into());
         if let Some(responded_at) = Instant::now().checked_sub(elapsed) {
-            self.health.others_heard(responded_at);
+            self.health.record_peer_answer(responded_at);
         }
     }
 }
--- a/crates/samphiredoor-gateway/src/peers/mod.rs
+++ b/crates/samphiredoor-gateway/src/peers/mod.rs
@@ -34,17 +34,17 @@
 
 /// How long the store has to be lost before this process reports to its peers that it does not reach it. From then on
 /// they may take over its jobs, so this process holds its own runs back from then on as well.
-pub const STORE_LOST: Duration = Duration::from_millis(1_000);
+pub const STORE_LOST_AFTER: Duration = Duration::from_millis(1_000);
 
 /// Identity, location and address of this process, as its peers see them.
 #[derive(Debug, Clone)]
-pub struct Own {
+pub struct LocalGateway {
     /// Name under which it is registered in the store.
     pub name: Name,
     /// Number of this start of the process; a restart has a higher one.
     pub incarnation: u64,
     /// Region and availability zone.
-    pub place: Place,
+    pub location: Location,
     /// Address for calls and datagrams of peers.
     pub address: SocketAddr,
 }
--- a/crates/samphiredoor-gateway/src/peers/owners.rs
+++ b/crates/samphiredoor-gateway/src/peers/owners.rs
@@ -33,11 +33,11 @@
 
 /// Handle to the cache; clones share it.
 #[derive(Clone, Default)]
-pub struct Owners {
+pub struct JobOwners {
     cache: Rc<RefCell<Cache>>,
 }
 
-impl Owners {
+impl JobOwners {
     /// Stores the owner of a job, and evicts the oldest job when the cache is full.
     pub fn record(&self, job: &JobName, owner: Owner) {
         let mut cache = self.cache.borrow_mut();
@@ -52,7 +52,7 @@
     }
 
     /// Last reported owner of a job.
-    pub fn of(&self, job: &str) -> Option<Owner> {
+    pub fn get(&self, job: &str) -> Option<Owner> {
         self.cache.borrow().owners.get(job).cloned()
     }
 }
--- a/crates/samphiredoor-gateway/src/peers/registration.rs
+++ b/crates/samphiredoor-gateway/src/peers/registration.rs
@@ -23,7 +23,7 @@
 const REGISTER_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Writes this process's entry to the store, and retries until the store has it.
-async fn register(own: Own, store: Rc<dyn ObjectStore>, found: OwnEntry) {
+async fn register(own: LocalGateway, store: Rc<dyn ObjectStore>, found: OwnEntry) {
     let key = ObjectKey::new(Kind::Door, Name::clone(&own.name));
     let value: Value = encode_entry(&own);
     loop {
@@ -49,7 +49,7 @@
     Current,
 }
 
-fn find_own_entry(own: &Own, all: &[Stored]) -> OwnEntry {
+fn find_own_entry(own: &LocalGateway, all: &[Stored]) -> OwnEntry {
     match all.iter().find(|it| it.name == own.name) {
         None => OwnEntry::Missing,
         Some(stored) if parse_entry(&stored.value) == parse_entry(&encode_entry(own)) => {
@@ -79,7 +79,7 @@
     store.call(StoreOp::Update { key, version, labels: Labels::new(), value: value.clone() }).await
 }
 
-fn encode_entry(own: &Own) -> Value {
+fn encode_entry(own: &LocalGateway) -> Value {
     let entry = json!({
         "address": own.address.to_string(),
         "region": &*own.location.region,
@@ -98,25 +98,25 @@
 ) {
     let mut registering = false;
     loop {
-        match follower.next().await {
-            Seen::All(all) => {
+        match watcher.next().await {
+            StoreEvent::Snapshot(all) => {
                 all.iter().for_each(|it| apply_entry(&roster, it));
-                let found = find_own_entry(roster.own(), &all);
+                let found = find_own_entry(roster.local(), &all);
                 if !std::mem::replace(&mut registering, true) && found != OwnEntry::Current {
-                    let register = register(roster.own().clone(), Rc::clone(&store), found);
+                    let register = register(roster.local().clone(), Rc::clone(&store), found);
                     compio::runtime::spawn(register).detach();
                     compio::time::sleep(STARTUP_SETTLE_TIME).await;
                     continue;
                 }
             }
-            Seen::Changes(changes) => changes.iter().for_each(|it| match it {
+            StoreEvent::Changes(changes) => changes.iter().for_each(|it| match it {
                 Change::Written(stored) => apply_entry(&roster, stored),
                 Change::Deleted(name) => roster.remove(name),
             }),
             StoreEvent::Lost | StoreEvent::Recovered => continue,
         }
         roster.mark_listed();
-        let own_targets = roster.own_targets();
+        let own_targets = roster.own_cell_targets();
         let (cells, mates, targets) =
             (roster.cells().len(), roster.cell_peers().len(), own_targets.len());
         log::info!(cells, mates, targets; "peers: cells worked out");
@@ -135,12 +135,12 @@
 
 fn apply_entry(roster: &Roster, stored: &Stored) {
     match parse_entry(&stored.value) {
-        Some((address, place)) => roster.register(Name::clone(&stored.name), address, place),
+        Some((address, location)) => roster.register(Name::clone(&stored.name), address, location),
         None => log::warn!(peer = &*stored.name; "peers: invalid entry ignored"),
     }
 }
 
-fn parse_entry(value: &[u8]) -> Option<(SocketAddr, Place)> {
+fn parse_entry(value: &[u8]) -> Option<(SocketAddr, Location)> {
     let entry: serde_json::Value = serde_json::from_slice(value).ok()?;
     let text = |key: &str| entry.get(key)?.as_str();
     let location = Location {
--- a/crates/samphiredoor-gateway/src/peers/roster.rs
+++ b/crates/samphiredoor-gateway/src/peers/roster.rs
@@ -46,7 +46,7 @@
 #[derive(Debug, Clone)]
 struct Peer {
     address: SocketAddr,
-    place: Place,
+    location: Location,
     /// When its newest known status was received, by this process or, for another cell, by a gateway of that cell.
     last_seen: Option<Instant>,
     /// Time without a status after which it counts as dead.
@@ -103,10 +103,10 @@
     /// When the first complete list of gateways was applied.
     listed: Rc<Cell<Option<Instant>>>,
     peers: Rc<RefCell<BTreeMap<Name, Peer>>>,
-    /// Names of the peers by [`key_of`], which summaries identify gateways by.
+    /// Names of the peers by [`name_hash`], which summaries identify gateways by.
     names: Rc<RefCell<BTreeMap<u64, Name>>>,
-    /// Locations of the targets by [`key_of`] of their names.
-    targets: Rc<RefCell<BTreeMap<u64, Place>>>,
+    /// Locations of the targets by [`name_hash`] of their names.
+    targets: Rc<RefCell<BTreeMap<u64, Location>>>,
     /// Cached assignment of gateways and targets to cells; `None` after a change of either.
     cells: Rc<RefCell<Option<Rc<Cells>>>>,
     seen_versions: SeenVersions,
@@ -116,16 +116,16 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Liveness {
     /// It is live and reaches the store. A gateway that is stopping counts too, as it hands its jobs over itself.
-    Works,
+    Alive,
     /// It timed out, has restarted, or does not reach the store.
-    Gone,
+    Dead,
     /// This process has not been running long enough to decide, or a restarted gateway has not sent a status yet.
     Unknown,
 }
 
 impl Roster {
     /// Empty table.
-    pub fn new(own: Own) -> Roster {
+    pub fn new(local: LocalGateway) -> Roster {
         Roster {
             local: Rc::new(local),
             started: Instant::now(),
@@ -139,13 +139,13 @@
     }
 
     /// Identity and address of this process.
-    pub fn own(&self) -> &Own {
-        &self.own
+    pub fn local(&self) -> &LocalGateway {
+        &self.local
     }
 
     /// Newest store versions that this process and its peers have seen.
-    pub fn sightings(&self) -> &Sightings {
-        &self.sightings
+    pub fn seen_versions(&self) -> &SeenVersions {
+        &self.seen_versions
     }
 
     /// Marks that the table holds all gateways that were registered when this process started to watch them.
@@ -154,8 +154,8 @@
     }
 
     /// Adds a gateway, or updates its registered address and location.
-    pub fn register(&self, name: Name, address: SocketAddr, place: Place) {
-        if name == self.own.name {
+    pub fn register(&self, name: Name, address: SocketAddr, location: Location) {
+        if name == self.local.name {
             return;
         }
         self.cells.take();
@@ -163,7 +163,7 @@
         let mut peers = self.peers.borrow_mut();
         let peer = peers.entry(name).or_insert_with(|| Peer {
             address,
-            place: place.clone(),
+            location: location.clone(),
             last_seen: None,
             dead_after: DEAD_AFTER,
             incarnation: 0,
@@ -183,10 +183,10 @@
     }
 
     /// Replaces the known targets, whose locations the cells depend on.
-    pub fn targets<'a>(&self, targets: impl Iterator<Item = &'a TargetEntry>) {
-        let places: BTreeMap<u64, Place> =
-            targets.map(|it| (key_of(&it.name), it.place.clone())).collect();
-        if *self.targets.borrow() != places {
+    pub fn set_targets<'a>(&self, targets: impl Iterator<Item = &'a TargetEntry>) {
+        let locations: BTreeMap<u64, Location> =
+            targets.map(|it| (name_hash(&it.name), it.location.clone())).collect();
+        if *self.targets.borrow() != locations {
             self.cells.take();
             self.targets.replace(locations);
         }
@@ -216,8 +216,8 @@
         own.is_some_and(|it| *it == *name)
     }
 
-    /// Targets assigned to the own cell, by [`key_of`].
-    pub fn own_targets(&self) -> HashSet<u64> {
+    /// Targets assigned to the own cell, by [`name_hash`].
+    pub fn own_cell_targets(&self) -> HashSet<u64> {
         let cells = self.cells();
         self.own_cell().map(|it| cells.targets(it).collect()).unwrap_or_default()
     }
@@ -237,8 +237,9 @@
     pub fn cell_peers_at(&self, distance: Distance) -> Vec<SocketAddr> {
         let Some(own) = self.own_cell() else { return Vec::new() };
         let (cells, peers) = (self.cells(), self.peers.borrow());
-        let cell_peers = cells.doors(own).iter().filter_map(|it| peers.get(it));
-        let at = cell_peers.filter(|it| Distance::between(&self.own.place, &it.place) == distance);
+        let cell_peers = cells.gateways(own).iter().filter_map(|it| peers.get(it));
+        let at = cell_peers
+            .filter(|it| Distance::between(&self.local.location, &it.location) == distance);
         at.map(|it| it.address).collect()
     }
 
@@ -252,7 +253,8 @@
     /// Address of a random gateway of a cell: of a live one if there is any.
     pub fn random_address_in(&self, cell: CellId) -> Option<SocketAddr> {
         let (cells, peers) = (self.cells(), self.peers.borrow());
-        let doors: Vec<&Peer> = cells.doors(cell).iter().filter_map(|it| peers.get(it)).collect();
+        let doors: Vec<&Peer> =
+            cells.gateways(cell).iter().filter_map(|it| peers.get(it)).collect();
         let live: Vec<&Peer> = doors.iter().copied().filter(|it| it.is_live()).collect();
         let candidates = if live.is_empty() { &doors } else { &live };
         candidates.choose(&mut rand::rng()).map(|it| it.address)
@@ -269,7 +271,7 @@
     /// Address of the gateway that watches the store for the own cell, unless it is this process: the first live
     /// gateway in order of name that reaches the store. Shortly after its start a process counts gateways that it has
     /// not seen yet as live. `None` if the whole fleet is one cell.
-    pub fn follower(&self) -> Option<SocketAddr> {
+    pub fn watch_relay_address(&self) -> Option<SocketAddr> {
         if self.cells().len() < 2 {
             return None;
         }
@@ -284,7 +286,7 @@
     fn preceding_peers(&self, matches: impl Fn(&Peer) -> bool) -> Option<Vec<SocketAddr>> {
         let own = self.own_cell()?;
         let (cells, peers) = (self.cells(), self.peers.borrow());
-        let before = cells.doors(own).iter().filter(|it| **it < self.own.name);
+        let before = cells.gateways(own).iter().filter(|it| **it < self.local.name);
         let matching = before.filter_map(|it| peers.get(it)).filter(|it| matches(it));
         Some(matching.map(|it| it.address).collect())
     }
@@ -334,14 +336,14 @@
             if is_near { DEAD_AFTER } else { NEVER_SEEN_DEAD_AFTER_OTHER_CELL };
         let peers = self.peers.borrow();
         match peers.get(name).filter(|it| it.is_live()) {
-            Some(peer) if peer.incarnation == incarnation && peer.is_working() => Liveness::Works,
+            Some(peer) if peer.incarnation == incarnation && peer.is_working() => Liveness::Alive,
             // It has restarted, and the last status came from its previous incarnation.
             Some(peer) if peer.incarnation < incarnation => Liveness::Unknown,
-            Some(_) => Liveness::Gone,
+            Some(_) => Liveness::Dead,
             _ if self.listed.get().is_none_or(|it| it.elapsed() < never_seen_dead_after) => {
                 Liveness::Unknown
             }
-            _ => Liveness::Gone,
+            _ => Liveness::Dead,
         }
     }
 
@@ -352,7 +354,7 @@
     }
 
     /// Whether this incarnation of a gateway or a later one has been seen.
-    pub fn was_heard(&self, name: &str, incarnation: u64) -> bool {
+    pub fn has_been_seen(&self, name: &str, incarnation: u64) -> bool {
         let peers = self.peers.borrow();
         peers.get(name).is_some_and(|it| it.last_seen.is_some() && it.incarnation >= incarnation)
     }
@@ -360,13 +362,13 @@
     /// Whether at least half of the expected gateways are live. A process for which fewer are live is isolated itself:
     /// it would take over the jobs of all others, and they would take them back. `false` before the first list of
     /// gateways.
-    pub fn hears_most(&self) -> bool {
-        self.listed.get().is_some() && self.heard_count() * 2 >= self.expected_count()
+    pub fn at_least_half_live(&self) -> bool {
+        self.listed.get().is_some() && self.live_count() * 2 >= self.expected_count()
     }
 
     /// Whether this process has lost, or is about to lose, contact with more than half of the expected gateways;
     /// `true` before the first list of gateways.
-    pub fn is_cut_off(&self) -> bool {
+    pub fn is_isolated(&self) -> bool {
         let live = self.peers.borrow().values().filter(|it| it.is_live_with_margin()).count();
         self.listed.get().is_none() || live * 2 < self.expected_count()
     }
@@ -381,14 +383,14 @@
     }
 
     /// Number of live gateways, without this one.
-    pub fn heard_count(&self) -> usize {
+    pub fn live_count(&self) -> usize {
         let peers = self.peers.borrow();
         peers.values().filter(|it| it.is_live()).count()
     }
 
     /// Position of this process among those that watch the store: all live gateways, or one of each cell in a fleet of
     /// several cells.
-    pub fn place(&self) -> FleetPlace {
+    pub fn fleet_position(&self) -> FleetPosition {
         let cells = self.cells();
         if let Some(own) = self.own_cell().filter(|_| cells.len() > 1) {
             let position = cells.ids().take_while(|it| *it != own).count();
@@ -405,7 +407,7 @@
     }
 
     /// Address of one incarnation of a gateway if it is live, also if it is stopping or does not reach the store.
-    pub fn heard_address(&self, name: &str, incarnation: u64) -> Option<SocketAddr> {
+    pub fn live_address(&self, name: &str, incarnation: u64) -> Option<SocketAddr> {
         let peers = self.peers.borrow();
         let peer = peers.get(name).filter(|it| it.incarnation == incarnation)?;
         peer.is_live().then_some(peer.address)
@@ -431,13 +433,13 @@
     /// Number of live gateways in this process's region, including this one.
     pub fn live_in_region(&self) -> usize {
         let peers = self.peers.borrow();
-        let near = |it: &&Peer| it.is_live() && it.place.region == self.own.place.region;
+        let near = |it: &&Peer| it.is_live() && it.location.region == self.local.location.region;
         1 + peers.values().filter(near).count()
     }
 
     /// Addresses of the gateways that can take over a job (live, reaching the store and not stopping): nearest first,
     /// and in random order at the same distance so that jobs are spread over them.
-    pub fn takers(&self) -> Vec<SocketAddr> {
+    pub fn takeover_candidates(&self) -> Vec<SocketAddr> {
         let peers = self.peers.borrow();
         let candidates = peers.values().filter(|it| it.accepts_jobs()).collect();
         self.nearest_first(candidates).into_iter().map(|it| it.address).collect()
--- a/crates/samphiredoor-gateway/src/peers/routes_relay.rs
+++ b/crates/samphiredoor-gateway/src/peers/routes_relay.rs
@@ -63,7 +63,7 @@
         {
             continue;
         }
-        if holder.distance == Distance::Far && !may_ask_other_region(&roster, &*store) {
+        if holder.distance == Distance::OtherRegion && !may_ask_other_region(&roster, &*store) {
             continue;
         }
         fetch_from(&holder, &relayed).await;
@@ -74,7 +74,7 @@
 /// store does not, as the two transfers would share the link; of the others in the region about one does.
 fn may_ask_other_region(roster: &Roster, store: &dyn ObjectStore) -> bool {
     let chance = 1.0 / roster.live_in_region() as f64;
-    !was_heard(store, CHECK_INTERVAL) && rand::random_bool(chance)
+    !received_within(store, CHECK_INTERVAL) && rand::random_bool(chance)
 }
 
 async fn fetch_from(holder: &RoutesHolder, relayed: &flume::Sender<Stored>) {
@@ -129,7 +129,7 @@
             return json_message(StatusCode::NOT_FOUND, "no routes yet");
         };
         if !self.is_within_limit() {
-            return plain(StatusCode::SERVICE_UNAVAILABLE, "others are being told");
+            return json_message(StatusCode::SERVICE_UNAVAILABLE, "others are being told");
         }
         let mut response = Response::new(Body::full(Bytes::copy_from_slice(&source.value)));
         if let Ok(name) = header::HeaderValue::from_str(&source.name) {
--- a/crates/samphiredoor-gateway/src/peers/status.rs
+++ b/crates/samphiredoor-gateway/src/peers/status.rs
@@ -41,7 +41,7 @@
     /// Whether a planned stop is under way.
     pub stopping: bool,
     /// Its requests at targets and its waiting items.
-    pub requests: DoorState,
+    pub requests: GatewayState,
     /// Jobs whose ownership it has acquired recently.
     pub jobs: Vec<OwnedJob>,
     /// Newest store versions that it has seen.
--- a/crates/samphiredoor-gateway/src/peers/status_sender.rs
+++ b/crates/samphiredoor-gateway/src/peers/status_sender.rs
@@ -36,15 +36,15 @@
 const FOREVER: Duration = Duration::from_secs(3_600);
 
 /// Task that sends the status of this gateway to its peers.
-pub struct Teller {
+pub struct StatusSender {
     /// Name and incarnation that the statuses carry.
-    pub own: Own,
+    pub local: LocalGateway,
     /// Socket that datagrams are sent from.
     pub socket: Rc<UdpSocket>,
     /// Addresses and cells of the peers.
     pub roster: Roster,
     /// Receives a copy of each status for the own cell's summaries.
-    pub mates: Mates,
+    pub cell_statuses: CellStatuses,
     /// Routes whose version the statuses report.
     pub routes: Routes,
     /// Whether the store responds to this process.
@@ -106,21 +106,21 @@
 
 /// The requests at another cell's targets that its gateways were last sent.
 struct SentLoads {
-    loads: Vec<DoorLoad>,
+    loads: Vec<GatewayLoad>,
     at: Instant,
 }
 
-impl Teller {
+impl StatusSender {
     /// Sends a status after each update of this gateway's requests, and includes the jobs whose ownership it has
     /// acquired.
-    pub async fn run(self, updates: flume::Receiver<Told>, owned: flume::Receiver<OwnedJob>) {
+    pub async fn run(self, updates: flume::Receiver<OwnLoad>, owned: flume::Receiver<OwnedJob>) {
         let mut all_recipients = [
             Recipients::new(Distance::Zone, Duration::ZERO),
             Recipients::new(Distance::Region, REGION_MIN_INTERVAL),
-            Recipients::new(Distance::Far, FAR_MIN_INTERVAL),
+            Recipients::new(Distance::OtherRegion, FAR_MIN_INTERVAL),
         ];
         let mut sent_to_cells = BTreeMap::new();
-        let mut requests = DoorState::default();
+        let mut requests = GatewayState::default();
         loop {
             let left = all_recipients.iter().map(Recipients::time_left).min().unwrap_or(FOREVER);
             match within(left, updates.recv_async()).await {
@@ -140,7 +140,7 @@
                 recipients.urgent = false;
                 recipients.sent_at = Instant::now();
                 let status = self.status(requests.clone(), recipients.take_jobs());
-                self.mates.record(&status);
+                self.cell_statuses.record(&status);
                 let to = self.roster.cell_peers_at(recipients.distance);
                 send_to_all(&self.socket, Datagram::Status(status).encode(), to).await;
             }
@@ -150,11 +150,11 @@
     /// Sends each other cell the requests at its targets, and an empty list once after the last one has ended.
     async fn send_to_other_cells(
         &self,
-        requests: &DoorState,
+        requests: &GatewayState,
         sent: &mut BTreeMap<CellId, SentLoads>,
     ) {
         let (cells, own) = (self.roster.cells(), self.roster.own_cell());
-        let mut by_cell = cells.loads_elsewhere(own, &requests.loads);
+        let mut by_cell = cells.loads_of_other_cells(own, &requests.loads);
         for cell in sent.keys() {
             by_cell.entry(*cell).or_default();
         }
--- a/crates/samphiredoor-gateway/src/peers/summary.rs
+++ b/crates/samphiredoor-gateway/src/peers/summary.rs
@@ -16,7 +16,7 @@
 /// State of one gateway of the cell, as its summary sender last received it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Member {
-    /// Hash of its name, see [`samphiredoor_core::placement::key_of`].
+    /// Hash of its name, see [`samphiredoor_core::placement::name_hash`].
     pub key: u64,
     /// Number of this start of the gateway; a restart has a higher one.
     pub incarnation: u64,
@@ -49,7 +49,7 @@
     /// Live gateways of the cell.
     pub members: Vec<Member>,
     /// Sums of the members' requests at targets and of their waiting items.
-    pub requests: DoorState,
+    pub requests: GatewayState,
     /// Jobs whose ownership the members have acquired recently.
     pub jobs: Vec<MemberJob>,
     /// Newest store versions that any member has seen.
--- a/crates/samphiredoor-gateway/src/peers/summary_sender.rs
+++ b/crates/samphiredoor-gateway/src/peers/summary_sender.rs
@@ -17,16 +17,16 @@
 const SINGLE_CELL_POLL_INTERVAL: Duration = Duration::from_millis(800);
 
 /// Task that sends the own cell's summaries while this process is one of the cell's summary senders.
-pub struct Speaker {
+pub struct SummarySender {
     /// Socket that datagrams are sent from.
     pub socket: Rc<UdpSocket>,
     /// Addresses and cells of the gateways.
     pub roster: Roster,
     /// Latest statuses of the own cell's gateways, which the summaries are built from.
-    pub mates: Mates,
+    pub cell_statuses: CellStatuses,
 }
 
-impl Speaker {
+impl SummarySender {
     /// Runs until the process ends.
     pub async fn run(self) {
         let mut far_sent_at = Instant::now();
@@ -43,7 +43,7 @@
             for cell in same_region {
                 self.send_summary(cell).await;
             }
-            if far_sent_at.elapsed() >= summary_interval(Distance::Far, &other_regions) {
+            if far_sent_at.elapsed() >= summary_interval(Distance::OtherRegion, &other_regions) {
                 far_sent_at = Instant::now();
                 for cell in other_regions {
                     self.send_summary(cell).await;
@@ -66,12 +66,12 @@
 
     async fn send_summary(&self, cell: CellId) {
         let Some(address) = self.roster.random_address_in(cell) else { return };
-        let Some(summary) = self.mates.summary(&self.roster, cell) else { return };
+        let Some(summary) = self.cell_statuses.summary(&self.roster, cell) else { return };
         let bytes = Datagram::Summary(summary).encode();
         send_to_all(&self.socket, bytes, vec![address]).await;
     }
 }
 
 fn summary_interval(distance: Distance, cells: &[CellId]) -> Duration {
-    Duration::from_millis(summary_pause_ms(distance, cells.len()))
+    Duration::from_millis(summary_interval_ms(distance, cells.len()))
 }
--- a/crates/samphiredoor-gateway/src/peers/watch_relay.rs
+++ b/crates/samphiredoor-gateway/src/peers/watch_relay.rs
@@ -26,7 +26,7 @@
 use crate::{front::json_message, platform_api::Change};
 
 /// Prefix of the paths of relayed watches; the kind follows it.
-pub const ROOT: &str = "/followed/";
+pub const PATH_PREFIX: &str = "/followed/";
 /// Connect timeout; the two gateways are in the same availability zone.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(100);
 /// Time beyond the requested wait within which the response has to begin.
@@ -40,7 +40,7 @@
 /// Period of a relaying gateway without a restart or an interruption of its watch. If it differs between two responses,
 /// entries may have expired in the store in between.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Source {
+pub struct RelayEpoch {
     /// Number of this start of the gateway; a restart has a higher one.
     pub incarnation: u64,
     /// Number of times that its watch of this kind was interrupted, as by an outage of the store.
@@ -49,11 +49,11 @@
 
 /// Response of another gateway to a watch.
 #[derive(Debug)]
-pub struct Told {
+pub struct RelayedChanges {
     /// Incarnation and outages of the other gateway at the time.
-    pub by: Source,
+    pub epoch: RelayEpoch,
     /// Difference from the version that was asked for.
-    pub news: News,
+    pub delta: Delta,
 }
 
 #[derive(Default)]
@@ -73,19 +73,19 @@
     pools: Rc<RefCell<HashMap<SocketAddr, Pool>>>,
 }
 
-impl Followed {
+impl WatchRelay {
     /// Handle with empty caches.
-    pub fn new(roster: Roster) -> Followed {
-        Followed { roster, kinds: Rc::default(), pools: Rc::default() }
+    pub fn new(roster: Roster) -> WatchRelay {
+        WatchRelay { roster, kinds: Rc::default(), pools: Rc::default() }
     }
 
     /// Replaces the cache of a kind with a list of all its objects.
-    pub fn listed(&self, kind: Kind, all: &[Stored], version: Version) {
+    pub fn record_list(&self, kind: Kind, all: &[Stored], version: Version) {
         self.update(kind, |it| it.cache.replace_all(all, version));
     }
 
     /// Adds to the cache all changes of a kind up to a version.
-    pub fn changed(&self, kind: Kind, changes: &[Change], version: Version) {
+    pub fn record_changes(&self, kind: Kind, changes: &[Change], version: Version) {
         self.update(kind, |it| {
             for change in changes {
                 match change {
@@ -98,7 +98,7 @@
     }
 
     /// Counts an interruption of the watch of a kind, once the store responds again.
-    pub fn regained(&self, kind: Kind) {
+    pub fn record_store_outage(&self, kind: Kind) {
         self.kinds.borrow_mut().entry(kind.path()).or_default().outages += 1;
     }
 
@@ -115,12 +115,12 @@
     /// Responds to a watch of another gateway as soon as there is a change, or when its wait is over.
     pub async fn answer(&self, uri: &Uri) -> Response<Body> {
         let Some(call) = WatchCall::parse(uri) else {
-            return plain(StatusCode::NOT_FOUND, "no such call");
+            return json_message(StatusCode::NOT_FOUND, "no such call");
         };
         let until = Instant::now() + call.wait;
         loop {
             let Some((told, changed)) = self.changes_for(&call) else {
-                return plain(StatusCode::NOT_FOUND, "this kind is not followed here");
+                return json_message(StatusCode::NOT_FOUND, "this kind is not followed here");
             };
             let left = until.saturating_duration_since(Instant::now());
             if told.delta != Delta::None || left.is_zero() {
@@ -133,21 +133,21 @@
 
     /// Changes since the version of a call, and a channel that receives a message at the next change; `None` if this
     /// process does not watch the kind.
-    fn changes_for(&self, call: &WatchCall) -> Option<(Told, flume::Receiver<()>)> {
+    fn changes_for(&self, call: &WatchCall) -> Option<(RelayedChanges, flume::Receiver<()>)> {
         let mut kinds = self.kinds.borrow_mut();
         let watched = kinds.get_mut(&*call.kind)?;
-        let news = watched.cache.changes_since(call.since);
+        let delta = watched.cache.changes_since(call.since);
         let (waiting, changed) = flume::bounded(1);
         watched.waiting.retain(|it| !it.is_disconnected());
         watched.waiting.push(waiting);
-        let incarnation = self.roster.own().incarnation;
-        let by = Source { incarnation, outages: watched.outages };
-        Some((Told { by, news }, changed))
+        let incarnation = self.roster.local().incarnation;
+        let epoch = RelayEpoch { incarnation, outages: watched.outages };
+        Some((RelayedChanges { epoch, delta }, changed))
     }
 
     /// Address of the gateway that watches the store for the own cell, unless it is this one.
-    pub fn follower(&self) -> Option<SocketAddr> {
-        self.roster.follower()
+    pub fn relay_address(&self) -> Option<SocketAddr> {
+        self.roster.watch_relay_address()
     }
 
     /// Waits at most `wait` for changes of a kind after a version, through the gateway at an address; `None` if that
@@ -158,9 +158,10 @@
         kind: Kind,
         since: Version,
         wait: Duration,
-    ) -> Option<Told> {
+    ) -> Option<RelayedChanges> {
         let pool = self.pool(address);
-        let path = format!("{ROOT}{}?since={}&wait_ms={}", kind.path(), since.0, wait.as_millis());
+        let path =
+            format!("{PATH_PREFIX}{}?since={}&wait_ms={}", kind.path(), since.0, wait.as_millis());
         let request =
             Request::get(path).header(header::HOST, "gateway").body(Body::empty()).ok()?;
         fetch(&pool, request, wait + RESPONSE_MARGIN).await
@@ -184,7 +185,7 @@
 
 impl WatchCall {
     fn parse(uri: &Uri) -> Option<WatchCall> {
-        let kind = uri.path().strip_prefix(ROOT)?.to_owned();
+        let kind = uri.path().strip_prefix(PATH_PREFIX)?.to_owned();
         let query = uri.query()?;
         let number = |key: &str| {
             let pairs = query.split('&').filter_map(|it| it.split_once('='));
@@ -195,7 +196,11 @@
     }
 }
 
-async fn fetch(pool: &Pool, request: Request<Body>, head_timeout: Duration) -> Option<Told> {
+async fn fetch(
+    pool: &Pool,
+    request: Request<Body>,
+    head_timeout: Duration,
+) -> Option<RelayedChanges> {
     let limits = FetchLimits::new(READ_TIMEOUT, MAX_BYTES).with_head(head_timeout);
     let fetched = pool.fetch(request, limits).await.ok()?;
     if fetched.status != StatusCode::OK {
--- a/crates/samphiredoor/tests/it/platform/soak.rs
+++ b/crates/samphiredoor/tests/it/platform/soak.rs
@@ -165,7 +165,7 @@
         else {
             return;
         };
-        self.platform.end(gateway, &name);
+        self.platform.cancel(gateway, &name);
         self.jobs.get_mut(&name).expect("a job").cancelled = true;
     }
 
