--- a/crates/samphiredoor-core/src/renewal.rs
+++ b/crates/samphiredoor-core/src/renewal.rs
@@ -51,10 +51,10 @@
 
     /// Timeout of the next watch. After changes all processes send their watches at once, and the position spreads the
     /// timeouts over the turns; later ones all have the same length, which keeps them spread.
-    pub fn wait(&self, place: FleetPosition, last: LastAnswer) -> Duration {
+    pub fn wait(&self, fleet: FleetPosition, last: LastAnswer) -> Duration {
         let turns = match last {
-            LastAnswer::Changes => place.position + 1,
-            LastAnswer::Nothing => place.processes,
+            LastAnswer::Changes => fleet.position + 1,
+            LastAnswer::Nothing => fleet.processes,
         };
         self.turn.saturating_mul(turns as u32)
     }
--- a/crates/samphiredoor-core/tests/renewal.rs
+++ b/crates/samphiredoor-core/tests/renewal.rs
@@ -11,11 +11,11 @@
 fn ends(renewal: Renewal, processes: usize, longest: Duration, until: Duration) -> Vec<Duration> {
     let mut ends = Vec::new();
     for position in 0..processes {
-        let place = FleetPosition { position, processes };
-        let mut end = renewal.wait(place, LastAnswer::Changes).min(longest);
+        let fleet = FleetPosition { position, processes };
+        let mut end = renewal.wait(fleet, LastAnswer::Changes).min(longest);
         while end < until {
             ends.push(end);
-            end += renewal.wait(place, LastAnswer::Nothing).min(longest);
+            end += renewal.wait(fleet, LastAnswer::Nothing).min(longest);
         }
     }
     ends.sort();
--- a/crates/samphiredoor-gateway/src/peers/cell_statuses.rs
+++ b/crates/samphiredoor-gateway/src/peers/cell_statuses.rs
@@ -77,9 +77,9 @@
         let cells = roster.cells();
         let own = roster.own_cell()?;
         let state = self.state.borrow();
-        let doors = cells.gateways(own).iter();
+        let gateways = cells.gateways(own).iter();
         let received: Vec<&ReceivedStatus> =
-            doors.filter_map(|it| state.statuses.get(it)).collect();
+            gateways.filter_map(|it| state.statuses.get(it)).collect();
         if received.is_empty() {
             return None;
         }
--- a/crates/samphiredoor-gateway/src/peers/registration.rs
+++ b/crates/samphiredoor-gateway/src/peers/registration.rs
@@ -23,9 +23,9 @@
 const REGISTER_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Writes this process's entry to the store, and retries until the store has it.
-async fn register(own: LocalGateway, store: Rc<dyn ObjectStore>, found: OwnEntry) {
-    let key = ObjectKey::new(Kind::Door, Name::clone(&own.name));
-    let value: Value = encode_entry(&own);
+async fn register(local: LocalGateway, store: Rc<dyn ObjectStore>, found: OwnEntry) {
+    let key = ObjectKey::new(Kind::Door, Name::clone(&local.name));
+    let value: Value = encode_entry(&local);
     loop {
         let answer = match found {
             OwnEntry::Missing => create(&*store, &key, &value).await,
@@ -49,10 +49,10 @@
     Current,
 }
 
-fn find_own_entry(own: &LocalGateway, all: &[Stored]) -> OwnEntry {
-    match all.iter().find(|it| it.name == own.name) {
+fn find_own_entry(local: &LocalGateway, all: &[Stored]) -> OwnEntry {
+    match all.iter().find(|it| it.name == local.name) {
         None => OwnEntry::Missing,
-        Some(stored) if parse_entry(&stored.value) == parse_entry(&encode_entry(own)) => {
+        Some(stored) if parse_entry(&stored.value) == parse_entry(&encode_entry(local)) => {
             OwnEntry::Current
         }
         Some(_) => OwnEntry::Outdated,
@@ -79,11 +79,11 @@
     store.call(StoreOp::Update { key, version, labels: Labels::new(), value: value.clone() }).await
 }
 
-fn encode_entry(own: &LocalGateway) -> Value {
+fn encode_entry(local: &LocalGateway) -> Value {
     let entry = json!({
-        "address": own.address.to_string(),
-        "region": &*own.location.region,
-        "availability_zone": &*own.location.availability_zone,
+        "address": local.address.to_string(),
+        "region": &*local.location.region,
+        "availability_zone": &*local.location.availability_zone,
     });
     entry.to_string().into_bytes().into()
 }
@@ -116,11 +116,11 @@
             StoreEvent::Lost | StoreEvent::Recovered => continue,
         }
         roster.mark_listed();
-        let own_targets = roster.own_cell_targets();
+        let cell_targets = roster.own_cell_targets();
         let (cells, mates, targets) =
-            (roster.cells().len(), roster.cell_peers().len(), own_targets.len());
+            (roster.cells().len(), roster.cell_peers().len(), cell_targets.len());
         log::info!(cells, mates, targets; "peers: cells worked out");
-        placement.set_cell_targets(own_targets);
+        placement.set_cell_targets(cell_targets);
     }
 }
 
--- a/crates/samphiredoor-gateway/src/peers/roster.rs
+++ b/crates/samphiredoor-gateway/src/peers/roster.rs
@@ -199,8 +199,8 @@
             let peers = self.peers.borrow();
             let others = peers.iter().map(|(name, it)| (Name::clone(name), it.location.clone()));
             let own = (Name::clone(&self.local.name), self.local.location.clone());
-            let doors = others.chain([own]).collect();
-            Rc::new(Cells::new(&doors, &self.targets.borrow()))
+            let gateways = others.chain([own]).collect();
+            Rc::new(Cells::new(&gateways, &self.targets.borrow()))
         });
         Rc::clone(cells)
     }
@@ -246,17 +246,17 @@
     /// Addresses of the gateways of a cell, except this one.
     pub fn addresses_in(&self, cell: CellId) -> Vec<SocketAddr> {
         let (cells, peers) = (self.cells(), self.peers.borrow());
-        let doors = cells.gateways(cell).iter().filter_map(|it| peers.get(it));
-        doors.map(|it| it.address).collect()
+        let gateways = cells.gateways(cell).iter().filter_map(|it| peers.get(it));
+        gateways.map(|it| it.address).collect()
     }
 
     /// Address of a random gateway of a cell: of a live one if there is any.
     pub fn random_address_in(&self, cell: CellId) -> Option<SocketAddr> {
         let (cells, peers) = (self.cells(), self.peers.borrow());
-        let doors: Vec<&Peer> =
+        let gateways: Vec<&Peer> =
             cells.gateways(cell).iter().filter_map(|it| peers.get(it)).collect();
-        let live: Vec<&Peer> = doors.iter().copied().filter(|it| it.is_live()).collect();
-        let candidates = if live.is_empty() { &doors } else { &live };
+        let live: Vec<&Peer> = gateways.iter().copied().filter(|it| it.is_live()).collect();
+        let candidates = if live.is_empty() { &gateways } else { &live };
         candidates.choose(&mut rand::rng()).map(|it| it.address)
     }
 
--- a/crates/samphiredoor-gateway/src/peers/watch_relay.rs
+++ b/crates/samphiredoor-gateway/src/peers/watch_relay.rs
@@ -119,12 +119,12 @@
         };
         let until = Instant::now() + call.wait;
         loop {
-            let Some((told, changed)) = self.changes_for(&call) else {
+            let Some((response, changed)) = self.changes_for(&call) else {
                 return json_message(StatusCode::NOT_FOUND, "this kind is not followed here");
             };
             let left = until.saturating_duration_since(Instant::now());
-            if told.delta != Delta::None || left.is_zero() {
-                return Response::new(Body::full(encode(&told)));
+            if response.delta != Delta::None || left.is_zero() {
+                return Response::new(Body::full(encode(&response)));
             }
             // The next iteration finds out whether there was a change or the wait is over.
             let _ = within(left, changed.recv_async()).await;
@@ -207,7 +207,7 @@
         return None;
     }
     match decode(&fetched.body) {
-        Ok(told) => Some(told),
+        Ok(response) => Some(response),
         Err(err) => {
             log::warn!(problem:% = err; "peers: unreadable response to a relayed watch");
             None
@@ -215,12 +215,13 @@
     }
 }
 
-fn encode(told: &RelayedChanges) -> Vec<u8> {
+fn encode(response: &RelayedChanges) -> Vec<u8> {
     let mut message = message::Builder::new_default();
     let mut root = message.init_root::<followed_news::Builder<'_>>();
-    root.set_incarnation(told.epoch.incarnation);
-    root.set_outages(told.epoch.outages);
-    let (objects, version, is_whole): (Vec<(&Name, Option<&Stored>)>, _, _) = match &told.delta {
+    root.set_incarnation(response.epoch.incarnation);
+    root.set_outages(response.epoch.outages);
+    let (objects, version, is_whole): (Vec<(&Name, Option<&Stored>)>, _, _) = match &response.delta
+    {
         Delta::None => (Vec::new(), Version::default(), false),
         Delta::Changed { objects, version } => {
             (objects.iter().map(|(name, it)| (name, it.as_ref())).collect(), *version, false)
