--- a/crates/samphiredoor-gateway/src/peers/cell_statuses.rs
+++ b/crates/samphiredoor-gateway/src/peers/cell_statuses.rs
@@ -109,7 +109,7 @@
         key: name_hash(&status.name),
         incarnation: status.incarnation,
         routes_version: status.routes_version,
-        heard_ms: received.at.elapsed().as_millis().try_into().unwrap_or(u16::MAX),
+        status_age_ms: received.at.elapsed().as_millis().try_into().unwrap_or(u16::MAX),
         store_reached: status.store_reached,
         stopping: status.stopping,
     }
--- a/crates/samphiredoor-gateway/src/peers/roster.rs
+++ b/crates/samphiredoor-gateway/src/peers/roster.rs
@@ -296,7 +296,7 @@
         let name = self.names.borrow().get(&member.key).cloned()?;
         let mut peers = self.peers.borrow_mut();
         let peer = peers.get_mut(&name)?;
-        let last_seen = Instant::now().checked_sub(Duration::from_millis(member.heard_ms.into()));
+        let last_seen = Instant::now().checked_sub(Duration::from_millis(member.status_age_ms.into()));
         // A summary sender that was frozen still reports incarnations that have ended.
         let is_over = member.incarnation < peer.incarnation && peer.is_live();
         // A status that came from the gateway itself may be newer than the summary.
--- a/crates/samphiredoor-gateway/src/peers/summary.rs
+++ b/crates/samphiredoor-gateway/src/peers/summary.rs
@@ -23,7 +23,7 @@
     /// Version of its active routes.
     pub routes_version: u64,
     /// Age of its last status when the summary was made.
-    pub heard_ms: u16,
+    pub status_age_ms: u16,
     /// Whether it reaches the store.
     pub store_reached: bool,
     /// Whether a planned stop is under way.
@@ -71,7 +71,7 @@
             it.set_name(member.key);
             it.set_incarnation(member.incarnation);
             it.set_routes_version(member.routes_version);
-            it.set_heard_ms(member.heard_ms);
+            it.set_heard_ms(member.status_age_ms);
             it.set_store_reached(member.store_reached);
             it.set_stopping(member.stopping);
         }
@@ -98,7 +98,7 @@
             key: it.get_name(),
             incarnation: it.get_incarnation(),
             routes_version: it.get_routes_version(),
-            heard_ms: it.get_heard_ms(),
+            status_age_ms: it.get_heard_ms(),
             store_reached: it.get_store_reached(),
             stopping: it.get_stopping(),
         });
