--- a/crates/samphiredoor-gateway/src/peers/registration.rs
+++ b/crates/samphiredoor-gateway/src/peers/registration.rs
@@ -119,7 +119,7 @@
         let cell_targets = roster.own_cell_targets();
         let (cells, mates, targets) =
             (roster.cells().len(), roster.cell_peers().len(), cell_targets.len());
-        log::info!(cells, mates, targets; "peers: cells worked out");
+        log::info!(cells, mates, targets; "peers: cells computed");
         placement.set_cell_targets(cell_targets);
     }
 }
--- a/crates/samphiredoor-gateway/src/peers/roster.rs
+++ b/crates/samphiredoor-gateway/src/peers/roster.rs
@@ -296,7 +296,8 @@
         let name = self.names.borrow().get(&member.key).cloned()?;
         let mut peers = self.peers.borrow_mut();
         let peer = peers.get_mut(&name)?;
-        let last_seen = Instant::now().checked_sub(Duration::from_millis(member.status_age_ms.into()));
+        let last_seen =
+            Instant::now().checked_sub(Duration::from_millis(member.status_age_ms.into()));
         // A summary sender that was frozen still reports incarnations that have ended.
         let is_over = member.incarnation < peer.incarnation && peer.is_live();
         // A status that came from the gateway itself may be newer than the summary.
@@ -456,6 +457,6 @@
 /// Logs that a gateway, or a new incarnation of it, has become live.
 fn log_if_newly_live(name: &str, peer: &Peer, incarnation: u64) {
     if !peer.is_live() || peer.incarnation != incarnation {
-        log::info!(peer = name, incarnation; "peers: heard");
+        log::info!(peer = name, incarnation; "peers: peer is live");
     }
 }
--- a/crates/samphiredoor-gateway/src/peers/routes_relay.rs
+++ b/crates/samphiredoor-gateway/src/peers/routes_relay.rs
@@ -81,7 +81,7 @@
     let RoutesHolder { version, address, .. } = *holder;
     match request_routes(address).await {
         Some(stored) => {
-            log::info!(version, peer:% = address; "routes: taken from another gateway");
+            log::info!(version, peer:% = address; "routes: received from another gateway");
             // Fails only when the process ends.
             let _ = relayed.send(stored);
         }
--- a/crates/samphiredoor-gateway/src/watch.rs
+++ b/crates/samphiredoor-gateway/src/watch.rs
@@ -398,7 +398,7 @@
         let Some(watch_relay) = self.watch_relay.clone() else { return Relayed::Not };
         let Some(address) = watch_relay.relay_address() else { return Relayed::Not };
         if self.relay.replace(address) != Some(address) {
-            log::info!(kind = self.kind.path(), peer:% = address; "store: followed through another gateway");
+            log::info!(kind = self.kind.path(), peer:% = address; "store: watched through another gateway");
         }
         let (asked, wait) = (Instant::now(), self.relayed_wait);
         let watch = watch_relay.watch(address, self.kind, since, wait);
--- a/crates/samphiredoor/tests/it/platform/cancellations.rs
+++ b/crates/samphiredoor/tests/it/platform/cancellations.rs
@@ -32,7 +32,7 @@
     }
     for by in 0..count {
         for of in (0..count).filter(|it| *it != by) {
-            platform.wait_logged(by, &format!("peers: heard peer=gateway-{of} "));
+            platform.wait_logged(by, &format!("peers: peer is live peer=gateway-{of} "));
         }
     }
     (platform, target)
@@ -92,7 +92,7 @@
     platform.gateway(0).kill();
     platform.restart_gateway(0);
     platform.wait_ready(0);
-    platform.wait_logged(0, "peers: cells worked out cells=2");
+    platform.wait_logged(0, "peers: cells computed cells=2");
     std::thread::sleep(UNHEARD);
     submit_unseen(&platform, &target, IN_SECOND_CELL);
     wait_ended(&platform, 0);
--- a/crates/samphiredoor/tests/it/platform/cells.rs
+++ b/crates/samphiredoor/tests/it/platform/cells.rs
@@ -30,7 +30,7 @@
 
 /// Waits until gateway `by` counts gateway `of` as live.
 fn wait_live(platform: &Platform, by: usize, of: usize) {
-    platform.wait_logged(by, &format!("peers: heard peer=gateway-{of} "));
+    platform.wait_logged(by, &format!("peers: peer is live peer=gateway-{of} "));
 }
 
 // Gateways receive the full state of other cells only through summaries. Without them each cell would declare the other
@@ -62,7 +62,7 @@
     platform.restart_gateway(FIRST_OF_SECOND_CELL);
     platform.wait_ready(FIRST_OF_SECOND_CELL);
     wait_until("the first cell counts it as live again", || {
-        platform.times_logged(IN_FIRST_CELL, "peers: heard peer=gateway-3 ") >= 2
+        platform.times_logged(IN_FIRST_CELL, "peers: peer is live peer=gateway-3 ") >= 2
     });
 }
 
@@ -76,8 +76,8 @@
         platform.signal(sender, "STOP");
     }
     std::thread::sleep(Duration::from_secs(6));
-    let heard = format!("peers: heard peer=gateway-{IN_SECOND_CELL} ");
-    assert_eq!(platform.times_logged(IN_FIRST_CELL, &heard), 1, "it was live all the time");
+    let live = format!("peers: peer is live peer=gateway-{IN_SECOND_CELL} ");
+    assert_eq!(platform.times_logged(IN_FIRST_CELL, &live), 1, "it was live all the time");
 }
 
 /// Writes routes with a single path that names their version.
@@ -109,8 +109,8 @@
     let relays = [IN_FIRST_CELL, FIRST_OF_SECOND_CELL];
     for number in (0..GATEWAYS).filter(|it| !relays.contains(it)) {
         for kind in ["routes", "targets"] {
-            let followed = format!("store: followed through another gateway kind={kind} ");
-            platform.wait_logged(number, &followed);
+            let watched = format!("store: watched through another gateway kind={kind} ");
+            platform.wait_logged(number, &watched);
         }
     }
     platform
--- a/crates/samphiredoor/tests/it/platform/discovery.rs
+++ b/crates/samphiredoor/tests/it/platform/discovery.rs
@@ -215,8 +215,8 @@
     let leaving = platform.start_target("t-1", FAST);
     platform.start_gateway();
     platform.start_gateway();
-    platform.wait_logged(0, "peers: heard");
-    platform.wait_logged(1, "peers: heard");
+    platform.wait_logged(0, "peers: peer is live");
+    platform.wait_logged(1, "peers: peer is live");
     platform.set_way_fault(1, StoreFault::WatchesSilent);
     std::thread::sleep(Duration::from_millis(100));
     platform.set_way_fault(1, StoreFault::None);
@@ -288,6 +288,6 @@
     platform.gateway(0).kill();
     platform.restart_gateway(0);
     platform.wait_ready(0);
-    platform.wait_logged(0, "peers: cells worked out");
+    platform.wait_logged(0, "peers: cells computed");
     assert_eq!(creates(&platform), before);
 }
--- a/crates/samphiredoor/tests/it/platform/jobs.rs
+++ b/crates/samphiredoor/tests/it/platform/jobs.rs
@@ -129,7 +129,7 @@
     let (mut platform, target) = two_gateways(Duration::from_millis(1_200));
     // Of three, the two that are left know that they are not the ones that are cut off.
     platform.start_gateway();
-    platform.wait_logged(2, "peers: heard");
+    platform.wait_logged(2, "peers: peer is live");
     assert_eq!(platform.submit(0, "job-1", &ITEMS).status, 202);
     wait_until("outputs are kept", || !platform.store.names("jobsegments").is_empty());
     platform.gateway(0).kill();
@@ -169,7 +169,7 @@
     assert_eq!(platform.submit_many(0, "job-1", 200).status, 202);
     wait_until("the end is acknowledged", || platform.cancel(1, "job-1").status == 200);
     platform.set_way_fault(0, StoreFault::None);
-    platform.wait_logged(1, "peers: heard peer=gateway-0");
+    platform.wait_logged(1, "peers: peer is live peer=gateway-0");
     std::thread::sleep(Duration::from_secs(6));
     let runs = target.runs().len();
     std::thread::sleep(Duration::from_secs(4));
@@ -182,7 +182,7 @@
 fn reads_of_a_job_whose_former_owner_is_gone_cost_no_store_calls() {
     let (mut platform, _target) = two_gateways(Duration::from_millis(1_800));
     platform.start_gateway();
-    platform.wait_logged(2, "peers: heard");
+    platform.wait_logged(2, "peers: peer is live");
     assert_eq!(platform.submit_many(0, "job-1", 16).status, 202);
     platform.gateway(0).kill();
     platform.restart_gateway(0);
@@ -239,8 +239,8 @@
 #[test]
 fn a_lost_store_is_not_asked_all_the_time_whose_a_job_is() {
     let (platform, _target) = two_gateways(Duration::from_secs(2));
-    platform.wait_logged(0, "peers: heard");
-    platform.wait_logged(1, "peers: heard");
+    platform.wait_logged(0, "peers: peer is live");
+    platform.wait_logged(1, "peers: peer is live");
     assert_eq!(platform.submit(0, "job-1", &ITEMS).status, 202);
     platform.set_way_fault(0, StoreFault::Busy);
     platform.wait_logged(0, "runs held back");
@@ -267,8 +267,8 @@
     // Its own watches tell it nothing of the silence.
     platform.within_ms = 600_000;
     platform.start_gateway();
-    platform.wait_logged(0, "peers: heard");
-    platform.wait_logged(1, "peers: heard");
+    platform.wait_logged(0, "peers: peer is live");
+    platform.wait_logged(1, "peers: peer is live");
     assert_eq!(platform.submit(0, "job-1", &ITEMS).status, 202);
     wait_until("all items run", || target.runs().len() == ITEMS.len());
     platform.store.set_fault(StoreFault::Silent);
@@ -321,7 +321,7 @@
 
 fn accepted_through_another_gateway(fault: StoreFault) {
     let (platform, target) = two_gateways(FAST);
-    platform.wait_logged(0, "peers: heard");
+    platform.wait_logged(0, "peers: peer is live");
     platform.set_way_fault(0, fault);
     assert_eq!(platform.submit(0, "job-1", &ITEMS).status, 202);
     let results = platform.all_results(1, "job-1", ITEMS.len());
@@ -360,7 +360,7 @@
 fn a_job_that_was_ended_before_it_began_is_not_run() {
     let (platform, target) = two_gateways(FAST);
     target.fail_next(100_000, TargetFault::Full);
-    platform.wait_logged(1, "peers: heard");
+    platform.wait_logged(1, "peers: peer is live");
     platform.store.set_fault(StoreFault::PartsHeld);
     std::thread::scope(|scope| {
         let submission = scope.spawn(|| platform.submit(0, "job-1", &ITEMS).status);
--- a/crates/samphiredoor/tests/it/platform/narrow_line.rs
+++ b/crates/samphiredoor/tests/it/platform/narrow_line.rs
@@ -55,7 +55,7 @@
     platform.start_gateway();
     let turned_away = platform.start_gateway();
     for peer in ["gateway-0", "gateway-1"] {
-        platform.wait_logged(turned_away, &format!("peers: heard peer={peer} "));
+        platform.wait_logged(turned_away, &format!("peers: peer is live peer={peer} "));
     }
     platform.set_way_fault(turned_away, StoreFault::Busy);
     // It looks for routes only when both others have told it that they have them.
@@ -67,7 +67,7 @@
     std::thread::sleep(TOLD_BY);
     platform.signal(turned_away, "CONT");
     platform.wait_logged(turned_away, "routes: in force version=2 ");
-    let taken = "routes: taken from another gateway version=2 peer=127.0.0.1:";
+    let taken = "routes: received from another gateway version=2 peer=127.0.0.1:";
     assert_eq!(platform.times_logged(turned_away, taken), 1, "taken from its own region");
 }
 
