--- a/crates/samphiredoor-core/src/routes.rs
+++ b/crates/samphiredoor-core/src/routes.rs
@@ -1,8 +1,8 @@
 //! Routes by host and path prefix, with weighted splits between services.
 //!
 //! A [`RouteTable`] is one version of the operators' routes. A process keeps the newest version it has seen in a
-//! [`LatestRoutes`], which only accepts higher versions. Otherwise an older version that arrives late, from a slow read or
-//! a peer, would take effect again after callers have seen its successor.
+//! [`LatestRoutes`], which only accepts higher versions. Otherwise an older version that arrives late, from a slow read
+//! or a peer, would take effect again after callers have seen its successor.
 
 use std::{collections::HashMap, sync::Arc};
 
