--- a/crates/samphiredoor-gateway/src/peers/registration.rs
+++ b/crates/samphiredoor-gateway/src/peers/registration.rs
@@ -117,6 +117,7 @@
         }
         roster.mark_listed();
         let cell_targets = roster.own_cell_targets();
+        // The log key `mates` is the number of other gateways of the own cell.
         let (cells, mates, targets) =
             (roster.cells().len(), roster.cell_peers().len(), cell_targets.len());
         log::info!(cells, mates, targets; "peers: cells computed");
--- a/crates/samphiredoor-gateway/src/peers/status_sender.rs
+++ b/crates/samphiredoor-gateway/src/peers/status_sender.rs
@@ -27,7 +27,7 @@
 /// own zone are full.
 const REGION_MIN_INTERVAL: Duration = Duration::from_millis(100);
 /// Shortest time between two datagrams to other regions, where traffic is expensive and targets are the last choice.
-const FAR_MIN_INTERVAL: Duration = Duration::from_millis(450);
+const OTHER_REGION_MIN_INTERVAL: Duration = Duration::from_millis(450);
 /// Time after which unchanged loads are sent to another cell again. Receivers keep the loads of a gateway that stops
 /// sending for longer than this.
 const RESEND_AFTER: Duration = Duration::from_millis(400);
@@ -117,7 +117,7 @@
         let mut all_recipients = [
             Recipients::new(Distance::Zone, Duration::ZERO),
             Recipients::new(Distance::Region, REGION_MIN_INTERVAL),
-            Recipients::new(Distance::OtherRegion, FAR_MIN_INTERVAL),
+            Recipients::new(Distance::OtherRegion, OTHER_REGION_MIN_INTERVAL),
         ];
         let mut sent_to_cells = BTreeMap::new();
         let mut requests = GatewayState::default();
--- a/crates/samphiredoor-gateway/src/peers/summary_sender.rs
+++ b/crates/samphiredoor-gateway/src/peers/summary_sender.rs
@@ -29,7 +29,7 @@
 impl SummarySender {
     /// Runs until the process ends.
     pub async fn run(self) {
-        let mut far_sent_at = Instant::now();
+        let mut other_regions_sent_at = Instant::now();
         loop {
             let (same_region, other_regions) = self.split_other_cells();
             if same_region.is_empty() && other_regions.is_empty() {
@@ -43,8 +43,10 @@
             for cell in same_region {
                 self.send_summary(cell).await;
             }
-            if far_sent_at.elapsed() >= summary_interval(Distance::OtherRegion, &other_regions) {
-                far_sent_at = Instant::now();
+            if other_regions_sent_at.elapsed()
+                >= summary_interval(Distance::OtherRegion, &other_regions)
+            {
+                other_regions_sent_at = Instant::now();
                 for cell in other_regions {
                     self.send_summary(cell).await;
                 }
