--- a/crates/samphiredoor-gateway/src/target_client.rs
+++ b/crates/samphiredoor-gateway/src/target_client.rs
@@ -17,7 +17,7 @@
 use samphiredoor_core::{Name, placement::AttemptEnd};
 use samphiredoor_net::{
     Call, Pool,
-    pool::{Answer, CloseMeans, SendError},
+    pool::{Answer, CloseDelimited, SendError},
 };
 
 use crate::platform_api::HeaderNames;
@@ -97,8 +97,8 @@
     fn new_pool(&self, address: SocketAddr) -> Pool {
         Pool::new(address)
             .with_connect_timeout(CONNECT_TIMEOUT)
-            .with_close_means(CloseMeans::Whole)
-            .with_echoed(self.echoed.clone())
+            .with_close_delimited(CloseDelimited::Complete)
+            .with_echoed_header(self.echoed.clone())
             .with_idle_limit(IDLE_LIMIT)
     }
 }
--- a/crates/samphiredoor-net/src/pool.rs
+++ b/crates/samphiredoor-net/src/pool.rs
@@ -46,11 +46,11 @@
 
 /// What the end of the connection means for an answer that has neither a length nor chunks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum CloseMeans {
+pub enum CloseDelimited {
     /// The answer was cut: a far side that dies in mid-answer closes as well.
-    Cut,
+    Incomplete,
     /// The answer is whole after an orderly close, and cut after a reset.
-    Whole,
+    Complete,
 }
 
 struct Connection {
@@ -66,7 +66,7 @@
 pub struct Pool {
     address: SocketAddr,
     connect_timeout: Duration,
-    close_means: CloseMeans,
+    close_delimited: CloseDelimited,
     echoed: Option<HeaderName>,
     idle_limit: Option<Duration>,
     idle: Rc<RefCell<Vec<Connection>>>,
@@ -78,7 +78,7 @@
         Pool {
             address,
             connect_timeout: Duration::from_millis(1_000),
-            close_means: CloseMeans::Cut,
+            close_delimited: CloseDelimited::Incomplete,
             echoed: None,
             idle_limit: None,
             idle: Rc::default(),
@@ -86,14 +86,14 @@
     }
 
     /// Sets what the end of a connection means for an answer without a length.
-    pub fn with_close_means(mut self, close_means: CloseMeans) -> Pool {
-        self.close_means = close_means;
+    pub fn with_close_delimited(mut self, close_delimited: CloseDelimited) -> Pool {
+        self.close_delimited = close_delimited;
         self
     }
 
     /// Names a header that answers echo. An answer with another value belongs to an earlier request: HTTP pairs answers
     /// by order alone, and a far side that answers twice would have its second answer taken for the next one's.
-    pub fn with_echoed(mut self, echoed: HeaderName) -> Pool {
+    pub fn with_echoed_header(mut self, echoed: HeaderName) -> Pool {
         self.echoed = Some(echoed);
         self
     }
@@ -204,7 +204,7 @@
         let announced = keep_alive(&head.headers).map(|it| it.saturating_sub(CLOSE_MARGIN));
         let idle_for = announced.or(self.idle_limit);
         let (connection, idle) = (Some(connection), Rc::clone(&self.idle));
-        let cut_by_close = ends_by_close && self.close_means == CloseMeans::Cut;
+        let cut_by_close = ends_by_close && self.close_delimited == CloseDelimited::Incomplete;
         let mut answer = Answer { body, connection, idle, idle_for, cut_by_close };
         if answer.body.is_end_stream() {
             answer.release();
