--- a/crates/samphiredoor-gateway/src/front/attempt.rs
+++ b/crates/samphiredoor-gateway/src/front/attempt.rs
@@ -10,7 +10,7 @@
 use samphiredoor_net::{
     Call,
     body::{self, PieceError, read_whole},
-    pool::{Answer, SendError, within},
+    pool::{ResponseBody, SendError, within},
 };
 
 use crate::{
@@ -25,7 +25,7 @@
 /// An event stream of which the first event has arrived.
 pub struct StartedStream {
     /// Body of the answer that is not read yet.
-    pub body: Answer,
+    pub body: ResponseBody,
     /// Received bytes, at least one whole event.
     pub events: EventBuffer,
 }
@@ -101,7 +101,7 @@
     read_answer(response, timeouts).await
 }
 
-async fn read_answer(response: Response<Answer>, timeouts: Timeouts) -> AttemptOutcome {
+async fn read_answer(response: Response<ResponseBody>, timeouts: Timeouts) -> AttemptOutcome {
     let (parts, body) = response.into_parts();
     if parts.status.is_success() && is_event_stream(&parts.headers) {
         return read_first_event(Box::new(parts), body, timeouts).await;
@@ -118,7 +118,7 @@
 /// be retried at another target.
 async fn read_first_event(
     parts: Box<response::Parts>,
-    mut body: Answer,
+    mut body: ResponseBody,
     timeouts: Timeouts,
 ) -> AttemptOutcome {
     let mut events = EventBuffer::default();
@@ -138,7 +138,7 @@
 
 /// Reads the next bytes of an answer; `None` after its last byte.
 pub async fn next_piece(
-    answer: &mut Answer,
+    answer: &mut ResponseBody,
     timeouts: Timeouts,
 ) -> Result<Option<bytes::Bytes>, (AttemptEnd, MayHaveRunReason)> {
     body::next_piece(answer, timeouts.next_read()).await.map_err(|err| match err {
--- a/crates/samphiredoor-gateway/src/jobs/item_run.rs
+++ b/crates/samphiredoor-gateway/src/jobs/item_run.rs
@@ -26,7 +26,7 @@
 use samphiredoor_net::{
     Call,
     body::read_whole,
-    pool::{Answer, SendError, within},
+    pool::{ResponseBody, SendError, within},
 };
 use smallvec::SmallVec;
 
@@ -239,7 +239,7 @@
 
     async fn read_response(
         &self,
-        response: hyper::Response<Answer>,
+        response: hyper::Response<ResponseBody>,
         ticket: &mut Ticket,
     ) -> (Outcome, AttemptEnd) {
         if let Some(end) =
@@ -266,7 +266,11 @@
         (outcome, AttemptEnd::Answered)
     }
 
-    async fn read_events(&self, mut body: Answer, ticket: &mut Ticket) -> (Outcome, AttemptEnd) {
+    async fn read_events(
+        &self,
+        mut body: ResponseBody,
+        ticket: &mut Ticket,
+    ) -> (Outcome, AttemptEnd) {
         use http_body_util::BodyExt;
         let mut events = EventBuffer::default();
         loop {
--- a/crates/samphiredoor-gateway/src/target_client.rs
+++ b/crates/samphiredoor-gateway/src/target_client.rs
@@ -17,7 +17,7 @@
 use samphiredoor_core::{Name, placement::AttemptEnd};
 use samphiredoor_net::{
     Call, Pool,
-    pool::{Answer, CloseDelimited, SendError},
+    pool::{CloseDelimited, ResponseBody, SendError},
 };
 
 use crate::platform_api::HeaderNames;
@@ -45,7 +45,10 @@
 }
 
 /// Why a target did not run the request, if its answer says so.
-pub fn not_run_reason(names: &HeaderNames, response: &Response<Answer>) -> Option<AttemptEnd> {
+pub fn not_run_reason(
+    names: &HeaderNames,
+    response: &Response<ResponseBody>,
+) -> Option<AttemptEnd> {
     if response.status() == StatusCode::MISDIRECTED_REQUEST {
         return Some(AttemptEnd::WrongTarget);
     }
@@ -75,7 +78,7 @@
         target: &Name,
         address: SocketAddr,
         call: &Call,
-    ) -> Result<Response<Answer>, SendError> {
+    ) -> Result<Response<ResponseBody>, SendError> {
         let pool = self.pool(target, address);
         pool.send(call.request()).await
     }
--- a/crates/samphiredoor-net/src/fetch.rs
+++ b/crates/samphiredoor-net/src/fetch.rs
@@ -12,7 +12,7 @@
 
 use crate::{
     Body, BoxError, Pool,
-    pool::{Answer, SendError, within},
+    pool::{ResponseBody, SendError, within},
 };
 
 /// Longest time for a body, whatever comes of it; nobody waits for it any more.
@@ -117,7 +117,11 @@
     }
 }
 
-async fn read(body: Answer, limits: FetchLimits, on_piece: impl Fn()) -> Result<Bytes, FetchError> {
+async fn read(
+    body: ResponseBody,
+    limits: FetchLimits,
+    on_piece: impl Fn(),
+) -> Result<Bytes, FetchError> {
     let mut body = pin!(body);
     let mut whole = BytesMut::new();
     loop {
--- a/crates/samphiredoor-net/src/pool.rs
+++ b/crates/samphiredoor-net/src/pool.rs
@@ -132,7 +132,7 @@
     /// # Errors
     ///
     /// [`SendError::NotSent`] only where no byte was written.
-    pub async fn send(&self, request: Request<Body>) -> Result<Response<Answer>, SendError> {
+    pub async fn send(&self, request: Request<Body>) -> Result<Response<ResponseBody>, SendError> {
         let mut request = request;
         let echo = self.echo_of(&request);
         // An idle connection may have been closed by the far side; hyper hands the request back if it wrote nothing.
@@ -191,7 +191,7 @@
         connection: Connection,
         response: Response<Incoming>,
         echo: Option<&HeaderValue>,
-    ) -> Result<Response<Answer>, SendError> {
+    ) -> Result<Response<ResponseBody>, SendError> {
         let (head, body) = response.into_parts();
         if let (Some(name), Some(sent)) = (&self.echoed, echo)
             && head.headers.get(name).is_some_and(|it| it != sent)
@@ -205,7 +205,7 @@
         let idle_for = announced.or(self.idle_limit);
         let (connection, idle) = (Some(connection), Rc::clone(&self.idle));
         let cut_by_close = ends_by_close && self.close_delimited == CloseDelimited::Incomplete;
-        let mut answer = Answer { body, connection, idle, idle_for, cut_by_close };
+        let mut answer = ResponseBody { body, connection, idle, idle_for, cut_by_close };
         if answer.body.is_end_stream() {
             answer.release();
         }
@@ -222,7 +222,7 @@
 }
 
 /// Body of an answer, which holds its connection until the framing ends.
-pub struct Answer {
+pub struct ResponseBody {
     body: Incoming,
     connection: Option<Connection>,
     idle: Rc<RefCell<Vec<Connection>>>,
@@ -232,7 +232,7 @@
     cut_by_close: bool,
 }
 
-impl Answer {
+impl ResponseBody {
     fn release(&mut self) {
         let Some(mut connection) = self.connection.take() else { return };
         connection.usable_until = self.idle_for.map(|it| Instant::now() + it);
@@ -243,7 +243,7 @@
     }
 }
 
-impl HttpBody for Answer {
+impl HttpBody for ResponseBody {
     type Data = Bytes;
     type Error = BoxError;
 
--- a/crates/samphiredoor-net/tests/pool.rs
+++ b/crates/samphiredoor-net/tests/pool.rs
@@ -11,7 +11,7 @@
 use samphiredoor_net::{
     Body, Pool,
     body::read_whole,
-    pool::{Answer, SendError, within},
+    pool::{ResponseBody, SendError, within},
 };
 
 const PATIENCE: std::time::Duration = std::time::Duration::from_secs(20);
@@ -54,7 +54,7 @@
     request.body(Body::empty()).expect("a request")
 }
 
-async fn text(response: Response<Answer>) -> Result<String, String> {
+async fn text(response: Response<ResponseBody>) -> Result<String, String> {
     match read_whole(response.into_body(), 100_000).await {
         Ok(body) => Ok(String::from_utf8_lossy(&body).into_owned()),
         Err(err) => Err(format!("{err:?}")),
--- a/crates/samphiredoor-standin/src/load.rs
+++ b/crates/samphiredoor-standin/src/load.rs
@@ -18,7 +18,7 @@
 use samphiredoor_net::{
     Body, Pool,
     body::read_whole,
-    pool::{Answer, within},
+    pool::{ResponseBody, within},
 };
 
 use crate::{
@@ -111,7 +111,7 @@
     read_stream(start + arrival.at, response.into_body()).await
 }
 
-async fn read_stream(due: Instant, mut body: Answer) -> OnlineEnd {
+async fn read_stream(due: Instant, mut body: ResponseBody) -> OnlineEnd {
     let mut end = OnlineEnd::default();
     let mut last = due;
     let mut done = false;
--- a/crates/samphiredoor/src/item_call.rs
+++ b/crates/samphiredoor/src/item_call.rs
@@ -11,7 +11,7 @@
 use samphiredoor_core::{dispatch::AttemptEnd, ledger::ItemEnd, verdict::MayHaveRunReason};
 use samphiredoor_net::{
     body::read_whole,
-    pool::{Answer, SendError, within},
+    pool::{ResponseBody, SendError, within},
 };
 use serde::Deserialize;
 use serde_json::{Map, Value, json};
@@ -184,7 +184,7 @@
     }
 }
 
-async fn read_answer(status: u16, body: Answer) -> Result<ItemEnd, AttemptEnd> {
+async fn read_answer(status: u16, body: ResponseBody) -> Result<ItemEnd, AttemptEnd> {
     let body = read_whole(body, MAX_RESULT_BYTES).await;
     let body = body.map_err(|_| AttemptEnd::AnswerLost(MayHaveRunReason::AnswerCut))?;
     let text = || Value::String(String::from_utf8_lossy(&body).into_owned());
@@ -192,7 +192,7 @@
     Ok(ItemEnd::Answered { status, body })
 }
 
-async fn read_events(partial: &RefCell<Partial>, mut body: Answer) -> Result<(), AttemptEnd> {
+async fn read_events(partial: &RefCell<Partial>, mut body: ResponseBody) -> Result<(), AttemptEnd> {
     let cut = AttemptEnd::AnswerLost(MayHaveRunReason::AnswerCut);
     let mut unread = Vec::new();
     while let Some(frame) = body.frame().await {
--- a/crates/samphiredoor/src/online.rs
+++ b/crates/samphiredoor/src/online.rs
@@ -21,7 +21,7 @@
 use samphiredoor_net::{
     Body,
     body::read_whole,
-    pool::{Answer, SendError, within},
+    pool::{ResponseBody, SendError, within},
 };
 
 use crate::{
@@ -95,7 +95,7 @@
     /// With a whole answer.
     Whole(Response<Body>, AttemptEnd),
     /// With the beginning of a stream.
-    Begun(Box<response::Parts>, Answer, Bytes),
+    Begun(Box<response::Parts>, ResponseBody, Bytes),
     /// Without anything that the caller could get.
     Nothing(AttemptEnd),
 }
@@ -173,7 +173,7 @@
 
     /// Waits for a stream's first piece. Until then nothing has reached the caller, so that a request that may run
     /// twice can still be sent to another target.
-    async fn begin(&self, response: Response<Answer>) -> Outcome {
+    async fn begin(&self, response: Response<ResponseBody>) -> Outcome {
         let (parts, mut body) = response.into_parts();
         match next_piece(&mut body, self.deadline).await {
             Ok(Some(first)) => Outcome::Begun(Box::new(parts), body, first),
@@ -204,7 +204,7 @@
 
     async fn read_answer(
         &self,
-        response: Response<Answer>,
+        response: Response<ResponseBody>,
     ) -> Result<Response<Body>, MayHaveRunReason> {
         let (mut parts, body) = response.into_parts();
         let read = read_whole(body, MAX_WHOLE_ANSWER_BYTES);
@@ -221,7 +221,7 @@
     fn pass_on(
         self,
         mut parts: response::Parts,
-        body: Answer,
+        body: ResponseBody,
         first: Bytes,
         ticket: Ticket,
         pass: Pass,
--- a/crates/samphiredoor/src/passing.rs
+++ b/crates/samphiredoor/src/passing.rs
@@ -10,7 +10,7 @@
 use samphiredoor_net::{
     BoxError,
     body::{self, PieceError},
-    pool::Answer,
+    pool::ResponseBody,
 };
 
 use crate::{
@@ -24,7 +24,7 @@
 /// A stream on its way to the caller. Dropping it (the caller has gone) closes the connection to the target.
 pub struct Passing {
     /// Rest of the answer.
-    pub body: Answer,
+    pub body: ResponseBody,
     /// Piece that was waited for before the answer began.
     pub first: Option<Bytes>,
     /// Looks for the last event; only an engine's stream has one.
@@ -95,7 +95,7 @@
 
 /// Next piece of an answer; `None` at the end of its framing.
 pub async fn next_piece(
-    answer: &mut Answer,
+    answer: &mut ResponseBody,
     deadline: Instant,
 ) -> Result<Option<Bytes>, MayHaveRunReason> {
     let left = deadline.saturating_duration_since(Instant::now());
--- a/crates/samphiredoor/src/store_client.rs
+++ b/crates/samphiredoor/src/store_client.rs
@@ -13,7 +13,7 @@
 use samphiredoor_net::{
     Body, Pool,
     fetch::{FetchError, FetchLimits},
-    pool::{Answer, within},
+    pool::{ResponseBody, within},
 };
 use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
@@ -84,7 +84,7 @@
 
 /// A waiting watch. It may end at any time, and events may be missing or doubled.
 pub struct Watch {
-    body: Answer,
+    body: ResponseBody,
     buffer: Vec<u8>,
 }
 
--- a/crates/samphiredoor/src/targets.rs
+++ b/crates/samphiredoor/src/targets.rs
@@ -11,7 +11,7 @@
 pub use samphiredoor_net::Call;
 use samphiredoor_net::{
     Pool,
-    pool::{Answer, SendError},
+    pool::{ResponseBody, SendError},
 };
 
 /// Pools of connections, one for each address.
@@ -30,7 +30,7 @@
         &self,
         address: SocketAddr,
         call: &Call,
-    ) -> Result<Response<Answer>, SendError> {
+    ) -> Result<Response<ResponseBody>, SendError> {
         let pool = self.pool(address);
         let mut request = call.request();
         if let Ok(host) = header::HeaderValue::from_str(&address.to_string()) {
