--- a/crates/samphiredoor-gateway/src/front/attempt.rs
+++ b/crates/samphiredoor-gateway/src/front/attempt.rs
@@ -143,6 +143,6 @@
 ) -> Result<Option<bytes::Bytes>, (AttemptEnd, MayHaveRunReason)> {
     body::next_piece(answer, timeouts.next_read()).await.map_err(|err| match err {
         PieceError::Cut => (AttemptEnd::Lost, MayHaveRunReason::AnswerCut),
-        PieceError::Late => timeouts.expired(),
+        PieceError::TimedOut => timeouts.expired(),
     })
 }
--- a/crates/samphiredoor-gateway/src/jobs/peer_call.rs
+++ b/crates/samphiredoor-gateway/src/jobs/peer_call.rs
@@ -99,7 +99,7 @@
 ) -> Option<(StatusCode, Bytes)> {
     let (method, uri) = call.request();
     let request = Request::builder().method(method).uri(uri).header(header::HOST, "gateway");
-    let limits = FetchLimits::new(IDLE_TIMEOUT, MAX_RESPONSE_BYTES).with_head(timeout);
+    let limits = FetchLimits::new(IDLE_TIMEOUT, MAX_RESPONSE_BYTES).with_head_timeout(timeout);
     let fetched = pool.fetch(request.body(Body::empty()).ok()?, limits).await.ok()?;
     Some((fetched.status, fetched.body))
 }
--- a/crates/samphiredoor-gateway/src/peers/watch_relay.rs
+++ b/crates/samphiredoor-gateway/src/peers/watch_relay.rs
@@ -201,7 +201,7 @@
     request: Request<Body>,
     head_timeout: Duration,
 ) -> Option<RelayedChanges> {
-    let limits = FetchLimits::new(READ_TIMEOUT, MAX_BYTES).with_head(head_timeout);
+    let limits = FetchLimits::new(READ_TIMEOUT, MAX_BYTES).with_head_timeout(head_timeout);
     let fetched = pool.fetch(request, limits).await.ok()?;
     if fetched.status != StatusCode::OK {
         return None;
--- a/crates/samphiredoor-net/src/body.rs
+++ b/crates/samphiredoor-net/src/body.rs
@@ -117,7 +117,7 @@
     /// The connection failed or the framing was cut.
     Cut,
     /// Nothing came in time.
-    Late,
+    TimedOut,
 }
 
 /// Next piece of a body, waited for no longer than `wait`; `None` at the end of its framing. A piece that has arrived
@@ -130,7 +130,7 @@
     loop {
         let frame = select_biased! {
             frame = body.frame().fuse() => frame,
-            () = timeout => return Err(PieceError::Late),
+            () = timeout => return Err(PieceError::TimedOut),
         };
         match frame.transpose().map_err(|_| PieceError::Cut)?.map(Frame::into_data) {
             Some(Ok(piece)) => return Ok(Some(piece)),
--- a/crates/samphiredoor-net/src/fetch.rs
+++ b/crates/samphiredoor-net/src/fetch.rs
@@ -36,7 +36,7 @@
     }
 
     /// Sets the longest wait for the head.
-    pub fn with_head(self, head: Duration) -> FetchLimits {
+    pub fn with_head_timeout(self, head: Duration) -> FetchLimits {
         FetchLimits { head, ..self }
     }
 }
@@ -60,7 +60,7 @@
     /// The request may have arrived; its answer was cut or too large.
     MayHaveRun(BoxError),
     /// The far side fell silent; the request may have arrived.
-    Silent {
+    TimedOut {
         /// Bytes of the answer's body that had come.
         received_bytes: usize,
     },
@@ -101,7 +101,7 @@
         on_piece: impl Fn(),
     ) -> Result<Fetched, FetchError> {
         let Some(response) = within(limits.head, self.send(request)).await else {
-            return Err(FetchError::Silent { received_bytes: 0 });
+            return Err(FetchError::TimedOut { received_bytes: 0 });
         };
         let (head, body) = response?.into_parts();
         let is_success = head.status.is_success();
@@ -126,7 +126,7 @@
     let mut whole = BytesMut::new();
     loop {
         let frame = match within(limits.silence, body.frame()).await {
-            None => return Err(FetchError::Silent { received_bytes: whole.len() }),
+            None => return Err(FetchError::TimedOut { received_bytes: whole.len() }),
             Some(None) => return Ok(whole.freeze()),
             Some(Some(frame)) => frame.map_err(FetchError::MayHaveRun)?,
         };
--- a/crates/samphiredoor-net/tests/body.rs
+++ b/crates/samphiredoor-net/tests/body.rs
@@ -52,7 +52,7 @@
         Body::stream(stream::iter([piece("a"), cut()])), LONG => ["a"], Some(PieceError::Cut);
     a_silent_body_is_not_waited_for_for_ever:
         Body::stream(stream::iter([piece("a")]).chain(stream::pending())), Duration::from_millis(1)
-        => ["a"], Some(PieceError::Late);
+        => ["a"], Some(PieceError::TimedOut);
     a_piece_that_has_arrived_is_not_lost_at_the_deadline:
         Body::stream(stream::iter([piece("a"), piece("b")])), Duration::ZERO => ["a", "b"], None;
     trailers_are_no_piece: with_trailers(), LONG => ["a"], None;
--- a/crates/samphiredoor-net/tests/fetch.rs
+++ b/crates/samphiredoor-net/tests/fetch.rs
@@ -61,7 +61,7 @@
 #[test]
 fn an_answer_that_stops_halfway_is_given_up() {
     let end = fetch(far_side(3), LIMITS).expect_err("the rest never comes");
-    assert!(matches!(end, FetchError::Silent { received_bytes: 300 }), "{end:?}");
+    assert!(matches!(end, FetchError::TimedOut { received_bytes: 300 }), "{end:?}");
 }
 
 #[test]
--- a/crates/samphiredoor/src/passing.rs
+++ b/crates/samphiredoor/src/passing.rs
@@ -101,6 +101,6 @@
     let left = deadline.saturating_duration_since(Instant::now());
     body::next_piece(answer, left).await.map_err(|err| match err {
         PieceError::Cut => MayHaveRunReason::AnswerCut,
-        PieceError::Late => MayHaveRunReason::DeadlinePassed,
+        PieceError::TimedOut => MayHaveRunReason::DeadlinePassed,
     })
 }
--- a/crates/samphiredoor/src/request_body.rs
+++ b/crates/samphiredoor/src/request_body.rs
@@ -60,7 +60,7 @@
         let piece = match next_piece(&mut self.incoming, self.wait).await {
             Ok(piece) => piece,
             Err(PieceError::Cut) => return Err(BodyError::Cut),
-            Err(PieceError::Late) => return Err(BodyError::TooSlow),
+            Err(PieceError::TimedOut) => return Err(BodyError::TooSlow),
         };
         self.bytes += piece.as_ref().map_or(0, Bytes::len);
         if self.bytes > self.max_bytes {
--- a/crates/samphiredoor/src/store_client.rs
+++ b/crates/samphiredoor/src/store_client.rs
@@ -147,7 +147,7 @@
                 log::debug!("store: answer lost: {err}");
                 lost
             }
-            Err(FetchError::Silent { .. }) => lost,
+            Err(FetchError::TimedOut { .. }) => lost,
         }
     }
 
