--- a/crates/samphiredoor-net/src/metrics.rs
+++ b/crates/samphiredoor-net/src/metrics.rs
@@ -37,13 +37,13 @@
     }
 
     /// Raises a counter to what was counted elsewhere.
-    pub fn raise(&self, reason: &'static str, to: u64) {
-        raise(&self.0.get_or_create(&ReasonLabel { reason }), to);
+    pub fn raise_to(&self, reason: &'static str, to: u64) {
+        raise_to(&self.0.get_or_create(&ReasonLabel { reason }), to);
     }
 }
 
 /// Raises a counter to what was counted elsewhere.
-pub fn raise(counter: &Counter, to: u64) {
+pub fn raise_to(counter: &Counter, to: u64) {
     counter.inc_by(to.saturating_sub(counter.get()));
 }
 
--- a/crates/samphiredoor/src/dispatch_metrics.rs
+++ b/crates/samphiredoor/src/dispatch_metrics.rs
@@ -9,7 +9,7 @@
     registry::Registry,
 };
 use samphiredoor_core::dispatch::{Counters, Ejection, Gauges, RetryReason};
-use samphiredoor_net::metrics::{ReasonCounters, counter, gauge, raise};
+use samphiredoor_net::metrics::{ReasonCounters, counter, gauge, raise_to};
 
 /// What the dispatcher counts, as of its last report.
 pub struct DispatcherMetrics {
@@ -75,15 +75,15 @@
     /// Takes what the dispatcher counts.
     pub fn set(&self, counters: &Counters, gauges: &Gauges) {
         for (reason, count) in RetryReason::ALL.into_iter().zip(counters.retries) {
-            self.retries.raise(reason.label(), count);
+            self.retries.raise_to(reason.label(), count);
         }
         for (reason, count) in Ejection::ALL.into_iter().zip(counters.ejections) {
-            self.ejections.raise(reason.label(), count);
+            self.ejections.raise_to(reason.label(), count);
         }
-        raise(&self.retries_over_budget, counters.retries_over_budget);
-        raise(&self.reports_distrusted, counters.reports_distrusted);
-        raise(&self.recalls, counters.preemptions);
-        raise(&self.bytes_to_other_regions, counters.bytes_to_other_regions);
+        raise_to(&self.retries_over_budget, counters.retries_over_budget);
+        raise_to(&self.reports_distrusted, counters.reports_distrusted);
+        raise_to(&self.recalls, counters.preemptions);
+        raise_to(&self.bytes_to_other_regions, counters.bytes_to_other_regions);
         self.queued.set(gauges.queued as i64);
         self.waiting_batch.set(gauges.waiting_batch as i64);
         self.dispatched_online.set(gauges.online as i64);
