--- a/crates/samphiredoor-net/src/lib.rs
+++ b/crates/samphiredoor-net/src/lib.rs
@@ -3,7 +3,7 @@
 //! `serve` takes connections with bounds on their number, headers and waits, and ends them gracefully. `pool` keeps
 //! connections towards one address and never reuses one that still owes an answer. `body` holds the one body type that
 //! both sides exchange, `fetch` reads whole answers for as long as they come, `call` is what is sent to a target and may be
-//! sent again, `answers` what a process answers itself. `socket` finds far sides that fell silent. `ticking` is the inbox of
+//! sent again, `answers` what a process answers itself. `socket` finds far sides that fell silent. `timed_inbox` is the inbox of
 //! a task that also has to act by time. `metrics` is what the metrics of all processes are made of.
 
 pub mod answers;
@@ -17,7 +17,7 @@
 pub mod socket;
 pub mod stall;
 pub mod stream;
-pub mod ticking;
+pub mod timed_inbox;
 
 pub use body::{Body, BoxError};
 pub use call::Call;
--- a/crates/samphiredoor-net/tests/ticking.rs
+++ b/crates/samphiredoor-net/tests/timed_inbox.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use samphiredoor_net::ticking::{Next, Ticking};
+use samphiredoor_net::timed_inbox::{InboxEvent, TimedInbox};
 
 /// A door under load forgets what it does by time: deadlines of queued requests pass unnoticed, and ejected targets never
 /// come back. Its inbox was never empty, and ticks came only from an empty one.
@@ -12,12 +12,12 @@
     runtime.block_on(async {
         let (sender, receiver) = flume::unbounded();
         sender.send(()).expect("an open inbox");
-        let mut inbox = Ticking::new(receiver, Duration::from_millis(5));
+        let mut inbox = TimedInbox::new(receiver, Duration::from_millis(5));
         loop {
             match inbox.next().await {
-                Next::Message(()) => sender.send(()).expect("an open inbox"),
-                Next::Tick => return,
-                Next::Closed => panic!("the sender is alive"),
+                InboxEvent::Message(()) => sender.send(()).expect("an open inbox"),
+                InboxEvent::Tick => return,
+                InboxEvent::Closed => panic!("the sender is alive"),
             }
         }
     });
--- a/crates/samphiredoor/src/dispatch_task.rs
+++ b/crates/samphiredoor/src/dispatch_task.rs
@@ -21,7 +21,7 @@
 };
 use samphiredoor_net::{
     clock::Clock,
-    ticking::{Next, Ticking},
+    timed_inbox::{InboxEvent, TimedInbox},
 };
 
 use crate::metrics::Metrics;
@@ -208,24 +208,24 @@
 impl Task {
     async fn run(mut self, inbox: flume::Receiver<Message>) {
         let mut actions = Vec::new();
-        let mut inbox = Ticking::new(inbox, TICK);
+        let mut inbox = TimedInbox::new(inbox, TICK);
         loop {
             let input = match inbox.next().await {
-                Next::Message(Message::Ask(ask, reply)) => {
+                InboxEvent::Message(Message::Ask(ask, reply)) => {
                     self.waiting.insert(ask.request, reply);
                     Input::Request(ask)
                 }
-                Next::Message(Message::Input(input)) => input,
-                Next::Message(Message::TargetViews(reply)) => {
+                InboxEvent::Message(Message::Input(input)) => input,
+                InboxEvent::Message(Message::TargetViews(reply)) => {
                     let _ = reply.send(self.dispatcher.target_views(self.clock.now()));
                     continue;
                 }
-                Next::Message(Message::TargetsInUse(reply)) => {
+                InboxEvent::Message(Message::TargetsInUse(reply)) => {
                     let _ = reply.send(self.targets_in_use());
                     continue;
                 }
-                Next::Closed => return,
-                Next::Tick => {
+                InboxEvent::Closed => return,
+                InboxEvent::Tick => {
                     self.publish();
                     Input::Tick
                 }
--- a/crates/samphiredoor/src/jobs_task.rs
+++ b/crates/samphiredoor/src/jobs_task.rs
@@ -13,7 +13,7 @@
 };
 use samphiredoor_net::{
     clock::Clock,
-    ticking::{Next, Ticking},
+    timed_inbox::{InboxEvent, TimedInbox},
 };
 use samphiredoor_schema::objects::{JobHeader, JobState};
 
@@ -167,18 +167,18 @@
     F: Future<Output = ItemEnd> + 'static,
 {
     async fn run(mut self, inbox: JobsInbox) {
-        let mut inbox = Ticking::new(inbox.0, TICK);
+        let mut inbox = TimedInbox::new(inbox.0, TICK);
         loop {
             match inbox.next().await {
-                Next::Message(Message::Input(input)) => self.handle(input),
-                Next::Message(Message::Progress(job, reply)) => {
+                InboxEvent::Message(Message::Input(input)) => self.handle(input),
+                InboxEvent::Message(Message::Progress(job, reply)) => {
                     let _ = reply.send(self.ledger.progress(&job));
                 }
-                Next::Message(Message::Len(reply)) => {
+                InboxEvent::Message(Message::Len(reply)) => {
                     let _ = reply.send(self.ledger.jobs().count());
                 }
-                Next::Closed => return,
-                Next::Tick => self.handle(LedgerInput::Tick),
+                InboxEvent::Closed => return,
+                InboxEvent::Tick => self.handle(LedgerInput::Tick),
             }
         }
     }
--- a/crates/samphiredoor/src/keys_task.rs
+++ b/crates/samphiredoor/src/keys_task.rs
@@ -9,7 +9,7 @@
 };
 use samphiredoor_net::{
     clock::Clock,
-    ticking::{Next, Ticking},
+    timed_inbox::{InboxEvent, TimedInbox},
 };
 
 use crate::{metrics::Metrics, store_client::StoreClient};
@@ -132,16 +132,16 @@
     let keys = Keys::new(env.config.clone());
     let mut task = Task { keys, waiting: HashMap::new(), env };
     let mut actions = Vec::new();
-    let mut inbox = Ticking::new(inbox.0, TICK);
+    let mut inbox = TimedInbox::new(inbox.0, TICK);
     loop {
         let input = match inbox.next().await {
-            Next::Message(Message::Arrived(arrival, reply)) => {
+            InboxEvent::Message(Message::Arrived(arrival, reply)) => {
                 task.waiting.insert(arrival.request, reply);
                 KeysInput::Arrived(arrival)
             }
-            Next::Message(Message::Input(input)) => input,
-            Next::Closed => return,
-            Next::Tick => KeysInput::Tick,
+            InboxEvent::Message(Message::Input(input)) => input,
+            InboxEvent::Closed => return,
+            InboxEvent::Tick => KeysInput::Tick,
         };
         if let KeysInput::Ended { request, .. } | KeysInput::Gone { request } = &input {
             task.waiting.remove(request);
--- a/crates/samphiredoor/src/lease_task.rs
+++ b/crates/samphiredoor/src/lease_task.rs
@@ -9,7 +9,7 @@
     membership::MembershipInput,
     store::StoreAnswer,
 };
-use samphiredoor_net::ticking::{Next, Ticking};
+use samphiredoor_net::timed_inbox::{InboxEvent, TimedInbox};
 
 use crate::door::Door;
 
@@ -21,16 +21,16 @@
     let (answers, answered) = flume::unbounded::<(CallId, StoreAnswer)>();
     let mut actions = Vec::new();
     let mut told_stopping = false;
-    let mut inbox = Ticking::new(answered, TICK);
+    let mut inbox = TimedInbox::new(answered, TICK);
     loop {
         let input = match inbox.next().await {
-            Next::Message((call, answer)) => LeaseInput::Stored { call, answer },
-            Next::Closed => return,
-            Next::Tick if door.stopping.get() && !told_stopping => {
+            InboxEvent::Message((call, answer)) => LeaseInput::Stored { call, answer },
+            InboxEvent::Closed => return,
+            InboxEvent::Tick if door.stopping.get() && !told_stopping => {
                 told_stopping = true;
                 LeaseInput::Stopping
             }
-            Next::Tick => LeaseInput::Tick,
+            InboxEvent::Tick => LeaseInput::Tick,
         };
         lease.handle(door.clock.now(), input, &mut actions);
         for action in actions.drain(..) {
--- a/crates/samphiredoor/src/orders_task.rs
+++ b/crates/samphiredoor/src/orders_task.rs
@@ -16,7 +16,7 @@
     body::read_whole,
     clock::Clock,
     pool::{SendError, within},
-    ticking::{Next, Ticking},
+    timed_inbox::{InboxEvent, TimedInbox},
 };
 use serde_json::json;
 
@@ -91,12 +91,12 @@
     let mut orders = Orders::new(config(&env));
     let mut seen = Seen::default();
     let mut actions = Vec::new();
-    let mut inbox = Ticking::new(inbox.0, TICK);
+    let mut inbox = TimedInbox::new(inbox.0, TICK);
     loop {
         let input = match inbox.next().await {
-            Next::Message(input) => input,
-            Next::Closed => return,
-            Next::Tick => OrdersInput::Tick,
+            InboxEvent::Message(input) => input,
+            InboxEvent::Closed => return,
+            InboxEvent::Tick => OrdersInput::Tick,
         };
         let now = env.clock.now();
         for input in seen.changes(&env) {
--- a/crates/samphiredoor/src/quarantine_task.rs
+++ b/crates/samphiredoor/src/quarantine_task.rs
@@ -14,7 +14,7 @@
 use samphiredoor_net::{
     clock::Clock,
     pool::within,
-    ticking::{Next, Ticking},
+    timed_inbox::{InboxEvent, TimedInbox},
 };
 
 use crate::{metrics::Metrics, peers::Peers, store_client::StoreClient};
@@ -157,12 +157,12 @@
         env,
     };
     let mut actions = Vec::new();
-    let mut inbox = Ticking::new(inbox.0, TICK);
+    let mut inbox = TimedInbox::new(inbox.0, TICK);
     loop {
         let input = match inbox.next().await {
-            Next::Message(message) => task.input(message),
-            Next::Closed => return,
-            Next::Tick => Some(QuarantineInput::Tick),
+            InboxEvent::Message(message) => task.input(message),
+            InboxEvent::Closed => return,
+            InboxEvent::Tick => Some(QuarantineInput::Tick),
         };
         let Some(input) = input else { continue };
         task.quarantine.handle(task.env.clock.now(), input, &mut actions);
