--- a/crates/samphiredoor-core/examples/keys_store_calls.rs
+++ b/crates/samphiredoor-core/examples/keys_store_calls.rs
@@ -10,7 +10,7 @@
 use samphiredoor_core::{
     dispatch::RequestId,
     keys::{
-        Arrival, KeptAnswer, KeyOutcome, Keys, KeysAction, KeysConfig, KeysInput, holder_name,
+        KeptAnswer, KeyOutcome, KeyedRequest, Keys, KeysAction, KeysConfig, KeysInput, holder_name,
         key_id,
     },
     ledger::CallId,
@@ -83,7 +83,7 @@
             match due {
                 Due::Arrival(request) => {
                     let door = rng.random_range(0..self.doors.len());
-                    let arrival = Arrival {
+                    let arrival = KeyedRequest {
                         request: RequestId(request),
                         key: key_id("bench", &request.to_string()),
                         digest: "0123456789abcdef0123456789abcdef".into(),
@@ -101,7 +101,7 @@
                     };
                     let outcome = KeyOutcome::Answered(answer);
                     let request = RequestId(request);
-                    self.input(now, door, KeysInput::Ended { request, outcome });
+                    self.input(now, door, KeysInput::RunEnded { request, outcome });
                 }
             }
         }
--- a/crates/samphiredoor-core/src/keys/arrival.rs
+++ b/crates/samphiredoor-core/src/keys/arrival.rs
@@ -9,7 +9,7 @@
 
 /// A request under a key.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Arrival {
+pub struct KeyedRequest {
     /// Identity within this process.
     pub request: RequestId,
     /// Key.
--- a/crates/samphiredoor-core/src/keys/change.rs
+++ b/crates/samphiredoor-core/src/keys/change.rs
@@ -5,7 +5,7 @@
 use samphiredoor_schema::objects::{KeyRecord, KeyState};
 
 use super::{
-    arrival::{Arrival, KeyId},
+    arrival::{KeyId, KeyedRequest},
     config::KeysConfig,
     context::{Context, Effect},
     record::{self, KeptAnswer, Stamp, Standing, is_orphaned},
@@ -15,7 +15,7 @@
 /// An intent that is to be written.
 #[derive(Debug)]
 pub(super) struct Intent {
-    pub(super) arrival: Arrival,
+    pub(super) arrival: KeyedRequest,
     pub(super) stamp: Stamp,
     /// Whether the request still waits; if not, the intent is taken back once it is known to stand.
     pub(super) wanted: bool,
@@ -115,7 +115,7 @@
 
 /// What a standing other than free means for a request.
 pub(super) fn conclude(
-    arrival: Arrival,
+    arrival: KeyedRequest,
     standing: Standing,
     orphaned: bool,
     cx: &Context<'_>,
@@ -135,18 +135,18 @@
     }
 }
 
-fn doubt(arrival: Arrival, reason: MayHaveRunReason) -> Effect {
+fn doubt(arrival: KeyedRequest, reason: MayHaveRunReason) -> Effect {
     Effect::Refuse { arrival, verdict: Verdict::MayHaveRun { reason } }
 }
 
 /// The key stands for another request.
-pub(super) fn reused(arrival: Arrival) -> Effect {
+pub(super) fn reused(arrival: KeyedRequest) -> Effect {
     let verdict = Verdict::NotRun { retry_after_ms: 0, reason: Refusal::KeyReused };
     Effect::Refuse { arrival, verdict }
 }
 
 /// The request is not run.
-pub(super) fn refuse(arrival: &Arrival, reason: Refusal, retry_after_ms: u64) -> Effect {
+pub(super) fn refuse(arrival: &KeyedRequest, reason: Refusal, retry_after_ms: u64) -> Effect {
     let verdict = Verdict::NotRun { retry_after_ms, reason };
     Effect::Refuse { arrival: arrival.clone(), verdict }
 }
--- a/crates/samphiredoor-core/src/keys/context.rs
+++ b/crates/samphiredoor-core/src/keys/context.rs
@@ -3,7 +3,7 @@
 use std::{cell::Cell, collections::BTreeSet};
 
 use super::{
-    arrival::{Arrival, KeyId},
+    arrival::{KeyId, KeyedRequest},
     config::KeysConfig,
     record::{KeptAnswer, Stamp},
 };
@@ -38,13 +38,13 @@
     /// Make the shard's store call.
     Call(StoreOp),
     /// The intent stands: run the request.
-    Run { arrival: Arrival, stamp: Stamp },
+    Run { arrival: KeyedRequest, stamp: Stamp },
     /// Answer as before.
-    Replay { arrival: Arrival, answer: KeptAnswer },
+    Replay { arrival: KeyedRequest, answer: KeptAnswer },
     /// Answer as before, once the body is read.
-    Fetch { arrival: Arrival, answer: KeptAnswer, object: Name },
+    Fetch { arrival: KeyedRequest, answer: KeptAnswer, object: Name },
     /// End the request.
-    Refuse { arrival: Arrival, verdict: Verdict },
+    Refuse { arrival: KeyedRequest, verdict: Verdict },
     /// The outcome stands in the store.
     Saved(KeyId),
     /// Write the body of an outcome to an object of its own first.
--- a/crates/samphiredoor-core/src/keys/messages.rs
+++ b/crates/samphiredoor-core/src/keys/messages.rs
@@ -1,6 +1,6 @@
 //! What goes into the machine of the keys, and what comes out.
 
-use super::{arrival::Arrival, record::KeptAnswer};
+use super::{arrival::KeyedRequest, record::KeptAnswer};
 use crate::{
     Name,
     dispatch::RequestId,
@@ -29,16 +29,16 @@
 #[derive(Debug, Clone)]
 pub enum KeysInput {
     /// A request arrived under a key.
-    Arrived(Arrival),
+    Arrived(KeyedRequest),
     /// A request that was told to run ended.
-    Ended {
+    RunEnded {
         /// Which request.
         request: RequestId,
         /// How.
         outcome: KeyOutcome,
     },
     /// Nobody waits for the request any more. A run in hand counts as one that may have run.
-    Gone {
+    Cancelled {
         /// Which request.
         request: RequestId,
     },
@@ -50,7 +50,7 @@
         answer: StoreAnswer,
     },
     /// A process is believed dead; a hint.
-    Lapsed {
+    LeaseExpired {
         /// Name as in [`KeysConfig::holder`](super::config::KeysConfig::holder).
         holder: Name,
     },
--- a/crates/samphiredoor-core/src/keys/mod.rs
+++ b/crates/samphiredoor-core/src/keys/mod.rs
@@ -6,7 +6,7 @@
 //! that wait while a write is in flight go into the next one, and a resend to the same process is answered from memory.
 //!
 //! One task owns [`Keys`]; each arriving request gets exactly one final action, and one that is told to run reports its
-//! end with [`KeysInput::Ended`].
+//! end with [`KeysInput::RunEnded`].
 
 mod arrival;
 mod change;
@@ -24,7 +24,7 @@
 
 use samphiredoor_schema::objects::{KeptBody, KeyRecord, KeyState};
 
-pub use arrival::{Arrival, KeyId, key_id};
+pub use arrival::{KeyId, KeyedRequest, key_id};
 pub use config::{KeysConfig, SHARDS, holder_name};
 pub use messages::{KeyOutcome, KeysAction, KeysInput};
 pub use record::{CLOCK_MARGIN_MS, KeptAnswer};
@@ -53,7 +53,7 @@
 
 #[derive(Debug)]
 struct Run {
-    arrival: Arrival,
+    arrival: KeyedRequest,
     stamp: Stamp,
     joined: Vec<RequestId>,
 }
@@ -63,7 +63,7 @@
 enum CallFor {
     Shard(u32),
     Upload { key: KeyId, object: Name },
-    Fetch { arrival: Arrival, answer: KeptAnswer },
+    Fetch { arrival: KeyedRequest, answer: KeptAnswer },
     DropBody,
 }
 
@@ -74,7 +74,7 @@
     shards: BTreeMap<u32, Shard>,
     runs: BTreeMap<KeyId, Run>,
     /// Requests that still want a final action, and those that run.
-    requests: BTreeMap<RequestId, Arrival>,
+    requests: BTreeMap<RequestId, KeyedRequest>,
     /// Bytes of the outcomes that wait for their write.
     unsaved: BTreeMap<KeyId, usize>,
     unsaved_bytes: usize,
@@ -119,10 +119,10 @@
     pub fn handle(&mut self, now: Now, input: KeysInput, out: &mut Vec<KeysAction>) {
         match input {
             KeysInput::Arrived(arrival) => self.arrived(now, arrival, out),
-            KeysInput::Ended { request, outcome } => self.ended(now, request, outcome, out),
-            KeysInput::Gone { request } => self.gone(now, request, out),
+            KeysInput::RunEnded { request, outcome } => self.ended(now, request, outcome, out),
+            KeysInput::Cancelled { request } => self.gone(now, request, out),
             KeysInput::Stored { call, answer } => self.stored(now, call, answer, out),
-            KeysInput::Lapsed { holder } => self.lapse(holder),
+            KeysInput::LeaseExpired { holder } => self.lapse(holder),
             KeysInput::Tick => self.tick(now, out),
         }
     }
@@ -136,7 +136,7 @@
         }
     }
 
-    fn arrived(&mut self, now: Now, arrival: Arrival, out: &mut Vec<KeysAction>) {
+    fn arrived(&mut self, now: Now, arrival: KeyedRequest, out: &mut Vec<KeysAction>) {
         let request = arrival.request;
         // Outcomes are never dropped while the store is down; new keys are refused instead.
         let open = self.open_len();
@@ -159,7 +159,7 @@
         &mut self,
         now: Now,
         number: u32,
-        arrival: Arrival,
+        arrival: KeyedRequest,
         fresh: bool,
         out: &mut Vec<KeysAction>,
     ) {
@@ -390,7 +390,7 @@
 
     fn fetch_answered(
         &mut self,
-        arrival: Arrival,
+        arrival: KeyedRequest,
         kept: KeptAnswer,
         answer: StoreAnswer,
         out: &mut Vec<KeysAction>,
--- a/crates/samphiredoor-core/src/keys/record.rs
+++ b/crates/samphiredoor-core/src/keys/record.rs
@@ -4,7 +4,7 @@
 
 use samphiredoor_schema::objects::{KeptBody, KeyRecord, KeyState};
 
-use super::{arrival::Arrival, config::KeysConfig};
+use super::{arrival::KeyedRequest, config::KeysConfig};
 use crate::{Name, time::Now, verdict::MayHaveRunReason};
 
 /// Longest difference between the wall clocks of two doors that expiry allows for.
@@ -118,7 +118,7 @@
 }
 
 /// Record of an intent.
-pub(super) fn intent(arrival: &Arrival, config: &KeysConfig, stamp: Stamp) -> KeyRecord {
+pub(super) fn intent(arrival: &KeyedRequest, config: &KeysConfig, stamp: Stamp) -> KeyRecord {
     KeyRecord {
         digest: arrival.digest.to_string(),
         state: KeyState::Intended,
--- a/crates/samphiredoor-core/src/keys/shard.rs
+++ b/crates/samphiredoor-core/src/keys/shard.rs
@@ -9,7 +9,7 @@
 use samphiredoor_schema::objects::{KeyRecord, KeyShard, KeyState};
 
 use super::{
-    arrival::{Arrival, KeyId},
+    arrival::{KeyId, KeyedRequest},
     change::{Change, Intent, Outcome, conclude, landed, reconcile, refuse, reused, taken_back},
     context::{Context, Effect},
     record::{self, KeptAnswer, Stamp, Standing, is_expired, is_orphaned},
@@ -37,7 +37,7 @@
 
 #[derive(Debug)]
 enum InFlight {
-    Read { waiting: Vec<Arrival> },
+    Read { waiting: Vec<KeyedRequest> },
     Write { changes: BTreeMap<KeyId, Change>, after: Content, dropped: Vec<Name> },
 }
 
@@ -47,7 +47,7 @@
     object: ObjectKey,
     content: Option<Content>,
     pending: BTreeMap<KeyId, Change>,
-    held: Vec<Arrival>,
+    held: Vec<KeyedRequest>,
     in_flight: Option<InFlight>,
     not_before_ms: u64,
     /// Monotonic time of the last use.
@@ -113,7 +113,7 @@
     }
 
     /// Requests that are held and can be offered again: no call is in flight.
-    pub(super) fn take_held(&mut self) -> Vec<Arrival> {
+    pub(super) fn take_held(&mut self) -> Vec<KeyedRequest> {
         match self.in_flight {
             None => std::mem::take(&mut self.held),
             Some(_) => Vec::new(),
@@ -123,7 +123,7 @@
     /// Decides a request that no run of this process answers. `fresh` says that the content was read after it came.
     pub(super) fn offer(
         &mut self,
-        arrival: Arrival,
+        arrival: KeyedRequest,
         fresh: bool,
         cx: &Context<'_>,
         effects: &mut Vec<Effect>,
@@ -185,7 +185,7 @@
 
     fn offer_to_outcome(
         &mut self,
-        arrival: Arrival,
+        arrival: KeyedRequest,
         record: &KeyRecord,
         answer: Option<KeptAnswer>,
         cx: &Context<'_>,
@@ -199,7 +199,7 @@
         }
     }
 
-    fn want(&mut self, arrival: Arrival, cx: &Context<'_>, effects: &mut Vec<Effect>) {
+    fn want(&mut self, arrival: KeyedRequest, cx: &Context<'_>, effects: &mut Vec<Effect>) {
         let doubtful = self.pending.contains_key(&arrival.key);
         if doubtful {
             // A former sending that did not run; this intent takes the place of its outcome.
@@ -212,7 +212,7 @@
     }
 
     /// Nobody waits for a request that was not told to run.
-    pub(super) fn gone(&mut self, arrival: &Arrival) {
+    pub(super) fn gone(&mut self, arrival: &KeyedRequest) {
         self.held.retain(|it| it.request != arrival.request);
         let in_flight = match &mut self.in_flight {
             Some(InFlight::Write { changes, .. }) => changes.get_mut(&arrival.key),
@@ -349,7 +349,7 @@
         answer: StoreAnswer,
         cx: &Context<'_>,
         effects: &mut Vec<Effect>,
-    ) -> Vec<Arrival> {
+    ) -> Vec<KeyedRequest> {
         match self.in_flight.take() {
             Some(InFlight::Read { waiting }) => self.read_answered(waiting, answer, cx, effects),
             Some(InFlight::Write { changes, after, dropped }) => {
@@ -362,11 +362,11 @@
 
     fn read_answered(
         &mut self,
-        waiting: Vec<Arrival>,
+        waiting: Vec<KeyedRequest>,
         answer: StoreAnswer,
         cx: &Context<'_>,
         effects: &mut Vec<Effect>,
-    ) -> Vec<Arrival> {
+    ) -> Vec<KeyedRequest> {
         let content = match answer {
             StoreAnswer::Absent => Some(Content { version: None, keys: BTreeMap::new(), bytes: 0 }),
             StoreAnswer::Object(stored) => content_of(&stored, effects),
@@ -427,9 +427,10 @@
     }
 
     /// The store is of no help: everyone who waits is refused at once, truly not run.
-    fn give_up(&mut self, waiting: Vec<Arrival>, cx: &Context<'_>, effects: &mut Vec<Effect>) {
+    fn give_up(&mut self, waiting: Vec<KeyedRequest>, cx: &Context<'_>, effects: &mut Vec<Effect>) {
         self.pause(cx.now);
-        let refused = |it: &Arrival| refuse(it, Refusal::StoreUnavailable, STORE_RETRY_AFTER_MS);
+        let refused =
+            |it: &KeyedRequest| refuse(it, Refusal::StoreUnavailable, STORE_RETRY_AFTER_MS);
         effects.extend(waiting.iter().chain(&self.held).map(refused));
         self.held.clear();
         for change in self.pending.values_mut() {
--- a/crates/samphiredoor-core/tests/keys.rs
+++ b/crates/samphiredoor-core/tests/keys.rs
@@ -10,8 +10,8 @@
     Name,
     dispatch::RequestId,
     keys::{
-        Arrival, CLOCK_MARGIN_MS, KeptAnswer, KeyOutcome, Keys, KeysAction, KeysConfig, KeysInput,
-        holder_name, key_id,
+        CLOCK_MARGIN_MS, KeptAnswer, KeyOutcome, KeyedRequest, Keys, KeysAction, KeysConfig,
+        KeysInput, holder_name, key_id,
     },
     ledger::CallId,
     store::{Kind, ObjectKey, StoreAnswer, StoreOp, Stored, Value, Version},
@@ -136,7 +136,7 @@
     now: Now,
     cache_bytes: usize,
     incarnations: u64,
-    sent: BTreeMap<RequestId, (usize, Arrival)>,
+    sent: BTreeMap<RequestId, (usize, KeyedRequest)>,
     open: BTreeSet<RequestId>,
     running: Vec<RequestId>,
     /// Request that ran, or may yet, by key.
@@ -196,7 +196,7 @@
                     self.open.remove(&request);
                     self.running.retain(|it| *it != request);
                     let door = self.sent[&request].0;
-                    self.input(door, KeysInput::Gone { request })
+                    self.input(door, KeysInput::Cancelled { request })
                 }
                 None => Ok(()),
             },
@@ -211,7 +211,7 @@
             }
             Step::Lapse { door, of } => {
                 let holder = self.doors[of].holder.clone();
-                self.input(door, KeysInput::Lapsed { holder })
+                self.input(door, KeysInput::LeaseExpired { holder })
             }
             Step::Wait { ms } => {
                 self.now.mono_ms += ms;
@@ -226,7 +226,7 @@
         let digest: Name = if other { "other" } else { "usual" }.into();
         let key = key_id("tours", &key.to_string());
         let deadline_unix_ms = self.now.unix_ms + 60_000;
-        let arrival = Arrival { request, key, digest, deadline_unix_ms };
+        let arrival = KeyedRequest { request, key, digest, deadline_unix_ms };
         self.sent.insert(request, (door, arrival.clone()));
         self.open.insert(request);
         self.input(door, KeysInput::Arrived(arrival))?;
@@ -291,7 +291,7 @@
             let answered = (arrival.digest.clone(), answer.clone());
             self.answers.insert(arrival.key.clone(), answered);
         }
-        self.input(door, KeysInput::Ended { request, outcome })
+        self.input(door, KeysInput::RunEnded { request, outcome })
     }
 
     fn input(&mut self, door: usize, input: KeysInput) -> Result<(), TestCaseError> {
@@ -331,7 +331,7 @@
         if let Verdict::NotRun { reason, .. } = verdict {
             prop_assert_ne!(self.ran.get(&arrival.key), Some(&request), "not run, but it ran");
             if reason == Refusal::KeyReused {
-                let other = |(_, it): &&(usize, Arrival)| {
+                let other = |(_, it): &&(usize, KeyedRequest)| {
                     it.key == arrival.key && it.digest != arrival.digest
                 };
                 prop_assert!(self.sent.values().any(|it| other(&it)), "the key was not reused");
@@ -480,7 +480,8 @@
         let mut calls = Vec::new();
         let request = RequestId(number);
         let key = key_id("tours", &number.to_string());
-        let arrival = Arrival { request, key, digest: "usual".into(), deadline_unix_ms: u64::MAX };
+        let arrival =
+            KeyedRequest { request, key, digest: "usual".into(), deadline_unix_ms: u64::MAX };
         keys.handle(now, KeysInput::Arrived(arrival), &mut calls);
         let mut ran = false;
         while let Some(action) = calls.pop() {
@@ -496,7 +497,7 @@
                 KeysAction::Run { request } => {
                     ran = true;
                     let outcome = KeyOutcome::MayHaveRun(MayHaveRunReason::AnswerCut);
-                    keys.handle(now, KeysInput::Ended { request, outcome }, &mut calls);
+                    keys.handle(now, KeysInput::RunEnded { request, outcome }, &mut calls);
                 }
                 KeysAction::Refuse { verdict, .. } => verdicts.push(verdict),
                 other => panic!("unexpected: {other:?}"),
@@ -522,7 +523,7 @@
     let mut keys = Keys::new(config);
     let (now, request) = (Now::new(0, 1_000_000_000), RequestId(0));
     let mut actions = Vec::new();
-    let arrival = Arrival { request, key, digest: "usual".into(), deadline_unix_ms: u64::MAX };
+    let arrival = KeyedRequest { request, key, digest: "usual".into(), deadline_unix_ms: u64::MAX };
     keys.handle(now, KeysInput::Arrived(arrival), &mut actions);
     let Some(KeysAction::Store { call, op }) = actions.pop() else { panic!("no read") };
     let answer = store.call(&op);
@@ -543,7 +544,7 @@
     let mut keys = Keys::new(KeysConfig::new(holder_name("door-0", 1), REMEMBER_MS));
     let mut store = Store::default();
     let mut actions = Vec::new();
-    let arrival = |number| Arrival {
+    let arrival = |number| KeyedRequest {
         request: RequestId(number),
         key: key_id("tours", "0"),
         digest: "usual".into(),
@@ -560,7 +561,7 @@
         body: Some(b"confirmed".as_slice().into()),
     };
     let outcome = KeyOutcome::Answered(kept.clone());
-    keys.handle(now, KeysInput::Ended { request: RequestId(0), outcome }, &mut actions);
+    keys.handle(now, KeysInput::RunEnded { request: RequestId(0), outcome }, &mut actions);
     let Some(KeysAction::Store { call, .. }) = actions.pop() else { panic!("no write") };
     keys.handle(now, KeysInput::Arrived(arrival(1)), &mut actions);
     let answer = StoreAnswer::Unavailable;
--- a/crates/samphiredoor/src/keyed.rs
+++ b/crates/samphiredoor/src/keyed.rs
@@ -11,7 +11,7 @@
 use samphiredoor_core::{
     Name,
     dispatch::{Class, RequestSpec},
-    keys::{Arrival, KeptAnswer, KeyOutcome, MAX_BODY_BYTES, key_id},
+    keys::{KeptAnswer, KeyOutcome, KeyedRequest, MAX_BODY_BYTES, key_id},
     verdict::{MayHaveRunReason, Refusal, Verdict},
 };
 use samphiredoor_net::{Body, BoxError, pool::within};
@@ -51,7 +51,7 @@
     online.deadline = online.deadline.min(Instant::now() + longest);
     // A keyed request is never sent to a second target after doubt, also where its service may be called again.
     ask.repeatable = false;
-    let arrival = Arrival {
+    let arrival = KeyedRequest {
         request: ask.request,
         key: key_id(&ask.workspace, &key),
         digest: digest(&ask.service, &online.call),
--- a/crates/samphiredoor/src/keys_task.rs
+++ b/crates/samphiredoor/src/keys_task.rs
@@ -4,7 +4,9 @@
 
 use samphiredoor_core::{
     dispatch::RequestId,
-    keys::{Arrival, KeptAnswer, KeyOutcome, Keys, KeysAction, KeysConfig, KeysInput, holder_name},
+    keys::{
+        KeptAnswer, KeyOutcome, KeyedRequest, Keys, KeysAction, KeysConfig, KeysInput, holder_name,
+    },
     verdict::{Refusal, Verdict},
 };
 use samphiredoor_net::{
@@ -32,7 +34,7 @@
 }
 
 enum Message {
-    Arrived(Arrival, flume::Sender<KeyDecision>),
+    Arrived(KeyedRequest, flume::Sender<KeyDecision>),
     Input(KeysInput),
 }
 
@@ -54,7 +56,7 @@
     }
 
     /// Hands over a request that arrived under a key.
-    pub fn arrive(&self, arrival: Arrival) -> KeyTicket {
+    pub fn arrive(&self, arrival: KeyedRequest) -> KeyTicket {
         let (sender, decisions) = flume::unbounded();
         let request = arrival.request;
         let _ = self.messages.send(Message::Arrived(arrival, sender));
@@ -71,7 +73,7 @@
     /// Says that the lease of a process has lapsed; a hint.
     pub fn lapsed(&self, process: &str, incarnation: u64) {
         let holder = holder_name(process, incarnation);
-        let _ = self.messages.send(Message::Input(KeysInput::Lapsed { holder }));
+        let _ = self.messages.send(Message::Input(KeysInput::LeaseExpired { holder }));
     }
 }
 
@@ -99,7 +101,7 @@
     /// Says how the run ended.
     pub fn ended(mut self, outcome: KeyOutcome) {
         self.open = false;
-        let input = KeysInput::Ended { request: self.request, outcome };
+        let input = KeysInput::RunEnded { request: self.request, outcome };
         let _ = self.messages.send(Message::Input(input));
     }
 }
@@ -107,7 +109,7 @@
 impl Drop for KeyTicket {
     fn drop(&mut self) {
         if self.open {
-            let input = KeysInput::Gone { request: self.request };
+            let input = KeysInput::Cancelled { request: self.request };
             let _ = self.messages.send(Message::Input(input));
         }
     }
@@ -143,7 +145,7 @@
             InboxEvent::Closed => return,
             InboxEvent::Tick => KeysInput::Tick,
         };
-        if let KeysInput::Ended { request, .. } | KeysInput::Gone { request } = &input {
+        if let KeysInput::RunEnded { request, .. } | KeysInput::Cancelled { request } = &input {
             task.waiting.remove(request);
         }
         task.keys.handle(task.env.clock.now(), input, &mut actions);
