--- a/crates/samphiredoor-core/src/orders/messages.rs
+++ b/crates/samphiredoor-core/src/orders/messages.rs
@@ -83,7 +83,7 @@
         valid_until_ms: u64,
     },
     /// The lease of another process has expired.
-    Lapsed {
+    LeaseExpired {
         /// Name of that process.
         process: Name,
         /// Incarnation of that process.
--- a/crates/samphiredoor-core/src/orders/mod.rs
+++ b/crates/samphiredoor-core/src/orders/mod.rs
@@ -65,7 +65,7 @@
                 }
             }
             OrdersInput::Lease { valid_until_ms } => self.lease_until_ms = valid_until_ms,
-            OrdersInput::Lapsed { process, incarnation } => {
+            OrdersInput::LeaseExpired { process, incarnation } => {
                 self.load_slots.lease_expired(&process, incarnation)
             }
             OrdersInput::Stored { call, answer } => {
--- a/crates/samphiredoor-core/tests/orders.rs
+++ b/crates/samphiredoor-core/tests/orders.rs
@@ -388,7 +388,7 @@
     world.run_round(false, false);
     world.processes[1].paused = true;
     world.set_wanted(0, 2);
-    let lapsed = OrdersInput::Lapsed { process: "gateway-1".into(), incarnation: 1 };
+    let lapsed = OrdersInput::LeaseExpired { process: "gateway-1".into(), incarnation: 1 };
     world.processes[0].ends.push_back(lapsed);
     for _ in 0..150 {
         world.run_round(false, false);
@@ -435,7 +435,7 @@
     world.cut_connection(0);
     world.processes[1].paused = true;
     world.set_wanted(0, 0);
-    let lapsed = OrdersInput::Lapsed { process: "gateway-1".into(), incarnation: 1 };
+    let lapsed = OrdersInput::LeaseExpired { process: "gateway-1".into(), incarnation: 1 };
     world.processes[0].ends.push_back(lapsed);
     for _ in 0..150 {
         world.run_round(false, false);
@@ -488,7 +488,7 @@
     world.run_until_sent(1);
     world.processes[1].paused = true;
     world.set_wanted(0, 1);
-    let lapsed = OrdersInput::Lapsed { process: "gateway-1".into(), incarnation: 1 };
+    let lapsed = OrdersInput::LeaseExpired { process: "gateway-1".into(), incarnation: 1 };
     world.processes[0].ends.push_back(lapsed);
     world.lease_is_short = true;
     (0..100).for_each(|_| world.run_round(false, false));
--- a/crates/samphiredoor/src/orders_task.rs
+++ b/crates/samphiredoor/src/orders_task.rs
@@ -57,7 +57,7 @@
 
     /// Says that the lease of a process has lapsed.
     pub fn lapsed(&self, process: Name, incarnation: u64) {
-        self.input(OrdersInput::Lapsed { process, incarnation });
+        self.input(OrdersInput::LeaseExpired { process, incarnation });
     }
 
     fn input(&self, input: OrdersInput) {
