--- a/crates/samphiredoor-core/src/quarantine/messages.rs
+++ b/crates/samphiredoor-core/src/quarantine/messages.rs
@@ -11,20 +11,20 @@
 
 /// How an attempt left its target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Left {
+pub enum AttemptOutcome {
     /// With a whole answer.
     Answered,
     /// The connection was lost after the request was sent.
-    Lost,
+    ConnectionLost,
     /// In any other way; it says nothing about the request.
-    Otherwise,
+    Other,
 }
 
 /// What happened.
 #[derive(Debug, Clone)]
 pub enum QuarantineInput {
     /// A request is about to be sent to a target.
-    Enter {
+    Admit {
         /// Which attempt; one at a time for a request.
         attempt: RequestId,
         /// Hash of the request.
@@ -33,11 +33,11 @@
         target: SocketAddr,
     },
     /// An attempt left its target.
-    Left {
+    Ended {
         /// Which attempt.
         attempt: RequestId,
         /// How.
-        how: Left,
+        outcome: AttemptOutcome,
     },
     /// A connection was tried as [`QuarantineAction::Probe`] asked.
     Probed {
@@ -47,7 +47,7 @@
         refused: bool,
     },
     /// A peer told of a request.
-    Told(Suspect),
+    PeerReport(Suspect),
     /// An owner lifts the suspicion.
     Lift {
         /// Hash of the request.
@@ -68,7 +68,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum QuarantineAction {
     /// The attempt may be sent.
-    Go {
+    Dispatch {
         /// Which attempt.
         attempt: RequestId,
     },
@@ -83,14 +83,14 @@
         target: SocketAddr,
     },
     /// It is known what the loss of an attempt means; the request may be tried elsewhere.
-    Settled {
+    LossResolved {
         /// Which attempt.
         attempt: RequestId,
     },
     /// Tell all peers.
-    Tell(Suspect),
+    NotifyPeers(Suspect),
     /// A request is blamed from now on.
-    Blamed {
+    Quarantined {
         /// Hash of the request.
         fingerprint: u64,
     },
--- a/crates/samphiredoor-core/src/quarantine/mod.rs
+++ b/crates/samphiredoor-core/src/quarantine/mod.rs
@@ -20,8 +20,8 @@
 
 pub use config::QuarantineConfig;
 pub use list::ListInput;
-pub use messages::{Left, QuarantineAction, QuarantineInput};
-pub use suspects::{BLAMED_DEATHS, Suspect};
+pub use messages::{AttemptOutcome, QuarantineAction, QuarantineInput};
+pub use suspects::{QUARANTINE_DEATHS, Suspect};
 
 use crate::{dispatch::RequestId, time::Now};
 use list::BlamedList;
@@ -76,8 +76,8 @@
         }
     }
 
-    /// Whether any request is suspected, so that an attempt must wait for its [`QuarantineAction::Go`].
-    pub fn suspects_any(&self) -> bool {
+    /// Whether any request is suspected, so that an attempt must wait for its [`QuarantineAction::Dispatch`].
+    pub fn has_suspects(&self) -> bool {
         !self.suspects.is_empty()
     }
 
@@ -89,15 +89,15 @@
     /// Takes one event; appends what to do to `out`.
     pub fn handle(&mut self, now: Now, input: QuarantineInput, out: &mut Vec<QuarantineAction>) {
         match input {
-            QuarantineInput::Enter { attempt, fingerprint, target } => {
+            QuarantineInput::Admit { attempt, fingerprint, target } => {
                 self.last_entry = Entry(self.last_entry.0 + 1);
                 let entry = self.last_entry;
                 self.attempts.insert(attempt, Attempt { fingerprint, target, entry });
                 self.enter(attempt, out);
             }
-            QuarantineInput::Left { attempt, how } => self.left(now, attempt, how, out),
+            QuarantineInput::Ended { attempt, outcome } => self.left(now, attempt, outcome, out),
             QuarantineInput::Probed { target, refused } => self.probed(now, target, refused, out),
-            QuarantineInput::Told(told) => {
+            QuarantineInput::PeerReport(told) => {
                 let change = self.suspects.told(now, told, self.last_entry);
                 self.changed(now, change, false, out);
             }
@@ -121,7 +121,7 @@
     fn enter(&mut self, attempt: RequestId, out: &mut Vec<QuarantineAction>) {
         let Some(entered) = self.attempts.get(&attempt) else { return };
         let deaths = self.suspects.deaths(entered.fingerprint);
-        if deaths >= BLAMED_DEATHS {
+        if deaths >= QUARANTINE_DEATHS {
             self.attempts.remove(&attempt);
             out.push(QuarantineAction::Refuse { attempt });
             return;
@@ -134,28 +134,34 @@
             }
             self.apart.insert(entered.target, attempt);
         }
-        out.push(QuarantineAction::Go { attempt });
+        out.push(QuarantineAction::Dispatch { attempt });
     }
 
-    fn left(&mut self, now: Now, attempt: RequestId, how: Left, out: &mut Vec<QuarantineAction>) {
+    fn left(
+        &mut self,
+        now: Now,
+        attempt: RequestId,
+        outcome: AttemptOutcome,
+        out: &mut Vec<QuarantineAction>,
+    ) {
         let Some(left) = self.attempts.remove(&attempt) else {
             // It was refused after it had been sent without waiting; whoever waits for its end must not wait for ever.
-            if how == Left::Lost {
-                out.push(QuarantineAction::Settled { attempt });
+            if outcome == AttemptOutcome::ConnectionLost {
+                out.push(QuarantineAction::LossResolved { attempt });
             }
             return;
         };
         if let Some(waiting) = self.waiting.get_mut(&left.target) {
             waiting.retain(|it| *it != attempt);
         }
-        match how {
-            Left::Answered => {
+        match outcome {
+            AttemptOutcome::Answered => {
                 let change = self.suspects.clear(left.fingerprint);
                 self.changed(now, change, true, out);
                 self.leave_apart(attempt, left.target, out);
             }
-            Left::Lost => self.lose(now, attempt, left, out),
-            Left::Otherwise => self.leave_apart(attempt, left.target, out),
+            AttemptOutcome::ConnectionLost => self.lose(now, attempt, left, out),
+            AttemptOutcome::Other => self.leave_apart(attempt, left.target, out),
         }
     }
 
@@ -193,7 +199,7 @@
             if refused {
                 self.suspect(now, attempt, lost, out);
             } else {
-                out.push(QuarantineAction::Settled { attempt });
+                out.push(QuarantineAction::LossResolved { attempt });
                 self.leave_apart(attempt, target, out);
             }
         }
@@ -208,7 +214,7 @@
     ) {
         let change = self.suspects.died(now, lost.fingerprint, lost.entry, self.last_entry);
         self.changed(now, change, true, out);
-        out.push(QuarantineAction::Settled { attempt });
+        out.push(QuarantineAction::LossResolved { attempt });
         self.leave_apart(attempt, lost.target, out);
     }
 
@@ -240,10 +246,10 @@
     ) {
         let Some(change) = change else { return };
         if tell {
-            out.push(QuarantineAction::Tell(change.suspect));
+            out.push(QuarantineAction::NotifyPeers(change.suspect));
         }
         if change.is_blamed {
-            out.push(QuarantineAction::Blamed { fingerprint: change.suspect.fingerprint });
+            out.push(QuarantineAction::Quarantined { fingerprint: change.suspect.fingerprint });
         }
         // Whoever learned it by himself writes it; peers that were told only refuse.
         if tell && change.is_kept {
@@ -257,11 +263,11 @@
             waiting.retain(|attempt| {
                 let fingerprint = self.attempts.get(attempt).map(|it| it.fingerprint);
                 let deaths = fingerprint.map_or(0, |it| self.suspects.deaths(it));
-                if deaths >= BLAMED_DEATHS {
+                if deaths >= QUARANTINE_DEATHS {
                     self.attempts.remove(attempt);
                     out.push(QuarantineAction::Refuse { attempt: *attempt });
                 }
-                deaths < BLAMED_DEATHS
+                deaths < QUARANTINE_DEATHS
             });
         }
     }
--- a/crates/samphiredoor-core/src/quarantine/suspects.rs
+++ b/crates/samphiredoor-core/src/quarantine/suspects.rs
@@ -8,7 +8,7 @@
 use crate::time::Now;
 
 /// Deaths from which a fingerprint is refused.
-pub const BLAMED_DEATHS: u32 = 2;
+pub const QUARANTINE_DEATHS: u32 = 2;
 
 /// Number of an attempt's entry. Two events of one millisecond can be told apart by it.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
@@ -48,7 +48,7 @@
 impl Record {
     /// Entries that go first when there are too many: those that refuse nothing, then the oldest.
     fn rank(&self) -> (bool, u64) {
-        (self.deaths >= BLAMED_DEATHS, self.since_unix_ms)
+        (self.deaths >= QUARANTINE_DEATHS, self.since_unix_ms)
     }
 }
 
@@ -99,7 +99,7 @@
     /// The request has finished. One that is blamed stays so: it was let through before the blame was known.
     pub(super) fn clear(&mut self, fingerprint: u64) -> Option<Change> {
         let entry = self.entries.get(&fingerprint)?;
-        if entry.deaths == 0 || entry.deaths >= BLAMED_DEATHS {
+        if entry.deaths == 0 || entry.deaths >= QUARANTINE_DEATHS {
             return None;
         }
         self.entries.remove(&fingerprint);
@@ -119,7 +119,7 @@
             (Suspect { lifted: true, .. }, _) => self.lift(now, told.fingerprint),
             (Suspect { deaths: 0, .. }, _) => self.clear(told.fingerprint),
             // Told by one that has not heard of the lifting yet; deaths after it are told with their number anew.
-            (_, Some(own)) if own.lifted && told.deaths >= BLAMED_DEATHS => None,
+            (_, Some(own)) if own.lifted && told.deaths >= QUARANTINE_DEATHS => None,
             (_, Some(own)) if own.deaths >= told.deaths => None,
             _ => self.set(now, told.fingerprint, told.deaths, false, last),
         }
@@ -172,17 +172,17 @@
                 self.entries.remove(&least);
             }
         }
-        let was_blamed = before.is_some_and(|it| it.deaths >= BLAMED_DEATHS);
+        let was_blamed = before.is_some_and(|it| it.deaths >= QUARANTINE_DEATHS);
         Some(Change {
             suspect: suspect(fingerprint, &entry),
-            is_blamed: deaths >= BLAMED_DEATHS && !was_blamed,
+            is_blamed: deaths >= QUARANTINE_DEATHS && !was_blamed,
             is_kept: is_kept(&entry),
         })
     }
 }
 
 fn is_kept(entry: &Record) -> bool {
-    entry.lifted || entry.deaths >= BLAMED_DEATHS
+    entry.lifted || entry.deaths >= QUARANTINE_DEATHS
 }
 
 fn suspect(fingerprint: u64, entry: &Record) -> Suspect {
--- a/crates/samphiredoor-core/tests/quarantine.rs
+++ b/crates/samphiredoor-core/tests/quarantine.rs
@@ -12,7 +12,9 @@
 use samphiredoor_core::{
     dispatch::RequestId,
     ledger::CallId,
-    quarantine::{Left, Quarantine, QuarantineAction, QuarantineConfig, QuarantineInput, Suspect},
+    quarantine::{
+        AttemptOutcome, Quarantine, QuarantineAction, QuarantineConfig, QuarantineInput, Suspect,
+    },
     store::{StoreAnswer, StoreOp, Stored, Value, Version},
     time::Now,
 };
@@ -89,12 +91,12 @@
                 self.sent.insert(attempt, Sent { door, fingerprint, target });
                 self.waiting.insert(attempt);
                 let target = address(target);
-                self.input(door, QuarantineInput::Enter { attempt, fingerprint, target })
+                self.input(door, QuarantineInput::Admit { attempt, fingerprint, target })
             }
             Step::Work { target } => self.work(target),
             Step::Deliver { which } if !self.news.is_empty() => {
                 let (door, told) = self.news.remove(which % self.news.len());
-                self.input(door, QuarantineInput::Told(told))
+                self.input(door, QuarantineInput::PeerReport(told))
             }
             Step::Deliver { .. } => Ok(()),
         }
@@ -105,12 +107,18 @@
         if !poisoned {
             let Some(attempt) = self.running[target].pop_first() else { return Ok(()) };
             let door = self.sent[&attempt].door;
-            return self.input(door, QuarantineInput::Left { attempt, how: Left::Answered });
+            return self.input(
+                door,
+                QuarantineInput::Ended { attempt, outcome: AttemptOutcome::Answered },
+            );
         }
         self.deaths += 1;
         for attempt in std::mem::take(&mut self.running[target]) {
             let door = self.sent[&attempt].door;
-            self.input(door, QuarantineInput::Left { attempt, how: Left::Lost })?;
+            self.input(
+                door,
+                QuarantineInput::Ended { attempt, outcome: AttemptOutcome::ConnectionLost },
+            )?;
         }
         Ok(())
     }
@@ -120,7 +128,7 @@
         self.doors[door].handle(self.now, input, &mut actions);
         for action in actions {
             match action {
-                QuarantineAction::Go { attempt } => {
+                QuarantineAction::Dispatch { attempt } => {
                     prop_assert!(self.waiting.remove(&attempt), "sent twice");
                     self.running[self.sent[&attempt].target].insert(attempt);
                 }
@@ -132,11 +140,11 @@
                     let probed = QuarantineInput::Probed { target, refused: true };
                     self.input(door, probed)?;
                 }
-                QuarantineAction::Tell(told) => {
+                QuarantineAction::NotifyPeers(told) => {
                     self.news.extend((0..DOORS).filter(|it| *it != door).map(|it| (it, told)));
                 }
-                QuarantineAction::Settled { .. }
-                | QuarantineAction::Blamed { .. }
+                QuarantineAction::LossResolved { .. }
+                | QuarantineAction::Quarantined { .. }
                 | QuarantineAction::Store { .. } => {}
             }
         }
@@ -225,18 +233,22 @@
     let mut out = Vec::new();
     let (attempt, target) = (RequestId(attempt), address(0));
     now.mono_ms += 10_000;
-    quarantine.handle(*now, QuarantineInput::Enter { attempt, fingerprint, target }, &mut out);
-    assert!(out.contains(&QuarantineAction::Go { attempt }), "{out:?}");
-    quarantine.handle(*now, QuarantineInput::Left { attempt, how: Left::Lost }, &mut out);
+    quarantine.handle(*now, QuarantineInput::Admit { attempt, fingerprint, target }, &mut out);
+    assert!(out.contains(&QuarantineAction::Dispatch { attempt }), "{out:?}");
+    quarantine.handle(
+        *now,
+        QuarantineInput::Ended { attempt, outcome: AttemptOutcome::ConnectionLost },
+        &mut out,
+    );
     quarantine.handle(*now, QuarantineInput::Probed { target, refused: true }, &mut out);
 }
 
 fn is_refused(quarantine: &mut Quarantine, now: Now, fingerprint: u64) -> bool {
     let mut out = Vec::new();
     let (attempt, target) = (RequestId(u64::MAX), address(1));
-    quarantine.handle(now, QuarantineInput::Enter { attempt, fingerprint, target }, &mut out);
-    let how = Left::Otherwise;
-    quarantine.handle(now, QuarantineInput::Left { attempt, how }, &mut Vec::new());
+    quarantine.handle(now, QuarantineInput::Admit { attempt, fingerprint, target }, &mut out);
+    let outcome = AttemptOutcome::Other;
+    quarantine.handle(now, QuarantineInput::Ended { attempt, outcome }, &mut Vec::new());
     out.contains(&QuarantineAction::Refuse { attempt })
 }
 
@@ -246,11 +258,15 @@
     let (mut quarantine, now) = (quarantine(0), Now::new(0, 1_000_000_000));
     let (attempt, target) = (RequestId(1), address(0));
     let mut out = Vec::new();
-    quarantine.handle(now, QuarantineInput::Enter { attempt, fingerprint: 7, target }, &mut out);
-    quarantine.handle(now, QuarantineInput::Left { attempt, how: Left::Lost }, &mut out);
+    quarantine.handle(now, QuarantineInput::Admit { attempt, fingerprint: 7, target }, &mut out);
+    quarantine.handle(
+        now,
+        QuarantineInput::Ended { attempt, outcome: AttemptOutcome::ConnectionLost },
+        &mut out,
+    );
     quarantine.handle(now, QuarantineInput::Probed { target, refused: false }, &mut out);
-    assert!(out.contains(&QuarantineAction::Settled { attempt }), "{out:?}");
-    assert!(!quarantine.suspects_any());
+    assert!(out.contains(&QuarantineAction::LossResolved { attempt }), "{out:?}");
+    assert!(!quarantine.has_suspects());
 }
 
 /// The broken order and an innocent one have both lost their target, and both are tried again at the next. If they ran
@@ -260,12 +276,12 @@
     let (mut quarantine, mut now) = (quarantine(0), Now::new(0, 1_000_000_000));
     kill(&mut quarantine, &mut now, 1, 7);
     kill(&mut quarantine, &mut now, 2, 8);
-    let enter = |number: u64, fingerprint: u64, target: usize| QuarantineInput::Enter {
+    let enter = |number: u64, fingerprint: u64, target: usize| QuarantineInput::Admit {
         attempt: RequestId(number),
         fingerprint,
         target: address(target),
     };
-    let go = |number: u64| QuarantineAction::Go { attempt: RequestId(number) };
+    let go = |number: u64| QuarantineAction::Dispatch { attempt: RequestId(number) };
     let mut out = Vec::new();
     quarantine.handle(now, enter(3, 7, 1), &mut out);
     quarantine.handle(now, enter(4, 8, 1), &mut out);
@@ -273,7 +289,7 @@
     quarantine.handle(now, enter(6, 9, 1), &mut out);
     assert_eq!(out, [go(3), go(5), go(6)]);
     out.clear();
-    let left = QuarantineInput::Left { attempt: RequestId(3), how: Left::Otherwise };
+    let left = QuarantineInput::Ended { attempt: RequestId(3), outcome: AttemptOutcome::Other };
     quarantine.handle(now, left, &mut out);
     assert_eq!(out, [go(4)]);
 }
@@ -288,7 +304,7 @@
     quarantine.handle(now, QuarantineInput::Lift { fingerprint: 7 }, &mut Vec::new());
     assert!(!is_refused(&mut quarantine, now, 7));
     let late = Suspect { fingerprint: 7, deaths: 2, lifted: false };
-    quarantine.handle(now, QuarantineInput::Told(late), &mut Vec::new());
+    quarantine.handle(now, QuarantineInput::PeerReport(late), &mut Vec::new());
     assert!(!is_refused(&mut quarantine, now, 7));
 }
 
@@ -308,7 +324,7 @@
     assert!(is_refused(&mut quarantine, now, 7));
     now.unix_ms += blamed_ms + 1;
     quarantine.handle(now, QuarantineInput::Tick, &mut Vec::new());
-    assert!(!quarantine.suspects_any());
+    assert!(!quarantine.has_suspects());
 }
 
 /// A door starts anew, or was cut off from its peers; it must not offer the targets a request that is known to kill.
--- a/crates/samphiredoor/src/quarantine_task.rs
+++ b/crates/samphiredoor/src/quarantine_task.rs
@@ -9,7 +9,9 @@
 use samphiredoor_core::{
     dispatch::RequestId,
     hints::Hint,
-    quarantine::{Left, Quarantine, QuarantineAction, QuarantineConfig, QuarantineInput, Suspect},
+    quarantine::{
+        AttemptOutcome, Quarantine, QuarantineAction, QuarantineConfig, QuarantineInput, Suspect,
+    },
 };
 use samphiredoor_net::{
     clock::Clock,
@@ -35,7 +37,7 @@
 #[derive(Clone)]
 pub struct QuarantineHandle {
     messages: flume::Sender<Message>,
-    suspects_any: Rc<Cell<bool>>,
+    has_suspects: Rc<Cell<bool>>,
 }
 
 /// Inbox of the quarantine's task, before the task starts.
@@ -45,7 +47,7 @@
     /// Handle and inbox.
     pub fn new() -> (QuarantineHandle, QuarantineInbox) {
         let (messages, inbox) = flume::unbounded();
-        (QuarantineHandle { messages, suspects_any: Rc::default() }, QuarantineInbox(inbox))
+        (QuarantineHandle { messages, has_suspects: Rc::default() }, QuarantineInbox(inbox))
     }
 
     /// Says that an attempt is about to be sent, and waits until it may be; `None` if the request is blamed.
@@ -58,7 +60,7 @@
         let (reply, decided) = flume::bounded(1);
         let pass = Pass { attempt, messages: self.messages.clone(), open: true };
         self.send(Message::Enter { attempt, fingerprint, target, reply });
-        if self.suspects_any.get() && !decided.recv_async().await.unwrap_or(true) {
+        if self.has_suspects.get() && !decided.recv_async().await.unwrap_or(true) {
             pass.close();
             return None;
         }
@@ -67,7 +69,7 @@
 
     /// Takes what a peer told.
     pub fn told(&self, suspect: Suspect) {
-        self.send(Message::Input(QuarantineInput::Told(suspect)));
+        self.send(Message::Input(QuarantineInput::PeerReport(suspect)));
     }
 
     /// Lifts the suspicion of a request.
@@ -97,7 +99,7 @@
 impl Pass {
     /// The whole answer arrived.
     pub fn answered(mut self) {
-        self.leave(Left::Answered);
+        self.leave(AttemptOutcome::Answered);
     }
 
     /// The connection was lost after the request was sent; waits until it is known what that means.
@@ -110,16 +112,16 @@
 
     /// The same for an attempt that is not followed by another one.
     pub fn lost_at_the_end(mut self) {
-        self.leave(Left::Lost);
+        self.leave(AttemptOutcome::ConnectionLost);
     }
 
     fn close(mut self) {
         self.open = false;
     }
 
-    fn leave(&mut self, how: Left) {
+    fn leave(&mut self, outcome: AttemptOutcome) {
         self.open = false;
-        let left = QuarantineInput::Left { attempt: self.attempt, how };
+        let left = QuarantineInput::Ended { attempt: self.attempt, outcome };
         let _ = self.messages.send(Message::Input(left));
     }
 }
@@ -127,7 +129,7 @@
 impl Drop for Pass {
     fn drop(&mut self) {
         if self.open {
-            self.leave(Left::Otherwise);
+            self.leave(AttemptOutcome::Other);
         }
     }
 }
@@ -169,7 +171,7 @@
         for action in actions.drain(..) {
             task.act(action);
         }
-        task.env.handle.suspects_any.set(task.quarantine.suspects_any());
+        task.env.handle.has_suspects.set(task.quarantine.has_suspects());
     }
 }
 
@@ -185,18 +187,18 @@
         match message {
             Message::Enter { attempt, fingerprint, target, reply } => {
                 self.entering.insert(attempt, reply);
-                Some(QuarantineInput::Enter { attempt, fingerprint, target })
+                Some(QuarantineInput::Admit { attempt, fingerprint, target })
             }
             Message::Lost { attempt, settled } => {
                 self.settling.insert(attempt, settled);
-                Some(QuarantineInput::Left { attempt, how: Left::Lost })
+                Some(QuarantineInput::Ended { attempt, outcome: AttemptOutcome::ConnectionLost })
             }
             Message::List(reply) => {
                 let _ = reply.send(self.quarantine.suspects().collect());
                 None
             }
             Message::Input(input) => {
-                if let QuarantineInput::Left { attempt, .. } = &input {
+                if let QuarantineInput::Ended { attempt, .. } = &input {
                     self.entering.remove(attempt);
                 }
                 Some(input)
@@ -206,7 +208,7 @@
 
     fn act(&mut self, action: QuarantineAction) {
         match action {
-            QuarantineAction::Go { attempt } => self.entered(attempt, true),
+            QuarantineAction::Dispatch { attempt } => self.entered(attempt, true),
             QuarantineAction::Refuse { attempt } => self.entered(attempt, false),
             QuarantineAction::Probe { target } => {
                 let messages = self.env.handle.messages.clone();
@@ -217,15 +219,15 @@
                 })
                 .detach();
             }
-            QuarantineAction::Settled { attempt } => {
+            QuarantineAction::LossResolved { attempt } => {
                 if let Some(settled) = self.settling.remove(&attempt) {
                     let _ = settled.send(());
                 }
             }
-            QuarantineAction::Tell(Suspect { fingerprint, deaths, lifted }) => {
+            QuarantineAction::NotifyPeers(Suspect { fingerprint, deaths, lifted }) => {
                 self.env.peers.tell_all(Hint::Suspect { fingerprint, deaths, lifted });
             }
-            QuarantineAction::Blamed { fingerprint } => {
+            QuarantineAction::Quarantined { fingerprint } => {
                 self.env.metrics.quarantine().blamed();
                 log::warn!(
                     "quarantine: request {fingerprint:016x} is refused, targets died with it"
--- a/crates/samphiredoor/src/query_rows.rs
+++ b/crates/samphiredoor/src/query_rows.rs
@@ -9,7 +9,7 @@
     dispatch::TargetView,
     ledger::{chunk_key, header_key, results_key},
     manifest::{Manifest, ServiceKind},
-    quarantine::{BLAMED_DEATHS, Suspect},
+    quarantine::{QUARANTINE_DEATHS, Suspect},
     store::{Kind, Labels, StoreAnswer, StoreOp, Stored},
 };
 use samphiredoor_query::{Noun, Query, Row, select};
@@ -196,7 +196,7 @@
     let rows = suspects.iter().map(|it| {
         json!({
             "fingerprint": format!("{:016x}", it.fingerprint),
-            "state": match (it.lifted, it.deaths >= BLAMED_DEATHS) {
+            "state": match (it.lifted, it.deaths >= QUARANTINE_DEATHS) {
                 (true, _) => "lifted",
                 (false, true) => "refused",
                 (false, false) => "suspected",
