--- a/crates/samphiredoor-core/src/lib.rs
+++ b/crates/samphiredoor-core/src/lib.rs
@@ -13,7 +13,7 @@
 pub mod lease;
 pub mod ledger;
 pub mod manifest;
-pub mod manifest_log;
+pub mod manifest_revisions;
 pub mod membership;
 pub mod ordered;
 pub mod orders;
--- a/crates/samphiredoor-core/src/manifest_log.rs
+++ b/crates/samphiredoor-core/src/manifest_revisions.rs
@@ -1,6 +1,6 @@
 //! Which revision of the manifest is in force, and how it is changed.
 //!
-//! The safety: a change is one conditional update of one object, and [`ManifestLog`] takes only revisions above the one
+//! The safety: a change is one conditional update of one object, and [`ActiveManifest`] takes only revisions above the one
 //! it holds, whoever offers them: the store, a watch, a peer or an operator. Stale reads and replayed events thereby
 //! change nothing. The speed: watchers and peers say that there is a newer revision.
 //!
@@ -58,11 +58,11 @@
 
 /// The revision in force in one process.
 #[derive(Debug, Default)]
-pub struct ManifestLog {
+pub struct ActiveManifest {
     held: Option<Held>,
 }
 
-impl ManifestLog {
+impl ActiveManifest {
     /// Revision in force; 0 before the first.
     pub fn revision(&self) -> u64 {
         self.held.as_ref().map_or(0, |it| it.revision)
--- a/crates/samphiredoor-core/tests/manifest.rs
+++ b/crates/samphiredoor-core/tests/manifest.rs
@@ -8,8 +8,8 @@
     test_runner::{Config, RngAlgorithm, TestRng, TestRunner},
 };
 use samphiredoor_core::{
-    manifest_log::{
-        ChangeEnd, ChangeInput, ChangeStep, Holders, ManifestChange, ManifestLog, Offered,
+    manifest_revisions::{
+        ActiveManifest, ChangeEnd, ChangeInput, ChangeStep, Holders, ManifestChange, Offered,
         manifest_key, read_record,
     },
     store::{Labels, StoreAnswer, StoreOp, Stored, Value, Version},
@@ -119,7 +119,7 @@
 #[derive(Default)]
 struct Model {
     store: Store,
-    doors: [ManifestLog; DOORS],
+    doors: [ActiveManifest; DOORS],
     highest: [u64; DOORS],
     changes: Vec<Running>,
     set_back: bool,
@@ -308,7 +308,7 @@
         $(
             #[test]
             fn $name() {
-                let mut log = ManifestLog::default();
+                let mut log = ActiveManifest::default();
                 log.offer(&record(1, 5, "a"));
                 let offered = log.offer($bytes.as_ref());
                 assert!(matches!(offered, $expected), "{offered:?}");
--- a/crates/samphiredoor/src/commands.rs
+++ b/crates/samphiredoor/src/commands.rs
@@ -9,7 +9,7 @@
 use hyper::{Response, StatusCode};
 use samphiredoor_core::{
     manifest::Manifest,
-    manifest_log::{ChangeEnd, manifest_key, read_record},
+    manifest_revisions::{ChangeEnd, manifest_key, read_record},
     store::{StoreAnswer, StoreOp},
 };
 use samphiredoor_net::Body;
--- a/crates/samphiredoor/src/manifest_change.rs
+++ b/crates/samphiredoor/src/manifest_change.rs
@@ -3,7 +3,7 @@
 use std::{rc::Rc, sync::Arc, time::Duration};
 
 use hyper::{Response, StatusCode};
-use samphiredoor_core::manifest_log::{
+use samphiredoor_core::manifest_revisions::{
     ChangeEnd, ChangeInput, ChangeStep, Holders, ManifestChange,
 };
 use samphiredoor_net::Body;
--- a/crates/samphiredoor/src/manifest_task.rs
+++ b/crates/samphiredoor/src/manifest_task.rs
@@ -8,7 +8,7 @@
 
 use samphiredoor_core::{
     manifest::Manifest,
-    manifest_log::{ManifestLog, Offered, manifest_key},
+    manifest_revisions::{ActiveManifest, Offered, manifest_key},
     membership::{MembershipInput, preferred},
     store::{Kind, StoreAnswer, StoreOp, Version},
 };
@@ -103,7 +103,7 @@
 pub async fn run(env: ManifestEnv, inbox: ManifestInbox) {
     let env = Rc::new(env);
     compio::runtime::spawn(watch(Rc::clone(&env))).detach();
-    let mut log = ManifestLog::default();
+    let mut log = ActiveManifest::default();
     while let Ok(message) = inbox.0.recv_async().await {
         match message {
             Message::Offer { record, source, reply } => {
@@ -118,7 +118,7 @@
     }
 }
 
-fn take(env: &ManifestEnv, log: &mut ManifestLog, record: &[u8], source: Source) {
+fn take(env: &ManifestEnv, log: &mut ActiveManifest, record: &[u8], source: Source) {
     let held = log.revision();
     match log.offer(record) {
         Offered::Applied(manifest) => {
--- a/crates/samphiredoor/src/members_task.rs
+++ b/crates/samphiredoor/src/members_task.rs
@@ -6,7 +6,7 @@
     Name,
     hints::{Hint, Origin, SeenHints, origin_name},
     ledger::sweepers,
-    manifest_log::Holders,
+    manifest_revisions::Holders,
     membership::{
         Member, MemberState, Membership, MembershipAction, MembershipConfig, MembershipInput,
     },
--- a/crates/samphiredoor/src/peers.rs
+++ b/crates/samphiredoor/src/peers.rs
@@ -8,7 +8,7 @@
 use samphiredoor_core::{
     Name,
     hints::{Hint, Origin},
-    manifest_log::Holders,
+    manifest_revisions::Holders,
     membership::{Beat, Member, MemberState, MembershipInput, preferred},
 };
 
