--- a/crates/samphiredoor-core/src/manifest_revisions.rs
+++ b/crates/samphiredoor-core/src/manifest_revisions.rs
@@ -29,11 +29,11 @@
 
 /// What became of a record that was offered.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Offered {
+pub enum UpdateOutcome {
     /// It is in force from now on.
     Applied(Arc<Manifest>),
     /// It was in force already.
-    Known,
+    AlreadyActive,
     /// A higher revision is in force.
     Older {
         /// Revision offered.
@@ -77,7 +77,7 @@
     ///
     /// A higher revision alone does not say so: after the store was set back, a change can be given a revision that the
     /// fleet has left behind, and would be told as accepted though it is in force nowhere.
-    pub fn covers(&self, bytes: &[u8]) -> bool {
+    pub fn is_at_or_one_above(&self, bytes: &[u8]) -> bool {
         let (Some(held), Ok(record)) = (&self.held, read_record(bytes)) else { return false };
         match held.revision.checked_sub(record.revision) {
             Some(0) => held.writer == record.writer,
@@ -87,28 +87,28 @@
     }
 
     /// Takes a record if its revision is above the one in force.
-    pub fn offer(&mut self, bytes: &[u8]) -> Offered {
+    pub fn update_if_newer(&mut self, bytes: &[u8]) -> UpdateOutcome {
         let record = match read_record(bytes) {
             Ok(record) => record,
-            Err(problem) => return Offered::Unusable(problem),
+            Err(problem) => return UpdateOutcome::Unusable(problem),
         };
         let revision = record.revision;
         if let Some(held) = &self.held
             && revision <= held.revision
         {
             return match revision == held.revision {
-                true if record.writer == held.writer => Offered::Known,
-                true => Offered::Forked { revision },
-                false => Offered::Older { revision },
+                true if record.writer == held.writer => UpdateOutcome::AlreadyActive,
+                true => UpdateOutcome::Forked { revision },
+                false => UpdateOutcome::Older { revision },
             };
         }
         let manifest = match read_manifest(&record) {
             Ok(manifest) => Arc::new(manifest),
-            Err(problem) => return Offered::Unusable(problem),
+            Err(problem) => return UpdateOutcome::Unusable(problem),
         };
         let (writer, previous_writer) = (record.writer, record.previous_writer);
         self.held = Some(Held { revision, writer, previous_writer, record: bytes.into() });
-        Offered::Applied(manifest)
+        UpdateOutcome::Applied(manifest)
     }
 }
 
--- a/crates/samphiredoor-core/tests/manifest.rs
+++ b/crates/samphiredoor-core/tests/manifest.rs
@@ -9,7 +9,7 @@
 };
 use samphiredoor_core::{
     manifest_revisions::{
-        ActiveManifest, ChangeEnd, ChangeInput, ChangeStep, Holders, ManifestChange, Offered,
+        ActiveManifest, ChangeEnd, ChangeInput, ChangeStep, Holders, ManifestChange, UpdateOutcome,
         manifest_key, read_record,
     },
     store::{Labels, StoreAnswer, StoreOp, Stored, Value, Version},
@@ -135,7 +135,7 @@
             Step::ConfirmFails { change } => self.held(change, Holders::Unconfirmed)?,
             Step::Replay { door, record } => {
                 if let Some(record) = self.store.history.get(record).cloned() {
-                    self.doors[door].offer(&record);
+                    self.doors[door].update_if_newer(&record);
                 }
             }
             Step::SetBack { record } => {
@@ -175,7 +175,7 @@
         running.next = match step {
             ChangeStep::Call(op) => Next::Call(op),
             ChangeStep::Hold { record, .. } => {
-                self.doors[running.door].offer(&record);
+                self.doors[running.door].update_if_newer(&record);
                 Next::Hold(record)
             }
             ChangeStep::End(end) => {
@@ -198,8 +198,9 @@
         if by == running.door {
             return Ok(());
         }
-        self.doors[by].offer(&record);
-        let covered = [by, running.door].iter().all(|it| self.doors[*it].covers(&record));
+        self.doors[by].update_if_newer(&record);
+        let covered =
+            [by, running.door].iter().all(|it| self.doors[*it].is_at_or_one_above(&record));
         self.held(number, if covered { Holders::Another } else { Holders::Unconfirmed })
     }
 
@@ -210,7 +211,7 @@
         let step = running.change.step(ChangeInput::Held(holders));
         self.next(number, step)?;
         if self.changes[number].revision > 0 {
-            let holding = self.doors.iter().filter(|it| it.covers(&record)).count();
+            let holding = self.doors.iter().filter(|it| it.is_at_or_one_above(&record)).count();
             prop_assert!(holding >= 2, "accepted, and only {holding} hold it");
         }
         Ok(())
@@ -309,8 +310,8 @@
             #[test]
             fn $name() {
                 let mut log = ActiveManifest::default();
-                log.offer(&record(1, 5, "a"));
-                let offered = log.offer($bytes.as_ref());
+                log.update_if_newer(&record(1, 5, "a"));
+                let offered = log.update_if_newer($bytes.as_ref());
                 assert!(matches!(offered, $expected), "{offered:?}");
                 assert_eq!(log.revision(), 5);
             }
@@ -319,12 +320,12 @@
 }
 
 refused! {
-    an_older_revision_is_not_put_in_force: record(1, 4, "b") => Offered::Older { revision: 4 },
-    the_same_revision_with_other_content_is_told: record(1, 5, "b") => Offered::Forked { .. },
-    the_same_record_changes_nothing: record(1, 5, "a") => Offered::Known,
-    a_record_of_a_newer_format_is_refused: record(2, 6, "b") => Offered::Unusable(_),
-    a_record_that_is_no_json_is_refused: b"{" => Offered::Unusable(_),
+    an_older_revision_is_not_put_in_force: record(1, 4, "b") => UpdateOutcome::Older { revision: 4 },
+    the_same_revision_with_other_content_is_told: record(1, 5, "b") => UpdateOutcome::Forked { .. },
+    the_same_record_changes_nothing: record(1, 5, "a") => UpdateOutcome::AlreadyActive,
+    a_record_of_a_newer_format_is_refused: record(2, 6, "b") => UpdateOutcome::Unusable(_),
+    a_record_that_is_no_json_is_refused: b"{" => UpdateOutcome::Unusable(_),
     declarations_that_make_no_sense_are_refused:
         br#"{"revision":6,"writer":"b","manifest":{"services":[{"name":"A","kind":"plain"}]}}"#
-        => Offered::Unusable(_),
+        => UpdateOutcome::Unusable(_),
 }
--- a/crates/samphiredoor/src/manifest_task.rs
+++ b/crates/samphiredoor/src/manifest_task.rs
@@ -8,7 +8,7 @@
 
 use samphiredoor_core::{
     manifest::Manifest,
-    manifest_revisions::{ActiveManifest, Offered, manifest_key},
+    manifest_revisions::{ActiveManifest, UpdateOutcome, manifest_key},
     membership::{MembershipInput, preferred},
     store::{Kind, StoreAnswer, StoreOp, Version},
 };
@@ -108,7 +108,7 @@
         match message {
             Message::Offer { record, source, reply } => {
                 take(&env, &mut log, &record, source);
-                let _ = reply.send(log.covers(&record));
+                let _ = reply.send(log.is_at_or_one_above(&record));
             }
             Message::Above { revision, reply } => {
                 let newer = log.revision() > revision;
@@ -120,28 +120,28 @@
 
 fn take(env: &ManifestEnv, log: &mut ActiveManifest, record: &[u8], source: Source) {
     let held = log.revision();
-    match log.offer(record) {
-        Offered::Applied(manifest) => {
+    match log.update_if_newer(record) {
+        UpdateOutcome::Applied(manifest) => {
             let revision = manifest.revision;
             log::info!("manifest: revision {revision} is in force");
             *env.handle.current.borrow_mut() = Arc::clone(&manifest);
             env.dispatch.apply(manifest);
             env.peers.input(MembershipInput::Revision(revision));
         }
-        Offered::Known => {}
+        UpdateOutcome::AlreadyActive => {}
         // From a peer it is only late. From the store it is a stale read, or the store was set back.
-        Offered::Older { revision } if source == Source::Store => {
+        UpdateOutcome::Older { revision } if source == Source::Store => {
             env.metrics.manifest_refused(ManifestRefusal::Older);
             log::error!("manifest: the store gives revision {revision}; {held} stays in force");
         }
-        Offered::Older { .. } => env.metrics.manifest_refused(ManifestRefusal::Older),
-        Offered::Forked { revision } => {
+        UpdateOutcome::Older { .. } => env.metrics.manifest_refused(ManifestRefusal::Older),
+        UpdateOutcome::Forked { revision } => {
             env.metrics.manifest_refused(ManifestRefusal::Forked);
             log::error!(
                 "manifest: there are two revisions {revision}; apply the declarations anew"
             );
         }
-        Offered::Unusable(problem) => {
+        UpdateOutcome::Unusable(problem) => {
             env.metrics.manifest_refused(ManifestRefusal::Unusable);
             log::error!(
                 "manifest: revision {held} stays in force, not one from {source:?}: {problem}"
