--- a/crates/samphiredoor-core/src/manifest_revisions.rs
+++ b/crates/samphiredoor-core/src/manifest_revisions.rs
@@ -136,11 +136,11 @@
 
 /// Who besides the accepting process holds a revision.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Holders {
+pub enum PeerConfirmation {
     /// At least one other process.
-    Another,
+    Confirmed,
     /// No other process lives.
-    Sole,
+    NoPeers,
     /// Others live, and none of them confirmed it.
     Unconfirmed,
 }
@@ -156,7 +156,7 @@
     /// The store answered.
     Stored(StoreAnswer),
     /// The peers answered.
-    Held(Holders),
+    Held(PeerConfirmation),
 }
 
 /// What a change does next.
@@ -255,10 +255,12 @@
             (State::Reading, ChangeInput::Stored(answer)) => self.read(answer),
             (State::Writing(write), ChangeInput::Stored(answer)) => self.written(write, answer),
             (State::Rereading(write), ChangeInput::Stored(answer)) => self.reread(write, answer),
-            (State::Holding { revision }, ChangeInput::Held(holders)) => {
-                ChangeStep::End(match holders {
-                    Holders::Another | Holders::Sole => ChangeEnd::Accepted { revision },
-                    Holders::Unconfirmed => ChangeEnd::WrittenNotHeld { revision },
+            (State::Holding { revision }, ChangeInput::Held(confirmation)) => {
+                ChangeStep::End(match confirmation {
+                    PeerConfirmation::Confirmed | PeerConfirmation::NoPeers => {
+                        ChangeEnd::Accepted { revision }
+                    }
+                    PeerConfirmation::Unconfirmed => ChangeEnd::WrittenNotHeld { revision },
                 })
             }
             _ => ChangeStep::End(ChangeEnd::Unavailable),
--- a/crates/samphiredoor-core/tests/manifest.rs
+++ b/crates/samphiredoor-core/tests/manifest.rs
@@ -9,8 +9,8 @@
 };
 use samphiredoor_core::{
     manifest_revisions::{
-        ActiveManifest, ChangeEnd, ChangeInput, ChangeStep, Holders, ManifestChange, UpdateOutcome,
-        manifest_key, read_record,
+        ActiveManifest, ChangeEnd, ChangeInput, ChangeStep, ManifestChange, PeerConfirmation,
+        UpdateOutcome, manifest_key, read_record,
     },
     store::{Labels, StoreAnswer, StoreOp, Stored, Value, Version},
 };
@@ -132,7 +132,7 @@
             Step::Begin { door, expects } => self.begin(door, expects),
             Step::Go { change, answering } => self.go(change, answering)?,
             Step::Confirm { change, by } => self.confirm(change, by)?,
-            Step::ConfirmFails { change } => self.held(change, Holders::Unconfirmed)?,
+            Step::ConfirmFails { change } => self.held(change, PeerConfirmation::Unconfirmed)?,
             Step::Replay { door, record } => {
                 if let Some(record) = self.store.history.get(record).cloned() {
                     self.doors[door].update_if_newer(&record);
@@ -201,14 +201,17 @@
         self.doors[by].update_if_newer(&record);
         let covered =
             [by, running.door].iter().all(|it| self.doors[*it].is_at_or_one_above(&record));
-        self.held(number, if covered { Holders::Another } else { Holders::Unconfirmed })
+        self.held(
+            number,
+            if covered { PeerConfirmation::Confirmed } else { PeerConfirmation::Unconfirmed },
+        )
     }
 
-    fn held(&mut self, number: usize, holders: Holders) -> Result<(), TestCaseError> {
+    fn held(&mut self, number: usize, confirmation: PeerConfirmation) -> Result<(), TestCaseError> {
         let Some(running) = self.changes.get_mut(number) else { return Ok(()) };
         let Next::Hold(record) = &running.next else { return Ok(()) };
         let record = Arc::clone(record);
-        let step = running.change.step(ChangeInput::Held(holders));
+        let step = running.change.step(ChangeInput::Held(confirmation));
         self.next(number, step)?;
         if self.changes[number].revision > 0 {
             let holding = self.doors.iter().filter(|it| it.is_at_or_one_above(&record)).count();
--- a/crates/samphiredoor/src/manifest_change.rs
+++ b/crates/samphiredoor/src/manifest_change.rs
@@ -4,7 +4,7 @@
 
 use hyper::{Response, StatusCode};
 use samphiredoor_core::manifest_revisions::{
-    ChangeEnd, ChangeInput, ChangeStep, Holders, ManifestChange,
+    ChangeEnd, ChangeInput, ChangeStep, ManifestChange, PeerConfirmation,
 };
 use samphiredoor_net::Body;
 use serde_json::json;
@@ -43,8 +43,9 @@
             ChangeStep::Call(op) => ChangeInput::Stored(door.store.call(op).await),
             ChangeStep::Hold { record, .. } => {
                 let held = door.manifest.offer(Arc::clone(&record), Source::Operator).await;
-                let holders = if held { hold(door, record).await } else { Holders::Unconfirmed };
-                ChangeInput::Held(holders)
+                let confirmation =
+                    if held { hold(door, record).await } else { PeerConfirmation::Unconfirmed };
+                ChangeInput::Held(confirmation)
             }
             ChangeStep::End(end) => return end,
         };
@@ -52,15 +53,15 @@
 }
 
 // A link may just be being opened, or a lost member not yet be noticed.
-async fn hold(door: &Door, record: Arc<[u8]>) -> Holders {
+async fn hold(door: &Door, record: Arc<[u8]>) -> PeerConfirmation {
     for _ in 0..HOLD_TRIES {
-        let holders = door.peers.hold(Arc::clone(&record)).await;
-        if holders != Holders::Unconfirmed {
-            return holders;
+        let confirmation = door.peers.hold(Arc::clone(&record)).await;
+        if confirmation != PeerConfirmation::Unconfirmed {
+            return confirmation;
         }
         compio::time::sleep(HOLD_PAUSE).await;
     }
-    Holders::Unconfirmed
+    PeerConfirmation::Unconfirmed
 }
 
 /// Answer to the operator.
--- a/crates/samphiredoor/src/members_task.rs
+++ b/crates/samphiredoor/src/members_task.rs
@@ -6,7 +6,7 @@
     Name,
     hints::{Hint, Origin, SeenHints, origin_name},
     ledger::sweepers,
-    manifest_revisions::Holders,
+    manifest_revisions::PeerConfirmation,
     membership::{
         Member, MemberState, Membership, MembershipAction, MembershipConfig, MembershipInput,
     },
@@ -242,9 +242,9 @@
         }
     }
 
-    fn hold(&self, record: Arc<[u8]>, reply: flume::Sender<Holders>) {
+    fn hold(&self, record: Arc<[u8]>, reply: flume::Sender<PeerConfirmation>) {
         if self.listed && self.membership.live().count() == 1 {
-            let _ = reply.send(Holders::Sole);
+            let _ = reply.send(PeerConfirmation::NoPeers);
             return;
         }
         let (held, answers) = flume::unbounded();
@@ -254,14 +254,14 @@
         }
         drop(held);
         compio::runtime::spawn(async move {
-            let mut holders = Holders::Unconfirmed;
+            let mut confirmation = PeerConfirmation::Unconfirmed;
             while let Ok(held) = answers.recv_async().await {
                 if held {
-                    holders = Holders::Another;
+                    confirmation = PeerConfirmation::Confirmed;
                     break;
                 }
             }
-            let _ = reply.send(holders);
+            let _ = reply.send(confirmation);
         })
         .detach();
     }
--- a/crates/samphiredoor/src/peers.rs
+++ b/crates/samphiredoor/src/peers.rs
@@ -8,7 +8,7 @@
 use samphiredoor_core::{
     Name,
     hints::{Hint, Origin},
-    manifest_revisions::Holders,
+    manifest_revisions::PeerConfirmation,
     membership::{Beat, Member, MemberState, MembershipInput, preferred},
 };
 
@@ -114,7 +114,7 @@
         /// The record.
         record: Arc<[u8]>,
         /// Where the answer goes.
-        reply: flume::Sender<Holders>,
+        reply: flume::Sender<PeerConfirmation>,
     },
     /// A pull of a manifest has ended.
     PullEnded,
@@ -176,10 +176,10 @@
     }
 
     /// Has another door hold a manifest's record, and tells whether one does.
-    pub async fn hold(&self, record: Arc<[u8]>) -> Holders {
+    pub async fn hold(&self, record: Arc<[u8]>) -> PeerConfirmation {
         let (reply, answer) = flume::bounded(1);
         self.send(PeerMessage::Hold { record, reply });
-        answer.recv_async().await.unwrap_or(Holders::Unconfirmed)
+        answer.recv_async().await.unwrap_or(PeerConfirmation::Unconfirmed)
     }
 
     /// Tells the membership what happened.
