--- a/crates/samphiredoor-core/src/manifest_revisions.rs
+++ b/crates/samphiredoor-core/src/manifest_revisions.rs
@@ -156,7 +156,7 @@
     /// The store answered.
     Stored(StoreAnswer),
     /// The peers answered.
-    Held(PeerConfirmation),
+    Replicated(PeerConfirmation),
 }
 
 /// What a change does next.
@@ -165,7 +165,7 @@
     /// Make a store call.
     Call(StoreOp),
     /// Put the record in force here, and have peers hold it.
-    Hold {
+    ApplyAndReplicate {
         /// The record as stored.
         record: Arc<[u8]>,
         /// Its revision.
@@ -184,7 +184,7 @@
         revision: u64,
     },
     /// Another change was first; this one had no effect.
-    Lost {
+    Conflict {
         /// Revision that stands.
         revision: u64,
         /// Writer of that revision.
@@ -198,7 +198,7 @@
         revision: u64,
     },
     /// It stands in the store, but no other process confirmed that it holds it.
-    WrittenNotHeld {
+    WrittenUnconfirmed {
         /// Its revision.
         revision: u64,
     },
@@ -255,12 +255,12 @@
             (State::Reading, ChangeInput::Stored(answer)) => self.read(answer),
             (State::Writing(write), ChangeInput::Stored(answer)) => self.written(write, answer),
             (State::Rereading(write), ChangeInput::Stored(answer)) => self.reread(write, answer),
-            (State::Holding { revision }, ChangeInput::Held(confirmation)) => {
+            (State::Holding { revision }, ChangeInput::Replicated(confirmation)) => {
                 ChangeStep::End(match confirmation {
                     PeerConfirmation::Confirmed | PeerConfirmation::NoPeers => {
                         ChangeEnd::Accepted { revision }
                     }
-                    PeerConfirmation::Unconfirmed => ChangeEnd::WrittenNotHeld { revision },
+                    PeerConfirmation::Unconfirmed => ChangeEnd::WrittenUnconfirmed { revision },
                 })
             }
             _ => ChangeStep::End(ChangeEnd::Unavailable),
@@ -281,7 +281,7 @@
         let last = stored_revision.max(self.held);
         if self.expected.is_some_and(|it| it != last) {
             let winner = before.map(|it| it.writer).unwrap_or_default();
-            return ChangeStep::End(ChangeEnd::Lost { revision: last, winner: winner.into() });
+            return ChangeStep::End(ChangeEnd::Conflict { revision: last, winner: winner.into() });
         }
         self.write(Write::new(self, last + 1, stored.as_ref(), before))
     }
@@ -296,7 +296,7 @@
     fn hold(&mut self, write: Write) -> ChangeStep {
         let revision = write.revision;
         self.state = State::Holding { revision };
-        ChangeStep::Hold { record: write.record, revision }
+        ChangeStep::ApplyAndReplicate { record: write.record, revision }
     }
 
     fn written(&mut self, mut write: Write, answer: StoreAnswer) -> ChangeStep {
@@ -341,13 +341,13 @@
             return ChangeStep::End(unresolved(&write));
         }
         let winner = record.writer.into();
-        ChangeStep::End(ChangeEnd::Lost { revision: record.revision, winner })
+        ChangeStep::End(ChangeEnd::Conflict { revision: record.revision, winner })
     }
 
     // This change took effect and the next one came on top of it; holding the next one outlives both.
     fn superseded(&mut self, revision: u64, stored: Stored, record: ManifestRecord) -> ChangeStep {
         self.state = State::Holding { revision };
-        ChangeStep::Hold { record: stored.value, revision: record.revision }
+        ChangeStep::ApplyAndReplicate { record: stored.value, revision: record.revision }
     }
 }
 
--- a/crates/samphiredoor-core/tests/manifest.rs
+++ b/crates/samphiredoor-core/tests/manifest.rs
@@ -174,12 +174,12 @@
         let running = &mut self.changes[number];
         running.next = match step {
             ChangeStep::Call(op) => Next::Call(op),
-            ChangeStep::Hold { record, .. } => {
+            ChangeStep::ApplyAndReplicate { record, .. } => {
                 self.doors[running.door].update_if_newer(&record);
                 Next::Hold(record)
             }
             ChangeStep::End(end) => {
-                if let ChangeEnd::Lost { .. } | ChangeEnd::Unavailable = end {
+                if let ChangeEnd::Conflict { .. } | ChangeEnd::Unavailable = end {
                     self.told_no_effect.insert(running.writer.clone());
                 }
                 if let ChangeEnd::Accepted { revision } = end {
@@ -211,7 +211,7 @@
         let Some(running) = self.changes.get_mut(number) else { return Ok(()) };
         let Next::Hold(record) = &running.next else { return Ok(()) };
         let record = Arc::clone(record);
-        let step = running.change.step(ChangeInput::Held(confirmation));
+        let step = running.change.step(ChangeInput::Replicated(confirmation));
         self.next(number, step)?;
         if self.changes[number].revision > 0 {
             let holding = self.doors.iter().filter(|it| it.is_at_or_one_above(&record)).count();
@@ -282,7 +282,7 @@
     let ChangeStep::Call(read) = change.step(ChangeInput::Stored(answer)) else { panic!() };
     let answer = store.call(read, Answering::Well);
     let step = change.step(ChangeInput::Stored(answer));
-    assert!(matches!(step, ChangeStep::Hold { revision: 1, .. }), "{step:?}");
+    assert!(matches!(step, ChangeStep::ApplyAndReplicate { revision: 1, .. }), "{step:?}");
 }
 
 /// After the store was set back, the next change is lost on a fleet that holds higher revisions. The cause would be a
@@ -297,7 +297,7 @@
     let ChangeStep::Call(write) = change.step(ChangeInput::Stored(answer)) else { panic!() };
     let answer = store.call(write, Answering::Well);
     let step = change.step(ChangeInput::Stored(answer));
-    assert!(matches!(step, ChangeStep::Hold { revision: 10, .. }), "{step:?}");
+    assert!(matches!(step, ChangeStep::ApplyAndReplicate { revision: 10, .. }), "{step:?}");
 }
 
 fn record(format: u32, revision: u64, writer: &str) -> Vec<u8> {
--- a/crates/samphiredoor/src/commands.rs
+++ b/crates/samphiredoor/src/commands.rs
@@ -113,7 +113,7 @@
         let expected = Some(record.revision);
         let operator = &door.config.name;
         end = manifest_change::change(door, operator, record.manifest, expected).await;
-        if !matches!(end, ChangeEnd::Lost { .. }) {
+        if !matches!(end, ChangeEnd::Conflict { .. }) {
             break;
         }
     }
--- a/crates/samphiredoor/src/manifest_change.rs
+++ b/crates/samphiredoor/src/manifest_change.rs
@@ -41,11 +41,11 @@
     loop {
         input = match change.step(input) {
             ChangeStep::Call(op) => ChangeInput::Stored(door.store.call(op).await),
-            ChangeStep::Hold { record, .. } => {
+            ChangeStep::ApplyAndReplicate { record, .. } => {
                 let held = door.manifest.offer(Arc::clone(&record), Source::Operator).await;
                 let confirmation =
                     if held { hold(door, record).await } else { PeerConfirmation::Unconfirmed };
-                ChangeInput::Held(confirmation)
+                ChangeInput::Replicated(confirmation)
             }
             ChangeStep::End(end) => return end,
         };
@@ -70,7 +70,7 @@
         ChangeEnd::Accepted { revision } => {
             return json_answer(StatusCode::OK, &json!({ "revision": revision }));
         }
-        ChangeEnd::Lost { revision, winner } => (
+        ChangeEnd::Conflict { revision, winner } => (
             StatusCode::CONFLICT,
             json!({
                 "error": "another change was first; this one had no effect",
@@ -89,7 +89,7 @@
                 "may_be_revision": revision,
             }),
         ),
-        ChangeEnd::WrittenNotHeld { revision } => (
+        ChangeEnd::WrittenUnconfirmed { revision } => (
             StatusCode::SERVICE_UNAVAILABLE,
             json!({
                 "error": "it stands in the store, but no other door confirmed that it holds it",
