--- a/crates/samphiredoor-core/src/manifest.rs
+++ b/crates/samphiredoor-core/src/manifest.rs
@@ -174,7 +174,7 @@
         index: usize,
         service: &declared::Service,
     ) -> Result<(), ManifestError> {
-        let name = checked_name(&format!("services[{index}].name"), &service.name)?;
+        let name = validate_name(&format!("services[{index}].name"), &service.name)?;
         let checked = Service {
             name: Arc::clone(&name),
             kind: match service.kind {
@@ -197,7 +197,7 @@
     }
 
     fn add_target(&mut self, index: usize, target: &declared::Target) -> Result<(), ManifestError> {
-        let name = checked_name(&format!("targets[{index}].name"), &target.name)?;
+        let name = validate_name(&format!("targets[{index}].name"), &target.name)?;
         let address = target.address.parse().map_err(|_| ManifestError {
             field: format!("targets[{index}].address"),
             problem: format!("`{}` is not an IP address with a port", target.address),
@@ -240,7 +240,7 @@
         index: usize,
         workspace: &declared::Workspace,
     ) -> Result<(), ManifestError> {
-        let name = checked_name(&format!("workspaces[{index}].name"), &workspace.name)?;
+        let name = validate_name(&format!("workspaces[{index}].name"), &workspace.name)?;
         let checked = Workspace {
             name: Arc::clone(&name),
             weight: workspace.weight.get(),
@@ -258,7 +258,7 @@
 /// # Errors
 ///
 /// The name is empty, longer than 63 bytes, or holds other characters than `a-z`, `0-9`, `-`, `_` and `.`.
-pub fn checked_name(field: &str, name: &str) -> Result<Name, ManifestError> {
+pub fn validate_name(field: &str, name: &str) -> Result<Name, ManifestError> {
     let allowed = |it: char| it.is_ascii_lowercase() || it.is_ascii_digit() || "-_.".contains(it);
     if name.is_empty() || name.len() > 63 || !name.chars().all(allowed) {
         return Err(ManifestError {
--- a/crates/samphiredoor-core/src/manifest_revisions.rs
+++ b/crates/samphiredoor-core/src/manifest_revisions.rs
@@ -78,7 +78,7 @@
     /// A higher revision alone does not say so: after the store was set back, a change can be given a revision that the
     /// fleet has left behind, and would be told as accepted though it is in force nowhere.
     pub fn is_at_or_one_above(&self, bytes: &[u8]) -> bool {
-        let (Some(held), Ok(record)) = (&self.held, read_record(bytes)) else { return false };
+        let (Some(held), Ok(record)) = (&self.held, decode_record(bytes)) else { return false };
         match held.revision.checked_sub(record.revision) {
             Some(0) => held.writer == record.writer,
             Some(1) => held.previous_writer == record.writer,
@@ -88,7 +88,7 @@
 
     /// Takes a record if its revision is above the one in force.
     pub fn update_if_newer(&mut self, bytes: &[u8]) -> UpdateOutcome {
-        let record = match read_record(bytes) {
+        let record = match decode_record(bytes) {
             Ok(record) => record,
             Err(problem) => return UpdateOutcome::Unusable(problem),
         };
@@ -117,7 +117,7 @@
 /// # Errors
 ///
 /// What is wrong with it.
-pub fn read_record(bytes: &[u8]) -> Result<ManifestRecord, String> {
+pub fn decode_record(bytes: &[u8]) -> Result<ManifestRecord, String> {
     let record: ManifestRecord = serde_json::from_slice(bytes).map_err(|err| err.to_string())?;
     if record.format > MANIFEST_FORMAT {
         return Err(format!("format {} is newer than {MANIFEST_FORMAT}", record.format));
@@ -269,7 +269,7 @@
 
     fn read(&mut self, answer: StoreAnswer) -> ChangeStep {
         let (stored, before) = match answer {
-            StoreAnswer::Object(stored) => match read_record(&stored.value) {
+            StoreAnswer::Object(stored) => match decode_record(&stored.value) {
                 Ok(record) => (Some(stored), Some(record)),
                 Err(problem) => return ChangeStep::End(ChangeEnd::Unreadable(problem)),
             },
@@ -319,7 +319,7 @@
             StoreAnswer::Absent if write.tries < WRITE_TRIES => return self.write(write),
             _ => return ChangeStep::End(unresolved(&write)),
         };
-        let Ok(record) = read_record(&stored.value) else {
+        let Ok(record) = decode_record(&stored.value) else {
             return ChangeStep::End(unresolved(&write));
         };
         if record.writer == *self.writer {
--- a/crates/samphiredoor-core/tests/manifest.rs
+++ b/crates/samphiredoor-core/tests/manifest.rs
@@ -10,7 +10,7 @@
 use samphiredoor_core::{
     manifest_revisions::{
         ActiveManifest, ChangeEnd, ChangeInput, ChangeStep, ManifestChange, PeerConfirmation,
-        UpdateOutcome, manifest_key, read_record,
+        UpdateOutcome, decode_record, manifest_key,
     },
     store::{Labels, StoreAnswer, StoreOp, Stored, Value, Version},
 };
@@ -228,7 +228,7 @@
         let mut writers = BTreeSet::new();
         let mut revisions = BTreeSet::new();
         for value in &self.store.history {
-            let record = read_record(value).map_err(TestCaseError::fail)?;
+            let record = decode_record(value).map_err(TestCaseError::fail)?;
             prop_assert!(writers.insert(record.writer.clone()), "one change took effect twice");
             let told = self.told_no_effect.contains(&record.writer);
             prop_assert!(!told, "{} took effect though told not", record.writer);
--- a/crates/samphiredoor/src/commands.rs
+++ b/crates/samphiredoor/src/commands.rs
@@ -9,7 +9,7 @@
 use hyper::{Response, StatusCode};
 use samphiredoor_core::{
     manifest::Manifest,
-    manifest_revisions::{ChangeEnd, manifest_key, read_record},
+    manifest_revisions::{ChangeEnd, decode_record, manifest_key},
     store::{StoreAnswer, StoreOp},
 };
 use samphiredoor_net::Body;
@@ -127,9 +127,9 @@
         return Err(no_manifest());
     };
     let unreadable = |_| bad_request("manifest", "the stored one cannot be read");
-    let record = read_record(&stored.value).map_err(unreadable)?;
+    let record = decode_record(&stored.value).map_err(unreadable)?;
     match door.manifest.above(record.revision).await {
-        Some(held) => read_record(&held).map_err(unreadable),
+        Some(held) => decode_record(&held).map_err(unreadable),
         None => Ok(record),
     }
 }
--- a/crates/samphiredoor/src/config.rs
+++ b/crates/samphiredoor/src/config.rs
@@ -8,7 +8,7 @@
 };
 
 use log::LevelFilter;
-use samphiredoor_core::{Name, manifest::checked_name};
+use samphiredoor_core::{Name, manifest::validate_name};
 use samphiredoor_gateway::{
     config::{GatewayConfig, StorageConfig},
     settings::{self, SettingError, address},
@@ -206,7 +206,7 @@
 }
 
 fn name(key: &'static str, text: &str) -> Result<Name, SettingError> {
-    checked_name(key, text).map_err(|err| SettingError::new(key, err.problem))
+    validate_name(key, text).map_err(|err| SettingError::new(key, err.problem))
 }
 
 fn check_apart(
