--- a/crates/samphiredoor-core/src/membership/messages.rs
+++ b/crates/samphiredoor-core/src/membership/messages.rs
@@ -22,7 +22,7 @@
 
 /// What two doors tell each other at each heartbeat.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Beat {
+pub struct Heartbeat {
     /// Start of the sender.
     pub incarnation: u64,
     /// Renewals of the sender's lease.
@@ -56,11 +56,11 @@
         peer: Name,
     },
     /// A heartbeat, or the answer to one.
-    Beat {
+    Heartbeat {
         /// The far side.
         from: Name,
         /// What it said.
-        beat: Beat,
+        heartbeat: Heartbeat,
     },
     /// Members that a peer knows.
     Members(Vec<Member>),
@@ -117,12 +117,12 @@
         /// Whether also those that the member opened.
         accepted: bool,
     },
-    /// Send a heartbeat; its answer is to be reported as [`MembershipInput::Beat`].
-    Beat {
+    /// Send a heartbeat; its answer is to be reported as [`MembershipInput::Heartbeat`].
+    SendHeartbeat {
         /// To which member.
         to: Name,
         /// What it says.
-        beat: Beat,
+        heartbeat: Heartbeat,
     },
     /// Ask a member for all members that it knows.
     PullMembers {
--- a/crates/samphiredoor-core/src/membership/mod.rs
+++ b/crates/samphiredoor-core/src/membership/mod.rs
@@ -20,7 +20,7 @@
 use samphiredoor_schema::objects::ProcessLease;
 
 pub use choice::preferred;
-pub use messages::{Beat, MembershipAction, MembershipConfig, MembershipInput};
+pub use messages::{Heartbeat, MembershipAction, MembershipConfig, MembershipInput};
 pub use roster::{Member, MemberState, Roster};
 
 use crate::{Name, lease::LeaseTable, time::Now};
@@ -120,7 +120,9 @@
             MembershipInput::ConnectFailed { peer } => {
                 self.connecting.remove(&peer);
             }
-            MembershipInput::Beat { from, beat } => self.beat_heard(now, &from, beat, out),
+            MembershipInput::Heartbeat { from, heartbeat } => {
+                self.beat_heard(now, &from, heartbeat, out)
+            }
             MembershipInput::Members(members) => self.learn_page(now, members, out),
             MembershipInput::Leases(leases) => self.leases_listed(now, leases, out),
             MembershipInput::ListFailed => {
@@ -166,8 +168,8 @@
     }
 
     /// Heartbeat as this process would send it now; its gossip counts as sent.
-    pub fn beat(&mut self) -> Beat {
-        Beat {
+    pub fn next_heartbeat(&mut self) -> Heartbeat {
+        Heartbeat {
             incarnation: self.roster.own().incarnation,
             renewals: self.renewals,
             revision: self.revision,
@@ -272,20 +274,26 @@
         }
     }
 
-    fn beat_heard(&mut self, now: Now, from: &Name, beat: Beat, out: &mut Vec<MembershipAction>) {
-        for member in beat.changes {
+    fn beat_heard(
+        &mut self,
+        now: Now,
+        from: &Name,
+        heartbeat: Heartbeat,
+        out: &mut Vec<MembershipAction>,
+    ) {
+        for member in heartbeat.changes {
             self.learn(now, member, out);
         }
-        self.leases.heard(now, from, beat.incarnation, beat.renewals);
+        self.leases.heard(now, from, heartbeat.incarnation, heartbeat.renewals);
         let digest = self.roster.digest();
-        if beat.revision > self.revision {
-            let revision = beat.revision;
+        if heartbeat.revision > self.revision {
+            let revision = heartbeat.revision;
             out.push(MembershipAction::PeerRevision { from: Arc::clone(from), revision });
         }
         let Some(link) = self.links.get_mut(from) else { return };
         link.heard_ms = now.mono_ms;
         self.silent.remove(from);
-        link.differing = if digest == beat.members_digest { 0 } else { link.differing + 1 };
+        link.differing = if digest == heartbeat.members_digest { 0 } else { link.differing + 1 };
         // Gossip on its way makes digests differ for a while; what lasts longer was lost.
         if link.differing > 2 {
             link.differing = 0;
@@ -381,8 +389,8 @@
             }
         }
         for to in to {
-            let beat = self.beat();
-            out.push(MembershipAction::Beat { to, beat });
+            let heartbeat = self.next_heartbeat();
+            out.push(MembershipAction::SendHeartbeat { to, heartbeat });
         }
     }
 
--- a/crates/samphiredoor-core/tests/fleet/mod.rs
+++ b/crates/samphiredoor-core/tests/fleet/mod.rs
@@ -8,7 +8,8 @@
 use samphiredoor_core::{
     Name,
     membership::{
-        Beat, Member, MemberState, Membership, MembershipAction, MembershipConfig, MembershipInput,
+        Heartbeat, Member, MemberState, Membership, MembershipAction, MembershipConfig,
+        MembershipInput,
     },
     time::Now,
 };
@@ -190,10 +191,10 @@
             let (now, later): (Vec<_>, Vec<_>) = self.nodes[number].inbox.drain(..).partition(due);
             self.nodes[number].inbox.extend(later);
             for (_, input, wants_answer) in now {
-                if let (true, MembershipInput::Beat { from, .. }) = (wants_answer, &input) {
+                if let (true, MembershipInput::Heartbeat { from, .. }) = (wants_answer, &input) {
                     let to = self::number(from);
-                    let beat = self.nodes[number].membership.beat();
-                    self.send(number, to, beat, false);
+                    let heartbeat = self.nodes[number].membership.next_heartbeat();
+                    self.send(number, to, heartbeat, false);
                 }
                 self.give(number, input);
             }
@@ -239,9 +240,9 @@
         match action {
             MembershipAction::Connect { peer, .. } => return vec![self.connect(own, peer)],
             MembershipAction::Close { peer, .. } => self.unlink(own, number(&peer)),
-            MembershipAction::Beat { to, beat } => {
+            MembershipAction::SendHeartbeat { to, heartbeat } => {
                 if self.links.contains(&link(own, number(&to))) {
-                    self.send(own, number(&to), beat, true);
+                    self.send(own, number(&to), heartbeat, true);
                 }
             }
             MembershipAction::PullMembers { from } => {
@@ -298,15 +299,15 @@
         }
     }
 
-    fn send(&mut self, from: usize, to: usize, beat: Beat, wants_answer: bool) {
+    fn send(&mut self, from: usize, to: usize, heartbeat: Heartbeat, wants_answer: bool) {
         self.beats += 1;
-        self.changes += beat.changes.len() as u64;
+        self.changes += heartbeat.changes.len() as u64;
         let fate = self.fates.pop_front().unwrap_or(Fate::Arrives);
         if fate == Fate::IsLost || !self.reaches(from, to) {
             return;
         }
         let delay_ms = if fate == Fate::IsLate { 7 * STEP_MS } else { 0 };
-        let input = MembershipInput::Beat { from: name(from), beat };
+        let input = MembershipInput::Heartbeat { from: name(from), heartbeat };
         if !self.nodes[to].up {
             return;
         }
--- a/crates/samphiredoor-core/tests/membership.rs
+++ b/crates/samphiredoor-core/tests/membership.rs
@@ -9,8 +9,8 @@
 };
 use samphiredoor_core::{
     membership::{
-        Beat, Member, MemberState, Membership, MembershipAction, MembershipConfig, MembershipInput,
-        Roster,
+        Heartbeat, Member, MemberState, Membership, MembershipAction, MembershipConfig,
+        MembershipInput, Roster,
     },
     time::Now,
 };
@@ -173,9 +173,10 @@
     let up = MembershipInput::LinkUp { peer, opened: true };
     membership.handle(Now::new(0, 0), up, &mut out);
     out.clear();
-    let beat = Beat { members_digest: membership.roster().digest() ^ 1, ..Beat::default() };
+    let heartbeat =
+        Heartbeat { members_digest: membership.roster().digest() ^ 1, ..Heartbeat::default() };
     for beats in 1..=3 {
-        let input = MembershipInput::Beat { from: name(1), beat: beat.clone() };
+        let input = MembershipInput::Heartbeat { from: name(1), heartbeat: heartbeat.clone() };
         membership.handle(Now::new(beats * 500, 0), input, &mut out);
     }
     assert_eq!(out, [MembershipAction::PullMembers { from: name(1) }]);
--- a/crates/samphiredoor/src/links/codec.rs
+++ b/crates/samphiredoor/src/links/codec.rs
@@ -4,7 +4,7 @@
 use samphiredoor_core::{
     Name,
     hints::{Hint, Origin, TargetLoad},
-    membership::{Beat, Member, MemberState},
+    membership::{Heartbeat, Member, MemberState},
 };
 use samphiredoor_schema::peer_capnp::{self as wire, heartbeat, member, news, target_load};
 
@@ -13,18 +13,18 @@
 /// Most list entries that are read from one message.
 const MAX_ENTRIES: u32 = 1_000;
 
-pub(super) fn write_beat(beat: &Beat, mut builder: heartbeat::Builder<'_>) {
-    builder.set_incarnation(beat.incarnation);
-    builder.set_renewals(beat.renewals);
-    builder.set_manifest_revision(beat.revision);
-    builder.set_members_digest(beat.members_digest);
-    if !beat.changes.is_empty() {
-        write_members(&beat.changes, builder.init_changes(beat.changes.len() as u32));
+pub(super) fn write_heartbeat(heartbeat: &Heartbeat, mut builder: heartbeat::Builder<'_>) {
+    builder.set_incarnation(heartbeat.incarnation);
+    builder.set_renewals(heartbeat.renewals);
+    builder.set_manifest_revision(heartbeat.revision);
+    builder.set_members_digest(heartbeat.members_digest);
+    if !heartbeat.changes.is_empty() {
+        write_members(&heartbeat.changes, builder.init_changes(heartbeat.changes.len() as u32));
     }
 }
 
-pub(super) fn read_beat(reader: heartbeat::Reader<'_>) -> Result<Beat, Error> {
-    Ok(Beat {
+pub(super) fn read_heartbeat(reader: heartbeat::Reader<'_>) -> Result<Heartbeat, Error> {
+    Ok(Heartbeat {
         incarnation: reader.get_incarnation(),
         renewals: reader.get_renewals(),
         revision: reader.get_manifest_revision(),
--- a/crates/samphiredoor/src/links/link.rs
+++ b/crates/samphiredoor/src/links/link.rs
@@ -254,12 +254,12 @@
     command: LinkCommand,
 ) -> Result<(), capnp::Error> {
     match command {
-        LinkCommand::Beat(beat) => {
+        LinkCommand::Heartbeat(heartbeat) => {
             let mut request = client.heartbeat_request();
-            codec::write_beat(&beat, request.get().init_beat());
+            codec::write_heartbeat(&heartbeat, request.get().init_beat());
             let answer = request.send().promise.await?;
-            let beat = codec::read_beat(answer.get()?.get_beat()?)?;
-            door.peers.input(MembershipInput::Beat { from: Name::clone(peer), beat });
+            let heartbeat = codec::read_heartbeat(answer.get()?.get_beat()?)?;
+            door.peers.input(MembershipInput::Heartbeat { from: Name::clone(peer), heartbeat });
         }
         LinkCommand::Tell(told) => {
             let mut request = client.tell_request();
--- a/crates/samphiredoor/src/links/service.rs
+++ b/crates/samphiredoor/src/links/service.rs
@@ -113,11 +113,11 @@
         mut results: door::HeartbeatResults,
     ) -> Result<(), Error> {
         let from = self.from();
-        let beat = self.checked(params.get()?.get_beat().and_then(codec::read_beat))?;
+        let heartbeat = self.checked(params.get()?.get_beat().and_then(codec::read_heartbeat))?;
         let (reply, answer) = flume::bounded(1);
-        self.door.peers.send(PeerMessage::Heartbeat { from, beat, reply });
-        let beat = answer.recv_async().await.map_err(gone)?;
-        codec::write_beat(&beat, results.get().init_beat());
+        self.door.peers.send(PeerMessage::Heartbeat { from, heartbeat, reply });
+        let heartbeat = answer.recv_async().await.map_err(gone)?;
+        codec::write_heartbeat(&heartbeat, results.get().init_beat());
         Ok(())
     }
 
--- a/crates/samphiredoor/src/members_task.rs
+++ b/crates/samphiredoor/src/members_task.rs
@@ -83,9 +83,9 @@
         match message {
             PeerMessage::Up(up) => self.up(up),
             PeerMessage::Down { link, peer } => self.down(link, peer),
-            PeerMessage::Heartbeat { from, beat, reply } => {
-                self.input(MembershipInput::Beat { from, beat });
-                let _ = reply.send(self.membership.beat());
+            PeerMessage::Heartbeat { from, heartbeat, reply } => {
+                self.input(MembershipInput::Heartbeat { from, heartbeat });
+                let _ = reply.send(self.membership.next_heartbeat());
             }
             PeerMessage::PageAsked { after, reply } => {
                 let _ = reply.send(self.membership.page(&after));
@@ -131,7 +131,9 @@
                     }
                 }
             }
-            MembershipAction::Beat { to, beat } => self.command(&to, LinkCommand::Beat(beat)),
+            MembershipAction::SendHeartbeat { to, heartbeat } => {
+                self.command(&to, LinkCommand::Heartbeat(heartbeat))
+            }
             MembershipAction::PullMembers { from } => {
                 self.command(&from, LinkCommand::PullMembers);
             }
--- a/crates/samphiredoor/src/peers.rs
+++ b/crates/samphiredoor/src/peers.rs
@@ -9,7 +9,7 @@
     Name,
     hints::{Hint, Origin},
     manifest_revisions::PeerConfirmation,
-    membership::{Beat, Member, MemberState, MembershipInput, preferred},
+    membership::{Heartbeat, Member, MemberState, MembershipInput, preferred},
 };
 
 /// Longest wait for a peer's answer to one call.
@@ -34,7 +34,7 @@
 #[derive(Debug, Clone)]
 pub enum LinkCommand {
     /// Send a heartbeat and report the answer.
-    Beat(Beat),
+    Heartbeat(Heartbeat),
     /// Tell news.
     Tell(Told),
     /// Ask for all members and report them.
@@ -82,9 +82,9 @@
         /// Which peer.
         from: Name,
         /// What it said.
-        beat: Beat,
+        heartbeat: Heartbeat,
         /// Where the answer goes.
-        reply: flume::Sender<Beat>,
+        reply: flume::Sender<Heartbeat>,
     },
     /// A peer asks for a page of members.
     PageAsked {
