--- a/crates/samphiredoor-core/src/membership/messages.rs
+++ b/crates/samphiredoor-core/src/membership/messages.rs
@@ -76,19 +76,19 @@
         lease: Box<ProcessLease>,
     },
     /// A lease object is gone.
-    LeaseGone {
+    LeaseDeleted {
         /// Its process.
         process: Name,
     },
     /// A lease object could not be read.
-    LeaseUnread {
+    LeaseReadFailed {
         /// Its process.
         process: Name,
     },
     /// The own lease was renewed so many times.
-    Renewed(u64),
+    LeaseRenewed(u64),
     /// This process holds a manifest.
-    Revision(u64),
+    OwnRevision(u64),
     /// A planned stop of this process has begun.
     Stopping,
     /// Time passed.
@@ -137,7 +137,7 @@
     /// List all lease objects.
     ListLeases,
     /// The lease of a process has lapsed; its work is free to be taken. Told again while its object stands.
-    Lapsed {
+    LeaseExpired {
         /// Which process.
         process: Name,
         /// Which start of it.
@@ -151,5 +151,5 @@
         revision: u64,
     },
     /// What [`Membership::live`] gives has changed.
-    Changed,
+    LiveMembersChanged,
 }
--- a/crates/samphiredoor-core/src/membership/mod.rs
+++ b/crates/samphiredoor-core/src/membership/mod.rs
@@ -130,14 +130,14 @@
                 self.next_list_ms = now.mono_ms + READ_RETRY_MS;
             }
             MembershipInput::Lease { process, lease } => self.lease_read(now, process, *lease, out),
-            MembershipInput::LeaseGone { process } => self.lease_gone(now, &process),
-            MembershipInput::LeaseUnread { process } => {
+            MembershipInput::LeaseDeleted { process } => self.lease_gone(now, &process),
+            MembershipInput::LeaseReadFailed { process } => {
                 if let Some(silent) = self.silent.get_mut(&process) {
                     silent.next_read_ms = now.mono_ms + READ_RETRY_MS;
                 }
             }
-            MembershipInput::Renewed(renewals) => self.renewals = renewals,
-            MembershipInput::Revision(revision) => self.revision = self.revision.max(revision),
+            MembershipInput::LeaseRenewed(renewals) => self.renewals = renewals,
+            MembershipInput::OwnRevision(revision) => self.revision = self.revision.max(revision),
             MembershipInput::Stopping => {
                 let mut own = self.roster.own().clone();
                 own.state = MemberState::Stopping;
@@ -189,7 +189,7 @@
         if self.take_report(member, out) {
             self.gossip.add(&name, self.roster.len());
             self.choose_links(now, out);
-            out.push(MembershipAction::Changed);
+            out.push(MembershipAction::LiveMembersChanged);
         }
     }
 
@@ -211,7 +211,7 @@
             self.gossip.add(name, self.roster.len());
         }
         self.choose_links(now, out);
-        out.push(MembershipAction::Changed);
+        out.push(MembershipAction::LiveMembersChanged);
     }
 
     // Tells whether the report changed anything.
@@ -227,7 +227,7 @@
             && self.watched.contains(&name)
         {
             // A later start has replaced the lease, so the earlier one can hold it no more.
-            out.push(MembershipAction::Lapsed { process: name, incarnation });
+            out.push(MembershipAction::LeaseExpired { process: name, incarnation });
         }
         true
     }
@@ -330,7 +330,7 @@
         match self.leases.over_at(&process, LAPSE_MARGIN_MS) {
             Some(over_ms) if now.mono_ms >= over_ms => {
                 silent.next_read_ms = now.mono_ms + lease_ms / 2;
-                out.push(MembershipAction::Lapsed { process, incarnation });
+                out.push(MembershipAction::LeaseExpired { process, incarnation });
             }
             Some(over_ms) => silent.next_read_ms = over_ms,
             None => {}
@@ -481,7 +481,7 @@
         let keep_ms = FORGET_LEASES * self.config.lease_ms + LAPSE_MARGIN_MS;
         if self.roster.forget_dead(now, keep_ms) {
             self.choose_links(now, out);
-            out.push(MembershipAction::Changed);
+            out.push(MembershipAction::LiveMembersChanged);
         }
     }
 }
--- a/crates/samphiredoor-core/tests/fleet/mod.rs
+++ b/crates/samphiredoor-core/tests/fleet/mod.rs
@@ -217,7 +217,7 @@
         };
         self.leases.insert(name(number), lease);
         let renewals = node.renewals;
-        self.give(number, MembershipInput::Renewed(renewals));
+        self.give(number, MembershipInput::LeaseRenewed(renewals));
     }
 
     fn reaches(&self, a: usize, b: usize) -> bool {
@@ -258,7 +258,7 @@
                     Some(lease) => {
                         MembershipInput::Lease { process, lease: Box::new(lease.clone()) }
                     }
-                    None => MembershipInput::LeaseGone { process },
+                    None => MembershipInput::LeaseDeleted { process },
                 }];
             }
             MembershipAction::ListLeases => {
@@ -266,12 +266,12 @@
                 let leases = self.leases.iter().map(|(name, lease)| (name.clone(), lease.clone()));
                 return vec![MembershipInput::Leases(leases.collect())];
             }
-            MembershipAction::Lapsed { process, incarnation } => {
+            MembershipAction::LeaseExpired { process, incarnation } => {
                 self.nodes[own].lapsed.insert((process, incarnation));
             }
             MembershipAction::ConnectSeed { .. }
             | MembershipAction::PeerRevision { .. }
-            | MembershipAction::Changed => {}
+            | MembershipAction::LiveMembersChanged => {}
         }
         Vec::new()
     }
--- a/crates/samphiredoor/src/lease_task.rs
+++ b/crates/samphiredoor/src/lease_task.rs
@@ -44,7 +44,7 @@
                 LeaseAction::Held { valid_until_ms } => {
                     door.jobs.lease(valid_until_ms);
                     door.orders.lease(valid_until_ms);
-                    door.peers.input(MembershipInput::Renewed(lease.renewals()));
+                    door.peers.input(MembershipInput::LeaseRenewed(lease.renewals()));
                 }
                 LeaseAction::Lost => {
                     log::error!("lease: a later process has this name; this one stops working");
--- a/crates/samphiredoor/src/manifest_task.rs
+++ b/crates/samphiredoor/src/manifest_task.rs
@@ -126,7 +126,7 @@
             log::info!("manifest: revision {revision} is in force");
             *env.handle.current.borrow_mut() = Arc::clone(&manifest);
             env.dispatch.apply(manifest);
-            env.peers.input(MembershipInput::Revision(revision));
+            env.peers.input(MembershipInput::OwnRevision(revision));
         }
         UpdateOutcome::AlreadyActive => {}
         // From a peer it is only late. From the store it is a stale read, or the store was set back.
--- a/crates/samphiredoor/src/members_task.rs
+++ b/crates/samphiredoor/src/members_task.rs
@@ -109,7 +109,7 @@
                 self.pending.remove(peer);
             }
             MembershipInput::Leases(_) => self.listed = true,
-            MembershipInput::Revision(revision) => self.in_force(*revision),
+            MembershipInput::OwnRevision(revision) => self.in_force(*revision),
             _ => {}
         }
         let mut actions = Vec::new();
@@ -143,13 +143,13 @@
             MembershipAction::ListLeases => {
                 compio::runtime::spawn(list_leases(Rc::clone(&self.door))).detach();
             }
-            MembershipAction::Lapsed { process, incarnation } => {
+            MembershipAction::LeaseExpired { process, incarnation } => {
                 self.lapsed(&process, incarnation);
             }
             MembershipAction::PeerRevision { from, revision } => {
                 self.pull_manifest(&from, revision);
             }
-            MembershipAction::Changed => self.publish(),
+            MembershipAction::LiveMembersChanged => self.publish(),
         }
     }
 
@@ -298,10 +298,10 @@
     let input = match door.store.call(StoreOp::Get { key }).await {
         StoreAnswer::Object(stored) => match lease(&door, &stored) {
             Some(lease) => MembershipInput::Lease { process, lease: Box::new(lease) },
-            None => MembershipInput::LeaseUnread { process },
+            None => MembershipInput::LeaseReadFailed { process },
         },
-        StoreAnswer::Absent => MembershipInput::LeaseGone { process },
-        _ => MembershipInput::LeaseUnread { process },
+        StoreAnswer::Absent => MembershipInput::LeaseDeleted { process },
+        _ => MembershipInput::LeaseReadFailed { process },
     };
     door.peers.input(input);
 }
