--- a/crates/samphiredoor-core/src/membership/mod.rs
+++ b/crates/samphiredoor-core/src/membership/mod.rs
@@ -7,9 +7,9 @@
 //!
 //! All of this is a hint. A member reported dead may live: it contradicts the report, and nothing was lost but speed.
 
-mod choice;
 mod gossip;
 mod messages;
+mod rendezvous;
 mod roster;
 
 use std::{
@@ -19,8 +19,8 @@
 
 use samphiredoor_schema::objects::ProcessLease;
 
-pub use choice::preferred;
 pub use messages::{Heartbeat, MembershipAction, MembershipConfig, MembershipInput};
+pub use rendezvous::rendezvous_select;
 pub use roster::{Member, MemberState, Roster};
 
 use crate::{Name, lease::LeaseTable, time::Now};
--- a/crates/samphiredoor-core/src/membership/choice.rs
+++ b/crates/samphiredoor-core/src/membership/rendezvous.rs
@@ -9,7 +9,7 @@
 
 /// The `count` members that rendezvous hashing prefers for `key`. Where doors know other members they choose otherwise
 /// for a while, so the choice is a hint. A member that comes or goes moves only the keys that it is chosen for.
-pub fn preferred<'a>(
+pub fn rendezvous_select<'a>(
     key: &str,
     members: impl IntoIterator<Item = &'a Name>,
     count: usize,
--- a/crates/samphiredoor/src/hosts_task.rs
+++ b/crates/samphiredoor/src/hosts_task.rs
@@ -9,7 +9,7 @@
 use samphiredoor_core::{
     Name,
     hints::Hint,
-    membership::preferred,
+    membership::rendezvous_select,
     store::{Kind, Labels, StoreAnswer, StoreOp, Stored, Version},
 };
 use samphiredoor_net::pool::within;
@@ -54,7 +54,7 @@
 
 fn is_reader(door: &Door) -> bool {
     let live = door.peers.live();
-    preferred("hosts", live.iter().map(|it| &it.name), READERS).contains(&door.config.name)
+    rendezvous_select("hosts", live.iter().map(|it| &it.name), READERS).contains(&door.config.name)
 }
 
 async fn leaving_hosts(door: &Door) -> Option<(HashSet<IpAddr>, Version)> {
--- a/crates/samphiredoor/src/manifest_task.rs
+++ b/crates/samphiredoor/src/manifest_task.rs
@@ -9,7 +9,7 @@
 use samphiredoor_core::{
     manifest::Manifest,
     manifest_revisions::{ActiveManifest, UpdateOutcome, manifest_key},
-    membership::{MembershipInput, preferred},
+    membership::{MembershipInput, rendezvous_select},
     store::{Kind, StoreAnswer, StoreOp, Version},
 };
 use samphiredoor_net::pool::within;
@@ -155,7 +155,7 @@
     let live = env.peers.live();
     let zone = &env.config.availability_zone;
     let in_zone = live.iter().filter(|it| it.availability_zone == *zone).map(|it| &it.name);
-    preferred("manifest", in_zone, WATCHERS_PER_ZONE).contains(&env.config.name)
+    rendezvous_select("manifest", in_zone, WATCHERS_PER_ZONE).contains(&env.config.name)
 }
 
 async fn watch(env: Rc<ManifestEnv>) {
--- a/crates/samphiredoor/src/peers.rs
+++ b/crates/samphiredoor/src/peers.rs
@@ -9,7 +9,7 @@
     Name,
     hints::{Hint, Origin},
     manifest_revisions::PeerConfirmation,
-    membership::{Heartbeat, Member, MemberState, MembershipInput, preferred},
+    membership::{Heartbeat, Member, MemberState, MembershipInput, rendezvous_select},
 };
 
 /// Longest wait for a peer's answer to one call.
@@ -165,7 +165,7 @@
     pub fn offer(&self, job: Name) {
         let live = self.live();
         let working = live.iter().filter(|it| it.state == MemberState::Live).map(|it| &it.name);
-        for taker in preferred(&job, working, 1) {
+        for taker in rendezvous_select(&job, working, 1) {
             self.tell(taker, Hint::HandedOver(Name::clone(&job)));
         }
     }
