--- a/crates/samphiredoor-core/tests/manifest.rs
+++ b/crates/samphiredoor-core/tests/manifest.rs
@@ -312,11 +312,11 @@
         $(
             #[test]
             fn $name() {
-                let mut log = ActiveManifest::default();
-                log.update_if_newer(&record(1, 5, "a"));
-                let offered = log.update_if_newer($bytes.as_ref());
+                let mut active = ActiveManifest::default();
+                active.update_if_newer(&record(1, 5, "a"));
+                let offered = active.update_if_newer($bytes.as_ref());
                 assert!(matches!(offered, $expected), "{offered:?}");
-                assert_eq!(log.revision(), 5);
+                assert_eq!(active.revision(), 5);
             }
         )*
     };
--- a/crates/samphiredoor/src/manifest_task.rs
+++ b/crates/samphiredoor/src/manifest_task.rs
@@ -103,24 +103,24 @@
 pub async fn run(env: ManifestEnv, inbox: ManifestInbox) {
     let env = Rc::new(env);
     compio::runtime::spawn(watch(Rc::clone(&env))).detach();
-    let mut log = ActiveManifest::default();
+    let mut active = ActiveManifest::default();
     while let Ok(message) = inbox.0.recv_async().await {
         match message {
             Message::Offer { record, source, reply } => {
-                take(&env, &mut log, &record, source);
-                let _ = reply.send(log.is_at_or_one_above(&record));
+                take(&env, &mut active, &record, source);
+                let _ = reply.send(active.is_at_or_one_above(&record));
             }
             Message::Above { revision, reply } => {
-                let newer = log.revision() > revision;
-                let _ = reply.send(log.record().filter(|_| newer).cloned());
+                let newer = active.revision() > revision;
+                let _ = reply.send(active.record().filter(|_| newer).cloned());
             }
         }
     }
 }
 
-fn take(env: &ManifestEnv, log: &mut ActiveManifest, record: &[u8], source: Source) {
-    let held = log.revision();
-    match log.update_if_newer(record) {
+fn take(env: &ManifestEnv, active: &mut ActiveManifest, record: &[u8], source: Source) {
+    let held = active.revision();
+    match active.update_if_newer(record) {
         UpdateOutcome::Applied(manifest) => {
             let revision = manifest.revision;
             log::info!("manifest: revision {revision} is in force");
