--- a/crates/samphiredoor-core/src/ledger/config.rs
+++ b/crates/samphiredoor-core/src/ledger/config.rs
@@ -18,9 +18,9 @@
     /// Time for the preferred process to take a job before the next one tries.
     pub spread_ms: u64,
     /// Time between two looks for the jobs of a process whose lease has lapsed.
-    pub sweep_ms: u64,
+    pub orphan_scan_ms: u64,
     /// Time between two looks for free jobs.
-    pub free_list_ms: u64,
+    pub free_scan_ms: u64,
     /// Time between two looks for cancelled jobs of this process.
     pub cancel_list_ms: u64,
     /// Time between two looks for jobs of this process that it does not know of.
@@ -47,8 +47,8 @@
             seed: incarnation,
             lease_margin_ms: 1_000,
             spread_ms: 2_000,
-            sweep_ms: 10_000,
-            free_list_ms: 10_000,
+            orphan_scan_ms: 10_000,
+            free_scan_ms: 10_000,
             cancel_list_ms: 3_000,
             own_list_ms: 60_000,
             linger_ms: 500,
--- a/crates/samphiredoor-core/src/ledger/mod.rs
+++ b/crates/samphiredoor-core/src/ledger/mod.rs
@@ -39,7 +39,7 @@
 };
 use context::{Context, LingerPace};
 use run::{Event, JobRun, Load};
-pub use takeover::sweepers;
+pub use takeover::orphan_scanners;
 use takeover::{Found, Takeover};
 
 #[derive(Debug)]
--- a/crates/samphiredoor-core/src/ledger/takeover.rs
+++ b/crates/samphiredoor-core/src/ledger/takeover.rs
@@ -38,7 +38,7 @@
 const ADOPT_WAIT_MS: u64 = 5_000;
 
 /// The processes among `live` that look after the jobs of a lapsed one at first, those first that take more of them.
-pub fn sweepers(lapsed: &str, live: &[Name]) -> Vec<Name> {
+pub fn orphan_scanners(lapsed: &str, live: &[Name]) -> Vec<Name> {
     let others = live.iter().filter(|it| ***it != *lapsed);
     let mut order: Vec<(u64, &Name)> = others.map(|it| (weight(lapsed, it), it)).collect();
     order.sort_by(|a, b| b.cmp(a));
@@ -225,7 +225,7 @@
             self.listings.push_back(listing);
         }
         if now_ms >= self.next_free_ms {
-            self.next_free_ms = now_ms + ctx.config.free_list_ms;
+            self.next_free_ms = now_ms + ctx.config.free_scan_ms;
             if self.rank(FREE_OWNER, &self.live) < SWEEPERS {
                 plan(&mut self.listings, &Source::Free);
             }
@@ -236,7 +236,7 @@
     /// seldom where nothing is found, so that a process that never comes back costs next to nothing.
     fn plan_sweeps(&mut self, ctx: &mut Context<'_>) {
         let now_ms = ctx.now_ms();
-        let sweep_ms = ctx.config.sweep_ms;
+        let orphan_scan_ms = ctx.config.orphan_scan_ms;
         self.sweeps.retain(|_, it| now_ms < it.last_hint_ms + FORGET_MS);
         let due = self.sweeps.iter().filter(|(_, it)| now_ms >= it.next_ms);
         let due: Vec<Name> = due.map(|(process, _)| Arc::clone(process)).collect();
@@ -245,7 +245,7 @@
             let Some(sweep) = self.sweeps.get_mut(&process) else { continue };
             let round = 1 + (rank / SWEEPERS) as u64;
             let rest = sweep.empty_lists.min(MAX_EMPTY_DOUBLINGS);
-            sweep.next_ms = now_ms + ((round * sweep_ms) << rest);
+            sweep.next_ms = now_ms + ((round * orphan_scan_ms) << rest);
             let incarnation = sweep.incarnation;
             if rank == 0 && sweep.empty_lists >= EMPTY_LISTS {
                 let key = ObjectKey::new(Kind::Process, Arc::clone(&process));
--- a/crates/samphiredoor-core/tests/ledger/world.rs
+++ b/crates/samphiredoor-core/tests/ledger/world.rs
@@ -544,8 +544,8 @@
         let config = LedgerConfig {
             lease_margin_ms: MARGIN_MS,
             spread_ms: 200,
-            sweep_ms: 500,
-            free_list_ms: 500,
+            orphan_scan_ms: 500,
+            free_scan_ms: 500,
             cancel_list_ms: 500,
             own_list_ms: 1_000,
             ..LedgerConfig::new(name, incarnation, writer)
--- a/crates/samphiredoor/src/jobs_task.rs
+++ b/crates/samphiredoor/src/jobs_task.rs
@@ -147,8 +147,8 @@
     let renew_ms = config.renew.as_millis() as u64;
     LedgerConfig {
         lease_margin_ms: (lease_ms / LEASE_MARGIN_PART).min(MAX_LEASE_MARGIN_MS),
-        sweep_ms: renew_ms,
-        free_list_ms: renew_ms,
+        orphan_scan_ms: renew_ms,
+        free_scan_ms: renew_ms,
         ..LedgerConfig::new(config.name(), incarnation, writer)
     }
 }
--- a/crates/samphiredoor/src/members_task.rs
+++ b/crates/samphiredoor/src/members_task.rs
@@ -5,7 +5,7 @@
 use samphiredoor_core::{
     Name,
     hints::{Hint, Origin, SeenHints, origin_name},
-    ledger::sweepers,
+    ledger::orphan_scanners,
     manifest_revisions::PeerConfirmation,
     membership::{
         Member, MemberState, Membership, MembershipAction, MembershipConfig, MembershipInput,
@@ -271,9 +271,9 @@
     // Only those who take its jobs are told, so that the loss of many at once costs little.
     fn lapsed(&mut self, process: &Name, incarnation: u64) {
         log::info!("peers: the lease of {process} has lapsed");
-        for sweeper in sweepers(process, &self.working()) {
+        for scanner in orphan_scanners(process, &self.working()) {
             let process = Name::clone(process);
-            self.tell(sweeper, Hint::Lapsed { process, incarnation });
+            self.tell(scanner, Hint::Lapsed { process, incarnation });
         }
         self.door.jobs.lapsed(Name::clone(process), incarnation);
         self.door.orders.lapsed(Name::clone(process), incarnation);
