--- a/crates/samphiredoor-core/examples/ledger_slope.rs
+++ b/crates/samphiredoor-core/examples/ledger_slope.rs
@@ -8,8 +8,8 @@
 
 use samphiredoor_core::{
     ledger::{
-        Acceptance, Accepting, ItemEnd, ItemRef, Ledger, LedgerAction, LedgerConfig, LedgerInput,
-        Submission, SubmissionStep,
+        Acceptance, AcceptanceParams, ItemEnd, ItemRef, Ledger, LedgerAction, LedgerConfig,
+        LedgerInput, Submission, SubmissionStep,
     },
     store::{ObjectKey, StoreAnswer, StoreOp, Stored, Version},
     time::Now,
@@ -95,7 +95,7 @@
     fn submit(&mut self, number: usize, items: usize) {
         let body = "x".repeat(BODY_BYTES);
         let mut submission = Submission::new();
-        let accepting = Accepting {
+        let accepting = AcceptanceParams {
             workspace: "desk".into(),
             key: format!("key-{number}").into(),
             upload: format!("up-{number}").into(),
--- a/crates/samphiredoor-core/src/ledger/mod.rs
+++ b/crates/samphiredoor-core/src/ledger/mod.rs
@@ -30,7 +30,7 @@
 pub use messages::{ItemEnd, ItemRef, ItemWork, LedgerAction, LedgerInput, Note, Progress};
 pub use names::{CallId, JobId, chunk_key, header_key, job_id, results_key};
 pub use submission::{
-    Acceptance, Accepting, BadLine, CHUNK_ITEMS, Submission, SubmissionStep, service_in_path,
+    Acceptance, AcceptanceParams, BadLine, CHUNK_ITEMS, Submission, SubmissionStep, service_in_path,
 };
 
 use crate::{
--- a/crates/samphiredoor-core/src/ledger/submission.rs
+++ b/crates/samphiredoor-core/src/ledger/submission.rs
@@ -251,7 +251,7 @@
 
 /// Who submits, and on whose behalf.
 #[derive(Debug, Clone)]
-pub struct Accepting {
+pub struct AcceptanceParams {
     /// Workspace.
     pub workspace: Name,
     /// The caller's key for the job.
@@ -314,7 +314,7 @@
     }
 
     /// Acceptance of a whole submission whose chunks are written; the first step creates the header.
-    pub fn new(now: Now, accepting: &Accepting, submission: &Submission) -> Acceptance {
+    pub fn new(now: Now, accepting: &AcceptanceParams, submission: &Submission) -> Acceptance {
         let header = JobHeader {
             format: FORMAT,
             workspace: accepting.workspace.to_string(),
--- a/crates/samphiredoor-core/tests/ledger/world.rs
+++ b/crates/samphiredoor-core/tests/ledger/world.rs
@@ -5,9 +5,9 @@
 use samphiredoor_core::{
     Name,
     ledger::{
-        Acceptance, Accepting, CallId, CancelStep, Cancellation, ItemEnd, ItemRef, JobId, Ledger,
-        LedgerAction, LedgerConfig, LedgerInput, Note, Submission, SubmissionStep, Unreadable,
-        job_id,
+        Acceptance, AcceptanceParams, CallId, CancelStep, Cancellation, ItemEnd, ItemRef, JobId,
+        Ledger, LedgerAction, LedgerConfig, LedgerInput, Note, Submission, SubmissionStep,
+        Unreadable, job_id,
     },
     store::{ObjectKey, StoreAnswer, StoreOp},
     time::Now,
@@ -365,7 +365,7 @@
         let mut chunks = submission.push(lines.join("\n").as_bytes()).expect("lines are items");
         chunks.extend(submission.finish().expect("the last line is an item"));
         self.uploads += 1;
-        let accepting = Accepting {
+        let accepting = AcceptanceParams {
             workspace: "desk".into(),
             key: format!("key-{key}").into(),
             upload: format!("up{}", self.uploads).into(),
--- a/crates/samphiredoor/src/jobs.rs
+++ b/crates/samphiredoor/src/jobs.rs
@@ -5,7 +5,7 @@
 use futures_util::{StreamExt, stream::FuturesUnordered};
 use hyper::{HeaderMap, Request, Response, StatusCode, body::Incoming};
 use samphiredoor_core::{
-    ledger::{Acceptance, Accepting, BadLine, Submission, SubmissionStep, chunk_key},
+    ledger::{Acceptance, AcceptanceParams, BadLine, Submission, SubmissionStep, chunk_key},
     store::{StoreAnswer, StoreOp},
     verdict::{MayHaveRunReason, Refusal, Verdict},
 };
@@ -66,7 +66,7 @@
     false
 }
 
-fn accepting(door: &Door, headers: &HeaderMap) -> Result<Accepting, Response<Body>> {
+fn accepting(door: &Door, headers: &HeaderMap) -> Result<AcceptanceParams, Response<Body>> {
     let Some(key) = header_text(headers, KEY_HEADER) else {
         return Err(bad_request(KEY_HEADER, "name the job, so that sending it again is safe"));
     };
@@ -83,7 +83,7 @@
         Some(Ok(due_unix_ms)) => Some(due_unix_ms),
         Some(Err(_)) => return Err(bad_request(DUE_HEADER, "is no number of milliseconds")),
     };
-    Ok(Accepting {
+    Ok(AcceptanceParams {
         workspace: header_text(headers, WORKSPACE_HEADER).unwrap_or("default").into(),
         key: key.into(),
         upload: door.unique_name("up").into(),
@@ -97,7 +97,7 @@
 /// Reads the body and writes its chunks, a few at a time.
 async fn upload(
     door: &Rc<Door>,
-    accepting: &Accepting,
+    accepting: &AcceptanceParams,
     body: Incoming,
     submission: &mut Submission,
 ) -> Result<(), Response<Body>> {
@@ -126,7 +126,7 @@
 
 async fn write_chunk(
     door: &Door,
-    accepting: &Accepting,
+    accepting: &AcceptanceParams,
     number: u32,
     chunk: Chunk,
 ) -> Result<(), Response<Body>> {
@@ -147,7 +147,11 @@
     verdict_answer(Verdict::NotRun { retry_after_ms: STORE_RETRY_AFTER_MS, reason })
 }
 
-async fn accept(door: &Rc<Door>, accepting: &Accepting, submission: &Submission) -> Response<Body> {
+async fn accept(
+    door: &Rc<Door>,
+    accepting: &AcceptanceParams,
+    submission: &Submission,
+) -> Response<Body> {
     let mut acceptance = Acceptance::new(door.clock.now(), accepting, submission);
     let mut step = acceptance.start();
     loop {
