--- a/crates/samphiredoor-core/src/ledger/messages.rs
+++ b/crates/samphiredoor-core/src/ledger/messages.rs
@@ -101,7 +101,7 @@
         valid_until_ms: u64,
     },
     /// The lease of another process has lapsed. A hint: it may come again and again, and be wrong.
-    Lapsed {
+    LeaseExpired {
         /// Which process.
         process: Name,
         /// Which start of it.
@@ -152,7 +152,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Note {
     /// A job was taken from a process that no longer works on it.
-    Taken {
+    TakenOver {
         /// Which job.
         job: JobId,
         /// Fencing number of the taking.
@@ -171,7 +171,7 @@
         state: JobState,
     },
     /// The own lease is over; nothing is handed out until it is held again.
-    LeaseOver,
+    LeaseExpired,
     /// A stored object cannot be read and is left alone.
     Unreadable {
         /// Which object.
--- a/crates/samphiredoor-core/src/ledger/mod.rs
+++ b/crates/samphiredoor-core/src/ledger/mod.rs
@@ -112,7 +112,7 @@
                 }
             }
             LedgerInput::Lease { .. } | LedgerInput::Tick => self.tick(now, out),
-            LedgerInput::Lapsed { process, incarnation } => {
+            LedgerInput::LeaseExpired { process, incarnation } => {
                 self.with_takeover(now, out, |it, _, ctx| it.lapsed(process, incarnation, ctx));
             }
             LedgerInput::Live { processes } => self.takeover.live(processes),
@@ -141,7 +141,7 @@
         let held = now.mono_ms + self.shared.config.lease_margin_ms < self.valid_until_ms;
         let was_held = std::mem::replace(&mut self.shared.lease_held, held);
         if was_held && !held {
-            out.push(LedgerAction::Note(Note::LeaseOver));
+            out.push(LedgerAction::Note(Note::LeaseExpired));
             for job in self.job_ids() {
                 self.with_run(now, &job, out, JobRun::pause);
             }
@@ -225,7 +225,7 @@
         match found {
             Found::Taken { job, header, version } => {
                 let epoch = header.owner.epoch;
-                out.push(LedgerAction::Note(Note::Taken { job: Arc::clone(&job), epoch }));
+                out.push(LedgerAction::Note(Note::TakenOver { job: Arc::clone(&job), epoch }));
                 self.start(now, job, *header, version, out);
             }
             Found::Cancelled { job } => self.recheck(now, &job, out),
--- a/crates/samphiredoor-core/tests/ledger/world.rs
+++ b/crates/samphiredoor-core/tests/ledger/world.rs
@@ -563,7 +563,7 @@
     fn lapsed(&mut self, observer: usize, process: usize) {
         let lapsed = &self.processes[process];
         let (process, incarnation) = (lapsed.name.clone(), lapsed.incarnation);
-        self.input(observer, LedgerInput::Lapsed { process, incarnation });
+        self.input(observer, LedgerInput::LeaseExpired { process, incarnation });
     }
 
     fn input(&mut self, process: usize, input: LedgerInput) {
@@ -593,7 +593,7 @@
                 let (incarnation, repeatable) = (slot.incarnation, work.repeatable);
                 self.running.push(Running { process, incarnation, item: work.item, repeatable });
             }
-            LedgerAction::Note(Note::Taken { job, epoch }) => self.promises.taken(&job, epoch),
+            LedgerAction::Note(Note::TakenOver { job, epoch }) => self.promises.taken(&job, epoch),
             LedgerAction::Note(Note::Unreadable { key, fault }) => {
                 self.unreadable.push((key, fault));
             }
--- a/crates/samphiredoor/src/jobs_task.rs
+++ b/crates/samphiredoor/src/jobs_task.rs
@@ -66,7 +66,7 @@
 
     /// Says that the lease of a process has lapsed, so that its jobs may be taken.
     pub fn lapsed(&self, process: Name, incarnation: u64) {
-        self.input(LedgerInput::Lapsed { process, incarnation });
+        self.input(LedgerInput::LeaseExpired { process, incarnation });
     }
 
     /// Says which processes hold their leases.
@@ -232,7 +232,7 @@
     fn note(&self, note: &Note) {
         let metrics = &self.env.metrics;
         match note {
-            Note::Taken { job, epoch } => {
+            Note::TakenOver { job, epoch } => {
                 metrics.job_event("taken");
                 log::info!("jobs: {job} is taken with epoch {epoch}");
             }
@@ -244,7 +244,7 @@
                 metrics.job_event(state_label(*state));
                 log::info!("jobs: {job} is {}", state_label(*state));
             }
-            Note::LeaseOver => {
+            Note::LeaseExpired => {
                 metrics.job_event("lease_over");
                 log::warn!("jobs: the lease is over; nothing is run until it is held again");
             }
