--- a/crates/samphiredoor-core/examples/ledger_slope.rs
+++ b/crates/samphiredoor-core/examples/ledger_slope.rs
@@ -118,7 +118,7 @@
         let mut acceptance = Acceptance::new(Now::new(self.now_ms, 0), &accepting, &submission);
         let mut step = acceptance.start();
         while let SubmissionStep::Store(op) = step {
-            step = acceptance.answered(self.store.apply(op));
+            step = acceptance.handle_answer(self.store.apply(op));
         }
         if let SubmissionStep::Accepted { job, header, version, .. } = step {
             self.input(LedgerInput::Owned { job, header, version });
--- a/crates/samphiredoor-core/src/ledger/cancellation.rs
+++ b/crates/samphiredoor-core/src/ledger/cancellation.rs
@@ -58,7 +58,7 @@
     }
 
     /// Takes an answer; says what comes next.
-    pub fn answered(&mut self, answer: StoreAnswer) -> CancelStep {
+    pub fn handle_answer(&mut self, answer: StoreAnswer) -> CancelStep {
         match answer {
             StoreAnswer::Object(stored) => match read_header(&stored.value) {
                 Ok(header) if header.state == JobState::Running => {
--- a/crates/samphiredoor-core/src/ledger/submission.rs
+++ b/crates/samphiredoor-core/src/ledger/submission.rs
@@ -351,7 +351,7 @@
     }
 
     /// Takes an answer; says what comes next.
-    pub fn answered(&mut self, answer: StoreAnswer) -> SubmissionStep {
+    pub fn handle_answer(&mut self, answer: StoreAnswer) -> SubmissionStep {
         match answer {
             StoreAnswer::Object(stored) => match read_header(&stored.value) {
                 Ok(header) => self.found(header, stored.version),
--- a/crates/samphiredoor-core/tests/ledger/world.rs
+++ b/crates/samphiredoor-core/tests/ledger/world.rs
@@ -462,11 +462,11 @@
                 self.input(call.process, LedgerInput::Stored { call: id, answer });
             }
             Caller::Acceptance(mut acceptance, digest) => {
-                let step = acceptance.answered(answer);
+                let step = acceptance.handle_answer(answer);
                 self.accepting(call.process, acceptance, digest, step);
             }
             Caller::Cancellation(mut cancellation, job) => {
-                let step = cancellation.answered(answer);
+                let step = cancellation.handle_answer(answer);
                 self.cancelling(call.process, cancellation, job, step);
             }
         }
--- a/crates/samphiredoor/src/job_control.rs
+++ b/crates/samphiredoor/src/job_control.rs
@@ -28,7 +28,7 @@
     let mut step = cancellation.start();
     loop {
         match step {
-            CancelStep::Store(op) => step = cancellation.answered(door.store.call(op).await),
+            CancelStep::Store(op) => step = cancellation.handle_answer(door.store.call(op).await),
             CancelStep::Cancelled { header } => {
                 log::info!("jobs: {job} is cancelled");
                 door.jobs.cancel_hint(job.clone());
--- a/crates/samphiredoor/src/jobs.rs
+++ b/crates/samphiredoor/src/jobs.rs
@@ -156,7 +156,7 @@
     let mut step = acceptance.start();
     loop {
         match step {
-            SubmissionStep::Store(op) => step = acceptance.answered(door.store.call(op).await),
+            SubmissionStep::Store(op) => step = acceptance.handle_answer(door.store.call(op).await),
             SubmissionStep::Accepted { job, header, version, resent } => {
                 let answer = json_answer(StatusCode::OK, &header_json(&job, &header));
                 if resent {
