--- a/crates/samphiredoor-core/src/membership/messages.rs
+++ b/crates/samphiredoor-core/src/membership/messages.rs
@@ -22,7 +22,7 @@
 
 /// What two doors tell each other at each heartbeat.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Beat {
+pub struct Heartbeat {
     /// Start of the sender.
     pub incarnation: u64,
     /// Renewals of the sender's lease.
@@ -56,11 +56,11 @@
         peer: Name,
     },
     /// A heartbeat, or the answer to one.
-    Beat {
+    Heartbeat {
         /// The far side.
         from: Name,
         /// What it said.
-        beat: Beat,
+        heartbeat: Heartbeat,
     },
     /// Members that a peer knows.
     Members(Vec<Member>),
@@ -76,19 +76,19 @@
         lease: Box<ProcessLease>,
     },
     /// A lease object is gone.
-    LeaseGone {
+    LeaseDeleted {
         /// Its process.
         process: Name,
     },
     /// A lease object could not be read.
-    LeaseUnread {
+    LeaseReadFailed {
         /// Its process.
         process: Name,
     },
     /// The own lease was renewed so many times.
-    Renewed(u64),
+    LeaseRenewed(u64),
     /// This process holds a manifest.
-    Revision(u64),
+    OwnRevision(u64),
     /// A planned stop of this process has begun.
     Stopping,
     /// Time passed.
@@ -117,12 +117,12 @@
         /// Whether also those that the member opened.
         accepted: bool,
     },
-    /// Send a heartbeat; its answer is to be reported as [`MembershipInput::Beat`].
-    Beat {
+    /// Send a heartbeat; its answer is to be reported as [`MembershipInput::Heartbeat`].
+    SendHeartbeat {
         /// To which member.
         to: Name,
         /// What it says.
-        beat: Beat,
+        heartbeat: Heartbeat,
     },
     /// Ask a member for all members that it knows.
     PullMembers {
@@ -137,7 +137,7 @@
     /// List all lease objects.
     ListLeases,
     /// The lease of a process has lapsed; its work is free to be taken. Told again while its object stands.
-    Lapsed {
+    LeaseExpired {
         /// Which process.
         process: Name,
         /// Which start of it.
@@ -151,5 +151,5 @@
         revision: u64,
     },
     /// What [`Membership::live`] gives has changed.
-    Changed,
+    LiveMembersChanged,
 }
--- a/crates/samphiredoor-core/tests/ledger/world.rs
+++ b/crates/samphiredoor-core/tests/ledger/world.rs
@@ -5,9 +5,9 @@
 use samphiredoor_core::{
     Name,
     ledger::{
-        Acceptance, Accepting, CallId, CancelStep, Cancellation, ItemEnd, ItemRef, JobId, Ledger,
-        LedgerAction, LedgerConfig, LedgerInput, Note, Submission, SubmissionStep, Unreadable,
-        job_id,
+        Acceptance, AcceptanceParams, CallId, CancelStep, Cancellation, ItemEnd, ItemRef, JobId,
+        Ledger, LedgerAction, LedgerConfig, LedgerInput, Note, Submission, SubmissionStep,
+        Unreadable, job_id,
     },
     store::{ObjectKey, StoreAnswer, StoreOp},
     time::Now,
@@ -365,7 +365,7 @@
         let mut chunks = submission.push(lines.join("\n").as_bytes()).expect("lines are items");
         chunks.extend(submission.finish().expect("the last line is an item"));
         self.uploads += 1;
-        let accepting = Accepting {
+        let accepting = AcceptanceParams {
             workspace: "desk".into(),
             key: format!("key-{key}").into(),
             upload: format!("up{}", self.uploads).into(),
@@ -462,11 +462,11 @@
                 self.input(call.process, LedgerInput::Stored { call: id, answer });
             }
             Caller::Acceptance(mut acceptance, digest) => {
-                let step = acceptance.answered(answer);
+                let step = acceptance.handle_answer(answer);
                 self.accepting(call.process, acceptance, digest, step);
             }
             Caller::Cancellation(mut cancellation, job) => {
-                let step = cancellation.answered(answer);
+                let step = cancellation.handle_answer(answer);
                 self.cancelling(call.process, cancellation, job, step);
             }
         }
@@ -544,8 +544,8 @@
         let config = LedgerConfig {
             lease_margin_ms: MARGIN_MS,
             spread_ms: 200,
-            sweep_ms: 500,
-            free_list_ms: 500,
+            orphan_scan_ms: 500,
+            free_scan_ms: 500,
             cancel_list_ms: 500,
             own_list_ms: 1_000,
             ..LedgerConfig::new(name, incarnation, writer)
@@ -563,7 +563,7 @@
     fn lapsed(&mut self, observer: usize, process: usize) {
         let lapsed = &self.processes[process];
         let (process, incarnation) = (lapsed.name.clone(), lapsed.incarnation);
-        self.input(observer, LedgerInput::Lapsed { process, incarnation });
+        self.input(observer, LedgerInput::LeaseExpired { process, incarnation });
     }
 
     fn input(&mut self, process: usize, input: LedgerInput) {
@@ -593,7 +593,7 @@
                 let (incarnation, repeatable) = (slot.incarnation, work.repeatable);
                 self.running.push(Running { process, incarnation, item: work.item, repeatable });
             }
-            LedgerAction::Note(Note::Taken { job, epoch }) => self.promises.taken(&job, epoch),
+            LedgerAction::Note(Note::TakenOver { job, epoch }) => self.promises.taken(&job, epoch),
             LedgerAction::Note(Note::Unreadable { key, fault }) => {
                 self.unreadable.push((key, fault));
             }
--- a/crates/samphiredoor-core/tests/manifest.rs
+++ b/crates/samphiredoor-core/tests/manifest.rs
@@ -8,9 +8,9 @@
     test_runner::{Config, RngAlgorithm, TestRng, TestRunner},
 };
 use samphiredoor_core::{
-    manifest_log::{
-        ChangeEnd, ChangeInput, ChangeStep, Holders, ManifestChange, ManifestLog, Offered,
-        manifest_key, read_record,
+    manifest_revisions::{
+        ActiveManifest, ChangeEnd, ChangeInput, ChangeStep, ManifestChange, PeerConfirmation,
+        UpdateOutcome, decode_record, manifest_key,
     },
     store::{Labels, StoreAnswer, StoreOp, Stored, Value, Version},
 };
@@ -119,7 +119,7 @@
 #[derive(Default)]
 struct Model {
     store: Store,
-    doors: [ManifestLog; DOORS],
+    doors: [ActiveManifest; DOORS],
     highest: [u64; DOORS],
     changes: Vec<Running>,
     set_back: bool,
@@ -132,10 +132,10 @@
             Step::Begin { door, expects } => self.begin(door, expects),
             Step::Go { change, answering } => self.go(change, answering)?,
             Step::Confirm { change, by } => self.confirm(change, by)?,
-            Step::ConfirmFails { change } => self.held(change, Holders::Unconfirmed)?,
+            Step::ConfirmFails { change } => self.held(change, PeerConfirmation::Unconfirmed)?,
             Step::Replay { door, record } => {
                 if let Some(record) = self.store.history.get(record).cloned() {
-                    self.doors[door].offer(&record);
+                    self.doors[door].update_if_newer(&record);
                 }
             }
             Step::SetBack { record } => {
@@ -174,12 +174,12 @@
         let running = &mut self.changes[number];
         running.next = match step {
             ChangeStep::Call(op) => Next::Call(op),
-            ChangeStep::Hold { record, .. } => {
-                self.doors[running.door].offer(&record);
+            ChangeStep::ApplyAndReplicate { record, .. } => {
+                self.doors[running.door].update_if_newer(&record);
                 Next::Hold(record)
             }
             ChangeStep::End(end) => {
-                if let ChangeEnd::Lost { .. } | ChangeEnd::Unavailable = end {
+                if let ChangeEnd::Conflict { .. } | ChangeEnd::Unavailable = end {
                     self.told_no_effect.insert(running.writer.clone());
                 }
                 if let ChangeEnd::Accepted { revision } = end {
@@ -198,19 +198,23 @@
         if by == running.door {
             return Ok(());
         }
-        self.doors[by].offer(&record);
-        let covered = [by, running.door].iter().all(|it| self.doors[*it].covers(&record));
-        self.held(number, if covered { Holders::Another } else { Holders::Unconfirmed })
+        self.doors[by].update_if_newer(&record);
+        let covered =
+            [by, running.door].iter().all(|it| self.doors[*it].is_at_or_one_above(&record));
+        self.held(
+            number,
+            if covered { PeerConfirmation::Confirmed } else { PeerConfirmation::Unconfirmed },
+        )
     }
 
-    fn held(&mut self, number: usize, holders: Holders) -> Result<(), TestCaseError> {
+    fn held(&mut self, number: usize, confirmation: PeerConfirmation) -> Result<(), TestCaseError> {
         let Some(running) = self.changes.get_mut(number) else { return Ok(()) };
         let Next::Hold(record) = &running.next else { return Ok(()) };
         let record = Arc::clone(record);
-        let step = running.change.step(ChangeInput::Held(holders));
+        let step = running.change.step(ChangeInput::Replicated(confirmation));
         self.next(number, step)?;
         if self.changes[number].revision > 0 {
-            let holding = self.doors.iter().filter(|it| it.covers(&record)).count();
+            let holding = self.doors.iter().filter(|it| it.is_at_or_one_above(&record)).count();
             prop_assert!(holding >= 2, "accepted, and only {holding} hold it");
         }
         Ok(())
@@ -224,7 +228,7 @@
         let mut writers = BTreeSet::new();
         let mut revisions = BTreeSet::new();
         for value in &self.store.history {
-            let record = read_record(value).map_err(TestCaseError::fail)?;
+            let record = decode_record(value).map_err(TestCaseError::fail)?;
             prop_assert!(writers.insert(record.writer.clone()), "one change took effect twice");
             let told = self.told_no_effect.contains(&record.writer);
             prop_assert!(!told, "{} took effect though told not", record.writer);
@@ -278,7 +282,7 @@
     let ChangeStep::Call(read) = change.step(ChangeInput::Stored(answer)) else { panic!() };
     let answer = store.call(read, Answering::Well);
     let step = change.step(ChangeInput::Stored(answer));
-    assert!(matches!(step, ChangeStep::Hold { revision: 1, .. }), "{step:?}");
+    assert!(matches!(step, ChangeStep::ApplyAndReplicate { revision: 1, .. }), "{step:?}");
 }
 
 /// After the store was set back, the next change is lost on a fleet that holds higher revisions. The cause would be a
@@ -293,7 +297,7 @@
     let ChangeStep::Call(write) = change.step(ChangeInput::Stored(answer)) else { panic!() };
     let answer = store.call(write, Answering::Well);
     let step = change.step(ChangeInput::Stored(answer));
-    assert!(matches!(step, ChangeStep::Hold { revision: 10, .. }), "{step:?}");
+    assert!(matches!(step, ChangeStep::ApplyAndReplicate { revision: 10, .. }), "{step:?}");
 }
 
 fn record(format: u32, revision: u64, writer: &str) -> Vec<u8> {
@@ -308,23 +312,23 @@
         $(
             #[test]
             fn $name() {
-                let mut log = ManifestLog::default();
-                log.offer(&record(1, 5, "a"));
-                let offered = log.offer($bytes.as_ref());
+                let mut active = ActiveManifest::default();
+                active.update_if_newer(&record(1, 5, "a"));
+                let offered = active.update_if_newer($bytes.as_ref());
                 assert!(matches!(offered, $expected), "{offered:?}");
-                assert_eq!(log.revision(), 5);
+                assert_eq!(active.revision(), 5);
             }
         )*
     };
 }
 
 refused! {
-    an_older_revision_is_not_put_in_force: record(1, 4, "b") => Offered::Older { revision: 4 },
-    the_same_revision_with_other_content_is_told: record(1, 5, "b") => Offered::Forked { .. },
-    the_same_record_changes_nothing: record(1, 5, "a") => Offered::Known,
-    a_record_of_a_newer_format_is_refused: record(2, 6, "b") => Offered::Unusable(_),
-    a_record_that_is_no_json_is_refused: b"{" => Offered::Unusable(_),
+    an_older_revision_is_not_put_in_force: record(1, 4, "b") => UpdateOutcome::Older { revision: 4 },
+    the_same_revision_with_other_content_is_told: record(1, 5, "b") => UpdateOutcome::Forked { .. },
+    the_same_record_changes_nothing: record(1, 5, "a") => UpdateOutcome::AlreadyActive,
+    a_record_of_a_newer_format_is_refused: record(2, 6, "b") => UpdateOutcome::Unusable(_),
+    a_record_that_is_no_json_is_refused: b"{" => UpdateOutcome::Unusable(_),
     declarations_that_make_no_sense_are_refused:
         br#"{"revision":6,"writer":"b","manifest":{"services":[{"name":"A","kind":"plain"}]}}"#
-        => Offered::Unusable(_),
+        => UpdateOutcome::Unusable(_),
 }
--- a/crates/samphiredoor/tests/it/platform/slow_link.rs
+++ b/crates/samphiredoor/tests/it/platform/slow_link.rs
@@ -57,7 +57,7 @@
     platform.start_gateway();
     let outdated = platform.start_gateway();
     for peer in ["gateway-0", "gateway-1"] {
-        platform.wait_logged(outdated, &format!("peers: heard peer={peer} "));
+        platform.wait_logged(outdated, &format!("peers: peer is live peer={peer} "));
     }
     platform.set_way_fault(outdated, StoreFault::Busy);
     // Paused until both peers have sent it a status with the new routes, so that it can choose between them.
@@ -69,7 +69,7 @@
     std::thread::sleep(STATUS_SENT_WITHIN);
     platform.signal(outdated, "CONT");
     platform.wait_logged(outdated, "routes: activated version=2 ");
-    let taken = "routes: taken from another gateway version=2 peer=127.0.0.1:";
+    let taken = "routes: received from another gateway version=2 peer=127.0.0.1:";
     assert_eq!(platform.times_logged(outdated, taken), 1, "fetched from its own region");
 }
 
