--- a/crates/samphiredoor-net/src/answers.rs
+++ b/crates/samphiredoor-net/src/answers.rs
@@ -1,4 +1,4 @@
-//! Answers that a process makes itself, as opposed to those of targets.
+//! Responses that the process itself makes, as opposed to responses of targets.
 
 use bytes::Bytes;
 use hyper::{
@@ -8,7 +8,7 @@
 
 use crate::body::Body;
 
-/// Answer with a JSON text.
+/// Response with `text` as its JSON body.
 pub fn json(status: StatusCode, text: impl Into<Bytes>) -> Response<Body> {
     let mut response = Response::new(Body::full(text));
     *response.status_mut() = status;
--- a/crates/samphiredoor-net/src/body.rs
+++ b/crates/samphiredoor-net/src/body.rs
@@ -1,7 +1,7 @@
-//! The body type of every request and answer.
+//! Body type of all requests and responses.
 //!
-//! A body is either whole in memory or a stream. Streams are passed on frame by frame, so that a first token leaves in
-//! the same turn of the scheduler in which it arrived.
+//! A body is either completely in memory or a stream. Streams are forwarded frame by frame, so that a first token is sent
+//! in the same scheduler turn in which it arrived.
 
 use std::{
     pin::{Pin, pin},
@@ -14,16 +14,16 @@
 use http_body_util::BodyExt;
 use hyper::body::{Body as HttpBody, Frame, SizeHint};
 
-/// Error of a body or connection; its text goes to logs.
+/// Error of a body or connection; its text is written to logs.
 pub type BoxError = Box<dyn std::error::Error + Send + Sync>;
 
 type BoxedBody = Pin<Box<dyn HttpBody<Data = Bytes, Error = BoxError>>>;
 
-/// Body of a request or an answer.
+/// Body of a request or a response.
 pub enum Body {
-    /// Whole content; `None` once it was sent.
+    /// Complete content; `None` if it is empty or already sent.
     Full(Option<Bytes>),
-    /// Content that arrives piece by piece.
+    /// Content that arrives in pieces.
     Stream(BoxedBody),
 }
 
@@ -33,13 +33,13 @@
         Body::Full(None)
     }
 
-    /// Body with its whole content.
+    /// Body with its complete content.
     pub fn full(content: impl Into<Bytes>) -> Body {
         let content = content.into();
         Body::Full((!content.is_empty()).then_some(content))
     }
 
-    /// Body that passes on another one.
+    /// Body that forwards another body.
     pub fn boxed<B>(body: B) -> Body
     where
         B: HttpBody<Data = Bytes> + 'static,
@@ -48,7 +48,8 @@
         Body::Stream(Box::pin(body.map_err(Into::into)))
     }
 
-    /// Body made of a stream of pieces; an error cuts the connection, so that the reader sees the body as cut.
+    /// Body that sends a stream of pieces. An error in the stream closes the connection, so that the reader gets an error
+    /// instead of the end of the body.
     pub fn stream<S>(pieces: S) -> Body
     where
         S: Stream<Item = Result<Bytes, BoxError>> + 'static,
@@ -89,16 +90,16 @@
     }
 }
 
-/// Why a body could not be read whole.
+/// Error of [`read_whole`].
 #[derive(Debug)]
 pub enum ReadError {
-    /// More than the allowed bytes.
+    /// The body has more bytes than allowed.
     TooLarge,
-    /// The connection failed or the framing was cut.
+    /// The connection failed or was closed before the end of the body.
     Cut(BoxError),
 }
 
-/// Reads a whole body of at most `max_bytes`.
+/// Reads a complete body of at most `max_bytes`.
 pub async fn read_whole<B>(body: B, max_bytes: usize) -> Result<Bytes, ReadError>
 where
     B: HttpBody<Data = Bytes>,
@@ -111,17 +112,17 @@
     }
 }
 
-/// Why a body gave no next piece.
+/// Error of [`next_piece`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PieceError {
-    /// The connection failed or the framing was cut.
+    /// The connection failed or was closed before the end of the body.
     Cut,
-    /// Nothing came in time.
+    /// Nothing arrived within the timeout.
     Late,
 }
 
-/// Next piece of a body, waited for no longer than `wait`; `None` at the end of its framing. A piece that has arrived
-/// is given also when no time is left.
+/// Waits for the next piece of a body for at most `wait`; `None` at the end of the body. A piece that has already arrived
+/// is returned even if `wait` is zero.
 pub async fn next_piece<B>(body: &mut B, wait: Duration) -> Result<Option<Bytes>, PieceError>
 where
     B: HttpBody<Data = Bytes> + Unpin,
@@ -134,7 +135,7 @@
         };
         match frame.transpose().map_err(|_| PieceError::Cut)?.map(Frame::into_data) {
             Some(Ok(piece)) => return Ok(Some(piece)),
-            // Trailers are no piece.
+            // Trailers are skipped.
             Some(Err(_)) => {}
             None => return Ok(None),
         }
--- a/crates/samphiredoor-net/src/call.rs
+++ b/crates/samphiredoor-net/src/call.rs
@@ -1,11 +1,11 @@
-//! A call to a target, kept so that it can be sent again.
+//! Request to a target, kept in memory so that it can be sent again.
 
 use bytes::Bytes;
 use hyper::{HeaderMap, Method, Request, Uri};
 
 use crate::body::Body;
 
-/// What is sent to a target.
+/// Request with its complete body.
 #[derive(Debug, Clone)]
 pub struct Call {
     /// Method.
@@ -14,12 +14,12 @@
     pub uri: Uri,
     /// Headers.
     pub headers: HeaderMap,
-    /// Whole body.
+    /// Complete body.
     pub body: Bytes,
 }
 
 impl Call {
-    /// Request that makes the call once.
+    /// HTTP request for one attempt of the call.
     pub fn request(&self) -> Request<Body> {
         let mut request = Request::new(Body::full(self.body.clone()));
         *request.method_mut() = self.method.clone();
--- a/crates/samphiredoor-net/src/clock.rs
+++ b/crates/samphiredoor-net/src/clock.rs
@@ -1,10 +1,10 @@
-//! The clocks of a process.
+//! Monotonic clock and wall clock of a process.
 
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
 use samphiredoor_core::time::Now;
 
-/// Clock of the process, read once per event.
+/// Source of the current time; it is read once per event.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
     start: Instant,
@@ -17,12 +17,12 @@
 }
 
 impl Clock {
-    /// Clock that starts now.
+    /// Clock whose monotonic time is zero now.
     pub fn new() -> Clock {
         Clock { start: Instant::now() }
     }
 
-    /// The present moment.
+    /// Current monotonic time and wall-clock time.
     pub fn now(&self) -> Now {
         let mono_ms = self.start.elapsed().as_millis() as u64;
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
--- a/crates/samphiredoor-net/src/fetch.rs
+++ b/crates/samphiredoor-net/src/fetch.rs
@@ -1,8 +1,8 @@
-//! One request and its whole answer, for as long as the answer keeps coming.
+//! One request and its complete response, with idle timeouts.
 //!
-//! A time limit on a whole answer gives up large ones wherever many share a narrow line: what came is thrown away and
-//! asked for again, and the line stays full of answers that nobody gets. So the limits here are on silence: before the
-//! head, and between two pieces of the body.
+//! A timeout on the whole response would abort large responses wherever many share a slow link: the received part is
+//! discarded and requested again, and the link stays full of responses that are never completed. So the timeouts limit only
+//! the wait for the head and the time between two pieces of the body.
 
 use std::{pin::pin, time::Duration};
 
@@ -15,53 +15,53 @@
     pool::{Answer, SendError, within},
 };
 
-/// Longest time for a body, whatever comes of it; nobody waits for it any more.
-const LONGEST_BODY: Duration = Duration::from_secs(30);
+/// Timeout of the whole body, even if it keeps arriving; after this time its reader has no more use for it.
+const BODY_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// How long an answer is waited for, and how large it may be.
+/// Timeouts and size limit of a response.
 #[derive(Debug, Clone, Copy)]
 pub struct FetchLimits {
-    /// Longest wait for the head of the answer, from the start of the connect on.
-    pub head: Duration,
-    /// Longest silence within its body.
-    pub silence: Duration,
-    /// Most bytes of its body.
+    /// Limits the wait for the head of the response, including the connect.
+    pub head_timeout: Duration,
+    /// Limits the time between two pieces of its body.
+    pub idle_timeout: Duration,
+    /// Maximum size of its body.
     pub max_bytes: usize,
 }
 
 impl FetchLimits {
-    /// Limits that allow as much silence before the head as within the body.
-    pub fn new(silence: Duration, max_bytes: usize) -> FetchLimits {
-        FetchLimits { head: silence, silence, max_bytes }
+    /// Limits with the same timeout for the head and within the body.
+    pub fn new(idle_timeout: Duration, max_bytes: usize) -> FetchLimits {
+        FetchLimits { head_timeout: idle_timeout, idle_timeout, max_bytes }
     }
 
-    /// Sets the longest wait for the head.
-    pub fn with_head(self, head: Duration) -> FetchLimits {
-        FetchLimits { head, ..self }
+    /// Sets the timeout for the head.
+    pub fn with_head(self, head_timeout: Duration) -> FetchLimits {
+        FetchLimits { head_timeout, ..self }
     }
 }
 
-/// An answer that came whole.
+/// A complete response.
 #[derive(Debug)]
 pub struct Fetched {
     /// Status.
     pub status: StatusCode,
     /// Headers.
     pub headers: HeaderMap,
-    /// Whole body.
+    /// Complete body.
     pub body: Bytes,
 }
 
-/// Why there is no whole answer.
+/// Why there is no complete response.
 #[derive(Debug)]
 pub enum FetchError {
-    /// No byte of the request reached the connection.
+    /// No byte of the request was written to a connection.
     NotSent(BoxError),
-    /// The request may have arrived; its answer was cut or too large.
+    /// The request may have arrived; its response was cut off, too slow or too large.
     MayHaveRun(BoxError),
-    /// The far side fell silent; the request may have arrived.
+    /// The server sent nothing before a timeout; the request may have arrived.
     Silent {
-        /// Bytes of the answer's body that had come.
+        /// Bytes of the response body that had been received.
         received_bytes: usize,
     },
 }
@@ -76,61 +76,66 @@
 }
 
 impl Pool {
-    /// Makes one call and reads its whole answer.
+    /// Sends a request and reads its complete response.
     ///
     /// # Errors
     ///
-    /// Why there is none.
+    /// There is no complete response; the error tells whether the request may have arrived.
     pub async fn fetch(
         &self,
         request: Request<Body>,
         limits: FetchLimits,
     ) -> Result<Fetched, FetchError> {
-        self.fetch_noting(request, limits, || {}).await
+        self.fetch_with_progress(request, limits, || {}).await
     }
 
-    /// As [`Pool::fetch`], and calls `on_piece` whenever something of an answer has come that is no refusal.
+    /// Like [`Pool::fetch`]; also calls `on_progress` for the head and each piece of a response with a success status.
     ///
     /// # Errors
     ///
-    /// Why there is no whole answer.
-    pub async fn fetch_noting(
+    /// As for [`Pool::fetch`].
+    pub async fn fetch_with_progress(
         &self,
         request: Request<Body>,
         limits: FetchLimits,
-        on_piece: impl Fn(),
+        on_progress: impl Fn(),
     ) -> Result<Fetched, FetchError> {
-        let Some(response) = within(limits.head, self.send(request)).await else {
+        let Some(response) = within(limits.head_timeout, self.send(request)).await else {
             return Err(FetchError::Silent { received_bytes: 0 });
         };
         let (head, body) = response?.into_parts();
         let is_success = head.status.is_success();
-        let note = || {
+        let report_progress = || {
             if is_success {
-                on_piece()
+                on_progress()
             }
         };
-        note();
-        let reading = within(LONGEST_BODY, read(body, limits, note)).await;
-        let body = reading.unwrap_or_else(|| Err(FetchError::MayHaveRun("it trickled".into())))?;
+        report_progress();
+        let reading = within(BODY_TIMEOUT, read(body, limits, report_progress)).await;
+        let body = reading
+            .unwrap_or_else(|| Err(FetchError::MayHaveRun("the response took too long".into())))?;
         Ok(Fetched { status: head.status, headers: head.headers, body })
     }
 }
 
-async fn read(body: Answer, limits: FetchLimits, on_piece: impl Fn()) -> Result<Bytes, FetchError> {
+async fn read(
+    body: Answer,
+    limits: FetchLimits,
+    on_progress: impl Fn(),
+) -> Result<Bytes, FetchError> {
     let mut body = pin!(body);
-    let mut whole = BytesMut::new();
+    let mut received = BytesMut::new();
     loop {
-        let frame = match within(limits.silence, body.frame()).await {
-            None => return Err(FetchError::Silent { received_bytes: whole.len() }),
-            Some(None) => return Ok(whole.freeze()),
+        let frame = match within(limits.idle_timeout, body.frame()).await {
+            None => return Err(FetchError::Silent { received_bytes: received.len() }),
+            Some(None) => return Ok(received.freeze()),
             Some(Some(frame)) => frame.map_err(FetchError::MayHaveRun)?,
         };
-        on_piece();
+        on_progress();
         let Ok(piece) = frame.into_data() else { continue };
-        if whole.len() + piece.len() > limits.max_bytes {
-            return Err(FetchError::MayHaveRun("the answer is too large".into()));
+        if received.len() + piece.len() > limits.max_bytes {
+            return Err(FetchError::MayHaveRun("the response is too large".into()));
         }
-        whole.extend_from_slice(&piece);
+        received.extend_from_slice(&piece);
     }
 }
--- a/crates/samphiredoor-net/src/lib.rs
+++ b/crates/samphiredoor-net/src/lib.rs
@@ -1,10 +1,11 @@
-//! HTTP/1.1 over compio, shared by the doors and the stand-ins.
+//! HTTP/1.1 over compio, shared by the gateways and the simulated servers of tests and trials.
 //!
-//! `serve` takes connections with bounds on their number, headers and waits, and ends them gracefully. `pool` keeps
-//! connections towards one address and never reuses one that still owes an answer. `body` holds the one body type that
-//! both sides exchange, `fetch` reads whole answers for as long as they come, `call` is what is sent to a target and may be
-//! sent again, `answers` what a process answers itself. `socket` finds far sides that fell silent. `ticking` is the inbox of
-//! a task that also has to act by time. `metrics` is what the metrics of all processes are made of.
+//! `serve` accepts connections with limits on their number, headers and waits, and shuts them down gracefully. `pool` keeps
+//! connections to one address and never reuses one whose response is incomplete. `body` has the body type of all requests
+//! and responses, `fetch` reads complete responses under idle timeouts, `call` is a request to a target that can be sent
+//! again, and `answers` builds the responses of the process itself. `socket` sets the timeouts that detect an unreachable
+//! remote end, `stall` detects clients that do not read, and `stream` connects hyper to compio. `ticking` is the message
+//! queue of a task that also does periodic work. `clock` reads the time, and `metrics` creates and registers metrics.
 
 pub mod answers;
 pub mod body;
--- a/crates/samphiredoor-net/src/metrics.rs
+++ b/crates/samphiredoor-net/src/metrics.rs
@@ -1,4 +1,4 @@
-//! What all processes' metrics are made of: counters by reason, plain counters and gauges, registered as they are made.
+//! Metrics of all processes: counters with a reason label, plain counters and gauges, registered when they are created.
 
 use prometheus_client::{
     encoding::{EncodeLabelSet, text::encode},
@@ -12,11 +12,11 @@
     reason: &'static str,
 }
 
-/// Counters by reason, as it stands in answers and logs.
+/// Counters with the label `reason`, whose values also appear in responses and logs.
 pub struct ReasonCounters(Family<ReasonLabel, Counter>);
 
 impl ReasonCounters {
-    /// Registers counters with the given reasons at zero; others appear when they are first counted.
+    /// Registers the counters. Those of `reasons` are exported from the start, others after their first increment.
     pub fn new(
         registry: &mut Registry,
         name: &str,
@@ -31,18 +31,18 @@
         ReasonCounters(counters)
     }
 
-    /// Counts one more.
+    /// Increments the counter of a reason.
     pub fn count(&self, reason: &'static str) {
         self.0.get_or_create(&ReasonLabel { reason }).inc();
     }
 
-    /// Raises a counter to what was counted elsewhere.
+    /// Raises the counter of a reason to a total that is counted elsewhere.
     pub fn raise(&self, reason: &'static str, to: u64) {
         raise(&self.0.get_or_create(&ReasonLabel { reason }), to);
     }
 }
 
-/// Raises a counter to what was counted elsewhere.
+/// Raises a counter to a total that is counted elsewhere; never lowers it.
 pub fn raise(counter: &Counter, to: u64) {
     counter.inc_by(to.saturating_sub(counter.get()));
 }
@@ -61,7 +61,7 @@
     gauge
 }
 
-/// Text of all metrics in the exposition format.
+/// All metrics in the OpenMetrics text format.
 pub fn text(registry: &Registry) -> String {
     let mut text = String::new();
     // Writing to a string cannot fail.
--- a/crates/samphiredoor-net/src/pool.rs
+++ b/crates/samphiredoor-net/src/pool.rs
@@ -1,8 +1,8 @@
-//! Connections towards one address.
+//! Connection pool for one address.
 //!
-//! A connection carries one request at a time. It goes back to the pool only when the answer's framing has ended; in
-//! every other case it is closed, so that a late answer can never be taken for the answer to another request, and the
-//! far side sees at once that nobody waits any more.
+//! A connection carries one request at a time. It returns to the pool only after the response has ended by its framing; in
+//! every other case it is closed, so that a late response is never taken for the response to another request, and the
+//! server sees at once that the client has stopped waiting.
 
 use std::{
     cell::RefCell,
@@ -25,43 +25,43 @@
 
 use crate::{
     Body, BoxError,
-    socket::{self, SilenceLimits},
+    socket::{self, SocketTimeouts},
     stream::Stream,
 };
 
 const MAX_IDLE: usize = 256;
 const READ_BUFFER_BYTES: usize = 4_096;
-/// A far side that closes an idle connection does so about when its announced time is over; a request that is sent
-/// shortly before would cross the close and be in doubt.
+/// Connections are not reused this long before the end of the keep-alive timeout that the server announces. The server closes
+/// them at about that time; a request that crosses the close might or might not have run.
 const CLOSE_MARGIN: Duration = Duration::from_millis(600);
 
-/// Why a request got no answer.
+/// Why a request got no response.
 #[derive(Debug)]
 pub enum SendError {
-    /// No byte of the request reached the connection.
+    /// No byte of the request was written to a connection.
     NotSent(BoxError),
-    /// The request may have arrived; its answer did not.
+    /// The request may have arrived; its response did not.
     MayHaveRun(BoxError),
 }
 
-/// What the end of the connection means for an answer that has neither a length nor chunks.
+/// Meaning of the connection's close for a response that has neither a length nor chunked framing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CloseMeans {
-    /// The answer was cut: a far side that dies in mid-answer closes as well.
+    /// The response is incomplete: a server that crashes during its response closes the connection, too.
     Cut,
-    /// The answer is whole after an orderly close, and cut after a reset.
+    /// The response is complete after an orderly close, and incomplete after a reset.
     Whole,
 }
 
 struct Connection {
     sender: SendRequest<Body>,
-    // Dropping the handle cancels the driving task and closes the socket.
+    // Dropping the handle cancels the task that drives the connection, which closes the socket.
     _driver: JoinHandle<()>,
-    /// When the far side may close it, if it has said so.
+    /// When the connection must no longer be used, as the server may close it; `None` for no limit.
     usable_until: Option<Instant>,
 }
 
-/// Pool of connections towards one address.
+/// Pool of connections to one address. Clones share the connections.
 #[derive(Clone)]
 pub struct Pool {
     address: SocketAddr,
@@ -73,7 +73,7 @@
 }
 
 impl Pool {
-    /// Empty pool towards `address`.
+    /// Empty pool for `address`.
     pub fn new(address: SocketAddr) -> Pool {
         Pool {
             address,
@@ -85,32 +85,33 @@
         }
     }
 
-    /// Sets what the end of a connection means for an answer without a length.
+    /// Sets the meaning of the connection's close for a response without a length.
     pub fn with_close_means(mut self, close_means: CloseMeans) -> Pool {
         self.close_means = close_means;
         self
     }
 
-    /// Names a header that answers echo. An answer with another value belongs to an earlier request: HTTP pairs answers
-    /// by order alone, and a far side that answers twice would have its second answer taken for the next one's.
+    /// Sets a request header that responses echo. A response with another value belongs to an earlier request: HTTP/1.1
+    /// matches responses to requests by order alone, so if a server responds twice to one request, the second response
+    /// would be taken for the response to the next request.
     pub fn with_echoed(mut self, echoed: HeaderName) -> Pool {
         self.echoed = Some(echoed);
         self
     }
 
-    /// Sets how long a connection is kept idle where the far side announces no time of its own.
+    /// Sets how long a connection is kept idle if the server announces no keep-alive timeout.
     pub fn with_idle_limit(mut self, idle_limit: Duration) -> Pool {
         self.idle_limit = Some(idle_limit);
         self
     }
 
-    /// Sets how long a connect may take.
+    /// Sets the connect timeout.
     pub fn with_connect_timeout(mut self, connect_timeout: Duration) -> Pool {
         self.connect_timeout = connect_timeout;
         self
     }
 
-    /// Address of the far side.
+    /// Address of the server.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
@@ -120,25 +121,25 @@
         self.idle.borrow().len()
     }
 
-    /// Closes all idle connections, as when one of them went silent: what silenced it may have silenced the others, and
-    /// each would cost another request its whole time limit.
+    /// Closes all idle connections. Useful after a timeout: its cause may affect all of them, and each would cost another
+    /// request its whole timeout.
     pub fn close_idle(&self) {
         self.idle.borrow_mut().clear();
     }
 
-    /// Sends a request and waits for the head of its answer. Dropping the future or the answer's body closes the
-    /// connection.
+    /// Sends a request and waits for the head of its response. Dropping the future or the unread body of the response
+    /// closes the connection.
     ///
     /// # Errors
     ///
-    /// [`SendError::NotSent`] only where no byte was written.
+    /// No response arrived; [`SendError::NotSent`] only if no byte of the request was written.
     pub async fn send(&self, request: Request<Body>) -> Result<Response<Answer>, SendError> {
         let mut request = request;
-        let echo = self.echo_of(&request);
-        // An idle connection may have been closed by the far side; hyper hands the request back if it wrote nothing.
+        let echoed_value = self.echoed_value(&request);
+        // The server may have closed an idle connection; hyper returns the request if it has written nothing of it.
         while let Some(mut connection) = self.take_idle() {
             match connection.sender.try_send_request(request).await {
-                Ok(response) => return self.answer(connection, response, echo.as_ref()),
+                Ok(response) => return self.response(connection, response, echoed_value.as_ref()),
                 Err(mut err) => match err.take_message() {
                     Some(unsent) => request = unsent,
                     None => return Err(SendError::MayHaveRun(err.into_error().into())),
@@ -147,7 +148,7 @@
         }
         let mut connection = self.connect().await.map_err(SendError::NotSent)?;
         match connection.sender.try_send_request(request).await {
-            Ok(response) => self.answer(connection, response, echo.as_ref()),
+            Ok(response) => self.response(connection, response, echoed_value.as_ref()),
             Err(mut err) => match err.take_message() {
                 Some(_) => Err(SendError::NotSent(err.into_error().into())),
                 None => Err(SendError::MayHaveRun(err.into_error().into())),
@@ -155,7 +156,7 @@
         }
     }
 
-    fn echo_of(&self, request: &Request<Body>) -> Option<HeaderValue> {
+    fn echoed_value(&self, request: &Request<Body>) -> Option<HeaderValue> {
         request.headers().get(self.echoed.as_ref()?).cloned()
     }
 
@@ -173,7 +174,7 @@
     async fn connect(&self) -> Result<Connection, BoxError> {
         let stream =
             compio::time::timeout(self.connect_timeout, TcpStream::connect(self.address)).await??;
-        socket::prepare(&stream, SilenceLimits::default())?;
+        socket::configure(&stream, SocketTimeouts::default())?;
         let (sender, driver) = Builder::new()
             .read_buf_exact_size(Some(READ_BUFFER_BYTES))
             .handshake(Stream::new(stream))
@@ -186,25 +187,25 @@
         Ok(Connection { sender, _driver: driver, usable_until: None })
     }
 
-    fn answer(
+    fn response(
         &self,
         connection: Connection,
         response: Response<Incoming>,
-        echo: Option<&HeaderValue>,
+        echoed_value: Option<&HeaderValue>,
     ) -> Result<Response<Answer>, SendError> {
         let (head, body) = response.into_parts();
-        if let (Some(name), Some(sent)) = (&self.echoed, echo)
+        if let (Some(name), Some(sent)) = (&self.echoed, echoed_value)
             && head.headers.get(name).is_some_and(|it| it != sent)
         {
-            // Dropping the connection ends the work on the own request, whose answer is still to come.
-            return Err(SendError::MayHaveRun("the answer belongs to another request".into()));
+            // Dropping the connection closes it and so cancels this request, whose own response has not arrived yet.
+            return Err(SendError::MayHaveRun("the response belongs to another request".into()));
         }
-        let ends_by_close = !head.headers.contains_key(header::CONTENT_LENGTH)
+        let is_close_delimited = !head.headers.contains_key(header::CONTENT_LENGTH)
             && !head.headers.contains_key(header::TRANSFER_ENCODING);
-        let announced = keep_alive(&head.headers).map(|it| it.saturating_sub(CLOSE_MARGIN));
+        let announced = keep_alive_timeout(&head.headers).map(|it| it.saturating_sub(CLOSE_MARGIN));
         let idle_for = announced.or(self.idle_limit);
         let (connection, idle) = (Some(connection), Rc::clone(&self.idle));
-        let cut_by_close = ends_by_close && self.close_means == CloseMeans::Cut;
+        let cut_by_close = is_close_delimited && self.close_means == CloseMeans::Cut;
         let mut answer = Answer { body, connection, idle, idle_for, cut_by_close };
         if answer.body.is_end_stream() {
             answer.release();
@@ -213,26 +214,27 @@
     }
 }
 
-/// How long the far side keeps a connection open between requests, if it says so.
-fn keep_alive(headers: &HeaderMap) -> Option<Duration> {
+/// Keep-alive timeout that the server announces, if it does.
+fn keep_alive_timeout(headers: &HeaderMap) -> Option<Duration> {
     let text = headers.get("keep-alive")?.to_str().ok()?;
     let parameters = text.split(',').filter_map(|it| it.trim().split_once('='));
     let timeout = parameters.into_iter().find(|(name, _)| name.eq_ignore_ascii_case("timeout"));
     Some(Duration::from_secs(timeout?.1.trim().parse().ok()?))
 }
 
-/// Body of an answer, which holds its connection until the framing ends.
+/// Body of a response; holds the connection until the body has ended.
 pub struct Answer {
     body: Incoming,
     connection: Option<Connection>,
     idle: Rc<RefCell<Vec<Connection>>>,
-    /// How long the connection may be kept idle.
+    /// How long the connection may stay idle in the pool; `None` for no limit.
     idle_for: Option<Duration>,
-    /// Whether only the connection's end ends the body, and does not make it whole.
+    /// Whether the body ends only by the close of the connection, and such an end is an error.
     cut_by_close: bool,
 }
 
 impl Answer {
+    /// Returns the connection to the pool.
     fn release(&mut self) {
         let Some(mut connection) = self.connection.take() else { return };
         connection.usable_until = self.idle_for.map(|it| Instant::now() + it);
@@ -254,11 +256,13 @@
         let this = self.get_mut();
         let polled = Pin::new(&mut this.body).poll_frame(cx);
         match polled {
-            // A target that dies in mid-answer closes the connection as well: such an end cannot be told from a cut,
-            // and a part would be taken for the whole.
+            // A target that crashes during its response also closes the connection: the end of the body cannot be
+            // distinguished from a truncation, and a part would be taken for the complete body.
             Poll::Ready(None) if std::mem::take(&mut this.cut_by_close) => {
                 this.connection = None;
-                Poll::Ready(Some(Err("the answer has neither a length nor chunks".into())))
+                Poll::Ready(Some(Err(
+                    "the response has neither a length nor chunked framing".into()
+                )))
             }
             Poll::Ready(None) => {
                 this.release();
@@ -283,7 +287,7 @@
     }
 }
 
-/// Runs `future` for at most `limit`; `None` if it did not end.
+/// Runs `future` for at most `limit`; `None` if it timed out.
 pub async fn within<F: Future>(limit: Duration, future: F) -> Option<F::Output> {
     compio::time::timeout(limit, future).await.ok()
 }
--- a/crates/samphiredoor-net/src/serve.rs
+++ b/crates/samphiredoor-net/src/serve.rs
@@ -1,8 +1,8 @@
-//! Accepting connections and answering requests on them.
+//! HTTP server: accepts connections and responds to requests on them.
 //!
-//! Every wait has a bound: a client that sends its headers slowly is cut after `header_read_timeout`, and connections
-//! above `max_connections` are closed at once, and one whose client does not read is closed after `stall_timeout`, so
-//! that slow and half-open clients cannot hold a place for ever.
+//! Every wait is limited, so that slow clients and half-open connections don't occupy the server for ever: connections above
+//! `max_connections` are closed at once, a client that sends its headers slowly is disconnected after
+//! `header_read_timeout`, and one that does not read its response after `stall_timeout`.
 
 use std::{
     cell::{Cell, RefCell},
@@ -26,25 +26,28 @@
 
 use crate::{
     body::{Body, BoxError},
-    socket::{self, SilenceLimits},
-    stall::Watched,
+    socket::{self, SocketTimeouts},
+    stall::MonitoredStream,
     stream::Stream,
 };
 
+/// Backoff after a failed accept, and interval of the checks during a shutdown.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+/// Time limit for accepting the connections that are pending at a shutdown.
 const PENDING_LIMIT: Duration = Duration::from_millis(200);
+/// Time after a stop during which idle connections stay open.
 const LINGER: Duration = Duration::from_secs(1);
 
-/// Bounds on the connections of one listener.
+/// Limits on the connections of one listener.
 #[derive(Debug, Clone)]
 pub struct ServeLimits {
-    /// Connections held at once.
+    /// Maximum number of open connections.
     pub max_connections: usize,
-    /// Longest wait for a request's headers, also between two requests.
+    /// Limits the wait for a request's headers, also between two requests.
     pub header_read_timeout: Duration,
-    /// Bytes of a request's headers.
+    /// Maximum size of a request's headers; at least 8192 bytes are allowed.
     pub max_header_bytes: usize,
-    /// Longest wait for a client to take what it is sent.
+    /// Limits the wait for a client to read what it is sent.
     pub stall_timeout: Duration,
 }
 
@@ -59,26 +62,26 @@
     }
 }
 
-/// Listener with its connections.
+/// HTTP server with one listener.
 pub struct Server {
     listener: TcpListener,
     limits: Rc<RefCell<ServeLimits>>,
-    open: Rc<Cell<usize>>,
+    open_connections: Rc<Cell<usize>>,
     draining: Rc<Cell<bool>>,
     stop: flume::Receiver<()>,
-    // Every connection holds a clone; dropping this one tells them all to end after the request in hand.
+    // Dropping it closes the channel `stop`, of which every connection holds a clone; they end after the current request.
     stop_guard: Option<flume::Sender<()>>,
 }
 
-/// Ends a [`Server`] gracefully when dropped or told to.
+/// Stops a [`Server`] gracefully when dropped.
 pub struct StopHandle {
     _guard: flume::Sender<()>,
     draining: Rc<Cell<bool>>,
 }
 
 impl StopHandle {
-    /// Has each connection close after its next answer, while new ones are still taken. A client that keeps its
-    /// connections is told so in the answer, and none of its requests meets a connection that closes under it.
+    /// Closes each connection after its next response, while new connections are still accepted. The response announces
+    /// the close, so that a client that reuses connections sends no request on one that is being closed.
     pub fn drain(&self) {
         self.draining.set(true);
     }
@@ -89,38 +92,38 @@
     ///
     /// # Errors
     ///
-    /// The address cannot be bound.
+    /// Binding the address failed.
     pub async fn bind(address: SocketAddr, limits: ServeLimits) -> std::io::Result<Server> {
         let listener = TcpListener::bind(address).await?;
         let (stop_guard, stop) = flume::bounded(0);
         Ok(Server {
             listener,
             limits: Rc::new(RefCell::new(limits)),
-            open: Rc::default(),
+            open_connections: Rc::default(),
             draining: Rc::default(),
             stop,
             stop_guard: Some(stop_guard),
         })
     }
 
-    /// Address that was bound.
+    /// Address of the listener.
     pub fn local_addr(&self) -> std::io::Result<SocketAddr> {
         self.listener.local_addr()
     }
 
-    /// Bounds of the connections that are taken from now on.
+    /// Limits for connections accepted from now on.
     pub fn limits(&self) -> Rc<RefCell<ServeLimits>> {
         Rc::clone(&self.limits)
     }
 
-    /// Handle that ends the server when dropped: no new connection is taken, each open one ends after the request in
-    /// hand. Can be taken once.
+    /// Handle that stops the server when dropped: no new connection is accepted, and each open one ends after its current
+    /// request. `None` after the first call.
     pub fn stop_handle(&mut self) -> Option<StopHandle> {
         let guard = self.stop_guard.take()?;
         Some(StopHandle { _guard: guard, draining: Rc::clone(&self.draining) })
     }
 
-    /// Answers requests until stopped; returns when the last connection has ended.
+    /// Responds to requests until stopped; returns when the last connection has ended.
     pub async fn run<H, F>(self, handler: H)
     where
         H: Fn(Request<Incoming>) -> F + 'static,
@@ -137,23 +140,23 @@
                 }
             };
             match accepted {
-                Ok((stream, _)) => self.take_connection(stream, &handler),
+                Ok((stream, _)) => self.start_connection(stream, &handler),
                 Err(err) => {
                     log::warn!("serve: accept failed: {err}");
                     compio::time::sleep(ACCEPT_PAUSE).await;
                 }
             }
         }
-        self.take_pending(&handler).await;
+        self.accept_pending(&handler).await;
         drop(self.listener);
-        while self.open.get() > 0 {
+        while self.open_connections.get() > 0 {
             compio::time::sleep(ACCEPT_PAUSE).await;
         }
     }
 
-    // The system has completed connects that were not yet accepted; closing the listener would reset them. Clients that
-    // connect again and again must not keep it open for ever.
-    async fn take_pending<H, F>(&self, handler: &Rc<H>)
+    // The kernel has completed handshakes of connections that are not accepted yet; closing the listener would reset them.
+    // The time is limited, so that clients that keep connecting don't keep the listener open for ever.
+    async fn accept_pending<H, F>(&self, handler: &Rc<H>)
     where
         H: Fn(Request<Incoming>) -> F + 'static,
         F: Future<Output = Response<Body>> + 'static,
@@ -163,27 +166,27 @@
             && let Ok(Ok((stream, _))) =
                 compio::time::timeout(ACCEPT_PAUSE, self.listener.accept()).await
         {
-            self.take_connection(stream, handler);
+            self.start_connection(stream, handler);
         }
     }
 
-    fn take_connection<H, F>(&self, stream: TcpStream, handler: &Rc<H>)
+    fn start_connection<H, F>(&self, stream: TcpStream, handler: &Rc<H>)
     where
         H: Fn(Request<Incoming>) -> F + 'static,
         F: Future<Output = Response<Body>> + 'static,
     {
         let limits = self.limits.borrow().clone();
-        if self.open.get() >= limits.max_connections {
-            log::warn!("serve: closed a connection above the limit");
+        if self.open_connections.get() >= limits.max_connections {
+            log::warn!("serve: connection limit reached, new connection closed");
             return;
         }
         let handler = Rc::clone(handler);
         let stop = self.stop.clone();
         let draining = Rc::clone(&self.draining);
-        let place = Place::new(&self.open);
+        let guard = ConnectionGuard::new(&self.open_connections);
         compio::runtime::spawn(async move {
-            let _place = place;
-            if let Err(err) = answer_connection(stream, limits, stop, draining, handler).await {
+            let _guard = guard;
+            if let Err(err) = serve_connection(stream, limits, stop, draining, handler).await {
                 log::debug!("serve: connection ended: {err}");
             }
         })
@@ -191,16 +194,17 @@
     }
 }
 
-struct Place(Rc<Cell<usize>>);
+/// Counts a connection as open until it is dropped.
+struct ConnectionGuard(Rc<Cell<usize>>);
 
-impl Place {
-    fn new(open: &Rc<Cell<usize>>) -> Place {
-        open.set(open.get() + 1);
-        Place(Rc::clone(open))
+impl ConnectionGuard {
+    fn new(open_connections: &Rc<Cell<usize>>) -> ConnectionGuard {
+        open_connections.set(open_connections.get() + 1);
+        ConnectionGuard(Rc::clone(open_connections))
     }
 }
 
-impl Drop for Place {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
@@ -211,7 +215,7 @@
     while stop.next().await.is_some() {}
 }
 
-async fn answer_connection<H, F>(
+async fn serve_connection<H, F>(
     stream: TcpStream,
     limits: ServeLimits,
     stop: flume::Receiver<()>,
@@ -222,20 +226,20 @@
     H: Fn(Request<Incoming>) -> F + 'static,
     F: Future<Output = Response<Body>> + 'static,
 {
-    socket::prepare(&stream, SilenceLimits::default())?;
-    let (stream, stall) = Watched::new(Stream::new(stream));
-    let drained = Rc::clone(&draining);
+    socket::configure(&stream, SocketTimeouts::default())?;
+    let (stream, stall) = MonitoredStream::new(Stream::new(stream));
+    let is_draining = Rc::clone(&draining);
     let service = service_fn(move |request| {
-        // Boxed, so that its memory is free while its answer is being streamed.
-        let answer = Box::pin(handler(request));
-        let draining = Rc::clone(&drained);
+        // Boxed, so that its memory is freed before the response body is streamed.
+        let response = Box::pin(handler(request));
+        let draining = Rc::clone(&is_draining);
         async move {
-            let mut answer = answer.await;
+            let mut response = response.await;
             if draining.get() {
                 let close = HeaderValue::from_static("close");
-                answer.headers_mut().insert(header::CONNECTION, close);
+                response.headers_mut().insert(header::CONNECTION, close);
             }
-            Ok::<_, BoxError>(answer)
+            Ok::<_, BoxError>(response)
         }
     });
     let connection = http1::Builder::new()
@@ -245,8 +249,8 @@
         .half_close(false)
         .serve_connection(stream, service);
     let mut connection = pin!(connection);
-    let mut stalled = pin!(stall.over(limits.stall_timeout).fuse());
-    // A request may be on its way on a connection that is new or idle; to close it now would cut that request.
+    let mut stalled = pin!(stall.reaches(limits.stall_timeout).fuse());
+    // A request may already be on its way on a new or idle connection; closing the connection at once would lose it.
     let closing = async {
         wait_for_stop(stop).await;
         draining.set(true);
@@ -257,7 +261,7 @@
         select_biased! {
             ended = connection.as_mut().fuse() => return Ok(ended?),
             () = closing => connection.as_mut().graceful_shutdown(),
-            () = stalled => return Err("the client does not read".into()),
+            () = stalled => return Err("the client does not read its response".into()),
         }
     }
 }
--- a/crates/samphiredoor-net/src/socket.rs
+++ b/crates/samphiredoor-net/src/socket.rs
@@ -1,52 +1,52 @@
-//! Options of TCP sockets that find a far side which has fallen silent.
+//! TCP socket options that detect an unreachable remote end.
 //!
-//! A connection can go silent for good without a reset: its packets are dropped on the way, or the far host has lost
-//! power. Nothing then ever arrives, and whoever waits on the connection waits until its deadline. Unacknowledged bytes
-//! are bounded by the user timeout, and a connection that only waits for the far side by keep-alive probes.
+//! A connection can fail without a reset, if its packets are dropped on the way or the remote host loses power. Then
+//! nothing arrives any more, and whoever waits on the connection waits until its own deadline. The user timeout detects
+//! this on a connection with unacknowledged bytes, and keep-alive probes on one that only waits to receive.
 
 use std::{io, time::Duration};
 
 use compio::net::TcpStream;
 use socket2::{SockRef, TcpKeepalive};
 
-/// How soon a silent far side is noticed.
+/// How soon an unreachable remote end is detected.
 #[derive(Debug, Clone, Copy)]
-pub struct SilenceLimits {
-    /// Longest wait for the acknowledgement of sent bytes.
+pub struct SocketTimeouts {
+    /// Limits the wait for the acknowledgement of sent bytes.
     pub unacknowledged: Duration,
-    /// Quiet time after which the far side is probed.
+    /// Idle time after which keep-alive probes are sent.
     pub idle: Duration,
     /// Time between two probes.
-    pub probe: Duration,
-    /// Probes without an answer after which the connection is given up.
-    pub probes: u32,
+    pub probe_interval: Duration,
+    /// Number of unanswered probes after which the connection fails.
+    pub max_probes: u32,
 }
 
-impl Default for SilenceLimits {
-    /// Two seconds in all: below the time that a platform gives a host to be back in service, and far above the round
-    /// trip between regions.
-    fn default() -> SilenceLimits {
-        SilenceLimits {
+impl Default for SocketTimeouts {
+    /// About two seconds in total: less than the time in which a platform expects a host to be back in service, and far more
+    /// than a round trip between regions.
+    fn default() -> SocketTimeouts {
+        SocketTimeouts {
             unacknowledged: Duration::from_secs(2),
             idle: Duration::from_secs(1),
-            probe: Duration::from_secs(1),
-            probes: 2,
+            probe_interval: Duration::from_secs(1),
+            max_probes: 2,
         }
     }
 }
 
-/// Sets a connection to send small pieces at once, and to notice a silent far side.
+/// Configures a connection to send small writes at once and to detect an unreachable remote end.
 ///
 /// # Errors
 ///
-/// The system refuses an option.
-pub fn prepare(stream: &TcpStream, limits: SilenceLimits) -> io::Result<()> {
+/// The system rejects an option.
+pub fn configure(stream: &TcpStream, timeouts: SocketTimeouts) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
     let keepalive = TcpKeepalive::new()
-        .with_time(limits.idle)
-        .with_interval(limits.probe)
-        .with_retries(limits.probes);
+        .with_time(timeouts.idle)
+        .with_interval(timeouts.probe_interval)
+        .with_retries(timeouts.max_probes);
     socket.set_tcp_keepalive(&keepalive)?;
-    socket.set_tcp_user_timeout(Some(limits.unacknowledged))
+    socket.set_tcp_user_timeout(Some(timeouts.unacknowledged))
 }
--- a/crates/samphiredoor-net/src/stall.rs
+++ b/crates/samphiredoor-net/src/stall.rs
@@ -1,8 +1,8 @@
-//! A connection that notices when its far side does not take what it is sent.
+//! Detection of clients that do not read what they are sent.
 //!
-//! A client that asks for a long stream and never reads it would hold its connection, and the target behind it, for
-//! ever: the socket's buffer is full, and no write ends. The time since when writes wait is kept where the
-//! connection's task can see it, and the task closes the connection after a limit.
+//! A client that requests a long stream and never reads it would occupy its connection, and the target that serves it, for
+//! ever: the socket's buffer is full, and no write completes. The stream records since when its writes have been pending, and
+//! the task of the connection closes it after a limit.
 
 use std::{
     cell::Cell,
@@ -15,48 +15,50 @@
 
 use hyper::rt::{Read, ReadBufCursor, Write};
 
-/// Since when writes to a connection wait.
+/// Time since when writes to a connection have been pending.
 #[derive(Debug, Clone, Default)]
-pub struct Stall {
-    since: Rc<Cell<Option<Instant>>>,
+pub struct WriteStall {
+    pending_since: Rc<Cell<Option<Instant>>>,
 }
 
-impl Stall {
-    /// Ends when writes have waited for `limit`.
-    pub async fn over(&self, limit: Duration) {
+impl WriteStall {
+    /// Completes when writes have been pending for `limit`.
+    pub async fn reaches(&self, limit: Duration) {
         loop {
-            let waited = self.since.get().map(|it| it.elapsed()).unwrap_or_default();
-            if waited >= limit {
+            let pending = self.pending_since.get().map(|it| it.elapsed()).unwrap_or_default();
+            if pending >= limit {
                 return;
             }
-            compio::time::sleep(limit - waited).await;
+            compio::time::sleep(limit - pending).await;
         }
     }
 
-    fn note<T>(&self, polled: &Poll<T>) {
+    fn update<T>(&self, polled: &Poll<T>) {
         match polled {
-            Poll::Ready(_) => self.since.set(None),
-            Poll::Pending if self.since.get().is_none() => self.since.set(Some(Instant::now())),
+            Poll::Ready(_) => self.pending_since.set(None),
+            Poll::Pending if self.pending_since.get().is_none() => {
+                self.pending_since.set(Some(Instant::now()))
+            }
             Poll::Pending => {}
         }
     }
 }
 
-/// Stream that notes in a [`Stall`] since when its writes wait.
-pub struct Watched<S> {
+/// Stream that records in a [`WriteStall`] since when its writes have been pending.
+pub struct MonitoredStream<S> {
     stream: S,
-    stall: Stall,
+    stall: WriteStall,
 }
 
-impl<S> Watched<S> {
-    /// Watched stream, and what is noted of it.
-    pub fn new(stream: S) -> (Watched<S>, Stall) {
-        let stall = Stall::default();
-        (Watched { stream, stall: stall.clone() }, stall)
+impl<S> MonitoredStream<S> {
+    /// Wraps `stream`; the second value shows its pending writes.
+    pub fn new(stream: S) -> (MonitoredStream<S>, WriteStall) {
+        let stall = WriteStall::default();
+        (MonitoredStream { stream, stall: stall.clone() }, stall)
     }
 }
 
-impl<S: Read + Unpin> Read for Watched<S> {
+impl<S: Read + Unpin> Read for MonitoredStream<S> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -66,14 +68,14 @@
     }
 }
 
-impl<S: Write + Unpin> Write for Watched<S> {
+impl<S: Write + Unpin> Write for MonitoredStream<S> {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         buf: &[u8],
     ) -> Poll<io::Result<usize>> {
         let polled = Pin::new(&mut self.stream).poll_write(cx, buf);
-        self.stall.note(&polled);
+        self.stall.update(&polled);
         polled
     }
 
@@ -83,7 +85,7 @@
         bufs: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         let polled = Pin::new(&mut self.stream).poll_write_vectored(cx, bufs);
-        self.stall.note(&polled);
+        self.stall.update(&polled);
         polled
     }
 
@@ -93,7 +95,7 @@
 
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         let polled = Pin::new(&mut self.stream).poll_flush(cx);
-        self.stall.note(&polled);
+        self.stall.update(&polled);
         polled
     }
 
--- a/crates/samphiredoor-net/src/stream.rs
+++ b/crates/samphiredoor-net/src/stream.rs
@@ -1,7 +1,7 @@
-//! A TCP connection as hyper wants it, with small buffers.
+//! Adapter from compio's TCP streams to hyper's I/O traits, with small buffers.
 //!
-//! A door holds two connections for each open stream, and what it reads from one it writes to the other at once. Buffers
-//! of the usual 8 KB each way would be most of a door's memory; larger bodies only take more reads.
+//! A gateway has two connections for each open stream, and writes to one at once what it reads from the other. Buffers of the
+//! usual 8 KB in each direction would be most of a gateway's memory; with smaller ones, large bodies only take more reads.
 
 use std::{
     io,
@@ -16,11 +16,11 @@
 const BUFFER_BYTES: usize = 2_048;
 const SCRATCH_BYTES: usize = 2_048;
 
-/// Connection for hyper.
+/// TCP connection that implements hyper's `Read` and `Write`.
 pub struct Stream(Pin<Box<AsyncStream<TcpStream>>>);
 
 impl Stream {
-    /// Connection over a socket.
+    /// Wraps a connected socket.
     pub fn new(socket: TcpStream) -> Stream {
         Stream(Box::pin(AsyncStream::with_capacity(BUFFER_BYTES, socket)))
     }
--- a/crates/samphiredoor-net/tests/fetch.rs
+++ b/crates/samphiredoor-net/tests/fetch.rs
@@ -19,7 +19,7 @@
 const SILENCE: Duration = Duration::from_millis(1_500);
 const PIECE_PAUSE: Duration = Duration::from_millis(200);
 const LIMITS: FetchLimits =
-    FetchLimits { head: SILENCE, silence: SILENCE, max_bytes: PIECES * PIECE.len() };
+    FetchLimits { head_timeout: SILENCE, idle_timeout: SILENCE, max_bytes: PIECES * PIECE.len() };
 
 /// A far side that answers each request with a length of `PIECES` pieces, and sends `sent` of them.
 fn far_side(sent: usize) -> SocketAddr {
