--- a/crates/samphiredoor-net/tests/body.rs
+++ b/crates/samphiredoor-net/tests/body.rs
@@ -1,4 +1,4 @@
-//! Bodies read piece by piece.
+//! Bodies that are read piece by piece: complete, truncated and stalled ones.
 
 use std::time::Duration;
 
@@ -33,7 +33,7 @@
     }
 }
 
-macro_rules! ends {
+macro_rules! reads {
     ($($name:ident: $body:expr, $wait:expr => $pieces:expr, $end:expr;)*) => {$(
         #[test]
         fn $name() {
@@ -45,17 +45,17 @@
     )*};
 }
 
-ends! {
-    a_whole_body_is_read_to_its_end:
+reads! {
+    a_complete_body_is_read_to_its_end:
         Body::stream(stream::iter([piece("a"), piece("b")])), LONG => ["a", "b"], None;
-    a_cut_body_is_not_taken_for_a_whole_one:
+    a_truncated_body_is_not_taken_for_a_complete_one:
         Body::stream(stream::iter([piece("a"), cut()])), LONG => ["a"], Some(PieceError::Cut);
-    a_silent_body_is_not_waited_for_for_ever:
+    a_stalled_body_times_out:
         Body::stream(stream::iter([piece("a")]).chain(stream::pending())), Duration::from_millis(1)
         => ["a"], Some(PieceError::Late);
-    a_piece_that_has_arrived_is_not_lost_at_the_deadline:
+    a_piece_that_has_arrived_is_returned_at_the_deadline:
         Body::stream(stream::iter([piece("a"), piece("b")])), Duration::ZERO => ["a", "b"], None;
-    trailers_are_no_piece: with_trailers(), LONG => ["a"], None;
+    trailers_are_skipped: with_trailers(), LONG => ["a"], None;
 }
 
 fn with_trailers() -> Body {
--- a/crates/samphiredoor-net/tests/fetch.rs
+++ b/crates/samphiredoor-net/tests/fetch.rs
@@ -1,4 +1,4 @@
-//! Answers that come slowly, stop halfway, or are too large.
+//! Responses that are slow, stall halfway, or are too large.
 
 use std::{
     io::{Read, Write},
@@ -15,25 +15,25 @@
 
 const PIECES: usize = 12;
 const PIECE: &[u8] = &[b'x'; 100];
-/// Shorter than the whole answer takes, and longer than each piece.
-const SILENCE: Duration = Duration::from_millis(1_500);
+/// Shorter than the whole response takes, and longer than the pause after each piece.
+const TIMEOUT: Duration = Duration::from_millis(1_500);
 const PIECE_PAUSE: Duration = Duration::from_millis(200);
 const LIMITS: FetchLimits =
-    FetchLimits { head_timeout: SILENCE, idle_timeout: SILENCE, max_bytes: PIECES * PIECE.len() };
+    FetchLimits { head_timeout: TIMEOUT, idle_timeout: TIMEOUT, max_bytes: PIECES * PIECE.len() };
 
-/// A far side that answers each request with a length of `PIECES` pieces, and sends `sent` of them.
-fn far_side(sent: usize) -> SocketAddr {
+/// Starts a server that responds to each request with a length of `PIECES` pieces, and sends `sent` of them.
+fn start_server(sent: usize) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
     thread::spawn(move || {
         for stream in listener.incoming().flatten() {
-            thread::spawn(move || answer(stream, sent));
+            thread::spawn(move || respond(stream, sent));
         }
     });
     address
 }
 
-fn answer(mut stream: TcpStream, sent: usize) {
+fn respond(mut stream: TcpStream, sent: usize) {
     let _ = stream.read(&mut [0; 1_000]);
     let head = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n", PIECES * PIECE.len());
     let _ = stream.write_all(head.as_bytes());
@@ -41,32 +41,33 @@
         let _ = stream.write_all(PIECE);
         thread::sleep(PIECE_PAUSE);
     }
-    // Open until the near side closes it.
+    // Keeps the connection open until the client closes it.
     let _ = stream.read(&mut [0; 1]);
 }
 
 fn fetch(address: SocketAddr, limits: FetchLimits) -> Result<Fetched, FetchError> {
-    let request = Request::get("/").header("host", "far").body(Body::empty()).expect("a request");
+    let request =
+        Request::get("/").header("host", "server").body(Body::empty()).expect("a request");
     let runtime = compio::runtime::Runtime::new().expect("a runtime");
     runtime.block_on(Pool::new(address).fetch(request, limits))
 }
 
-// A limit on the whole answer would throw away what has come of a large one, and ask for it again.
+// A timeout on the whole response would discard the received part of a large one, which is then requested again.
 #[test]
-fn an_answer_is_read_for_as_long_as_it_comes() {
-    let fetched = fetch(far_side(PIECES), LIMITS).expect("the whole answer");
+fn a_slow_response_is_read_completely() {
+    let fetched = fetch(start_server(PIECES), LIMITS).expect("the complete response");
     assert_eq!(fetched.body.len(), PIECES * PIECE.len());
 }
 
 #[test]
-fn an_answer_that_stops_halfway_is_given_up() {
-    let end = fetch(far_side(3), LIMITS).expect_err("the rest never comes");
+fn a_response_that_stalls_halfway_times_out() {
+    let end = fetch(start_server(3), LIMITS).expect_err("the rest never arrives");
     assert!(matches!(end, FetchError::Silent { received_bytes: 300 }), "{end:?}");
 }
 
 #[test]
-fn an_answer_that_is_too_large_is_not_read() {
+fn a_response_that_is_too_large_is_an_error() {
     let limits = FetchLimits { max_bytes: PIECE.len(), ..LIMITS };
-    let end = fetch(far_side(PIECES), limits).expect_err("more than is taken");
+    let end = fetch(start_server(PIECES), limits).expect_err("more bytes than allowed");
     assert!(matches!(end, FetchError::MayHaveRun(_)), "{end:?}");
 }
--- a/crates/samphiredoor-net/tests/pool.rs
+++ b/crates/samphiredoor-net/tests/pool.rs
@@ -1,4 +1,4 @@
-//! Targets that close, cut, cross and delay their answers.
+//! Targets that respond twice, late, partly or not at all, and callers that disconnect.
 
 use std::{
     io::{Read, Write},
@@ -14,10 +14,11 @@
     pool::{Answer, SendError, within},
 };
 
-const PATIENCE: std::time::Duration = std::time::Duration::from_secs(20);
+/// Timeout of the test, not of the pool.
+const TEST_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(20);
 
-/// A target whose connections are given to `serve` one after another, with their numbers.
-fn target(serve: impl Fn(usize, TcpStream) + Send + 'static) -> SocketAddr {
+/// Starts a target that calls `serve` for one connection after another, with their numbers.
+fn start_target(serve: impl Fn(usize, TcpStream) + Send + 'static) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
     thread::spawn(move || {
@@ -28,8 +29,8 @@
     address
 }
 
-/// Reads one request without a body; its path, or `None` when the far side has closed.
-fn read(stream: &mut TcpStream) -> Option<String> {
+/// Reads one request without a body; returns its path, or `None` if the client has closed the connection.
+fn read_request(stream: &mut TcpStream) -> Option<String> {
     let mut text = Vec::new();
     let mut byte = [0];
     while !text.ends_with(b"\r\n\r\n") {
@@ -41,7 +42,7 @@
     String::from_utf8_lossy(&text).split(' ').nth(1).map(str::to_owned)
 }
 
-fn whole(body: &str) -> String {
+fn complete_response(body: &str) -> String {
     format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{body}", body.len())
 }
 
@@ -65,48 +66,49 @@
     compio::runtime::Runtime::new().expect("a runtime").block_on(test);
 }
 
-/// The target answers twice to one request, as a broken one may after a retry of its own. The second answer stands on
-/// the connection when the next caller's request is sent; that caller must not get it.
+/// The target sends two responses to one request, as a faulty one may after a retry of its own. The second response is
+/// already on the connection when the next caller's request is sent; that caller must not get it.
 #[test]
-fn a_second_answer_never_goes_to_the_next_request() {
-    let address = target(|_, mut stream| {
+fn a_second_response_never_goes_to_the_next_request() {
+    let address = start_target(|_, mut stream| {
         thread::spawn(move || {
-            while let Some(path) = read(&mut stream) {
-                let extra = if path == "/first" { whole("stray") } else { String::new() };
-                write(&mut stream, &(whole(&path) + &extra));
+            while let Some(path) = read_request(&mut stream) {
+                let extra =
+                    if path == "/first" { complete_response("stray") } else { String::new() };
+                write(&mut stream, &(complete_response(&path) + &extra));
             }
         });
     });
     run(async {
         for _ in 0..100 {
             let pool = Pool::new(address);
-            let first = pool.send(get("/first")).await.expect("answered");
+            let first = pool.send(get("/first")).await.expect("a response");
             assert_eq!(text(first).await.as_deref(), Ok("/first"));
             match pool.send(get("/second")).await {
                 Ok(second) => assert_eq!(text(second).await.as_deref(), Ok("/second")),
-                Err(SendError::NotSent(err)) => panic!("a new connection was to be had: {err}"),
-                // Safe, as the caller is told; but the request ran for nothing.
+                Err(SendError::NotSent(err)) => panic!("a new connection was possible: {err}"),
+                // Allowed: the caller learns that the request may have run, although its result is lost.
                 Err(SendError::MayHaveRun(_)) => {}
             }
         }
     });
 }
 
-/// An answer comes after its caller has given up. Its connection must not carry another request, or that one would get
-/// the late answer.
+/// A response arrives after its caller has stopped waiting. Its connection must not carry another request, which would get
+/// the late response.
 #[test]
-fn a_late_answer_never_goes_to_another_request() {
-    let (ask, asked) = flume::unbounded::<()>();
-    let (go, gate) = flume::unbounded::<()>();
-    let address = target(move |number, mut stream| {
-        let (ask, gate) = (ask.clone(), gate.clone());
+fn a_late_response_never_goes_to_another_request() {
+    let (request_sender, requests) = flume::unbounded::<()>();
+    let (release, gate) = flume::unbounded::<()>();
+    let address = start_target(move |number, mut stream| {
+        let (request_sender, gate) = (request_sender.clone(), gate.clone());
         thread::spawn(move || {
-            while let Some(path) = read(&mut stream) {
-                let _ = ask.send(());
+            while let Some(path) = read_request(&mut stream) {
+                let _ = request_sender.send(());
                 if number == 0 {
                     let _ = gate.recv();
                 }
-                write(&mut stream, &whole(&path));
+                write(&mut stream, &complete_response(&path));
             }
         });
     });
@@ -114,43 +116,44 @@
         let pool = Pool::new(address);
         {
             let late = std::pin::pin!(pool.send(get("/late")));
-            let asked = std::pin::pin!(asked.recv_async());
-            let _ = futures_util::future::select(late, asked).await;
+            let received = std::pin::pin!(requests.recv_async());
+            let _ = futures_util::future::select(late, received).await;
         }
-        go.send(()).expect("the target waits");
+        release.send(()).expect("the target waits");
         assert_eq!(pool.idle_len(), 0);
-        let next = pool.send(get("/next")).await.expect("answered");
+        let next = pool.send(get("/next")).await.expect("a response");
         assert_eq!(text(next).await.as_deref(), Ok("/next"));
     });
 }
 
-/// A caller goes away in mid-answer. The target must see it at once, or an engine would go on generating.
+/// A caller disconnects during its response. The target must see the close at once, or an engine would continue generating.
 #[test]
-fn giving_up_an_answer_closes_the_connection() {
-    let (tell, told) = flume::bounded(1);
-    let address = target(move |_, mut stream| {
-        read(&mut stream);
+fn dropping_a_response_closes_the_connection() {
+    let (sender, next_read) = flume::bounded(1);
+    let address = start_target(move |_, mut stream| {
+        read_request(&mut stream);
         write(&mut stream, "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n2\r\nhi\r\n");
-        let _ = tell.send(read(&mut stream));
+        let _ = sender.send(read_request(&mut stream));
     });
     run(async {
         let pool = Pool::new(address);
-        let mut answer = pool.send(get("/stream")).await.expect("a head").into_body();
-        let first = answer.frame().await.expect("a piece").expect("whole");
+        let mut body = pool.send(get("/stream")).await.expect("a head").into_body();
+        let first = body.frame().await.expect("a piece").expect("whole");
         assert_eq!(first.into_data().expect("data").as_ref(), b"hi");
-        drop(answer);
-        let seen = within(PATIENCE, told.recv_async()).await.expect("the target sees the end");
+        drop(body);
+        let seen =
+            within(TEST_TIMEOUT, next_read.recv_async()).await.expect("the target sees the end");
         assert_eq!(seen, Ok(None));
         assert_eq!(pool.idle_len(), 0);
     });
 }
 
-/// A kept connection is closed by the target while it is idle. The next request must go by a new one, not be lost.
+/// The target closes a pooled connection while it is idle. The next request must use a new connection, not be lost.
 #[test]
-fn a_connection_closed_while_idle_costs_no_request() {
-    let address = target(|_, mut stream| {
-        if let Some(path) = read(&mut stream) {
-            write(&mut stream, &whole(&path));
+fn a_connection_closed_while_idle_loses_no_request() {
+    let address = start_target(|_, mut stream| {
+        if let Some(path) = read_request(&mut stream) {
+            write(&mut stream, &complete_response(&path));
         }
     });
     run(async {
@@ -159,32 +162,32 @@
             let path = format!("/{number}");
             match pool.send(get(&path)).await {
                 Ok(answer) => assert_eq!(text(answer).await, Ok(path)),
-                // The close raced with the request: it was written, so nothing else may be said.
+                // The request was written before the close was seen: no other error is allowed.
                 Err(SendError::MayHaveRun(_)) => {}
-                Err(SendError::NotSent(err)) => panic!("a new connection was to be had: {err}"),
+                Err(SendError::NotSent(err)) => panic!("a new connection was possible: {err}"),
             }
         }
     });
 }
 
-/// "Not sent" leads to "not run", and to another run elsewhere. Where the target has read the request, the pool must
-/// never say so.
+/// A request that is reported as not sent counts as not run, and is run elsewhere. The pool must never report this of a
+/// request that the target has read.
 #[test]
-fn not_sent_is_never_said_of_a_request_that_was_read() {
-    let (tell, told) = flume::unbounded();
-    let address = target(move |number, mut stream| {
-        let tell = tell.clone();
+fn a_request_that_was_read_is_never_reported_as_not_sent() {
+    let (sender, paths) = flume::unbounded();
+    let address = start_target(move |number, mut stream| {
+        let sender = sender.clone();
         thread::spawn(move || {
-            // Answers some requests of a connection, then closes at the next one, before or after reading it.
+            // Responds to some requests of a connection, then closes it before or after reading the next one.
             for _ in 0..number % 3 {
-                let Some(path) = read(&mut stream) else { return };
-                let _ = tell.send(path);
-                write(&mut stream, &whole("ok"));
+                let Some(path) = read_request(&mut stream) else { return };
+                let _ = sender.send(path);
+                write(&mut stream, &complete_response("ok"));
             }
             if number % 2 == 0
-                && let Some(path) = read(&mut stream)
+                && let Some(path) = read_request(&mut stream)
             {
-                let _ = tell.send(path);
+                let _ = sender.send(path);
             }
         });
     });
@@ -201,22 +204,22 @@
                 Err(SendError::MayHaveRun(_)) => {}
             }
         }
-        let read: Vec<String> = told.drain().collect();
+        let read: Vec<String> = paths.drain().collect();
         let twice = read.len() - read.iter().collect::<std::collections::BTreeSet<_>>().len();
         assert_eq!(twice, 0, "a request was sent twice");
         assert!(!unsent.iter().any(|it| read.contains(it)), "{unsent:?}");
     });
 }
 
-macro_rules! cut_answers {
+macro_rules! incomplete_responses {
     ($($name:ident: $sent:expr;)*) => {
         $(
-            /// The target breaks off in mid-answer. What arrived must be told as cut and its connection not be used
-            /// again, or a caller would take a part of the answer for the whole.
+            /// The target closes the connection during its response. Reading the response must fail, or a caller would
+            /// take a part for the whole; and the connection must not be used again.
             #[test]
             fn $name() {
-                let address = target(|_, mut stream| {
-                    read(&mut stream);
+                let address = start_target(|_, mut stream| {
+                    read_request(&mut stream);
                     write(&mut stream, $sent);
                 });
                 run(async {
@@ -232,19 +235,19 @@
     };
 }
 
-cut_answers! {
-    no_answer_at_all_is_told_as_cut: "";
-    a_cut_head_is_told_as_cut: "HTTP/1.1 200 OK\r\ncontent-le";
-    a_body_shorter_than_its_length_is_told_as_cut:
+incomplete_responses! {
+    a_close_without_a_response_is_an_error: "";
+    a_truncated_head_is_an_error: "HTTP/1.1 200 OK\r\ncontent-le";
+    a_body_shorter_than_its_length_is_an_error:
         "HTTP/1.1 200 OK\r\ncontent-length: 10\r\n\r\nhalf";
-    chunked_framing_without_its_last_chunk_is_told_as_cut:
+    chunked_framing_without_its_last_chunk_is_an_error:
         "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n4\r\nhalf\r\n";
-    a_cut_chunk_is_told_as_cut:
+    a_truncated_chunk_is_an_error:
         "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n9\r\nhalf";
-    a_chunk_without_a_length_is_told_as_cut:
+    a_chunk_without_a_length_is_an_error:
         "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\nxyz\r\nhalf\r\n0\r\n\r\n";
-    an_answer_that_only_the_close_ends_is_told_as_cut: "HTTP/1.1 200 OK\r\n\r\nhalf";
-    an_answer_that_is_not_http_is_told_as_cut: "hello there\r\n\r\n";
-    two_lengths_are_told_as_cut:
+    a_response_that_only_the_close_ends_is_an_error: "HTTP/1.1 200 OK\r\n\r\nhalf";
+    a_response_that_is_not_http_is_an_error: "hello there\r\n\r\n";
+    two_lengths_are_an_error:
         "HTTP/1.1 200 OK\r\ncontent-length: 4\r\ncontent-length: 2\r\n\r\nhalf";
 }
--- a/crates/samphiredoor-net/tests/serve.rs
+++ b/crates/samphiredoor-net/tests/serve.rs
@@ -1,4 +1,4 @@
-//! Clients that are slow, silent or gone.
+//! Clients that are slow, stalled or disconnected.
 
 use std::{
     cell::Cell,
@@ -15,24 +15,24 @@
 
 const PIECE: &[u8] = &[b'x'; 64 * 1024];
 
-/// Counts the streams that have ended.
-struct Ended(Rc<Cell<usize>>);
+/// Counts the streams that have ended: adds one when it is dropped.
+struct EndCounter(Rc<Cell<usize>>);
 
-impl Drop for Ended {
+impl Drop for EndCounter {
     fn drop(&mut self) {
         self.0.set(self.0.get() + 1);
     }
 }
 
-fn endless(ended: &Rc<Cell<usize>>) -> Body {
-    let guard = Ended(Rc::clone(ended));
+fn endless_body(ended: &Rc<Cell<usize>>) -> Body {
+    let guard = EndCounter(Rc::clone(ended));
     let pieces = futures_util::stream::unfold(guard, |guard| async {
         Some((Ok::<_, BoxError>(Bytes::from_static(PIECE)), guard))
     });
     Body::stream(pieces)
 }
 
-/// Serves endless streams; the channel gets a word when the first has ended.
+/// Serves endless streams; the channel receives a message when the first one has ended.
 fn serve(limits: ServeLimits) -> (SocketAddr, flume::Receiver<&'static str>) {
     let (sender, receiver) = flume::bounded(1);
     let (ended, ends) = flume::bounded(1);
@@ -45,7 +45,7 @@
             let streams = Rc::new(Cell::new(0));
             let seen = Rc::clone(&streams);
             let handler = move |_| {
-                let body = endless(&streams);
+                let body = endless_body(&streams);
                 async move { Response::new(body) }
             };
             compio::runtime::spawn(server.run(handler)).detach();
@@ -58,43 +58,44 @@
     (receiver.recv().expect("the server starts"), ends)
 }
 
-fn ask(address: SocketAddr) -> TcpStream {
+fn send_request(address: SocketAddr) -> TcpStream {
     let mut client = TcpStream::connect(address).expect("a connection");
     client.write_all(b"GET / HTTP/1.1\r\nhost: x\r\n\r\n").expect("a request");
     client
 }
 
-/// A target is busy with an answer that nobody reads: a client asked for a long stream and stopped reading without
-/// closing. Its connection, and with it the stream, must end by itself.
+/// A client requests a long stream and stops reading without closing its connection, which keeps a target busy with a
+/// response that nobody reads. The server must close the connection, which ends the stream.
 #[test]
-fn a_client_that_does_not_read_is_cut() {
+fn a_client_that_does_not_read_is_disconnected() {
     let limits =
         ServeLimits { stall_timeout: Duration::from_millis(100), ..ServeLimits::default() };
     let (address, ends) = serve(limits);
-    let client = ask(address);
+    let client = send_request(address);
     assert_eq!(ends.recv(), Ok("a stream ended"));
     drop(client);
 }
 
-/// A target is busy with an answer for a caller that has hung up: the stream must end with the connection.
+/// A client disconnects while a target is busy with its response. The stream must end with the connection.
 #[test]
-fn a_client_that_closes_ends_its_stream() {
+fn a_disconnect_ends_the_stream() {
     let (address, ends) = serve(ServeLimits::default());
-    let mut client = ask(address);
-    client.read_exact(&mut [0; 64]).expect("a beginning of the stream");
+    let mut client = send_request(address);
+    client.read_exact(&mut [0; 64]).expect("the start of the stream");
     drop(client);
     assert_eq!(ends.recv(), Ok("a stream ended"));
 }
 
-/// A door has no connections left for callers: half-open clients have sent half of their headers and hold them all.
+/// Clients that send only half of their headers would occupy all connections of a gateway, so that none is left for other
+/// callers. The server must close such connections.
 #[test]
-fn half_sent_headers_do_not_hold_a_connection() {
+fn a_client_that_sends_half_of_its_headers_is_disconnected() {
     let limits =
         ServeLimits { header_read_timeout: Duration::from_millis(100), ..ServeLimits::default() };
     let (address, _ends) = serve(limits);
     let mut client = TcpStream::connect(address).expect("a connection");
     client.write_all(b"GET / HTTP/1.1\r\nhost:").expect("half of a request");
     let mut rest = Vec::new();
-    // Ends only when the server closes; what it says before does not matter here.
+    // Returns only when the server closes the connection; what it sends before does not matter here.
     let _ = client.read_to_end(&mut rest);
 }
--- a/crates/samphiredoor-net/tests/ticking.rs
+++ b/crates/samphiredoor-net/tests/ticking.rs
@@ -1,13 +1,13 @@
-//! Tasks that act by time while messages come.
+//! Tasks that do periodic work while messages arrive.
 
 use std::time::Duration;
 
 use samphiredoor_net::ticking::{Next, Ticking};
 
-/// A door under load forgets what it does by time: deadlines of queued requests pass unnoticed, and ejected targets never
-/// come back. Its inbox was never empty, and ticks came only from an empty one.
+/// Under load, a gateway did no periodic work: queued requests were not dropped at their deadlines, and ejected targets were
+/// never restored. Its inbox was never empty, and ticks were given only by an empty inbox.
 #[test]
-fn ticks_come_though_the_inbox_is_never_empty() {
+fn ticks_are_given_even_if_the_inbox_is_never_empty() {
     let runtime = compio::runtime::Runtime::new().expect("a runtime");
     runtime.block_on(async {
         let (sender, receiver) = flume::unbounded();
