--- a/crates/samphiredoor-net/src/pool.rs
+++ b/crates/samphiredoor-net/src/pool.rs
@@ -29,10 +29,11 @@
     stream::Stream,
 };
 
+/// Maximum number of idle connections in a pool.
 const MAX_IDLE: usize = 256;
 const READ_BUFFER_BYTES: usize = 4_096;
-/// Connections are not reused this long before the end of the keep-alive timeout that the server announces. The server closes
-/// them at about that time; a request that crosses the close might or might not have run.
+/// Time before the end of the server's announced keep-alive timeout from which a connection is no longer reused. The server
+/// closes it at about the end; if a request crosses the close, it is unknown whether it ran.
 const CLOSE_MARGIN: Duration = Duration::from_millis(600);
 
 /// Why a request got no response.
--- a/crates/samphiredoor-net/src/ticking.rs
+++ b/crates/samphiredoor-net/src/ticking.rs
@@ -1,36 +1,36 @@
-//! Messages of a task's inbox, with ticks between them.
+//! Message queue of a task, with ticks for periodic work.
 
 use std::time::{Duration, Instant};
 
 use crate::pool::within;
 
-/// Inbox that also ticks. Ticks come in time under load too: a task that waited for an idle inbox would never get to
-/// what it does by time.
+/// Inbox that also gives ticks at an interval, even while messages are waiting: with ticks only from an empty inbox, a task
+/// under load would never do its periodic work.
 pub struct Ticking<T> {
     inbox: flume::Receiver<T>,
     tick: Duration,
-    next: Instant,
+    next_tick: Instant,
 }
 
-/// What comes next.
+/// Next event of an inbox.
 pub enum Next<T> {
-    /// A message.
+    /// A message was received.
     Message(T),
-    /// The time of a tick has come.
+    /// A tick is due.
     Tick,
-    /// All senders are gone.
+    /// All senders were dropped.
     Closed,
 }
 
 impl<T> Ticking<T> {
-    /// Inbox that ticks each `tick`.
+    /// Inbox with `tick` between two ticks.
     pub fn new(inbox: flume::Receiver<T>, tick: Duration) -> Ticking<T> {
-        Ticking { inbox, tick, next: Instant::now() + tick }
+        Ticking { inbox, tick, next_tick: Instant::now() + tick }
     }
 
-    /// Waits for the next message or tick.
+    /// Waits for the next message or tick; a tick that is due comes first.
     pub async fn next(&mut self) -> Next<T> {
-        let left = self.next.saturating_duration_since(Instant::now());
+        let left = self.next_tick.saturating_duration_since(Instant::now());
         let received = match left.is_zero() {
             true => None,
             false => within(left, self.inbox.recv_async()).await,
@@ -39,7 +39,7 @@
             Some(Ok(message)) => Next::Message(message),
             Some(Err(_)) => Next::Closed,
             None => {
-                self.next = Instant::now() + self.tick;
+                self.next_tick = Instant::now() + self.tick;
                 Next::Tick
             }
         }
