--- a/crates/samphiredoor-query/src/ast.rs
+++ b/crates/samphiredoor-query/src/ast.rs
@@ -1,15 +1,15 @@
-//! Statements of the language.
+//! Syntax tree of statements, and the words and fields that the language has.
 
 /// One statement.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Statement {
-    /// Asks for rows.
+    /// Reads rows.
     Query(Query),
-    /// Changes something.
+    /// Changes the state of the system.
     Command(Command),
 }
 
-/// What a query is about.
+/// Table that a query reads.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Noun {
     /// Batch jobs.
@@ -18,9 +18,9 @@
     Items,
     /// Declared services.
     Services,
-    /// Declared targets, with the load that the asked door sees.
+    /// Declared targets, with their load as seen by the gateway that runs the query.
     Targets,
-    /// Processes that hold or held a lease.
+    /// Gateway processes that hold or held a lease.
     Doors,
     /// Declared workspaces.
     Workspaces,
@@ -40,7 +40,7 @@
         Noun::Suspects,
     ];
 
-    /// Word of the noun.
+    /// Keyword of the noun.
     pub fn word(self) -> &'static str {
         match self {
             Noun::Jobs => "jobs",
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Fields of the noun's rows, in the order of a table's columns.
+    /// Fields of the rows, in the order of the columns.
     pub fn fields(self) -> &'static [&'static str] {
         match self {
             Noun::Jobs => &[
@@ -98,18 +98,18 @@
     }
 }
 
-/// Asks for rows.
+/// Selection of rows.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Query {
-    /// What about.
+    /// Table to read.
     pub noun: Noun,
-    /// Whether only the number of rows is wanted.
+    /// Whether only the number of rows is returned.
     pub count: bool,
     /// Conditions that all must hold.
     pub conditions: Vec<Condition>,
     /// Order of the rows.
     pub order: Option<Order>,
-    /// Most rows.
+    /// Maximum number of rows.
     pub limit: Option<usize>,
 }
 
@@ -119,7 +119,7 @@
         Query { noun, count: false, conditions: Vec::new(), order: None, limit: None }
     }
 
-    /// Text that `field` must be equal to, if a condition says so.
+    /// Value that `field` must equal, if there is such a condition.
     pub fn equal_to(&self, field: &str) -> Option<&str> {
         let of_field = self.conditions.iter().filter(|it| it.field == field);
         of_field.filter(|it| it.op == Op::Equal).map(|it| it.value.as_str()).next()
@@ -131,13 +131,13 @@
 pub struct Condition {
     /// Field of the noun.
     pub field: &'static str,
-    /// Comparison.
+    /// Comparison operator.
     pub op: Op,
-    /// Value compared with; numbers compare as numbers where both sides are.
+    /// Value to compare with. The comparison is numeric if both sides are numbers.
     pub value: String,
 }
 
-/// Comparison of a condition.
+/// Comparison operator of a condition.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Op {
     /// `=`
@@ -152,7 +152,7 @@
     Greater,
     /// `>=`
     GreaterOrEqual,
-    /// `~`: holds the text.
+    /// `~`: contains the text.
     Contains,
 }
 
@@ -161,39 +161,39 @@
 pub struct Order {
     /// Field of the noun.
     pub field: &'static str,
-    /// Largest first.
+    /// Whether the largest value comes first.
     pub descending: bool,
 }
 
-/// Changes something.
+/// Change to the state of the system.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Command {
     /// Cancels a job.
     Cancel {
-        /// Which job.
+        /// Id of the job.
         job: String,
     },
-    /// Lets a target take no new work.
+    /// Stops sending new work to a target.
     Drain {
-        /// Which target.
+        /// Name of the target.
         target: String,
     },
-    /// Lets a drained target take work again.
+    /// Sends work to a drained target again.
     Undrain {
-        /// Which target.
+        /// Name of the target.
         target: String,
     },
-    /// Takes lent capacity back for the target's owner.
+    /// Takes a target's batch capacity back for its owner.
     Reclaim {
-        /// Which target.
+        /// Name of the target.
         target: String,
     },
-    /// Lends capacity of a reclaimed target again.
+    /// Allows batch work at a reclaimed target again.
     Release {
-        /// Which target.
+        /// Name of the target.
         target: String,
     },
-    /// Changes one declared value.
+    /// Changes one field of a declaration.
     Set {
         /// Kind of the declaration.
         object: Settable,
@@ -204,16 +204,16 @@
         /// New value.
         value: String,
     },
-    /// Lets a request run again that is suspected of crashing targets.
+    /// Allows a request that is suspected of crashing targets to run again.
     Lift {
         /// Fingerprint of the request, in hexadecimal digits.
         suspect: String,
     },
-    /// Goes back to the declarations before the last change, as a new revision.
+    /// Restores the declarations from before the last change, as a new revision.
     Rollback,
 }
 
-/// Declarations that `set` changes.
+/// Kind of a declaration that `set` can change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Settable {
     /// A service.
@@ -225,10 +225,10 @@
 }
 
 impl Settable {
-    /// All of them.
+    /// All kinds.
     pub const ALL: [Settable; 3] = [Settable::Service, Settable::Target, Settable::Workspace];
 
-    /// Word of the kind.
+    /// Keyword of the kind.
     pub fn word(self) -> &'static str {
         match self {
             Settable::Service => "service",
--- a/crates/samphiredoor-query/src/error.rs
+++ b/crates/samphiredoor-query/src/error.rs
@@ -1,37 +1,38 @@
-//! Errors that point at the word that is wrong.
+//! Parse errors, which mark the word that is wrong, and suggestions for misspelt words.
 
 use std::{fmt, ops::Range};
 
-/// A statement that cannot be read.
+/// Why a statement could not be parsed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ParseError {
     /// The whole statement.
     pub statement: String,
-    /// Bytes of the word that is wrong; empty at the end when a word is missing.
+    /// Byte range of the word that is wrong; empty and at the end if a word is missing.
     pub span: Range<usize>,
-    /// What is wrong, with a hint.
+    /// What is wrong, and how to fix it.
     pub problem: String,
 }
 
 impl fmt::Display for ParseError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let before = self.statement.get(..self.span.start).unwrap_or_default().chars().count();
-        let marked = self.statement.get(self.span.clone()).unwrap_or_default().chars().count();
+        let width = self.statement.get(self.span.clone()).unwrap_or_default().chars().count();
         writeln!(f, "{}", self.problem)?;
         writeln!(f, "  {}", self.statement)?;
-        write!(f, "  {}{}", " ".repeat(before), "^".repeat(marked.max(1)))
+        write!(f, "  {}{}", " ".repeat(before), "^".repeat(width.max(1)))
     }
 }
 
 impl std::error::Error for ParseError {}
 
-/// The known word nearest to `word`, if one is near enough to have been meant.
+/// The known word nearest to `word`, if its edit distance is at most two.
 pub(crate) fn nearest<'a>(word: &str, known: &[&'a str]) -> Option<&'a str> {
-    let near = known.iter().map(|it| (distance(word, it), *it)).min()?;
+    let near = known.iter().map(|it| (edit_distance(word, it), *it)).min()?;
     (near.0 <= 2).then_some(near.1)
 }
 
-fn distance(left: &str, right: &str) -> usize {
+/// Levenshtein distance, in characters.
+fn edit_distance(left: &str, right: &str) -> usize {
     let right: Vec<char> = right.chars().collect();
     let mut row: Vec<usize> = (0..=right.len()).collect();
     for (i, l) in left.chars().enumerate() {
--- a/crates/samphiredoor-query/src/lib.rs
+++ b/crates/samphiredoor-query/src/lib.rs
@@ -1,8 +1,8 @@
 //! The operators' query and command language.
 //!
-//! A query names a noun, filters, an order and a limit: `jobs where state = running order by due limit 10`. A command
-//! names a verb and an object: `drain target engine-3`. [`parse`] checks both against the nouns and their fields and
-//! points at the word that is wrong; [`select`] filters, orders and cuts rows.
+//! A query has a noun, conditions, an order and a limit: `jobs where state = running order by due_unix_ms limit 10`. A
+//! command has a verb and an object: `drain target engine-3`. [`parse`] checks both against the nouns and their fields, and
+//! its errors mark the word that is wrong; [`select`] filters, sorts and limits rows.
 
 mod ast;
 mod error;
--- a/crates/samphiredoor-query/src/parse.rs
+++ b/crates/samphiredoor-query/src/parse.rs
@@ -1,4 +1,4 @@
-//! From tokens to a checked statement.
+//! Parser: builds a statement from tokens, and checks its words.
 
 use std::ops::Range;
 
@@ -11,25 +11,26 @@
 const VERBS: [&str; 8] =
     ["cancel", "drain", "undrain", "reclaim", "release", "set", "lift", "rollback"];
 
-/// Reads one statement.
+/// Parses one statement.
 ///
 /// # Errors
 ///
-/// The first word that is wrong or missing, with a hint.
+/// The first word that is wrong or missing.
 pub fn parse(statement: &str) -> Result<Statement, ParseError> {
-    let mut words = Words { statement, tokens: tokens(statement)?, next: 0 };
-    let parsed = words.statement()?;
-    words.end()?;
+    let mut parser = Parser { statement, tokens: tokens(statement)?, next: 0 };
+    let parsed = parser.statement()?;
+    parser.end()?;
     Ok(parsed)
 }
 
-struct Words<'a> {
+struct Parser<'a> {
     statement: &'a str,
     tokens: Vec<(Token, Range<usize>)>,
+    /// Index of the next token.
     next: usize,
 }
 
-impl Words<'_> {
+impl Parser<'_> {
     fn statement(&mut self) -> Result<Statement, ParseError> {
         let first = self.word("a noun or a verb")?;
         if first == "count" {
@@ -46,7 +47,7 @@
         let Some(noun) = Noun::ALL.into_iter().find(|it| it.word() == noun) else {
             let mut known: Vec<&str> = Noun::ALL.iter().map(|it| it.word()).collect();
             known.extend(VERBS);
-            return Err(self.unknown(noun, &known));
+            return Err(self.unknown_word(noun, &known));
         };
         let mut query = Query::new(noun);
         query.count = count;
@@ -57,7 +58,7 @@
             }
         }
         if self.take_word("order") {
-            self.expect("by")?;
+            self.expect_word("by")?;
             let field = self.field(noun.fields())?;
             let descending = self.take_word("desc");
             query.order = Some(Order { field, descending });
@@ -66,7 +67,7 @@
             query.limit = Some(self.number("a number of rows")?);
         }
         if noun == Noun::Items && query.equal_to("job").is_none() {
-            return Err(self.missing("name the job: items where job = ID"));
+            return Err(self.error_at_end("name the job: items where job = ID"));
         }
         Ok(query)
     }
@@ -75,8 +76,8 @@
         let field = self.field(noun.fields())?;
         let op = match self.peek() {
             Some((Token::Op(op), _)) => *op,
-            Some(_) => return Err(self.wrong("put one of = != < <= > >= ~ here")),
-            None => return Err(self.missing("a comparison is missing")),
+            Some(_) => return Err(self.error_at_next("put one of = != < <= > >= ~ here")),
+            None => return Err(self.error_at_end("a comparison is missing")),
         };
         self.next += 1;
         let value = self.value()?;
@@ -100,21 +101,22 @@
         let word = self.word("service, target or workspace")?;
         let Some(object) = Settable::ALL.into_iter().find(|it| it.word() == word) else {
             let known: Vec<&str> = Settable::ALL.iter().map(|it| it.word()).collect();
-            return Err(self.unknown(&word, &known));
+            return Err(self.unknown_word(&word, &known));
         };
         let name = self.value()?;
         let field = self.field(object.fields())?;
         match self.peek() {
             Some((Token::Op(Op::Equal), _)) => self.next += 1,
-            Some(_) => return Err(self.wrong("put = here")),
-            None => return Err(self.missing("= and a value are missing")),
+            Some(_) => return Err(self.error_at_next("put = here")),
+            None => return Err(self.error_at_end("= and a value are missing")),
         }
         let value = self.number("a number")?.to_string();
         Ok(Command::Set { object, name, field, value })
     }
 
+    /// Parses the keyword `kind` and the name after it.
     fn named(&mut self, kind: &str) -> Result<String, ParseError> {
-        self.expect(kind)?;
+        self.expect_word(kind)?;
         self.value()
     }
 
@@ -122,7 +124,7 @@
         let word = self.word("a field")?;
         match known.iter().find(|it| **it == word) {
             Some(field) => Ok(field),
-            None => Err(self.unknown(&word, known)),
+            None => Err(self.unknown_word(&word, known)),
         }
     }
 
@@ -130,7 +132,7 @@
         let word = self.word(what)?;
         word.parse().map_err(|_| {
             self.next -= 1;
-            self.wrong(&format!("put {what} here"))
+            self.error_at_next(&format!("put {what} here"))
         })
     }
 
@@ -141,8 +143,8 @@
                 self.next += 1;
                 Ok(text)
             }
-            Some(_) => Err(self.wrong("put a value here; quote it if it holds spaces")),
-            None => Err(self.missing("a value is missing")),
+            Some(_) => Err(self.error_at_next("put a value here; quote it if it holds spaces")),
+            None => Err(self.error_at_end("a value is missing")),
         }
     }
 
@@ -153,31 +155,32 @@
                 self.next += 1;
                 Ok(word)
             }
-            Some(_) => Err(self.wrong(&format!("put {what} here"))),
-            None => Err(self.missing(&format!("{what} is missing"))),
+            Some(_) => Err(self.error_at_next(&format!("put {what} here"))),
+            None => Err(self.error_at_end(&format!("{what} is missing"))),
         }
     }
 
+    /// Skips the next token if it is the word `wanted`; returns whether it was.
     fn take_word(&mut self, wanted: &str) -> bool {
         let found = matches!(self.peek(), Some((Token::Word(word), _)) if word == wanted);
         self.next += usize::from(found);
         found
     }
 
-    fn expect(&mut self, wanted: &str) -> Result<(), ParseError> {
+    fn expect_word(&mut self, wanted: &str) -> Result<(), ParseError> {
         if self.take_word(wanted) {
             return Ok(());
         }
         match self.peek() {
-            Some(_) => Err(self.wrong(&format!("put `{wanted}` here"))),
-            None => Err(self.missing(&format!("`{wanted}` is missing"))),
+            Some(_) => Err(self.error_at_next(&format!("put `{wanted}` here"))),
+            None => Err(self.error_at_end(&format!("`{wanted}` is missing"))),
         }
     }
 
     fn end(&self) -> Result<(), ParseError> {
         match self.peek() {
             None => Ok(()),
-            Some(_) => Err(self.wrong("the statement should end here")),
+            Some(_) => Err(self.error_at_next("the statement should end here")),
         }
     }
 
@@ -185,7 +188,8 @@
         self.tokens.get(self.next)
     }
 
-    fn unknown(&self, word: &str, known: &[&str]) -> ParseError {
+    /// Error for the word that was read last.
+    fn unknown_word(&self, word: &str, known: &[&str]) -> ParseError {
         let hint = match nearest(word, known) {
             Some(near) => format!("did you mean `{near}`?"),
             None => format!("use one of {}", known.join(", ")),
@@ -194,12 +198,12 @@
         self.error(span, format!("`{word}` is not known here; {hint}"))
     }
 
-    fn wrong(&self, problem: &str) -> ParseError {
+    fn error_at_next(&self, problem: &str) -> ParseError {
         let span = self.tokens[self.next].1.clone();
         self.error(span, problem.to_owned())
     }
 
-    fn missing(&self, problem: &str) -> ParseError {
+    fn error_at_end(&self, problem: &str) -> ParseError {
         let end = self.statement.trim_end().len();
         let end = if end == 0 { 0 } else { (end + 1).min(self.statement.len()) };
         self.error(end..end, problem.to_owned())
--- a/crates/samphiredoor-query/src/rows.rs
+++ b/crates/samphiredoor-query/src/rows.rs
@@ -1,4 +1,4 @@
-//! Filtering, ordering and cutting of rows.
+//! Runs queries over rows: filters, sorts and limits them.
 
 use std::cmp::Ordering;
 
@@ -6,12 +6,12 @@
 
 use crate::ast::{Condition, Op, Query};
 
-/// One row: values by field.
+/// Values of one row by field.
 pub type Row = Map<String, Value>;
 
-/// Rows that a query selects, in its order.
+/// Returns the rows that a query selects, in its order.
 pub fn select(query: &Query, rows: Vec<Row>) -> Vec<Row> {
-    let mut selected: Vec<Row> = rows.into_iter().filter(|row| holds_all(query, row)).collect();
+    let mut selected: Vec<Row> = rows.into_iter().filter(|row| matches_all(query, row)).collect();
     if let Some(order) = &query.order {
         selected.sort_by(|left, right| {
             let ordering = compare(&text(left, order.field), &text(right, order.field));
@@ -24,11 +24,11 @@
     selected
 }
 
-fn holds_all(query: &Query, row: &Row) -> bool {
-    query.conditions.iter().all(|it| holds(it, row))
+fn matches_all(query: &Query, row: &Row) -> bool {
+    query.conditions.iter().all(|it| matches(it, row))
 }
 
-fn holds(condition: &Condition, row: &Row) -> bool {
+fn matches(condition: &Condition, row: &Row) -> bool {
     let actual = text(row, condition.field);
     let ordering = compare(&actual, &condition.value);
     match condition.op {
@@ -50,6 +50,7 @@
     }
 }
 
+/// Compares as numbers if both texts are numbers, otherwise as texts.
 fn compare(left: &str, right: &str) -> Ordering {
     match (left.parse::<f64>(), right.parse::<f64>()) {
         (Ok(left), Ok(right)) => left.total_cmp(&right),
--- a/crates/samphiredoor-query/src/token.rs
+++ b/crates/samphiredoor-query/src/token.rs
@@ -1,4 +1,4 @@
-//! Words, texts and comparisons of a statement, with their places.
+//! Tokenizer: splits a statement into words, quoted texts and comparison operators, with their byte ranges.
 
 use std::ops::Range;
 
@@ -19,14 +19,14 @@
     Word(String),
     /// A text in quotes.
     Text(String),
-    /// A comparison.
+    /// A comparison operator.
     Op(Op),
 }
 
 type Input<'a> = LocatingSlice<&'a str>;
 type Parsed<T> = winnow::Result<T, ContextError>;
 
-/// Cuts a statement into tokens.
+/// Splits a statement into tokens.
 pub(crate) fn tokens(statement: &str) -> Result<Vec<(Token, Range<usize>)>, ParseError> {
     let spaced = preceded(multispace0, token.with_span());
     let mut all = terminated(repeat(0.., spaced), multispace0);
--- a/crates/samphiredoor-query/tests/language.rs
+++ b/crates/samphiredoor-query/tests/language.rs
@@ -1,4 +1,4 @@
-//! What the language reads, and where its errors point.
+//! Parsing and running of statements, and the words that parse errors mark.
 
 use expect_test::{Expect, expect};
 use proptest::prelude::*;
@@ -25,12 +25,12 @@
 
 selects! {
     a_bare_noun_selects_all: "jobs" => "abc";
-    an_equal_condition_selects: "jobs where state = running" => "ac";
-    conditions_are_joined: "jobs where state = running and items > 9" => "c";
+    an_equal_condition_filters: "jobs where state = running" => "ac";
+    conditions_are_combined: "jobs where state = running and items > 9" => "c";
     numbers_compare_as_numbers: "jobs where items >= 10" => "bc";
     texts_can_be_quoted: "jobs where state != 'running'" => "b";
-    a_part_of_a_text_is_found: "jobs where state ~ run" => "ac";
-    rows_are_ordered_and_cut: "jobs order by items desc limit 2" => "cb";
+    a_contained_text_matches: "jobs where state ~ run" => "ac";
+    rows_are_sorted_and_limited: "jobs order by items desc limit 2" => "cb";
 }
 
 fn check(statement: &str, expected: Expect) {
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn an_unknown_noun_is_pointed_at() {
+fn an_unknown_noun_is_marked() {
     check(
         "jibs where state = running",
         expect![[r#"
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn an_unknown_field_is_pointed_at() {
+fn an_unknown_field_is_marked() {
     check(
         "jobs where sate = running",
         expect![[r#"
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn a_missing_value_is_pointed_at() {
+fn a_missing_value_is_marked() {
     check(
         "jobs where state =",
         expect![[r#"
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn a_wrong_number_is_pointed_at() {
+fn an_invalid_number_is_marked() {
     check(
         "jobs limit many",
         expect![[r#"
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn items_want_a_job() {
+fn items_need_a_job() {
     check(
         "items where state = failed",
         expect![[r#"
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn commands_are_read() {
+fn commands_are_parsed() {
     check("drain target engine-3", expect![[r#"Command(Drain { target: "engine-3" })"#]]);
     check("cancel job job-12ab", expect![[r#"Command(Cancel { job: "job-12ab" })"#]]);
     check(
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn a_command_with_words_left_is_refused() {
+fn a_command_with_extra_words_is_an_error() {
     check(
         "drain target a b",
         expect![[r#"
@@ -128,7 +128,7 @@
     })]
 
     #[test]
-    fn any_text_is_read_or_refused_within_its_bounds(statement in "\\PC{0,60}") {
+    fn errors_mark_a_range_within_any_text(statement in "\\PC{0,60}") {
         if let Err(err) = parse(&statement) {
             prop_assert!(err.span.end <= statement.len());
             prop_assert!(statement.is_char_boundary(err.span.start));
