--- a/crates/samphirectl/src/cli.rs
+++ b/crates/samphirectl/src/cli.rs
@@ -1,15 +1,15 @@
-//! Command line.
+//! Command-line options; their doc comments are the help texts.
 
 use std::{net::SocketAddr, path::PathBuf};
 
 use bpaf::Bpaf;
 
-/// Asks and commands the doors
+/// Queries and controls the gateways
 #[derive(Debug, Clone)]
 #[derive(Bpaf)]
 #[bpaf(options, version)]
 pub struct Opts {
-    /// Operators' address of any door
+    /// Operators' address of any gateway
     #[bpaf(
         argument("ADDRESS"),
         env("SAMPHIREDOOR_DOOR"),
@@ -17,7 +17,7 @@
         display_fallback
     )]
     pub door: SocketAddr,
-    /// Callers' address of any door, for submit and results
+    /// Callers' address of any gateway, used by submit and results
     #[bpaf(
         argument("ADDRESS"),
         env("SAMPHIREDOOR_CALLERS"),
@@ -28,9 +28,9 @@
     /// File with the operators' token
     #[bpaf(argument("FILE"), env("SAMPHIREDOOR_TOKEN_FILE"))]
     pub token_file: Option<PathBuf>,
-    /// Prints one JSON object a line instead of a table
+    /// Prints one JSON object per line instead of a table
     pub json: bool,
-    /// Asks again every two seconds until ended
+    /// Repeats the statement every two seconds until interrupted
     pub watch: bool,
     /// What to do
     #[bpaf(external)]
@@ -41,29 +41,29 @@
 #[derive(Debug, Clone)]
 #[derive(Bpaf)]
 pub enum Request {
-    /// Puts the declarations in FILE in force
+    /// Activates the declarations in FILE
     #[bpaf(command)]
     Apply {
         /// Only shows what would change
         dry_run: bool,
-        /// Refuses unless this revision is the one in force
+        /// Fails unless this is the active revision
         #[bpaf(argument("REVISION"))]
         expected_revision: Option<u64>,
         /// Declarations in TOML
         #[bpaf(positional("FILE"))]
         file: PathBuf,
     },
-    /// Shows how the declarations in FILE differ from those in force
+    /// Shows how the declarations in FILE differ from the active ones
     #[bpaf(command)]
     Diff {
         /// Declarations in TOML
         #[bpaf(positional("FILE"))]
         file: PathBuf,
     },
-    /// Submits the items in FILE, one JSON object a line, as a job
+    /// Submits the items in FILE, one JSON object per line, as a job
     #[bpaf(command)]
     Submit {
-        /// Key of the job; sending again under the same key is safe
+        /// Idempotency key of the job; submitting again with the same key is safe
         #[bpaf(argument("KEY"))]
         key: String,
         /// Workspace of the job
@@ -71,29 +71,29 @@
         workspace: String,
         /// Shows progress until the job has ended
         follow: bool,
-        /// Items
+        /// Items as JSON lines
         #[bpaf(positional("FILE"))]
         file: PathBuf,
     },
-    /// Prints the results of a job, one JSON object a line
+    /// Prints the results of a job, one JSON object per line
     #[bpaf(command)]
     Results {
-        /// Job
+        /// Id of the job
         #[bpaf(positional("JOB"))]
         job: String,
     },
-    /// Asks or commands in words: jobs where state = running limit 10
+    /// Runs a query or command: jobs where state = running limit 10
     Statement {
-        /// The statement
+        /// Query or command
         #[bpaf(
             positional("STATEMENT"),
-            some("a statement is missing, as: jobs where state = running")
+            some("missing statement, for example: jobs where state = running")
         )]
         words: Vec<String>,
     },
 }
 
-/// Parses the arguments; ends the process on `--help` and on errors.
+/// Parses the arguments; exits on `--help` and on errors.
 pub fn parse() -> Opts {
     opts().run()
 }
--- a/crates/samphirectl/src/client.rs
+++ b/crates/samphirectl/src/client.rs
@@ -1,58 +1,58 @@
-//! Calls to a door.
+//! HTTP client for a gateway, which the options call a door.
 
 use cyper::{Client, RequestBuilder};
 use serde_json::Value;
 
 use crate::{config::Config, exit_codes::Failure};
 
-/// A door as its operators see it.
-pub struct Door {
+/// Client of a gateway's APIs for operators and callers.
+pub struct OperatorClient {
     client: Client,
     config: Config,
 }
 
-/// Answer of a door that did not refuse.
-pub struct Answer {
+/// Successful response.
+pub struct Response {
     /// Body.
     pub text: String,
-    /// Value of `x-after-chunk`, if there is more to read.
+    /// Value of the header `x-after-chunk`, with which the next page is read; `None` on the last page.
     pub after_chunk: Option<String>,
 }
 
-impl Answer {
+impl Response {
     /// Body as JSON.
     ///
     /// # Errors
     ///
-    /// The body is no JSON.
+    /// The body is no valid JSON.
     pub fn json(&self) -> anyhow::Result<Value> {
         Ok(serde_json::from_str(&self.text)?)
     }
 }
 
-impl Door {
-    /// Door with the decided addresses.
-    pub fn new(config: Config) -> anyhow::Result<Door> {
-        Ok(Door { client: Client::new()?, config })
+impl OperatorClient {
+    /// Client for the addresses in `config`.
+    pub fn new(config: Config) -> anyhow::Result<OperatorClient> {
+        Ok(OperatorClient { client: Client::new()?, config })
     }
 
-    /// Sends a statement.
-    pub async fn statement(&self, text: &str) -> anyhow::Result<Answer> {
+    /// Runs a statement.
+    pub async fn statement(&self, text: &str) -> anyhow::Result<Response> {
         let url = format!("http://{}/statement", self.config.door);
         self.send(self.client.post(url)?.body(text.to_owned())).await
     }
 
-    /// Reads the manifest in the store, with its revision.
-    pub async fn manifest(&self) -> anyhow::Result<Answer> {
+    /// Reads the stored manifest and its revision.
+    pub async fn manifest(&self) -> anyhow::Result<Response> {
         self.send(self.client.get(format!("http://{}/manifest", self.config.door))?).await
     }
 
-    /// Puts a manifest in force.
+    /// Activates a manifest; fails unless `expected_revision`, if given, is the active one.
     pub async fn put_manifest(
         &self,
         declared: &Value,
         expected_revision: Option<u64>,
-    ) -> anyhow::Result<Answer> {
+    ) -> anyhow::Result<Response> {
         let expected = expected_revision.map(|it| format!("?expected_revision={it}"));
         let url = format!("http://{}/manifest{}", self.config.door, expected.unwrap_or_default());
         self.send(self.client.put(url)?.json(declared)?).await
@@ -64,7 +64,7 @@
         key: &str,
         workspace: &str,
         body: Vec<u8>,
-    ) -> anyhow::Result<Answer> {
+    ) -> anyhow::Result<Response> {
         let url = format!("http://{}/v1/batches", self.config.callers);
         let request = self.client.post(url)?;
         let request = request.header("idempotency-key", key)?.header("x-workspace", workspace)?;
@@ -72,19 +72,19 @@
     }
 
     /// Reads a job's status.
-    pub async fn job(&self, job: &str) -> anyhow::Result<Answer> {
+    pub async fn job(&self, job: &str) -> anyhow::Result<Response> {
         let url = format!("http://{}/v1/batches/{job}", self.config.callers);
         self.send(self.client.get(url)?).await
     }
 
     /// Reads one page of a job's results.
-    pub async fn results(&self, job: &str, after_chunk: Option<&str>) -> anyhow::Result<Answer> {
+    pub async fn results(&self, job: &str, after_chunk: Option<&str>) -> anyhow::Result<Response> {
         let after = after_chunk.map(|it| format!("?after_chunk={it}")).unwrap_or_default();
         let url = format!("http://{}/v1/batches/{job}/results{after}", self.config.callers);
         self.send(self.client.get(url)?).await
     }
 
-    async fn send(&self, request: RequestBuilder) -> anyhow::Result<Answer> {
+    async fn send(&self, request: RequestBuilder) -> anyhow::Result<Response> {
         let request = match &self.config.token {
             Some(token) => request.bearer_auth(token)?,
             None => request,
@@ -95,9 +95,9 @@
         let after_chunk = after.and_then(|it| it.to_str().ok()).map(str::to_owned);
         let text = response.text().await.map_err(|err| no_answer(&err))?;
         if status.is_success() {
-            return Ok(Answer { text, after_chunk });
+            return Ok(Response { text, after_chunk });
         }
-        Err(Failure::Refused(message(&text)).into())
+        Err(Failure::Refused(error_message(&text)).into())
     }
 }
 
@@ -105,7 +105,8 @@
     Failure::NoAnswer(format!("no door answers ({err}); name one with --door and --callers"))
 }
 
-fn message(text: &str) -> String {
+/// Error message in the body of a response, or the whole body if it has none.
+fn error_message(text: &str) -> String {
     let Ok(value) = serde_json::from_str::<Value>(text) else { return text.to_owned() };
     match (&value["error"]["message"], &value["error"]) {
         (Value::String(message), _) | (_, Value::String(message)) => message.clone(),
--- a/crates/samphirectl/src/config.rs
+++ b/crates/samphirectl/src/config.rs
@@ -1,4 +1,4 @@
-//! All that was decided before the work starts.
+//! Validated configuration of one run, from the command line and the token file.
 
 use std::{net::SocketAddr, path::PathBuf};
 
@@ -9,78 +9,78 @@
     exit_codes::Failure,
 };
 
-/// How rows are shown.
+/// Output format of rows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Output {
     /// Aligned columns.
     Table,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
 /// What to do.
 #[derive(Debug, Clone)]
 pub enum Task {
-    /// Puts declarations in force.
+    /// Activates declarations.
     Apply {
-        /// Declarations.
+        /// File with the declarations.
         file: PathBuf,
         /// Only show what would change.
         dry_run: bool,
-        /// Revision that must be in force.
+        /// Revision that must be active.
         expected_revision: Option<u64>,
     },
-    /// Compares declarations with those in force.
+    /// Compares declarations with the active ones.
     Diff {
-        /// Declarations.
+        /// File with the declarations.
         file: PathBuf,
     },
     /// Submits a job.
     Submit {
-        /// Items.
+        /// File with the items.
         file: PathBuf,
-        /// Key of the job.
+        /// Idempotency key of the job.
         key: String,
         /// Workspace of the job.
         workspace: String,
         /// Show progress until the job has ended.
         follow: bool,
     },
-    /// Prints results.
+    /// Prints the results of a job.
     Results {
-        /// Job.
+        /// Id of the job.
         job: String,
     },
-    /// Asks or commands.
+    /// Runs a query or command.
     Statement {
-        /// Statement that was found to be readable.
+        /// Statement that was parsed without errors.
         text: String,
-        /// Ask again and again.
+        /// Repeat until interrupted.
         watch: bool,
     },
 }
 
-/// Decided options.
+/// Validated options.
 #[derive(Debug, Clone)]
 pub struct Config {
-    /// Operators' address of a door.
+    /// Operators' address of a gateway.
     pub door: SocketAddr,
-    /// Callers' address of a door.
+    /// Callers' address of a gateway.
     pub callers: SocketAddr,
     /// Operators' token.
     pub token: Option<String>,
-    /// How rows are shown.
+    /// Output format of rows.
     pub output: Output,
     /// What to do.
     pub task: Task,
 }
 
 impl Config {
-    /// Decides all options.
+    /// Validates the options and reads the token file.
     ///
     /// # Errors
     ///
-    /// A statement that cannot be read, or a token file that cannot.
+    /// The statement is invalid, or the token file cannot be read.
     pub fn new(opts: Opts) -> anyhow::Result<Config> {
         let token = match &opts.token_file {
             None => None,
@@ -112,7 +112,8 @@
         Request::Results { job } => Task::Results { job },
         Request::Statement { words } => {
             let text = words.join(" ");
-            samphiredoor_query::parse(&text).map_err(|err| Failure::Wrong(err.to_string()))?;
+            samphiredoor_query::parse(&text)
+                .map_err(|err| Failure::InvalidInput(err.to_string()))?;
             Task::Statement { text, watch }
         }
     })
--- a/crates/samphirectl/src/declarations.rs
+++ b/crates/samphirectl/src/declarations.rs
@@ -1,4 +1,4 @@
-//! Declarations in files, and how they differ from those in force.
+//! Declarations in TOML files, and their differences from the active ones.
 
 use std::{collections::BTreeMap, path::Path};
 
@@ -9,20 +9,20 @@
 
 const SECTIONS: [&str; 3] = ["services", "targets", "workspaces"];
 
-/// Reads declarations in TOML.
+/// Reads a TOML file with declarations.
 ///
 /// # Errors
 ///
-/// The file cannot be read, or is no TOML; with line and column.
+/// The file cannot be read or is no valid TOML; the latter with line and column.
 pub fn read(file: &Path) -> anyhow::Result<Value> {
     let text = std::fs::read_to_string(file)
         .with_context(|| format!("{}: cannot be read", file.display()))?;
     let read = toml::from_str(&text);
-    Ok(read.map_err(|err| Failure::Wrong(format!("{}: {err}", file.display())))?)
+    Ok(read.map_err(|err| Failure::InvalidInput(format!("{}: {err}", file.display())))?)
 }
 
-/// Lines that tell how `new` differs from `old`: `+` added, `-` removed, `~` changed. Fields that a file leaves out
-/// have their defaults, and count as changed only where the old value is written out.
+/// Differences of `new` from `old`, one line each: `+` added, `-` removed, `~` changed. Fields that are left out have their
+/// defaults; a field counts as changed if it is left out on one side only, even if the value is the default.
 pub fn diff(old: &Value, new: &Value) -> Vec<String> {
     let mut lines = Vec::new();
     for section in SECTIONS {
@@ -30,7 +30,7 @@
         for (name, object) in &new {
             match old.get(name) {
                 None => lines.push(format!("+ {section} {name}")),
-                Some(former) => lines.extend(changed(section, name, former, object)),
+                Some(old_object) => lines.extend(changed(section, name, old_object, object)),
             }
         }
         let removed = old.keys().filter(|it| !new.contains_key(*it));
@@ -50,11 +50,11 @@
     let mut fields: Vec<&String> = old.keys().chain(new.keys()).collect();
     fields.sort();
     fields.dedup();
-    let shown = |it: Option<&Value>| it.map_or("default".to_owned(), Value::to_string);
+    let display = |it: Option<&Value>| it.map_or("default".to_owned(), Value::to_string);
     let differing = fields.into_iter().filter(|it| old.get(*it) != new.get(*it));
     differing
         .map(|field| {
-            let (from, to) = (shown(old.get(field)), shown(new.get(field)));
+            let (from, to) = (display(old.get(field)), display(new.get(field)));
             format!("~ {section} {name} {field}: {from} -> {to}")
         })
         .collect()
--- a/crates/samphirectl/src/exit_codes.rs
+++ b/crates/samphirectl/src/exit_codes.rs
@@ -1,19 +1,19 @@
-//! Exit codes, and the failures that have one of their own.
+//! Exit codes, and the failures that have their own exit codes.
 
 use std::{fmt, process::ExitCode};
 
-/// How the process ends.
+/// Exit status of the process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Exit {
-    /// Done.
+    /// The task is done.
     Success,
-    /// A file could not be read, or something else went wrong here.
+    /// A file could not be read, or another local error occurred.
     GeneralError,
-    /// The statement or the declarations are wrong.
-    Wrong,
-    /// The door refused.
+    /// The statement or the declarations are invalid.
+    InvalidInput,
+    /// The gateway refused the request.
     Refused,
-    /// No door answered; what was asked for may have been done.
+    /// No gateway responded; the request may have been carried out.
     NoAnswer,
 }
 
@@ -22,21 +22,21 @@
         match exit {
             Exit::Success => ExitCode::SUCCESS,
             Exit::GeneralError => ExitCode::from(1),
-            Exit::Wrong => ExitCode::from(2),
+            Exit::InvalidInput => ExitCode::from(2),
             Exit::Refused => ExitCode::from(3),
             Exit::NoAnswer => ExitCode::from(4),
         }
     }
 }
 
-/// Failure with an exit code of its own.
+/// Failure with its own exit code, and its message.
 #[derive(Debug)]
 pub enum Failure {
-    /// The statement or the declarations are wrong.
-    Wrong(String),
-    /// The door refused.
+    /// The statement or the declarations are invalid.
+    InvalidInput(String),
+    /// The gateway refused the request.
     Refused(String),
-    /// No door answered.
+    /// No gateway responded.
     NoAnswer(String),
 }
 
@@ -44,7 +44,7 @@
     /// Exit code of the failure.
     pub fn exit(&self) -> Exit {
         match self {
-            Failure::Wrong(_) => Exit::Wrong,
+            Failure::InvalidInput(_) => Exit::InvalidInput,
             Failure::Refused(_) => Exit::Refused,
             Failure::NoAnswer(_) => Exit::NoAnswer,
         }
@@ -54,7 +54,7 @@
 impl fmt::Display for Failure {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Failure::Wrong(text) | Failure::Refused(text) | Failure::NoAnswer(text) => {
+            Failure::InvalidInput(text) | Failure::Refused(text) | Failure::NoAnswer(text) => {
                 f.write_str(text)
             }
         }
--- a/crates/samphirectl/src/main.rs
+++ b/crates/samphirectl/src/main.rs
@@ -1,9 +1,9 @@
-//! The operator's command line.
+//! Command-line client for operators: queries and controls gateways, submits jobs and reads their results.
 
 mod cli;
+mod client;
 mod config;
 mod declarations;
-mod door;
 mod exit_codes;
 mod run;
 mod table;
--- a/crates/samphirectl/src/run.rs
+++ b/crates/samphirectl/src/run.rs
@@ -1,4 +1,4 @@
-//! Carries out what was asked for.
+//! Runs the task of the command line and prints its output.
 
 use std::{path::Path, time::Duration};
 
@@ -6,43 +6,45 @@
 use serde_json::{Value, json};
 
 use crate::{
+    client::OperatorClient,
     config::{Config, Output, Task},
     declarations,
-    door::Door,
     exit_codes::Failure,
     table::table,
 };
 
-const WATCH_PAUSE: Duration = Duration::from_secs(2);
-const FOLLOW_PAUSE: Duration = Duration::from_millis(500);
+/// Time between two runs of a watched statement.
+const WATCH_INTERVAL: Duration = Duration::from_secs(2);
+/// Time between two reads of the status of a followed job.
+const FOLLOW_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Carries out the decided task.
+/// Runs the task.
 pub fn run(config: Config) -> anyhow::Result<()> {
     let (task, output) = (config.task.clone(), config.output);
-    let door = Door::new(config)?;
+    let client = OperatorClient::new(config)?;
     compio::runtime::Runtime::new()?.block_on(async {
         match task {
             Task::Apply { file, dry_run, expected_revision } => {
-                apply(&door, &file, dry_run, expected_revision).await
+                apply(&client, &file, dry_run, expected_revision).await
             }
-            Task::Diff { file } => show_diff(&door, &file).await.map(drop),
+            Task::Diff { file } => show_diff(&client, &file).await.map(drop),
             Task::Submit { file, key, workspace, follow } => {
-                submit(&door, &file, &key, &workspace, follow).await
+                submit(&client, &file, &key, &workspace, follow).await
             }
-            Task::Results { job } => results(&door, &job).await,
+            Task::Results { job } => results(&client, &job).await,
             Task::Statement { text, watch } => loop {
-                statement(&door, &text, output).await?;
+                statement(&client, &text, output).await?;
                 if !watch {
                     return Ok(());
                 }
-                compio::time::sleep(WATCH_PAUSE).await;
+                compio::time::sleep(WATCH_INTERVAL).await;
             },
         }
     })
 }
 
-async fn statement(door: &Door, text: &str, output: Output) -> anyhow::Result<()> {
-    let answer = door.statement(text).await?.json()?;
+async fn statement(client: &OperatorClient, text: &str, output: Output) -> anyhow::Result<()> {
+    let answer = client.statement(text).await?.json()?;
     let Some(rows) = answer["rows"].as_array() else {
         println!("{answer}");
         return Ok(());
@@ -56,29 +58,29 @@
         }
     }
     if answer["truncated"] == true {
-        eprintln!("samphirectl: there is more; narrow the question with where");
+        eprintln!("samphirectl: not all rows are shown; narrow the query with where");
     }
     Ok(())
 }
 
-async fn in_force(door: &Door) -> anyhow::Result<Value> {
-    match door.manifest().await {
+async fn active_manifest(client: &OperatorClient) -> anyhow::Result<Value> {
+    match client.manifest().await {
         Ok(answer) => answer.json(),
-        // A store without a manifest is where a service begins.
-        Err(err) if err.downcast_ref::<Failure>().is_some_and(is_refusal) => {
+        // A new installation has no manifest in its store.
+        Err(err) if err.downcast_ref::<Failure>().is_some_and(is_missing_manifest) => {
             Ok(json!({ "revision": 0, "manifest": {} }))
         }
         Err(err) => Err(err),
     }
 }
 
-fn is_refusal(failure: &Failure) -> bool {
+fn is_missing_manifest(failure: &Failure) -> bool {
     matches!(failure, Failure::Refused(text) if text.contains("no manifest"))
 }
 
-async fn show_diff(door: &Door, file: &Path) -> anyhow::Result<(Value, u64)> {
+async fn show_diff(client: &OperatorClient, file: &Path) -> anyhow::Result<(Value, u64)> {
     let declared = declarations::read(file)?;
-    let record = in_force(door).await?;
+    let record = active_manifest(client).await?;
     let revision = record["revision"].as_u64().unwrap_or_default();
     let lines = declarations::diff(&record["manifest"], &declared);
     println!("against revision {revision}: {} differences", lines.len());
@@ -87,24 +89,24 @@
 }
 
 async fn apply(
-    door: &Door,
+    client: &OperatorClient,
     file: &Path,
     dry_run: bool,
     expected_revision: Option<u64>,
 ) -> anyhow::Result<()> {
-    let (declared, revision) = show_diff(door, file).await?;
+    let (declared, revision) = show_diff(client, file).await?;
     if dry_run {
         return Ok(());
     }
-    // Without a revision named, the one that the shown differences were made against is expected.
+    // If no revision is given, the manifest must not have changed since the differences were shown.
     let expected = expected_revision.unwrap_or(revision);
-    let answer = door.put_manifest(&declared, Some(expected)).await?.json()?;
+    let answer = client.put_manifest(&declared, Some(expected)).await?.json()?;
     println!("revision {} is in force", answer["revision"]);
     Ok(())
 }
 
 async fn submit(
-    door: &Door,
+    client: &OperatorClient,
     file: &Path,
     key: &str,
     workspace: &str,
@@ -112,18 +114,18 @@
 ) -> anyhow::Result<()> {
     let body =
         std::fs::read(file).with_context(|| format!("{}: cannot be read", file.display()))?;
-    let job = door.submit(key, workspace, body).await?.json()?;
+    let job = client.submit(key, workspace, body).await?.json()?;
     println!("{job}");
     if follow {
         let id = job["id"].as_str().unwrap_or_default();
-        follow_job(door, id).await?;
+        follow_job(client, id).await?;
     }
     Ok(())
 }
 
-async fn follow_job(door: &Door, id: &str) -> anyhow::Result<()> {
+async fn follow_job(client: &OperatorClient, id: &str) -> anyhow::Result<()> {
     loop {
-        let job = door.job(id).await?.json()?;
+        let job = client.job(id).await?.json()?;
         let counts = &job["request_counts"];
         eprintln!(
             "{}: {} of {} answered, {} failed",
@@ -135,14 +137,14 @@
         if !matches!(job["status"].as_str(), Some("in_progress" | "cancelling")) {
             return Ok(());
         }
-        compio::time::sleep(FOLLOW_PAUSE).await;
+        compio::time::sleep(FOLLOW_INTERVAL).await;
     }
 }
 
-async fn results(door: &Door, job: &str) -> anyhow::Result<()> {
+async fn results(client: &OperatorClient, job: &str) -> anyhow::Result<()> {
     let mut after = None;
     loop {
-        let page = door.results(job, after.as_deref()).await?;
+        let page = client.results(job, after.as_deref()).await?;
         print!("{}", page.text);
         after = page.after_chunk;
         if after.is_none() {
--- a/crates/samphirectl/src/table.rs
+++ b/crates/samphirectl/src/table.rs
@@ -1,10 +1,10 @@
-//! Rows as aligned columns.
+//! Output of rows as a table with aligned columns.
 
 use serde_json::Value;
 
-const GAP: &str = "  ";
+const COLUMN_GAP: &str = "  ";
 
-/// Text of a table with a head, one line a row.
+/// Formats a table: a header line, then one line per row.
 pub fn table(fields: &[&str], rows: &[Value]) -> String {
     let cells: Vec<Vec<String>> =
         rows.iter().map(|row| fields.iter().map(|field| cell(&row[*field])).collect()).collect();
@@ -16,8 +16,8 @@
             widest.unwrap_or(0).max(field.len())
         })
         .collect();
-    let head: Vec<String> = fields.iter().map(|it| (*it).to_owned()).collect();
-    let mut text = line(&head, &widths);
+    let header: Vec<String> = fields.iter().map(|it| (*it).to_owned()).collect();
+    let mut text = line(&header, &widths);
     for row in &cells {
         text.push_str(&line(row, &widths));
     }
@@ -27,7 +27,7 @@
 fn line(cells: &[String], widths: &[usize]) -> String {
     let padded: Vec<String> =
         cells.iter().zip(widths).map(|(cell, width)| format!("{cell:width$}")).collect();
-    format!("{}\n", padded.join(GAP).trim_end())
+    format!("{}\n", padded.join(COLUMN_GAP).trim_end())
 }
 
 fn cell(value: &Value) -> String {
--- a/crates/samphirectl/tests/cli.rs
+++ b/crates/samphirectl/tests/cli.rs
@@ -1,4 +1,4 @@
-//! The command line through its real binary, without a door.
+//! Exit codes and messages of the binary when no gateway is running.
 
 use std::process::{Command, Output};
 
@@ -7,7 +7,7 @@
     Command::new(binary).args(args).output().expect("samphirectl runs")
 }
 
-macro_rules! ends {
+macro_rules! exits {
     ($($name:ident: $args:expr => $code:expr, $holds:expr;)*) => {
         $(
             #[test]
@@ -21,11 +21,11 @@
     };
 }
 
-ends! {
-    a_wrong_word_ends_with_2_before_any_door_is_asked:
+exits! {
+    an_unknown_field_exits_with_2_before_a_gateway_is_called:
         ["jobs", "where", "stat", "=", "x"] => 2, "did you mean `state`?";
-    no_door_ends_with_4:
+    an_unreachable_gateway_exits_with_4:
         ["--door", "127.0.0.1:1", "jobs"] => 4, "no door answers";
-    a_missing_file_ends_with_1:
+    a_missing_file_exits_with_1:
         ["apply", "no-such-file.toml"] => 1, "no-such-file.toml: cannot be read";
 }
