--- a/crates/samphiredoor-net/src/pool.rs
+++ b/crates/samphiredoor-net/src/pool.rs
@@ -206,8 +206,8 @@
         let announced = keep_alive_timeout(&head.headers).map(|it| it.saturating_sub(CLOSE_MARGIN));
         let idle_for = announced.or(self.idle_limit);
         let (connection, idle) = (Some(connection), Rc::clone(&self.idle));
-        let cut_by_close = is_close_delimited && self.close_means == CloseMeans::Cut;
-        let mut answer = Answer { body, connection, idle, idle_for, cut_by_close };
+        let is_cut_by_close = is_close_delimited && self.close_means == CloseMeans::Cut;
+        let mut answer = Answer { body, connection, idle, idle_for, is_cut_by_close };
         if answer.body.is_end_stream() {
             answer.release();
         }
@@ -230,8 +230,8 @@
     idle: Rc<RefCell<Vec<Connection>>>,
     /// How long the connection may stay idle in the pool; `None` for no limit.
     idle_for: Option<Duration>,
-    /// Whether the body ends only by the close of the connection, and such an end is an error.
-    cut_by_close: bool,
+    /// Whether the body ends only by the close of the connection, and this counts as a truncation.
+    is_cut_by_close: bool,
 }
 
 impl Answer {
@@ -259,7 +259,7 @@
         match polled {
             // A target that crashes during its response also closes the connection: the end of the body cannot be
             // distinguished from a truncation, and a part would be taken for the complete body.
-            Poll::Ready(None) if std::mem::take(&mut this.cut_by_close) => {
+            Poll::Ready(None) if std::mem::take(&mut this.is_cut_by_close) => {
                 this.connection = None;
                 Poll::Ready(Some(Err(
                     "the response has neither a length nor chunked framing".into()
--- a/crates/samphiredoor-net/src/serve.rs
+++ b/crates/samphiredoor-net/src/serve.rs
@@ -111,7 +111,7 @@
         self.listener.local_addr()
     }
 
-    /// Limits for connections accepted from now on.
+    /// Shared limits; changes apply to connections that are accepted afterwards.
     pub fn limits(&self) -> Rc<RefCell<ServeLimits>> {
         Rc::clone(&self.limits)
     }
