--- a/crates/samphiredoor-core/examples/ledger_slope.rs
+++ b/crates/samphiredoor-core/examples/ledger_slope.rs
@@ -8,8 +8,8 @@
 
 use samphiredoor_core::{
     ledger::{
-        Acceptance, Accepting, ItemEnd, ItemRef, Ledger, LedgerAction, LedgerConfig, LedgerInput,
-        Submission, SubmissionStep,
+        Acceptance, AcceptanceParams, ItemEnd, ItemRef, Ledger, LedgerAction, LedgerConfig,
+        LedgerInput, Submission, SubmissionStep,
     },
     store::{ObjectKey, StoreAnswer, StoreOp, Stored, Version},
     time::Now,
@@ -95,7 +95,7 @@
     fn submit(&mut self, number: usize, items: usize) {
         let body = "x".repeat(BODY_BYTES);
         let mut submission = Submission::new();
-        let accepting = Accepting {
+        let accepting = AcceptanceParams {
             workspace: "desk".into(),
             key: format!("key-{number}").into(),
             upload: format!("up-{number}").into(),
@@ -118,7 +118,7 @@
         let mut acceptance = Acceptance::new(Now::new(self.now_ms, 0), &accepting, &submission);
         let mut step = acceptance.start();
         while let SubmissionStep::Store(op) = step {
-            step = acceptance.answered(self.store.apply(op));
+            step = acceptance.handle_answer(self.store.apply(op));
         }
         if let SubmissionStep::Accepted { job, header, version, .. } = step {
             self.input(LedgerInput::Owned { job, header, version });
--- a/crates/samphiredoor-core/src/ledger/mod.rs
+++ b/crates/samphiredoor-core/src/ledger/mod.rs
@@ -30,7 +30,7 @@
 pub use messages::{ItemEnd, ItemRef, ItemWork, LedgerAction, LedgerInput, Note, Progress};
 pub use names::{CallId, JobId, chunk_key, header_key, job_id, results_key};
 pub use submission::{
-    Acceptance, Accepting, BadLine, CHUNK_ITEMS, Submission, SubmissionStep, service_in_path,
+    Acceptance, AcceptanceParams, BadLine, CHUNK_ITEMS, Submission, SubmissionStep, service_in_path,
 };
 
 use crate::{
@@ -39,7 +39,7 @@
 };
 use context::{Context, LingerPace};
 use run::{Event, JobRun, Load};
-pub use takeover::sweepers;
+pub use takeover::orphan_scanners;
 use takeover::{Found, Takeover};
 
 #[derive(Debug)]
@@ -112,7 +112,7 @@
                 }
             }
             LedgerInput::Lease { .. } | LedgerInput::Tick => self.tick(now, out),
-            LedgerInput::Lapsed { process, incarnation } => {
+            LedgerInput::LeaseExpired { process, incarnation } => {
                 self.with_takeover(now, out, |it, _, ctx| it.lapsed(process, incarnation, ctx));
             }
             LedgerInput::Live { processes } => self.takeover.live(processes),
@@ -141,7 +141,7 @@
         let held = now.mono_ms + self.shared.config.lease_margin_ms < self.valid_until_ms;
         let was_held = std::mem::replace(&mut self.shared.lease_held, held);
         if was_held && !held {
-            out.push(LedgerAction::Note(Note::LeaseOver));
+            out.push(LedgerAction::Note(Note::LeaseExpired));
             for job in self.job_ids() {
                 self.with_run(now, &job, out, JobRun::pause);
             }
@@ -225,7 +225,7 @@
         match found {
             Found::Taken { job, header, version } => {
                 let epoch = header.owner.epoch;
-                out.push(LedgerAction::Note(Note::Taken { job: Arc::clone(&job), epoch }));
+                out.push(LedgerAction::Note(Note::TakenOver { job: Arc::clone(&job), epoch }));
                 self.start(now, job, *header, version, out);
             }
             Found::Cancelled { job } => self.recheck(now, &job, out),
--- a/crates/samphiredoor-net/src/body.rs
+++ b/crates/samphiredoor-net/src/body.rs
@@ -118,7 +118,7 @@
     /// The connection failed or was closed before the end of the body.
     Cut,
     /// Nothing arrived within the timeout.
-    Late,
+    TimedOut,
 }
 
 /// Waits for the next piece of a body for at most `wait`; `None` at the end of the body. A piece that has already arrived
@@ -131,7 +131,7 @@
     loop {
         let frame = select_biased! {
             frame = body.frame().fuse() => frame,
-            () = timeout => return Err(PieceError::Late),
+            () = timeout => return Err(PieceError::TimedOut),
         };
         match frame.transpose().map_err(|_| PieceError::Cut)?.map(Frame::into_data) {
             Some(Ok(piece)) => return Ok(Some(piece)),
--- a/crates/samphiredoor-net/src/fetch.rs
+++ b/crates/samphiredoor-net/src/fetch.rs
@@ -12,7 +12,7 @@
 
 use crate::{
     Body, BoxError, Pool,
-    pool::{Answer, SendError, within},
+    pool::{ResponseBody, SendError, within},
 };
 
 /// Timeout of the whole body, even if it keeps arriving; after this time its reader has no more use for it.
@@ -36,7 +36,7 @@
     }
 
     /// Sets the timeout for the head.
-    pub fn with_head(self, head_timeout: Duration) -> FetchLimits {
+    pub fn with_head_timeout(self, head_timeout: Duration) -> FetchLimits {
         FetchLimits { head_timeout, ..self }
     }
 }
@@ -60,7 +60,7 @@
     /// The request may have arrived; its response was cut off, too slow or too large.
     MayHaveRun(BoxError),
     /// The server sent nothing before a timeout; the request may have arrived.
-    Silent {
+    TimedOut {
         /// Bytes of the response body that had been received.
         received_bytes: usize,
     },
@@ -101,7 +101,7 @@
         on_progress: impl Fn(),
     ) -> Result<Fetched, FetchError> {
         let Some(response) = within(limits.head_timeout, self.send(request)).await else {
-            return Err(FetchError::Silent { received_bytes: 0 });
+            return Err(FetchError::TimedOut { received_bytes: 0 });
         };
         let (head, body) = response?.into_parts();
         let is_success = head.status.is_success();
@@ -119,7 +119,7 @@
 }
 
 async fn read(
-    body: Answer,
+    body: ResponseBody,
     limits: FetchLimits,
     on_progress: impl Fn(),
 ) -> Result<Bytes, FetchError> {
@@ -127,7 +127,7 @@
     let mut received = BytesMut::new();
     loop {
         let frame = match within(limits.idle_timeout, body.frame()).await {
-            None => return Err(FetchError::Silent { received_bytes: received.len() }),
+            None => return Err(FetchError::TimedOut { received_bytes: received.len() }),
             Some(None) => return Ok(received.freeze()),
             Some(Some(frame)) => frame.map_err(FetchError::MayHaveRun)?,
         };
--- a/crates/samphiredoor-net/src/lib.rs
+++ b/crates/samphiredoor-net/src/lib.rs
@@ -4,7 +4,7 @@
 //! connections to one address and never reuses one whose response is incomplete. `body` has the body type of all requests
 //! and responses, `fetch` reads complete responses under idle timeouts, `call` is a request to a target that can be sent
 //! again, and `answers` builds the responses of the process itself. `socket` sets the timeouts that detect an unreachable
-//! remote end, `stall` detects clients that do not read, and `stream` connects hyper to compio. `ticking` is the message
+//! remote end, `stall` detects clients that do not read, and `stream` connects hyper to compio. `timed_inbox` is the message
 //! queue of a task that also does periodic work. `clock` reads the time, and `metrics` creates and registers metrics.
 
 pub mod answers;
@@ -18,7 +18,7 @@
 pub mod socket;
 pub mod stall;
 pub mod stream;
-pub mod ticking;
+pub mod timed_inbox;
 
 pub use body::{Body, BoxError};
 pub use call::Call;
--- a/crates/samphiredoor-net/src/pool.rs
+++ b/crates/samphiredoor-net/src/pool.rs
@@ -47,11 +47,11 @@
 
 /// Meaning of the connection's close for a response that has neither a length nor chunked framing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum CloseMeans {
+pub enum CloseDelimited {
     /// The response is incomplete: a server that crashes during its response closes the connection, too.
-    Cut,
+    Incomplete,
     /// The response is complete after an orderly close, and incomplete after a reset.
-    Whole,
+    Complete,
 }
 
 struct Connection {
@@ -67,7 +67,7 @@
 pub struct Pool {
     address: SocketAddr,
     connect_timeout: Duration,
-    close_means: CloseMeans,
+    close_delimited: CloseDelimited,
     echoed: Option<HeaderName>,
     idle_limit: Option<Duration>,
     idle: Rc<RefCell<Vec<Connection>>>,
@@ -79,7 +79,7 @@
         Pool {
             address,
             connect_timeout: Duration::from_millis(1_000),
-            close_means: CloseMeans::Cut,
+            close_delimited: CloseDelimited::Incomplete,
             echoed: None,
             idle_limit: None,
             idle: Rc::default(),
@@ -87,15 +87,15 @@
     }
 
     /// Sets the meaning of the connection's close for a response without a length.
-    pub fn with_close_means(mut self, close_means: CloseMeans) -> Pool {
-        self.close_means = close_means;
+    pub fn with_close_delimited(mut self, close_delimited: CloseDelimited) -> Pool {
+        self.close_delimited = close_delimited;
         self
     }
 
     /// Sets a request header that responses echo. A response with another value belongs to an earlier request: HTTP/1.1
     /// matches responses to requests by order alone, so if a server responds twice to one request, the second response
     /// would be taken for the response to the next request.
-    pub fn with_echoed(mut self, echoed: HeaderName) -> Pool {
+    pub fn with_echoed_header(mut self, echoed: HeaderName) -> Pool {
         self.echoed = Some(echoed);
         self
     }
@@ -134,7 +134,7 @@
     /// # Errors
     ///
     /// No response arrived; [`SendError::NotSent`] only if no byte of the request was written.
-    pub async fn send(&self, request: Request<Body>) -> Result<Response<Answer>, SendError> {
+    pub async fn send(&self, request: Request<Body>) -> Result<Response<ResponseBody>, SendError> {
         let mut request = request;
         let echoed_value = self.echoed_value(&request);
         // The server may have closed an idle connection; hyper returns the request if it has written nothing of it.
@@ -193,7 +193,7 @@
         connection: Connection,
         response: Response<Incoming>,
         echoed_value: Option<&HeaderValue>,
-    ) -> Result<Response<Answer>, SendError> {
+    ) -> Result<Response<ResponseBody>, SendError> {
         let (head, body) = response.into_parts();
         if let (Some(name), Some(sent)) = (&self.echoed, echoed_value)
             && head.headers.get(name).is_some_and(|it| it != sent)
@@ -206,8 +206,9 @@
         let announced = keep_alive_timeout(&head.headers).map(|it| it.saturating_sub(CLOSE_MARGIN));
         let idle_for = announced.or(self.idle_limit);
         let (connection, idle) = (Some(connection), Rc::clone(&self.idle));
-        let is_cut_by_close = is_close_delimited && self.close_means == CloseMeans::Cut;
-        let mut answer = Answer { body, connection, idle, idle_for, is_cut_by_close };
+        let is_cut_by_close =
+            is_close_delimited && self.close_delimited == CloseDelimited::Incomplete;
+        let mut answer = ResponseBody { body, connection, idle, idle_for, is_cut_by_close };
         if answer.body.is_end_stream() {
             answer.release();
         }
@@ -224,7 +225,7 @@
 }
 
 /// Body of a response; holds the connection until the body has ended.
-pub struct Answer {
+pub struct ResponseBody {
     body: Incoming,
     connection: Option<Connection>,
     idle: Rc<RefCell<Vec<Connection>>>,
@@ -234,7 +235,7 @@
     is_cut_by_close: bool,
 }
 
-impl Answer {
+impl ResponseBody {
     /// Returns the connection to the pool.
     fn release(&mut self) {
         let Some(mut connection) = self.connection.take() else { return };
@@ -246,7 +247,7 @@
     }
 }
 
-impl HttpBody for Answer {
+impl HttpBody for ResponseBody {
     type Data = Bytes;
     type Error = BoxError;
 
--- a/crates/samphiredoor-net/src/ticking.rs
+++ b/crates/samphiredoor-net/src/timed_inbox.rs
@@ -6,14 +6,14 @@
 
 /// Inbox that also gives ticks at an interval, even while messages are waiting: with ticks only from an empty inbox, a task
 /// under load would never do its periodic work.
-pub struct Ticking<T> {
+pub struct TimedInbox<T> {
     inbox: flume::Receiver<T>,
     tick: Duration,
     next_tick: Instant,
 }
 
 /// Next event of an inbox.
-pub enum Next<T> {
+pub enum InboxEvent<T> {
     /// A message was received.
     Message(T),
     /// A tick is due.
@@ -22,25 +22,25 @@
     Closed,
 }
 
-impl<T> Ticking<T> {
+impl<T> TimedInbox<T> {
     /// Inbox with `tick` between two ticks.
-    pub fn new(inbox: flume::Receiver<T>, tick: Duration) -> Ticking<T> {
-        Ticking { inbox, tick, next_tick: Instant::now() + tick }
+    pub fn new(inbox: flume::Receiver<T>, tick: Duration) -> TimedInbox<T> {
+        TimedInbox { inbox, tick, next_tick: Instant::now() + tick }
     }
 
     /// Waits for the next message or tick; a tick that is due comes first.
-    pub async fn next(&mut self) -> Next<T> {
+    pub async fn next(&mut self) -> InboxEvent<T> {
         let left = self.next_tick.saturating_duration_since(Instant::now());
         let received = match left.is_zero() {
             true => None,
             false => within(left, self.inbox.recv_async()).await,
         };
         match received {
-            Some(Ok(message)) => Next::Message(message),
-            Some(Err(_)) => Next::Closed,
+            Some(Ok(message)) => InboxEvent::Message(message),
+            Some(Err(_)) => InboxEvent::Closed,
             None => {
                 self.next_tick = Instant::now() + self.tick;
-                Next::Tick
+                InboxEvent::Tick
             }
         }
     }
--- a/crates/samphiredoor-net/tests/body.rs
+++ b/crates/samphiredoor-net/tests/body.rs
@@ -52,7 +52,7 @@
         Body::stream(stream::iter([piece("a"), cut()])), LONG => ["a"], Some(PieceError::Cut);
     a_stalled_body_times_out:
         Body::stream(stream::iter([piece("a")]).chain(stream::pending())), Duration::from_millis(1)
-        => ["a"], Some(PieceError::Late);
+        => ["a"], Some(PieceError::TimedOut);
     a_piece_that_has_arrived_is_returned_at_the_deadline:
         Body::stream(stream::iter([piece("a"), piece("b")])), Duration::ZERO => ["a", "b"], None;
     trailers_are_skipped: with_trailers(), LONG => ["a"], None;
--- a/crates/samphiredoor-net/tests/fetch.rs
+++ b/crates/samphiredoor-net/tests/fetch.rs
@@ -62,7 +62,7 @@
 #[test]
 fn a_response_that_stalls_halfway_times_out() {
     let end = fetch(start_server(3), LIMITS).expect_err("the rest never arrives");
-    assert!(matches!(end, FetchError::Silent { received_bytes: 300 }), "{end:?}");
+    assert!(matches!(end, FetchError::TimedOut { received_bytes: 300 }), "{end:?}");
 }
 
 #[test]
--- a/crates/samphiredoor-net/tests/ticking.rs
+++ b/crates/samphiredoor-net/tests/timed_inbox.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use samphiredoor_net::ticking::{Next, Ticking};
+use samphiredoor_net::timed_inbox::{InboxEvent, TimedInbox};
 
 /// Under load, a gateway did no periodic work: queued requests were not dropped at their deadlines, and ejected targets were
 /// never restored. Its inbox was never empty, and ticks were given only by an empty inbox.
@@ -12,12 +12,12 @@
     runtime.block_on(async {
         let (sender, receiver) = flume::unbounded();
         sender.send(()).expect("an open inbox");
-        let mut inbox = Ticking::new(receiver, Duration::from_millis(5));
+        let mut inbox = TimedInbox::new(receiver, Duration::from_millis(5));
         loop {
             match inbox.next().await {
-                Next::Message(()) => sender.send(()).expect("an open inbox"),
-                Next::Tick => return,
-                Next::Closed => panic!("the sender is alive"),
+                InboxEvent::Message(()) => sender.send(()).expect("an open inbox"),
+                InboxEvent::Tick => return,
+                InboxEvent::Closed => panic!("the sender is alive"),
             }
         }
     });
--- a/crates/samphiredoor/src/keys_task.rs
+++ b/crates/samphiredoor/src/keys_task.rs
@@ -4,12 +4,14 @@
 
 use samphiredoor_core::{
     dispatch::RequestId,
-    keys::{Arrival, KeptAnswer, KeyOutcome, Keys, KeysAction, KeysConfig, KeysInput, holder_name},
+    keys::{
+        KeptAnswer, KeyOutcome, KeyedRequest, Keys, KeysAction, KeysConfig, KeysInput, holder_name,
+    },
     verdict::{Refusal, Verdict},
 };
 use samphiredoor_net::{
     clock::Clock,
-    ticking::{Next, Ticking},
+    timed_inbox::{InboxEvent, TimedInbox},
 };
 
 use crate::{metrics::Metrics, store_client::StoreClient};
@@ -32,7 +34,7 @@
 }
 
 enum Message {
-    Arrived(Arrival, flume::Sender<KeyDecision>),
+    Arrived(KeyedRequest, flume::Sender<KeyDecision>),
     Input(KeysInput),
 }
 
@@ -54,7 +56,7 @@
     }
 
     /// Hands over a request that arrived under a key.
-    pub fn arrive(&self, arrival: Arrival) -> KeyTicket {
+    pub fn arrive(&self, arrival: KeyedRequest) -> KeyTicket {
         let (sender, decisions) = flume::unbounded();
         let request = arrival.request;
         let _ = self.messages.send(Message::Arrived(arrival, sender));
@@ -71,7 +73,7 @@
     /// Says that the lease of a process has lapsed; a hint.
     pub fn lapsed(&self, process: &str, incarnation: u64) {
         let holder = holder_name(process, incarnation);
-        let _ = self.messages.send(Message::Input(KeysInput::Lapsed { holder }));
+        let _ = self.messages.send(Message::Input(KeysInput::LeaseExpired { holder }));
     }
 }
 
@@ -99,7 +101,7 @@
     /// Says how the run ended.
     pub fn ended(mut self, outcome: KeyOutcome) {
         self.open = false;
-        let input = KeysInput::Ended { request: self.request, outcome };
+        let input = KeysInput::RunEnded { request: self.request, outcome };
         let _ = self.messages.send(Message::Input(input));
     }
 }
@@ -107,7 +109,7 @@
 impl Drop for KeyTicket {
     fn drop(&mut self) {
         if self.open {
-            let input = KeysInput::Gone { request: self.request };
+            let input = KeysInput::Cancelled { request: self.request };
             let _ = self.messages.send(Message::Input(input));
         }
     }
@@ -132,18 +134,18 @@
     let keys = Keys::new(env.config.clone());
     let mut task = Task { keys, waiting: HashMap::new(), env };
     let mut actions = Vec::new();
-    let mut inbox = Ticking::new(inbox.0, TICK);
+    let mut inbox = TimedInbox::new(inbox.0, TICK);
     loop {
         let input = match inbox.next().await {
-            Next::Message(Message::Arrived(arrival, reply)) => {
+            InboxEvent::Message(Message::Arrived(arrival, reply)) => {
                 task.waiting.insert(arrival.request, reply);
                 KeysInput::Arrived(arrival)
             }
-            Next::Message(Message::Input(input)) => input,
-            Next::Closed => return,
-            Next::Tick => KeysInput::Tick,
+            InboxEvent::Message(Message::Input(input)) => input,
+            InboxEvent::Closed => return,
+            InboxEvent::Tick => KeysInput::Tick,
         };
-        if let KeysInput::Ended { request, .. } | KeysInput::Gone { request } = &input {
+        if let KeysInput::RunEnded { request, .. } | KeysInput::Cancelled { request } = &input {
             task.waiting.remove(request);
         }
         task.keys.handle(task.env.clock.now(), input, &mut actions);
--- a/crates/samphiredoor/src/manifest_change.rs
+++ b/crates/samphiredoor/src/manifest_change.rs
@@ -3,8 +3,8 @@
 use std::{rc::Rc, sync::Arc, time::Duration};
 
 use hyper::{Response, StatusCode};
-use samphiredoor_core::manifest_log::{
-    ChangeEnd, ChangeInput, ChangeStep, Holders, ManifestChange,
+use samphiredoor_core::manifest_revisions::{
+    ChangeEnd, ChangeInput, ChangeStep, ManifestChange, PeerConfirmation,
 };
 use samphiredoor_net::Body;
 use serde_json::json;
@@ -41,10 +41,11 @@
     loop {
         input = match change.step(input) {
             ChangeStep::Call(op) => ChangeInput::Stored(door.store.call(op).await),
-            ChangeStep::Hold { record, .. } => {
+            ChangeStep::ApplyAndReplicate { record, .. } => {
                 let held = door.manifest.offer(Arc::clone(&record), Source::Operator).await;
-                let holders = if held { hold(door, record).await } else { Holders::Unconfirmed };
-                ChangeInput::Held(holders)
+                let confirmation =
+                    if held { hold(door, record).await } else { PeerConfirmation::Unconfirmed };
+                ChangeInput::Replicated(confirmation)
             }
             ChangeStep::End(end) => return end,
         };
@@ -52,15 +53,15 @@
 }
 
 // A link may just be being opened, or a lost member not yet be noticed.
-async fn hold(door: &Door, record: Arc<[u8]>) -> Holders {
+async fn hold(door: &Door, record: Arc<[u8]>) -> PeerConfirmation {
     for _ in 0..HOLD_TRIES {
-        let holders = door.peers.hold(Arc::clone(&record)).await;
-        if holders != Holders::Unconfirmed {
-            return holders;
+        let confirmation = door.peers.hold(Arc::clone(&record)).await;
+        if confirmation != PeerConfirmation::Unconfirmed {
+            return confirmation;
         }
         compio::time::sleep(HOLD_PAUSE).await;
     }
-    Holders::Unconfirmed
+    PeerConfirmation::Unconfirmed
 }
 
 /// Answer to the operator.
@@ -69,7 +70,7 @@
         ChangeEnd::Accepted { revision } => {
             return json_answer(StatusCode::OK, &json!({ "revision": revision }));
         }
-        ChangeEnd::Lost { revision, winner } => (
+        ChangeEnd::Conflict { revision, winner } => (
             StatusCode::CONFLICT,
             json!({
                 "error": "another change was first; this one had no effect",
@@ -88,7 +89,7 @@
                 "may_be_revision": revision,
             }),
         ),
-        ChangeEnd::WrittenNotHeld { revision } => (
+        ChangeEnd::WrittenUnconfirmed { revision } => (
             StatusCode::SERVICE_UNAVAILABLE,
             json!({
                 "error": "it stands in the store, but no other door confirmed that it holds it",
--- a/crates/samphiredoor/src/manifest_task.rs
+++ b/crates/samphiredoor/src/manifest_task.rs
@@ -8,8 +8,8 @@
 
 use samphiredoor_core::{
     manifest::Manifest,
-    manifest_log::{ManifestLog, Offered, manifest_key},
-    membership::{MembershipInput, preferred},
+    manifest_revisions::{ActiveManifest, UpdateOutcome, manifest_key},
+    membership::{MembershipInput, rendezvous_select},
     store::{Kind, StoreAnswer, StoreOp, Version},
 };
 use samphiredoor_net::pool::within;
@@ -103,45 +103,45 @@
 pub async fn run(env: ManifestEnv, inbox: ManifestInbox) {
     let env = Rc::new(env);
     compio::runtime::spawn(watch(Rc::clone(&env))).detach();
-    let mut log = ManifestLog::default();
+    let mut active = ActiveManifest::default();
     while let Ok(message) = inbox.0.recv_async().await {
         match message {
             Message::Offer { record, source, reply } => {
-                take(&env, &mut log, &record, source);
-                let _ = reply.send(log.covers(&record));
+                take(&env, &mut active, &record, source);
+                let _ = reply.send(active.is_at_or_one_above(&record));
             }
             Message::Above { revision, reply } => {
-                let newer = log.revision() > revision;
-                let _ = reply.send(log.record().filter(|_| newer).cloned());
+                let newer = active.revision() > revision;
+                let _ = reply.send(active.record().filter(|_| newer).cloned());
             }
         }
     }
 }
 
-fn take(env: &ManifestEnv, log: &mut ManifestLog, record: &[u8], source: Source) {
-    let held = log.revision();
-    match log.offer(record) {
-        Offered::Applied(manifest) => {
+fn take(env: &ManifestEnv, active: &mut ActiveManifest, record: &[u8], source: Source) {
+    let held = active.revision();
+    match active.update_if_newer(record) {
+        UpdateOutcome::Applied(manifest) => {
             let revision = manifest.revision;
             log::info!("manifest: revision {revision} is in force");
             *env.handle.current.borrow_mut() = Arc::clone(&manifest);
             env.dispatch.apply(manifest);
-            env.peers.input(MembershipInput::Revision(revision));
+            env.peers.input(MembershipInput::OwnRevision(revision));
         }
-        Offered::Known => {}
+        UpdateOutcome::AlreadyActive => {}
         // From a peer it is only late. From the store it is a stale read, or the store was set back.
-        Offered::Older { revision } if source == Source::Store => {
+        UpdateOutcome::Older { revision } if source == Source::Store => {
             env.metrics.manifest_refused(ManifestRefusal::Older);
             log::error!("manifest: the store gives revision {revision}; {held} stays in force");
         }
-        Offered::Older { .. } => env.metrics.manifest_refused(ManifestRefusal::Older),
-        Offered::Forked { revision } => {
+        UpdateOutcome::Older { .. } => env.metrics.manifest_refused(ManifestRefusal::Older),
+        UpdateOutcome::Forked { revision } => {
             env.metrics.manifest_refused(ManifestRefusal::Forked);
             log::error!(
                 "manifest: there are two revisions {revision}; apply the declarations anew"
             );
         }
-        Offered::Unusable(problem) => {
+        UpdateOutcome::Unusable(problem) => {
             env.metrics.manifest_refused(ManifestRefusal::Unusable);
             log::error!(
                 "manifest: revision {held} stays in force, not one from {source:?}: {problem}"
@@ -155,7 +155,7 @@
     let live = env.peers.live();
     let zone = &env.config.availability_zone;
     let in_zone = live.iter().filter(|it| it.availability_zone == *zone).map(|it| &it.name);
-    preferred("manifest", in_zone, WATCHERS_PER_ZONE).contains(&env.config.name)
+    rendezvous_select("manifest", in_zone, WATCHERS_PER_ZONE).contains(&env.config.name)
 }
 
 async fn watch(env: Rc<ManifestEnv>) {
--- a/crates/samphiredoor/tests/it/platform/cancellations.rs
+++ b/crates/samphiredoor/tests/it/platform/cancellations.rs
@@ -34,7 +34,7 @@
     }
     for by in 0..count {
         for of in (0..count).filter(|it| *it != by) {
-            platform.wait_logged(by, &format!("peers: heard peer=gateway-{of} "));
+            platform.wait_logged(by, &format!("peers: peer is live peer=gateway-{of} "));
         }
     }
     (platform, target)
@@ -95,7 +95,7 @@
     platform.gateway(0).kill();
     platform.restart_gateway(0);
     platform.wait_ready(0);
-    platform.wait_logged(0, "peers: cells worked out cells=2");
+    platform.wait_logged(0, "peers: cells computed cells=2");
     std::thread::sleep(DEAD_WITHOUT_HEARTBEAT);
     submit_hidden_from_scans(&platform, &target, FIRST_OF_SECOND_CELL);
     wait_cancelled(&platform, 0);
