--- a/crates/samphiredoor-net/src/pool.rs
+++ b/crates/samphiredoor-net/src/pool.rs
@@ -208,11 +208,11 @@
         let (connection, idle) = (Some(connection), Rc::clone(&self.idle));
         let is_cut_by_close =
             is_close_delimited && self.close_delimited == CloseDelimited::Incomplete;
-        let mut answer = ResponseBody { body, connection, idle, idle_for, is_cut_by_close };
-        if answer.body.is_end_stream() {
-            answer.release();
+        let mut response_body = ResponseBody { body, connection, idle, idle_for, is_cut_by_close };
+        if response_body.body.is_end_stream() {
+            response_body.release();
         }
-        Ok(Response::from_parts(head, answer))
+        Ok(Response::from_parts(head, response_body))
     }
 }
 
--- a/crates/samphiredoor-net/tests/body.rs
+++ b/crates/samphiredoor-net/tests/body.rs
@@ -18,7 +18,7 @@
     Ok(Bytes::from_static(text.as_bytes()))
 }
 
-fn cut() -> Piece {
+fn truncation() -> Piece {
     Err("cut".into())
 }
 
@@ -49,7 +49,7 @@
     a_complete_body_is_read_to_its_end:
         Body::stream(stream::iter([piece("a"), piece("b")])), LONG => ["a", "b"], None;
     a_truncated_body_is_not_taken_for_a_complete_one:
-        Body::stream(stream::iter([piece("a"), cut()])), LONG => ["a"], Some(PieceError::Cut);
+        Body::stream(stream::iter([piece("a"), truncation()])), LONG => ["a"], Some(PieceError::Cut);
     a_stalled_body_times_out:
         Body::stream(stream::iter([piece("a")]).chain(stream::pending())), Duration::from_millis(1)
         => ["a"], Some(PieceError::TimedOut);
--- a/crates/samphiredoor-net/tests/pool.rs
+++ b/crates/samphiredoor-net/tests/pool.rs
@@ -161,7 +161,7 @@
         for number in 0..20 {
             let path = format!("/{number}");
             match pool.send(get(&path)).await {
-                Ok(answer) => assert_eq!(text(answer).await, Ok(path)),
+                Ok(response) => assert_eq!(text(response).await, Ok(path)),
                 // The request was written before the close was seen: no other error is allowed.
                 Err(SendError::MayHaveRun(_)) => {}
                 Err(SendError::NotSent(err)) => panic!("a new connection was possible: {err}"),
@@ -197,8 +197,8 @@
         for number in 0..300 {
             let path = format!("/{number}");
             match pool.send(get(&path)).await {
-                Ok(answer) => {
-                    let _ = text(answer).await;
+                Ok(response) => {
+                    let _ = text(response).await;
                 }
                 Err(SendError::NotSent(_)) => unsent.push(path),
                 Err(SendError::MayHaveRun(_)) => {}
@@ -225,7 +225,7 @@
                 run(async {
                     let pool = Pool::new(address);
                     match pool.send(get("/")).await {
-                        Ok(answer) => assert!(text(answer).await.is_err()),
+                        Ok(response) => assert!(text(response).await.is_err()),
                         Err(err) => assert!(matches!(err, SendError::MayHaveRun(_)), "{err:?}"),
                     }
                     assert_eq!(pool.idle_len(), 0);
