--- a/crates/samphirectl/src/cli.rs
+++ b/crates/samphirectl/src/cli.rs
@@ -32,12 +32,12 @@
     pub json: bool,
     /// Repeats the statement every two seconds until interrupted
     pub watch: bool,
-    /// What to do
+    /// Command or statement
     #[bpaf(external)]
     pub request: Request,
 }
 
-/// What to do.
+/// Available commands
 #[derive(Debug, Clone)]
 #[derive(Bpaf)]
 pub enum Request {
@@ -82,9 +82,9 @@
         #[bpaf(positional("JOB"))]
         job: String,
     },
-    /// Runs a query or command: jobs where state = running limit 10
+    /// Runs a query or a command of the query language
     Statement {
-        /// Query or command
+        /// Query or command, such as: jobs where state = running limit 10
         #[bpaf(
             positional("STATEMENT"),
             some("missing statement, for example: jobs where state = running")
--- a/crates/samphirectl/src/config.rs
+++ b/crates/samphirectl/src/config.rs
@@ -18,7 +18,7 @@
     Json,
 }
 
-/// What to do.
+/// Task of a run.
 #[derive(Debug, Clone)]
 pub enum Task {
     /// Activates declarations.
@@ -71,7 +71,7 @@
     pub token: Option<String>,
     /// Output format of rows.
     pub output: Output,
-    /// What to do.
+    /// Task of the run.
     pub task: Task,
 }
 
