--- a/crates/samphiredoor-core/src/lease.rs
+++ b/crates/samphiredoor-core/src/lease.rs
@@ -1,9 +1,9 @@
-//! Leases of processes: which process may work on what it owns, and whose work is free to be taken.
+//! Leases of processes: whether a process may work on what it owns, and whose work can be taken over.
 //!
-//! Each process renews one object, whatever the number of its jobs. The holder counts its lease from the moment before
-//! the renewing write was sent, by its own monotonic clock; observers count from the moment they first saw a renewal,
-//! by theirs, and add a margin. So no clocks are compared, and a holder that was paused finds its lease over when it
-//! wakes. The lease only keeps two processes from doing the same work: results are safe without it.
+//! Each process renews one object, whatever the number of its jobs. The holder measures its lease by its own monotonic
+//! clock from the moment before the renewing write was sent. Observers measure by their own clocks from the moment they
+//! first saw a renewal, and add a margin. So no clocks are compared, and a holder that was paused finds its lease
+//! expired when it resumes. The lease only avoids that two processes do the same work; results are correct without it.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -19,59 +19,60 @@
     time::Now,
 };
 
+// Backoff after a store call that failed.
 const RETRY_MS: u64 = 500;
 
-/// What a process says of itself in its lease.
+/// What a process writes into its lease.
 #[derive(Debug, Clone)]
 pub struct LeaseConfig {
     /// Name of the process.
     pub process: Name,
-    /// Start of the process; a later start has a higher one.
+    /// Incarnation of the process; a later start has a higher one.
     pub incarnation: u64,
     /// Length of the lease.
     pub lease_ms: u64,
     /// Time between renewals.
     pub renew_ms: u64,
-    /// Where peers reach it.
+    /// Address where it listens for peers.
     pub peer_address: String,
-    /// Region.
+    /// Region that the process runs in.
     pub region: Name,
-    /// Availability zone.
+    /// Availability zone that the process runs in.
     pub availability_zone: Name,
 }
 
-/// What happened to the own lease.
+/// Events that the own lease handles.
 #[derive(Debug, Clone)]
 pub enum LeaseInput {
     /// A store call was answered.
     Stored {
-        /// Which call.
+        /// Id of the call.
         call: CallId,
-        /// Its answer.
+        /// Answer of the store.
         answer: StoreAnswer,
     },
-    /// A planned stop has begun; the lease says so from the next renewal, which is due at once.
+    /// A graceful shutdown has begun. The next renewal, which is due at once, writes this to the lease.
     Stopping,
-    /// Time passed.
+    /// Time passed; a due renewal follows.
     Tick,
 }
 
-/// What to do for the own lease.
+/// Actions that the owner of the lease carries out.
 #[derive(Debug, Clone, PartialEq)]
 pub enum LeaseAction {
     /// Make a store call.
     Store {
-        /// Which call.
+        /// Id to report the answer with.
         call: CallId,
-        /// The call.
+        /// The operation.
         op: StoreOp,
     },
-    /// The lease is held until this monotonic time.
+    /// The lease was renewed.
     Held {
-        /// End of the lease.
+        /// Monotonic time at which the lease expires.
         valid_until_ms: u64,
     },
-    /// A later start of a process of this name holds the lease; this process must stop working.
+    /// A later incarnation of this process holds the lease; this one must stop working.
     Lost,
 }
 
@@ -89,27 +90,28 @@
     config: LeaseConfig,
     state: State,
     version: Option<Version>,
-    read: bool,
+    // Whether `version` is that of the stored object; if not, a read precedes the next write.
+    version_known: bool,
     renewals: u64,
     stopping: bool,
     next_ms: u64,
-    // Renewal whose answer was lost, with the time it was sent.
-    doubtful: Option<(u64, u64)>,
+    // Number and send time of a renewal with unknown outcome.
+    unconfirmed: Option<(u64, u64)>,
     next_call: u64,
 }
 
 impl OwnLease {
-    /// Lease that was never written.
+    /// Lease that has not been read or written yet.
     pub fn new(config: LeaseConfig) -> OwnLease {
         OwnLease {
             config,
             state: State::Idle,
             version: None,
-            read: false,
+            version_known: false,
             renewals: 0,
             stopping: false,
             next_ms: 0,
-            doubtful: None,
+            unconfirmed: None,
             next_call: 0,
         }
     }
@@ -119,7 +121,7 @@
         self.renewals
     }
 
-    /// Takes one event; appends what to do to `out`.
+    /// Handles one event and appends the resulting actions to `out`.
     pub fn handle(&mut self, now: Now, input: LeaseInput, out: &mut Vec<LeaseAction>) {
         match input {
             LeaseInput::Stored { call, answer } => self.stored(now, call, answer, out),
@@ -130,7 +132,7 @@
             LeaseInput::Tick => {}
         }
         if matches!(self.state, State::Idle) && now.mono_ms >= self.next_ms {
-            match self.read {
+            match self.version_known {
                 true => self.write(now, out),
                 false => self.start_read(out),
             }
@@ -187,28 +189,28 @@
         self.state = State::Idle;
         match answer {
             StoreAnswer::Absent => {
-                self.read = true;
+                self.version_known = true;
                 self.version = None;
             }
             StoreAnswer::Object(stored) => {
-                self.read = true;
+                self.version_known = true;
                 self.version = Some(stored.version);
-                // An unreadable lease is replaced: it can only be a former process's.
+                // A lease that cannot be decoded is replaced: only a former process can have written it.
                 if let Ok(lease) = serde_json::from_slice::<ProcessLease>(&stored.value) {
-                    self.take_read(now, &lease, out);
+                    self.check_read(now, &lease, out);
                 }
             }
             _ => self.next_ms = now.mono_ms + RETRY_MS,
         }
     }
 
-    fn take_read(&mut self, now: Now, lease: &ProcessLease, out: &mut Vec<LeaseAction>) {
+    fn check_read(&mut self, now: Now, lease: &ProcessLease, out: &mut Vec<LeaseAction>) {
         if lease.incarnation > self.config.incarnation {
             self.state = State::Lost;
             out.push(LeaseAction::Lost);
             return;
         }
-        let Some((renewals, sent_ms)) = self.doubtful.take() else { return };
+        let Some((renewals, sent_ms)) = self.unconfirmed.take() else { return };
         if lease.incarnation == self.config.incarnation && lease.renewals == renewals {
             self.held(now, sent_ms, out);
         }
@@ -227,14 +229,14 @@
                 self.version = Some(stored.version);
                 self.held(now, sent_ms, out);
             }
-            // The renewal may stand; only a read can tell, and the version is needed either way.
-            // A lease that lapsed long ago may have been removed; it is written anew.
+            // The renewal may have been stored; only a read shows it, and the version is needed in any case.
+            // The object of a lease that expired long ago may have been deleted; then it is created again.
             StoreAnswer::Unknown
             | StoreAnswer::Conflict
             | StoreAnswer::Taken
             | StoreAnswer::Absent => {
-                self.doubtful = Some((self.renewals, sent_ms));
-                self.read = false;
+                self.unconfirmed = Some((self.renewals, sent_ms));
+                self.version_known = false;
                 self.next_ms = now.mono_ms;
             }
             _ => self.next_ms = now.mono_ms + RETRY_MS,
@@ -251,30 +253,31 @@
 #[derive(Debug)]
 struct Observed {
     lease: ProcessLease,
+    // When its latest renewal was first seen.
     since_ms: u64,
 }
 
-/// Leases of other processes, as observed.
+/// Leases of other processes, as this process observed them.
 #[derive(Debug, Default)]
 pub struct LeaseTable {
     leases: BTreeMap<Name, Observed>,
 }
 
 impl LeaseTable {
-    /// Takes an observation of a lease.
+    /// Records the content of a lease object.
     pub fn observe(&mut self, now: Now, process: &Name, lease: ProcessLease) {
         let known = self.leases.get(process);
-        let same = known.is_some_and(|it| {
+        let is_known = known.is_some_and(|it| {
             (it.lease.incarnation, it.lease.renewals) == (lease.incarnation, lease.renewals)
         });
-        if !same {
+        if !is_known {
             let observed = Observed { lease, since_ms: now.mono_ms };
             self.leases.insert(Arc::clone(process), observed);
         }
     }
 
-    /// Takes a holder's own word, heard from it, that it has renewed its lease so often.
-    pub fn heard(&mut self, now: Now, process: &str, incarnation: u64, renewals: u64) {
+    /// Records a renewal that the holder reported itself. It counts only if the lease object was observed before.
+    pub fn observe_renewals(&mut self, now: Now, process: &str, incarnation: u64, renewals: u64) {
         let Some(known) = self.leases.get_mut(process) else { return };
         if (known.lease.incarnation, known.lease.renewals) < (incarnation, renewals) {
             known.lease.incarnation = incarnation;
@@ -283,13 +286,13 @@
         }
     }
 
-    /// When the lease of a process lapses if it is not renewed, by the observer's monotonic clock.
-    pub fn over_at(&self, process: &str, margin_ms: u64) -> Option<u64> {
+    /// When the lease of a process expires unless it is renewed, by the observer's monotonic clock.
+    pub fn expires_at(&self, process: &str, margin_ms: u64) -> Option<u64> {
         let observed = self.leases.get(process)?;
         Some(observed.since_ms + observed.lease.lease_ms + margin_ms + 1)
     }
 
-    /// Forgets a process whose lease object is gone.
+    /// Removes a process whose lease object was deleted.
     pub fn forget(&mut self, process: &str) {
         self.leases.remove(process);
     }
@@ -299,7 +302,7 @@
         self.leases.iter().map(|(name, it)| (name, &it.lease))
     }
 
-    /// Forgets all processes that a whole list did not name.
+    /// Removes all processes that a complete list of the lease objects did not contain.
     pub fn retain(&mut self, named: &BTreeSet<Name>) {
         self.leases.retain(|name, _| named.contains(name));
     }
@@ -312,10 +315,10 @@
         live.map(|(name, _)| Arc::clone(name)).collect()
     }
 
-    /// Processes whose lease has not changed for its length and `margin_ms`, with their incarnations.
-    pub fn lapsed(&self, now: Now, margin_ms: u64) -> Vec<(Name, u64)> {
-        let over = |it: &Observed| now.mono_ms > it.since_ms + it.lease.lease_ms + margin_ms;
-        let lapsed = self.leases.iter().filter(|(_, it)| over(it));
-        lapsed.map(|(name, it)| (Arc::clone(name), it.lease.incarnation)).collect()
+    /// Processes whose lease has not been renewed for its length and `margin_ms`, with their incarnations.
+    pub fn expired(&self, now: Now, margin_ms: u64) -> Vec<(Name, u64)> {
+        let is_expired = |it: &Observed| now.mono_ms > it.since_ms + it.lease.lease_ms + margin_ms;
+        let expired = self.leases.iter().filter(|(_, it)| is_expired(it));
+        expired.map(|(name, it)| (Arc::clone(name), it.lease.incarnation)).collect()
     }
 }
--- a/crates/samphiredoor-core/src/membership/choice.rs
+++ b/crates/samphiredoor-core/src/membership/choice.rs
@@ -1,4 +1,4 @@
-//! Which members do something for all: the first of an order by hash that every door works out alike.
+//! Rendezvous hashing: which members do a task for the whole fleet. Members with equal rosters choose the same ones.
 
 use std::sync::Arc;
 
@@ -7,21 +7,22 @@
 use super::roster::low_bits;
 use crate::Name;
 
-/// The `count` members that rendezvous hashing prefers for `key`. Where doors know other members they choose otherwise
-/// for a while, so the choice is a hint. A member that comes or goes moves only the keys that it is chosen for.
+/// The `count` members with the highest rendezvous weights for `key`. Processes whose rosters differ may choose other
+/// members for a while, so the choice is a hint. When a member joins or leaves, only the keys that it is chosen for
+/// move.
 pub fn preferred<'a>(
     key: &str,
     members: impl IntoIterator<Item = &'a Name>,
     count: usize,
 ) -> SmallVec<[Name; 2]> {
-    let mut best: SmallVec<[(u64, &Name); 4]> = SmallVec::new();
+    let mut highest: SmallVec<[(u64, &Name); 4]> = SmallVec::new();
     for name in members {
-        let place = (weight(key, name), name);
-        let at = best.partition_point(|it| *it > place);
-        best.insert(at, place);
-        best.truncate(count);
+        let candidate = (weight(key, name), name);
+        let index = highest.partition_point(|it| *it > candidate);
+        highest.insert(index, candidate);
+        highest.truncate(count);
     }
-    best.into_iter().map(|(_, name)| Arc::clone(name)).collect()
+    highest.into_iter().map(|(_, name)| Arc::clone(name)).collect()
 }
 
 fn weight(key: &str, name: &str) -> u64 {
--- a/crates/samphiredoor-core/src/membership/messages.rs
+++ b/crates/samphiredoor-core/src/membership/messages.rs
@@ -1,4 +1,4 @@
-//! What goes into the membership and what comes out.
+//! Inputs and actions of the membership state machine, and the heartbeat that peers exchange.
 
 use std::sync::Arc;
 
@@ -7,149 +7,150 @@
 use super::roster::Member;
 use crate::Name;
 
-/// What a process knows of itself.
+/// Configuration of the membership of one process.
 #[derive(Debug, Clone)]
 pub struct MembershipConfig {
-    /// The process as a member.
+    /// This process as a member.
     pub own: Member,
-    /// Time between two heartbeats to a neighbour.
+    /// Interval of heartbeats to a monitored member; doubled in large fleets.
     pub heartbeat_ms: u64,
     /// Length of a lease.
     pub lease_ms: u64,
-    /// Addresses of doors to ask as long as no member is known.
+    /// Addresses of peers to connect to while no link is up.
     pub seeds: Vec<Arc<str>>,
 }
 
-/// What two doors tell each other at each heartbeat.
+/// Content of a heartbeat, and of the answer to one.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Beat {
-    /// Start of the sender.
+    /// Incarnation of the sender.
     pub incarnation: u64,
-    /// Renewals of the sender's lease.
+    /// Number of the last renewal of the sender's lease.
     pub renewals: u64,
-    /// Revision of the manifest that the sender holds.
+    /// Revision of the sender's active manifest.
     pub revision: u64,
-    /// Digest of the members that the sender knows.
+    /// Digest of the sender's roster.
     pub members_digest: u64,
-    /// Changes of members.
+    /// Recent changes of members, spread by gossip.
     pub changes: Vec<Member>,
 }
 
-/// What happened.
+/// Events that the membership handles.
 #[derive(Debug, Clone)]
 pub enum MembershipInput {
-    /// A link to `peer` stands; `opened` if this process opened it.
+    /// A link to `peer` is up.
     LinkUp {
-        /// The far side, as it says of itself.
+        /// The peer, as it describes itself.
         peer: Member,
-        /// Whether this process opened it.
+        /// Whether this process opened the link.
         opened: bool,
     },
-    /// No link to the peer stands any more.
+    /// The last link to the peer is closed.
     LinkDown {
-        /// The far side.
+        /// Name of the peer.
         peer: Name,
     },
-    /// The peer could not be connected to.
+    /// A connection to the peer could not be opened.
     ConnectFailed {
-        /// The far side.
+        /// Name of the peer.
         peer: Name,
     },
-    /// A heartbeat, or the answer to one.
+    /// A heartbeat was received, or the answer to one.
     Beat {
-        /// The far side.
+        /// Its sender.
         from: Name,
-        /// What it said.
+        /// Its content.
         beat: Beat,
     },
-    /// Members that a peer knows.
+    /// A page of the members that a peer knows, pulled from it.
     Members(Vec<Member>),
-    /// Lease objects were listed.
+    /// A page of the lease objects was listed.
     Leases(Vec<(Name, ProcessLease)>),
     /// The lease objects could not be listed.
     ListFailed,
     /// A lease object was read.
     Lease {
-        /// Its process.
+        /// Process that holds the lease.
         process: Name,
-        /// Its content.
+        /// Content of the object.
         lease: Box<ProcessLease>,
     },
-    /// A lease object is gone.
+    /// A lease object was to be read and does not exist.
     LeaseGone {
-        /// Its process.
+        /// Process that held the lease.
         process: Name,
     },
-    /// A lease object could not be read.
+    /// A lease object could not be read or decoded.
     LeaseUnread {
-        /// Its process.
+        /// Process that holds the lease.
         process: Name,
     },
-    /// The own lease was renewed so many times.
+    /// The own lease was renewed; the value is the number of the renewal.
     Renewed(u64),
-    /// This process holds a manifest.
+    /// A manifest of this revision became active in this process.
     Revision(u64),
-    /// A planned stop of this process has begun.
+    /// This process has begun a graceful shutdown.
     Stopping,
-    /// Time passed.
+    /// Time passed; due heartbeats, reads and connection attempts follow.
     Tick,
 }
 
-/// What to do.
+/// Actions that the owner of the state machine carries out.
 #[derive(Debug, Clone, PartialEq)]
 pub enum MembershipAction {
     /// Open a link to a member.
     Connect {
-        /// Which.
+        /// Name of the member.
         peer: Name,
-        /// Where it listens for peers.
+        /// Address where it listens for peers.
         address: Arc<str>,
     },
-    /// Open a link to whoever listens there.
+    /// Open a link to the process that listens at a seed address.
     ConnectSeed {
-        /// Where.
+        /// Seed address from the settings.
         address: Arc<str>,
     },
     /// Close the links to a member.
     Close {
-        /// Which.
+        /// Name of the member.
         peer: Name,
-        /// Whether also those that the member opened.
+        /// Whether to close the links that the member opened as well.
         accepted: bool,
     },
     /// Send a heartbeat; its answer is to be reported as [`MembershipInput::Beat`].
     Beat {
-        /// To which member.
+        /// Its receiver.
         to: Name,
-        /// What it says.
+        /// Its content.
         beat: Beat,
     },
-    /// Ask a member for all members that it knows.
+    /// Request all members that a peer knows; they are to be reported as [`MembershipInput::Members`].
     PullMembers {
-        /// Which.
+        /// Name of the peer.
         from: Name,
     },
-    /// Read a lease object.
+    /// Read the lease object of a process.
     ReadLease {
-        /// Of which process.
+        /// Process that holds the lease.
         process: Name,
     },
     /// List all lease objects.
     ListLeases,
-    /// The lease of a process has lapsed; its work is free to be taken. Told again while its object stands.
+    /// The lease of a process has expired or was replaced by a later incarnation, so that its work can be taken over.
+    /// Repeated as long as the object of an expired lease exists.
     Lapsed {
-        /// Which process.
+        /// Process whose lease has expired.
         process: Name,
-        /// Which start of it.
+        /// Incarnation whose lease has expired.
         incarnation: u64,
     },
-    /// A peer holds a manifest above the own one.
+    /// A peer has a manifest of a higher revision than the own one.
     PeerRevision {
-        /// Which peer.
+        /// Name of the peer.
         from: Name,
-        /// Its revision.
+        /// Revision of its manifest.
         revision: u64,
     },
-    /// What [`Membership::live`] gives has changed.
+    /// The members given by [`Membership::live`] have changed, or their state.
     Changed,
 }
--- a/crates/samphiredoor-core/src/membership/mod.rs
+++ b/crates/samphiredoor-core/src/membership/mod.rs
@@ -1,11 +1,12 @@
-//! Which processes there are, which of them this one keeps links to, and whose leases have lapsed.
+//! Group membership: the processes of the fleet, the peers that this process links to, and expired leases.
 //!
-//! Members are learnt from lease objects once at the start, and from then on by gossip: each change of a member rides
-//! in a bounded number of heartbeats, and a digest in every heartbeat shows two doors that what they know differs, so
-//! that one asks the other. A process links to a fixed number of others, whatever the size of the fleet. It hears the
-//! renewals of a lease in heartbeats and reads a lease object only when its holder has fallen silent.
+//! A process lists the lease objects at its start and rarely after that. Changes of members spread by gossip: each is
+//! sent in a bounded number of heartbeats. Every heartbeat carries a digest of the sender's roster, so that two
+//! processes detect that their rosters differ and one pulls the other's members. A process links to a bounded number of
+//! peers, whatever the size of the fleet. Heartbeats carry the renewals of the sender's lease, and the lease object is
+//! read only when its holder does not answer.
 //!
-//! All of this is a hint. A member reported dead may live: it contradicts the report, and nothing was lost but speed.
+//! Membership is a hint. A live member that is reported dead refutes the report, and a false report costs only speed.
 
 mod choice;
 mod gossip;
@@ -26,42 +27,48 @@
 use crate::{Name, lease::LeaseTable, time::Now};
 use gossip::Gossip;
 
-/// Members in one page of an answer to a member that asks for all.
+/// Members in one page of the answer to a peer that pulls all members.
 pub const MEMBERS_PAGE_LEN: usize = 200;
 
-const LAPSE_MARGIN_MS: u64 = 500;
+// How long an observer waits beyond the length of a lease before it declares the lease expired.
+const EXPIRY_MARGIN_MS: u64 = 500;
 const READ_RETRY_MS: u64 = 1_000;
-// A member is suspected after this many heartbeats without an answer.
-const MISSED_BEATS: u64 = 3;
-// Links that only spread news beat this much more slowly than those that watch a neighbour.
-// While there is gossip, all beat alike.
-const FAR_BEAT_FACTOR: u64 = 16;
-// Above this many members all heartbeats take twice as long, so that control traffic keeps its bound.
-const SLOW_ABOVE_MEMBERS: usize = 100;
-const PROBE_BEATS: u64 = 4;
-const GOSSIPED_OF_PAGE: usize = 8;
+// A monitored member is reported dead after this many heartbeat intervals without an answer.
+const MISSED_HEARTBEATS: u64 = 3;
+// Factor of the heartbeat interval on links that only spread gossip, compared with links that monitor a member.
+// While there is gossip to send, all links use the same interval.
+const GOSSIP_LINK_INTERVAL_FACTOR: u64 = 16;
+// Above this many members the heartbeat interval doubles, which bounds the control traffic.
+const SLOW_HEARTBEAT_ABOVE_MEMBERS: usize = 100;
+// Heartbeat intervals between two attempts to connect to a seed or to a dead member.
+const PROBE_HEARTBEATS: u64 = 4;
+// The changes of a page are gossiped only up to this number; a longer page holds what other members have already.
+const MAX_GOSSIPED_PER_PAGE: usize = 8;
 const LIST_MIN_MS: u64 = 60_000;
 const LIST_PER_MEMBER_MS: u64 = 2_000;
-// A dead member is forgotten after this many lengths of the lease.
+// A dead member is removed from the roster after this many lengths of the lease.
 const FORGET_LEASES: u64 = 10;
 
 #[derive(Debug)]
 struct Link {
+    // Whether this process opened it, not the peer.
     opened: bool,
-    heard_ms: u64,
+    last_received_ms: u64,
     // When the last heartbeat was sent; `None` before the first.
-    beat_ms: Option<u64>,
-    // Heartbeats in a row whose digest differed from the own one.
-    differing: u32,
+    last_sent_ms: Option<u64>,
+    // Consecutive heartbeats whose digest differed from that of the own roster.
+    digest_mismatches: u32,
 }
 
+// A monitored member without a link or without answers.
 #[derive(Debug)]
-struct Silent {
+struct Unresponsive {
     since_ms: u64,
+    // When its lease object is to be read next.
     next_read_ms: u64,
 }
 
-/// State of membership in one process.
+/// Membership as seen by one process.
 #[derive(Debug)]
 pub struct Membership {
     config: MembershipConfig,
@@ -70,21 +77,24 @@
     leases: LeaseTable,
     links: BTreeMap<Name, Link>,
     connecting: BTreeSet<Name>,
-    watched: BTreeSet<Name>,
-    wanted: BTreeSet<Name>,
-    silent: BTreeMap<Name, Silent>,
+    monitored: BTreeSet<Name>,
+    neighbours: BTreeSet<Name>,
+    unresponsive: BTreeMap<Name, Unresponsive>,
+    // Renewals of the own lease.
     renewals: u64,
+    // Revision of the active manifest.
     revision: u64,
     listed_ms: Option<u64>,
     list_failed: bool,
     next_list_ms: u64,
     next_probe_ms: u64,
     next_seed: usize,
+    // The dead member that was probed last.
     probed: Option<Name>,
 }
 
 impl Membership {
-    /// Membership that knows only the process itself.
+    /// Membership with this process as the only member.
     pub fn new(config: MembershipConfig) -> Membership {
         let roster = Roster::new(config.own.clone());
         let mut gossip = Gossip::default();
@@ -96,9 +106,9 @@
             leases: LeaseTable::default(),
             links: BTreeMap::new(),
             connecting: BTreeSet::new(),
-            watched: BTreeSet::new(),
-            wanted: BTreeSet::new(),
-            silent: BTreeMap::new(),
+            monitored: BTreeSet::new(),
+            neighbours: BTreeSet::new(),
+            unresponsive: BTreeMap::new(),
             renewals: 0,
             revision: 0,
             listed_ms: None,
@@ -110,7 +120,7 @@
         }
     }
 
-    /// Takes one event; appends what to do to `out`.
+    /// Handles one event and appends the resulting actions to `out`.
     pub fn handle(&mut self, now: Now, input: MembershipInput, out: &mut Vec<MembershipAction>) {
         match input {
             MembershipInput::LinkUp { peer, opened } => self.link_up(now, peer, opened, out),
@@ -120,18 +130,18 @@
             MembershipInput::ConnectFailed { peer } => {
                 self.connecting.remove(&peer);
             }
-            MembershipInput::Beat { from, beat } => self.beat_heard(now, &from, beat, out),
-            MembershipInput::Members(members) => self.learn_page(now, members, out),
+            MembershipInput::Beat { from, beat } => self.heartbeat_received(now, &from, beat, out),
+            MembershipInput::Members(members) => self.apply_page(now, members, out),
             MembershipInput::Leases(leases) => self.leases_listed(now, leases, out),
             MembershipInput::ListFailed => {
                 self.list_failed = true;
                 self.next_list_ms = now.mono_ms + READ_RETRY_MS;
             }
             MembershipInput::Lease { process, lease } => self.lease_read(now, process, *lease, out),
-            MembershipInput::LeaseGone { process } => self.lease_gone(now, &process),
+            MembershipInput::LeaseGone { process } => self.lease_deleted(now, &process),
             MembershipInput::LeaseUnread { process } => {
-                if let Some(silent) = self.silent.get_mut(&process) {
-                    silent.next_read_ms = now.mono_ms + READ_RETRY_MS;
+                if let Some(unresponsive) = self.unresponsive.get_mut(&process) {
+                    unresponsive.next_read_ms = now.mono_ms + READ_RETRY_MS;
                 }
             }
             MembershipInput::Renewed(renewals) => self.renewals = renewals,
@@ -139,33 +149,33 @@
             MembershipInput::Stopping => {
                 let mut own = self.roster.own().clone();
                 own.state = MemberState::Stopping;
-                self.learn(now, own, out);
+                self.apply_report(now, own, out);
             }
             MembershipInput::Tick => self.tick(now, out),
         }
     }
 
-    /// All members that are not reported dead, this process among them.
+    /// All members that are not reported dead, including this process.
     pub fn live(&self) -> impl Iterator<Item = &Member> {
         self.roster.iter().filter(|it| it.state != MemberState::Dead)
     }
 
-    /// All members known, this process and dead ones among them.
+    /// All known members, including this process and dead ones.
     pub fn roster(&self) -> &Roster {
         &self.roster
     }
 
-    /// One page of the members known, those after `after` in order of their names.
+    /// One page of the known members: those with names after `after`, in order of name.
     pub fn page(&self, after: &str) -> Vec<Member> {
         self.roster.page(after, MEMBERS_PAGE_LEN)
     }
 
-    /// Members that links stand to.
+    /// Members that this process has a link to, whichever side opened it.
     pub fn linked(&self) -> impl Iterator<Item = &Name> {
         self.links.keys()
     }
 
-    /// Heartbeat as this process would send it now; its gossip counts as sent.
+    /// Creates the next heartbeat. The changes in it count as sent.
     pub fn beat(&mut self) -> Beat {
         Beat {
             incarnation: self.roster.own().incarnation,
@@ -176,27 +186,28 @@
         }
     }
 
-    /// Time between two heartbeats to a neighbour, at the present number of members.
-    pub fn beat_ms(&self) -> u64 {
-        let factor = if self.roster.len() > SLOW_ABOVE_MEMBERS { 2 } else { 1 };
+    /// Interval of heartbeats to a monitored member, which depends on the number of members.
+    pub fn heartbeat_interval_ms(&self) -> u64 {
+        let factor = if self.roster.len() > SLOW_HEARTBEAT_ABOVE_MEMBERS { 2 } else { 1 };
         self.config.heartbeat_ms * factor
     }
 
-    fn learn(&mut self, now: Now, member: Member, out: &mut Vec<MembershipAction>) {
+    fn apply_report(&mut self, now: Now, member: Member, out: &mut Vec<MembershipAction>) {
         let name = Arc::clone(&member.name);
-        if self.take_report(member, out) {
+        if self.merge_report(member, out) {
             self.gossip.add(&name, self.roster.len());
             self.choose_links(now, out);
             out.push(MembershipAction::Changed);
         }
     }
 
-    // Many at once are what a process learns at its start; the others know them, so they are not told again.
-    fn learn_page(&mut self, now: Now, page: Vec<Member>, out: &mut Vec<MembershipAction>) {
+    // A page with many changes is what a process gets at its start. Its peers have these members already, so only a
+    // change of the own one is gossiped.
+    fn apply_page(&mut self, now: Now, page: Vec<Member>, out: &mut Vec<MembershipAction>) {
         let mut changed = Vec::new();
         for member in page {
             let name = Arc::clone(&member.name);
-            if self.take_report(member, out) {
+            if self.merge_report(member, out) {
                 changed.push(name);
             }
         }
@@ -204,7 +215,7 @@
             return;
         }
         let own = Arc::clone(&self.config.own.name);
-        let few = changed.len() <= GOSSIPED_OF_PAGE;
+        let few = changed.len() <= MAX_GOSSIPED_PER_PAGE;
         for name in changed.iter().filter(|it| few || **it == own) {
             self.gossip.add(name, self.roster.len());
         }
@@ -212,36 +223,36 @@
         out.push(MembershipAction::Changed);
     }
 
-    // Tells whether the report changed anything.
-    fn take_report(&mut self, member: Member, out: &mut Vec<MembershipAction>) -> bool {
+    // Returns whether the report changed the roster.
+    fn merge_report(&mut self, member: Member, out: &mut Vec<MembershipAction>) -> bool {
         let name = Arc::clone(&member.name);
         let before = self.roster.get(&name).map(|it| it.incarnation);
         let incarnation = member.incarnation;
-        if !self.roster.learn(member) {
+        if !self.roster.merge(member) {
             return false;
         }
         let superseded = before.filter(|it| *it < incarnation);
         if let Some(incarnation) = superseded
-            && self.watched.contains(&name)
+            && self.monitored.contains(&name)
         {
-            // A later start has replaced the lease, so the earlier one can hold it no more.
+            // A later incarnation has replaced the lease, so the earlier one cannot hold it any more.
             out.push(MembershipAction::Lapsed { process: name, incarnation });
         }
         true
     }
 
     fn choose_links(&mut self, now: Now, out: &mut Vec<MembershipAction>) {
-        self.watched = self.roster.watched();
-        self.wanted = self.roster.neighbours();
-        self.silent.retain(|name, _| self.watched.contains(name));
-        for name in &self.watched {
+        self.monitored = self.roster.monitored();
+        self.neighbours = self.roster.neighbours();
+        self.unresponsive.retain(|name, _| self.monitored.contains(name));
+        for name in &self.monitored {
             if !self.links.contains_key(name) {
-                let since = Silent { since_ms: now.mono_ms, next_read_ms: now.mono_ms };
-                self.silent.entry(Arc::clone(name)).or_insert(since);
+                let entry = Unresponsive { since_ms: now.mono_ms, next_read_ms: now.mono_ms };
+                self.unresponsive.entry(Arc::clone(name)).or_insert(entry);
             }
         }
         for (name, link) in &self.links {
-            if link.opened && !self.wanted.contains(name) {
+            if link.opened && !self.neighbours.contains(name) {
                 out.push(MembershipAction::Close { peer: Arc::clone(name), accepted: false });
             }
         }
@@ -256,39 +267,46 @@
         let known = self.roster.get(&name).map(Member::rank);
         let link = Link {
             opened: opened || self.links.get(&name).is_some_and(|it| it.opened),
-            heard_ms: now.mono_ms,
-            beat_ms: None,
-            differing: 0,
+            last_received_ms: now.mono_ms,
+            last_sent_ms: None,
+            digest_mismatches: 0,
         };
         self.links.insert(Arc::clone(&name), link);
-        self.silent.remove(&name);
-        // A member thought dead is not taken back on its own word alone: it hears of the report and contradicts it.
+        self.unresponsive.remove(&name);
+        // A connection alone does not revive a member that is reported dead. It receives the report and refutes it.
         if known.is_some_and(|it| it > peer.rank()) {
             self.gossip.add(&name, self.roster.len());
         }
-        self.learn(now, peer, out);
+        self.apply_report(now, peer, out);
         if known.is_none() {
             out.push(MembershipAction::PullMembers { from: name });
         }
     }
 
-    fn beat_heard(&mut self, now: Now, from: &Name, beat: Beat, out: &mut Vec<MembershipAction>) {
+    fn heartbeat_received(
+        &mut self,
+        now: Now,
+        from: &Name,
+        beat: Beat,
+        out: &mut Vec<MembershipAction>,
+    ) {
         for member in beat.changes {
-            self.learn(now, member, out);
+            self.apply_report(now, member, out);
         }
-        self.leases.heard(now, from, beat.incarnation, beat.renewals);
+        self.leases.observe_renewals(now, from, beat.incarnation, beat.renewals);
         let digest = self.roster.digest();
         if beat.revision > self.revision {
             let revision = beat.revision;
             out.push(MembershipAction::PeerRevision { from: Arc::clone(from), revision });
         }
         let Some(link) = self.links.get_mut(from) else { return };
-        link.heard_ms = now.mono_ms;
-        self.silent.remove(from);
-        link.differing = if digest == beat.members_digest { 0 } else { link.differing + 1 };
-        // Gossip on its way makes digests differ for a while; what lasts longer was lost.
-        if link.differing > 2 {
-            link.differing = 0;
+        link.last_received_ms = now.mono_ms;
+        self.unresponsive.remove(from);
+        link.digest_mismatches =
+            if digest == beat.members_digest { 0 } else { link.digest_mismatches + 1 };
+        // Digests differ for a while as gossip spreads; if they differ for longer, a change was lost.
+        if link.digest_mismatches > 2 {
+            link.digest_mismatches = 0;
             out.push(MembershipAction::PullMembers { from: Arc::clone(from) });
         }
     }
@@ -303,7 +321,7 @@
         for (process, lease) in leases {
             self.leases.observe(now, &process, lease);
         }
-        self.learn_page(now, page, out);
+        self.apply_page(now, page, out);
     }
 
     fn lease_read(
@@ -317,41 +335,41 @@
         let incarnation = lease.incarnation;
         let lease_ms = lease.lease_ms;
         self.leases.observe(now, &process, lease);
-        self.learn(now, member, out);
-        let Some(silent) = self.silent.get_mut(&process) else { return };
-        match self.leases.over_at(&process, LAPSE_MARGIN_MS) {
-            Some(over_ms) if now.mono_ms >= over_ms => {
-                silent.next_read_ms = now.mono_ms + lease_ms / 2;
+        self.apply_report(now, member, out);
+        let Some(unresponsive) = self.unresponsive.get_mut(&process) else { return };
+        match self.leases.expires_at(&process, EXPIRY_MARGIN_MS) {
+            Some(expires_ms) if now.mono_ms >= expires_ms => {
+                unresponsive.next_read_ms = now.mono_ms + lease_ms / 2;
                 out.push(MembershipAction::Lapsed { process, incarnation });
             }
-            Some(over_ms) => silent.next_read_ms = over_ms,
+            Some(expires_ms) => unresponsive.next_read_ms = expires_ms,
             None => {}
         }
     }
 
-    fn lease_gone(&mut self, now: Now, process: &Name) {
+    fn lease_deleted(&mut self, now: Now, process: &Name) {
         self.leases.forget(process);
-        if let Some(silent) = self.silent.get_mut(process) {
-            silent.next_read_ms = now.mono_ms + self.config.lease_ms;
+        if let Some(unresponsive) = self.unresponsive.get_mut(process) {
+            unresponsive.next_read_ms = now.mono_ms + self.config.lease_ms;
         }
     }
 
     fn tick(&mut self, now: Now, out: &mut Vec<MembershipAction>) {
         self.list_leases(now, out);
-        self.beat_links(now, out);
-        self.suspect(now, out);
-        self.read_silent(now, out);
+        self.send_heartbeats(now, out);
+        self.report_timed_out(now, out);
+        self.read_unresponsive_leases(now, out);
         self.connect(now, out);
     }
 
-    // First when the own lease stands: of two processes that start at once, the one whose lease was written later then
-    // finds the other's, and neither stays unknown until the next list.
+    // The first list waits until the own lease is written. So of two processes that start at the same time, the one
+    // whose lease was written later finds the other's, and neither stays unknown until the next list.
     //
-    // From then on rarely, and by the more members the more rarely, so that all processes together list a bounded number a second.
+    // The interval of later lists grows with the number of members, which bounds the lists per second of the fleet.
     fn list_leases(&mut self, now: Now, out: &mut Vec<MembershipAction>) {
-        // The members known at the last list may have been few, so the pause follows their present number.
+        // Few members may have been known at the last list, so the interval follows from their present number.
         let listed_long_ago =
-            self.listed_ms.is_none_or(|it| now.mono_ms >= it + self.list_pause_ms());
+            self.listed_ms.is_none_or(|it| now.mono_ms >= it + self.list_interval_ms());
         let due = now.mono_ms >= self.next_list_ms;
         if due && (listed_long_ago || self.list_failed) && self.renewals > 0 {
             self.list_failed = false;
@@ -360,23 +378,27 @@
         }
     }
 
-    fn list_pause_ms(&self) -> u64 {
+    fn list_interval_ms(&self) -> u64 {
         LIST_MIN_MS.max(LIST_PER_MEMBER_MS * self.roster.len() as u64)
     }
 
-    fn beat_links(&mut self, now: Now, out: &mut Vec<MembershipAction>) {
-        let near_ms = self.beat_ms();
-        let far_ms = if self.gossip.is_empty() { near_ms * FAR_BEAT_FACTOR } else { near_ms };
+    fn send_heartbeats(&mut self, now: Now, out: &mut Vec<MembershipAction>) {
+        let monitor_ms = self.heartbeat_interval_ms();
+        let gossip_ms = if self.gossip.is_empty() {
+            monitor_ms * GOSSIP_LINK_INTERVAL_FACTOR
+        } else {
+            monitor_ms
+        };
         let mut to = Vec::new();
         for (name, link) in &mut self.links {
-            // Whoever opened a link beats on it, and whoever watches the far side does.
-            let watched = self.watched.contains(name);
-            if !link.opened && !watched {
+            // Both the side that opened a link and a side that monitors the other send heartbeats on it.
+            let monitored = self.monitored.contains(name);
+            if !link.opened && !monitored {
                 continue;
             }
-            let pause_ms = if watched { near_ms } else { far_ms };
-            if link.beat_ms.is_none_or(|it| now.mono_ms >= it + pause_ms) {
-                link.beat_ms = Some(now.mono_ms);
+            let interval_ms = if monitored { monitor_ms } else { gossip_ms };
+            if link.last_sent_ms.is_none_or(|it| now.mono_ms >= it + interval_ms) {
+                link.last_sent_ms = Some(now.mono_ms);
                 to.push(Arc::clone(name));
             }
         }
@@ -386,55 +408,57 @@
         }
     }
 
-    fn suspect(&mut self, now: Now, out: &mut Vec<MembershipAction>) {
-        let patience_ms = self.beat_ms() * MISSED_BEATS;
-        for name in &self.watched {
-            let quiet = |it: &Link| now.mono_ms > it.heard_ms + patience_ms;
+    fn report_timed_out(&mut self, now: Now, out: &mut Vec<MembershipAction>) {
+        let timeout_ms = self.heartbeat_interval_ms() * MISSED_HEARTBEATS;
+        for name in &self.monitored {
+            let timed_out = |it: &Link| now.mono_ms > it.last_received_ms + timeout_ms;
             let Some(link) = self.links.get(name) else {
-                let since = Silent { since_ms: now.mono_ms, next_read_ms: now.mono_ms };
-                self.silent.entry(Arc::clone(name)).or_insert(since);
+                let entry = Unresponsive { since_ms: now.mono_ms, next_read_ms: now.mono_ms };
+                self.unresponsive.entry(Arc::clone(name)).or_insert(entry);
                 continue;
             };
-            if quiet(link) && !self.silent.contains_key(name) {
-                let since = Silent { since_ms: link.heard_ms, next_read_ms: now.mono_ms };
-                self.silent.insert(Arc::clone(name), since);
+            if timed_out(link) && !self.unresponsive.contains_key(name) {
+                let entry =
+                    Unresponsive { since_ms: link.last_received_ms, next_read_ms: now.mono_ms };
+                self.unresponsive.insert(Arc::clone(name), entry);
                 out.push(MembershipAction::Close { peer: Arc::clone(name), accepted: true });
             }
         }
-        self.close_quiet_far(now, patience_ms, out);
-        let over = |it: &Silent| now.mono_ms > it.since_ms + patience_ms;
-        let suspected = self.silent.iter().filter(|(_, it)| over(it));
+        self.close_timed_out_links(now, timeout_ms, out);
+        let expired = |it: &Unresponsive| now.mono_ms > it.since_ms + timeout_ms;
+        let suspected = self.unresponsive.iter().filter(|(_, it)| expired(it));
         let names: Vec<Name> = suspected.map(|(name, _)| Arc::clone(name)).collect();
         for name in names {
             let Some(member) = self.roster.get(&name) else { continue };
             if member.state != MemberState::Dead {
                 let dead = Member { state: MemberState::Dead, ..member.clone() };
-                self.learn(now, dead, out);
+                self.apply_report(now, dead, out);
             }
         }
     }
 
-    // Others watch these members; here only the half-open link has to go.
-    fn close_quiet_far(&self, now: Now, patience_ms: u64, out: &mut Vec<MembershipAction>) {
+    // Other processes monitor these members; here only a half-open link has to be closed.
+    fn close_timed_out_links(&self, now: Now, timeout_ms: u64, out: &mut Vec<MembershipAction>) {
         for (name, link) in &self.links {
-            let quiet = now.mono_ms > link.heard_ms + patience_ms * FAR_BEAT_FACTOR;
-            if link.opened && quiet && !self.watched.contains(name) {
+            let timed_out =
+                now.mono_ms > link.last_received_ms + timeout_ms * GOSSIP_LINK_INTERVAL_FACTOR;
+            if link.opened && timed_out && !self.monitored.contains(name) {
                 out.push(MembershipAction::Close { peer: Arc::clone(name), accepted: true });
             }
         }
     }
 
-    fn read_silent(&mut self, now: Now, out: &mut Vec<MembershipAction>) {
-        for (name, silent) in &mut self.silent {
-            if now.mono_ms >= silent.next_read_ms {
-                silent.next_read_ms = now.mono_ms + self.config.lease_ms;
+    fn read_unresponsive_leases(&mut self, now: Now, out: &mut Vec<MembershipAction>) {
+        for (name, unresponsive) in &mut self.unresponsive {
+            if now.mono_ms >= unresponsive.next_read_ms {
+                unresponsive.next_read_ms = now.mono_ms + self.config.lease_ms;
                 out.push(MembershipAction::ReadLease { process: Arc::clone(name) });
             }
         }
     }
 
     fn connect(&mut self, now: Now, out: &mut Vec<MembershipAction>) {
-        for name in &self.wanted {
+        for name in &self.neighbours {
             if self.links.contains_key(name) || !self.connecting.insert(Arc::clone(name)) {
                 continue;
             }
@@ -443,13 +467,13 @@
             out.push(MembershipAction::Connect { peer, address });
         }
         if now.mono_ms >= self.next_probe_ms {
-            self.next_probe_ms = now.mono_ms + self.beat_ms() * PROBE_BEATS;
+            self.next_probe_ms = now.mono_ms + self.heartbeat_interval_ms() * PROBE_HEARTBEATS;
             self.probe(out);
             self.forget_dead(now, out);
         }
     }
 
-    // After a cut both sides hold each other for dead; only a try shows that the link is back.
+    // After a network partition each side has the other marked as dead; only a connection attempt shows its end.
     fn probe(&mut self, out: &mut Vec<MembershipAction>) {
         if self.links.is_empty() && !self.config.seeds.is_empty() {
             let address = Arc::clone(&self.config.seeds[self.next_seed % self.config.seeds.len()]);
@@ -470,7 +494,7 @@
     }
 
     fn forget_dead(&mut self, now: Now, out: &mut Vec<MembershipAction>) {
-        let keep_ms = FORGET_LEASES * self.config.lease_ms + LAPSE_MARGIN_MS;
+        let keep_ms = FORGET_LEASES * self.config.lease_ms + EXPIRY_MARGIN_MS;
         if self.roster.forget_dead(now, keep_ms) {
             self.choose_links(now, out);
             out.push(MembershipAction::Changed);
--- a/crates/samphiredoor-core/src/membership/roster.rs
+++ b/crates/samphiredoor-core/src/membership/roster.rs
@@ -1,4 +1,4 @@
-//! The members known, in an order by hash that decides who links to whom.
+//! The known members, on a hash ring that determines which members link to each other and monitor each other.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -10,17 +10,19 @@
 
 use crate::{Name, time::Now};
 
+// Live successors on the ring that each process monitors.
 const SUCCESSORS: usize = 2;
-const FAR_POINTS: u8 = 2;
+// Further points on the ring, derived from the name, whose next live member each process links to.
+const LONG_RANGE_POINTS: u8 = 2;
 
-/// What is reported of a member; a later state wins over an earlier one of the same start and counter.
+/// Reported state of a member. Among reports of the same incarnation and counter, the later variant wins.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum MemberState {
-    /// It works.
+    /// It answers, or has not been reported otherwise.
     Live,
-    /// A planned stop has begun.
+    /// It has begun a graceful shutdown.
     Stopping,
-    /// It is silent; a hint.
+    /// Another member got no answer from it. This is a hint: the member may be live.
     Dead,
 }
 
@@ -29,22 +31,22 @@
 pub struct Member {
     /// Name of the process.
     pub name: Name,
-    /// Where it listens for peers.
+    /// Address where it listens for peers.
     pub address: Arc<str>,
-    /// Start of the process.
+    /// Incarnation of the process; grows with each start.
     pub incarnation: u64,
-    /// Grows when the member contradicts a report of its death.
+    /// Increases each time the member refutes a report of its death.
     pub counter: u64,
-    /// What is reported.
+    /// State in the latest report.
     pub state: MemberState,
-    /// Region.
+    /// Region that the process runs in.
     pub region: Name,
-    /// Availability zone.
+    /// Availability zone that the process runs in.
     pub availability_zone: Name,
 }
 
 impl Member {
-    /// Member as its lease object tells of it.
+    /// Member as described by its lease object.
     pub fn new(process: &Name, lease: &ProcessLease) -> Member {
         Member {
             name: Arc::clone(process),
@@ -57,7 +59,7 @@
         }
     }
 
-    /// Of two reports of one member, the one with the higher rank holds.
+    /// Precedence of this report: of two reports on one member, the one with the higher rank wins.
     pub fn rank(&self) -> (u64, u64, MemberState) {
         (self.incarnation, self.counter, self.state)
     }
@@ -67,10 +69,11 @@
 struct Entry {
     member: Member,
     hash: u64,
-    since_ms: Option<u64>,
+    // When `forget_dead` first found the member dead; `None` before that.
+    dead_since_ms: Option<u64>,
 }
 
-/// Members by name, and by hash on a ring.
+/// Members by name and by position on the hash ring.
 #[derive(Debug)]
 pub struct Roster {
     own: Name,
@@ -82,7 +85,7 @@
 }
 
 impl Roster {
-    /// Roster of one member, the process itself.
+    /// Roster with this process as the only member.
     pub fn new(own: Member) -> Roster {
         let mut roster = Roster {
             own: Arc::clone(&own.name),
@@ -95,36 +98,36 @@
         roster
     }
 
-    /// The process itself.
+    /// This process as a member.
     pub fn own(&self) -> &Member {
         &self.entries[&self.own].member
     }
 
-    /// A member by its name.
+    /// The member of this name, if it is known.
     pub fn get(&self, name: &str) -> Option<&Member> {
         self.entries.get(name).map(|it| &it.member)
     }
 
-    /// All members in order of their names.
+    /// All members, in order of name.
     pub fn iter(&self) -> impl Iterator<Item = &Member> {
         self.entries.values().map(|it| &it.member)
     }
 
-    /// Number of members, dead ones among them.
+    /// Number of members, including dead ones.
     #[allow(clippy::len_without_is_empty)]
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Digest of all reports; equal where the rosters are equal.
+    /// Digest of the latest reports on all members; equal rosters have equal digests.
     pub fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// Takes a report; tells whether it changed anything.
+    /// Merges a report and returns whether it changed the roster.
     ///
-    /// A report of the process's own death is contradicted: it takes a higher counter, which wins everywhere.
-    pub fn learn(&mut self, mut member: Member) -> bool {
+    /// A report that this process is dead is refuted by a higher counter, which takes precedence at every member.
+    pub fn merge(&mut self, mut member: Member) -> bool {
         let known = self.get(&member.name);
         if known.is_some_and(|it| it.rank() >= member.rank()) {
             return false;
@@ -145,48 +148,48 @@
         true
     }
 
-    /// Up to `limit` members after the name `after`.
+    /// Up to `limit` members with names after `after`, in order of name.
     pub fn page(&self, after: &str, limit: usize) -> Vec<Member> {
         let start = (Bound::Excluded(after), Bound::Unbounded);
         let entries = self.entries.range::<str, _>(start).take(limit);
         entries.map(|(_, it)| it.member.clone()).collect()
     }
 
-    /// The next dead member after the name `after`.
+    /// The first dead member with a name after `after`.
     pub fn dead_after(&self, after: &str) -> Option<&Member> {
         let start = (Bound::Excluded(after), Bound::Unbounded);
         let mut later = self.entries.range::<str, _>(start).map(|(_, it)| &it.member);
         later.find(|it| it.state == MemberState::Dead)
     }
 
-    /// Members whose silence this process notices: those on the ring up to its second successor that is not dead.
-    pub fn watched(&self) -> BTreeSet<Name> {
+    /// Members that this process monitors: those after it on the ring, up to its second successor that is not dead.
+    pub fn monitored(&self) -> BTreeSet<Name> {
         let own = &self.entries[&self.own];
-        let mut watched = BTreeSet::new();
-        let mut alive = 0;
+        let mut monitored = BTreeSet::new();
+        let mut live = 0;
         for name in self.ring_after(own.hash, &self.own) {
-            if *name == self.own || alive == SUCCESSORS {
+            if *name == self.own || live == SUCCESSORS {
                 break;
             }
-            alive += usize::from(self.entries[name].member.state != MemberState::Dead);
-            watched.insert(Arc::clone(name));
+            live += usize::from(self.entries[name].member.state != MemberState::Dead);
+            monitored.insert(Arc::clone(name));
         }
-        watched
+        monitored
     }
 
-    /// Members that this process keeps links to: the watched ones that are not dead, members far away on the ring, and
-    /// one of each other availability zone. Their number does not grow with the fleet.
+    /// Members that this process keeps links to: the monitored ones that are not dead, members at further points of the
+    /// ring, and one of each other availability zone. Their number does not grow with the number of members.
     pub fn neighbours(&self) -> BTreeSet<Name> {
-        let mut neighbours = self.watched();
+        let mut neighbours = self.monitored();
         neighbours.retain(|it| self.entries[it].member.state != MemberState::Dead);
-        for point in 1..=FAR_POINTS {
+        for point in 1..=LONG_RANGE_POINTS {
             let hash = ring_hash(&self.own, point);
             neighbours.extend(self.live_after(hash).map(Arc::clone));
         }
         let own_zone = &self.own().availability_zone;
         for (zone, ring) in &self.zones {
             if zone != own_zone {
-                let hash = ring_hash(&self.own, FAR_POINTS + 1);
+                let hash = ring_hash(&self.own, LONG_RANGE_POINTS + 1);
                 neighbours.extend(first_after(ring, hash).map(Arc::clone));
             }
         }
@@ -194,15 +197,15 @@
         neighbours
     }
 
-    /// Drops members that have been dead for longer than `keep_ms`; tells whether there were any.
+    /// Removes members that have been dead for longer than `keep_ms`, and returns whether there were any.
     pub(super) fn forget_dead(&mut self, now: Now, keep_ms: u64) -> bool {
         let mut old = Vec::new();
         for (name, entry) in &mut self.entries {
             if entry.member.state != MemberState::Dead {
                 continue;
             }
-            let since_ms = *entry.since_ms.get_or_insert(now.mono_ms);
-            if now.mono_ms > since_ms + keep_ms {
+            let dead_since_ms = *entry.dead_since_ms.get_or_insert(now.mono_ms);
+            if now.mono_ms > dead_since_ms + keep_ms {
                 old.push(Arc::clone(name));
             }
         }
@@ -222,16 +225,16 @@
             let zone = self.zones.entry(Arc::clone(&member.availability_zone)).or_default();
             zone.insert((hash, Arc::clone(&name)));
         }
-        self.entries.insert(name, Entry { member, hash, since_ms: None });
+        self.entries.insert(name, Entry { member, hash, dead_since_ms: None });
     }
 
     fn remove(&mut self, name: &str) {
         let Some(entry) = self.entries.remove(name) else { return };
         self.digest ^= report_hash(&entry.member);
-        let place = (entry.hash, Arc::clone(&entry.member.name));
-        self.ring.remove(&place);
+        let position = (entry.hash, Arc::clone(&entry.member.name));
+        self.ring.remove(&position);
         if let Some(zone) = self.zones.get_mut(&entry.member.availability_zone) {
-            zone.remove(&place);
+            zone.remove(&position);
             if zone.is_empty() {
                 self.zones.remove(&entry.member.availability_zone);
             }
@@ -239,27 +242,27 @@
     }
 
     fn ring_after<'a>(&'a self, hash: u64, name: &'a Name) -> impl Iterator<Item = &'a Name> {
-        let place = (hash, Arc::clone(name));
-        let later = self.ring.range((Bound::Excluded(place.clone()), Bound::Unbounded));
-        let earlier = self.ring.range(..=place);
+        let position = (hash, Arc::clone(name));
+        let later = self.ring.range((Bound::Excluded(position.clone()), Bound::Unbounded));
+        let earlier = self.ring.range(..=position);
         later.chain(earlier).map(|(_, name)| name)
     }
 
     fn live_after(&self, hash: u64) -> Option<&Name> {
         let nearest = |zone| {
             let ring: &BTreeSet<(u64, Name)> = zone;
-            first_place_after(ring, hash)
+            first_position_after(ring, hash)
         };
         let first = self.zones.values().filter_map(nearest);
-        first.min_by_key(|(place, _)| place.wrapping_sub(hash)).map(|(_, name)| name)
+        first.min_by_key(|(position, _)| position.wrapping_sub(hash)).map(|(_, name)| name)
     }
 }
 
 fn first_after(ring: &BTreeSet<(u64, Name)>, hash: u64) -> Option<&Name> {
-    first_place_after(ring, hash).map(|(_, name)| name)
+    first_position_after(ring, hash).map(|(_, name)| name)
 }
 
-fn first_place_after(ring: &BTreeSet<(u64, Name)>, hash: u64) -> Option<&(u64, Name)> {
+fn first_position_after(ring: &BTreeSet<(u64, Name)>, hash: u64) -> Option<&(u64, Name)> {
     let start: (u64, Name) = (hash, Arc::from(""));
     ring.range(start..).next().or_else(|| ring.first())
 }
--- a/crates/samphiredoor-core/tests/membership.rs
+++ b/crates/samphiredoor-core/tests/membership.rs
@@ -207,7 +207,7 @@
         for (incarnation, counter, state) in reports {
             let report = member(incarnation, counter, state);
             highest = highest.max(Some(report.rank()));
-            roster.learn(report);
+            roster.merge(report);
             prop_assert_eq!(roster.get(&name(1)).map(Member::rank), highest);
         }
         Ok(())
