--- a/crates/samphiredoor-core/src/manifest.rs
+++ b/crates/samphiredoor-core/src/manifest.rs
@@ -1,4 +1,4 @@
-//! The declarations in force, checked and ready for lookups.
+//! The manifest: the declared services, targets and workspaces, validated and indexed by name.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -11,81 +11,82 @@
 
 use crate::Name;
 
-const MAX_WEIGHT_BYTES: usize = 128;
+const MAX_WEIGHT_NAME_BYTES: usize = 128;
 
-/// How a service's targets are spoken to.
+/// Protocol that a service's targets use.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ServiceKind {
-    /// A model engine: completions, streams, cancel by closing.
+    /// A model engine: completions and streams, which are cancelled by closing the connection.
     Engine,
-    /// A plain service: one call, one answer.
+    /// A plain HTTP service: one request, one answer.
     Plain,
 }
 
-/// How much of a target's loan limit is lent to batch work.
+/// How much of a target's `loan_limit` batch requests may use.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Lending {
-    /// What online requests leave free, by measurement.
+    /// The capacity that online requests leave free, as measured.
     #[default]
     Measured,
-    /// All of it, always.
+    /// All of it, regardless of online load.
     Fixed,
 }
 
 /// A declared service.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Service {
-    /// Name; the model that callers ask for.
+    /// Unique name; the model that callers request.
     pub name: Name,
-    /// How its targets are spoken to.
+    /// Protocol that its targets use.
     pub kind: ServiceKind,
-    /// Whether a call may run more than once.
+    /// Whether a request may run more than once, so that it can be retried after an unknown outcome.
     pub repeatable: bool,
-    /// Deadline of a request that names none.
+    /// Timeout of requests without a deadline of their own.
     pub deadline_ms: u64,
-    /// Room for online bursts, in hundredths of their envelope.
+    /// Capacity reserved for bursts of online requests, in percent of the standard reserve, which follows from their
+    /// measured growth; 0 reserves none.
     pub headroom_percent: u32,
-    /// How much is lent to batch work.
+    /// How much of the capacity batch requests may use.
     pub lending: Lending,
-    /// Whether its engines go on from a given token.
+    /// Whether its engines can continue a completion from a given token.
     pub resumable: bool,
 }
 
 /// A declared target.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Target {
-    /// Name.
+    /// Unique name.
     pub name: Name,
-    /// Service that it serves.
+    /// Service that it belongs to.
     pub service: Name,
-    /// Where it listens.
+    /// Address where it listens for requests.
     pub address: SocketAddr,
-    /// Region.
+    /// Region that it runs in.
     pub region: Name,
-    /// Availability zone.
+    /// Availability zone that it runs in.
     pub availability_zone: Name,
     /// Team that owns it.
     pub owner: Name,
-    /// Most requests at once, online and batch.
+    /// Limit of concurrent requests, online and batch together.
     pub concurrency_limit: u32,
-    /// Most batch requests at once.
+    /// Limit of concurrent batch requests.
     pub loan_limit: u32,
-    /// Whether it refuses orders with old fencing numbers.
+    /// Whether it refuses orders with outdated fencing tokens.
     pub checks_fencing: bool,
     /// Whether an operator has drained it.
     pub drained: bool,
-    /// Whether its owner has reclaimed the lent capacity.
+    /// Whether its owner has reclaimed the capacity that batch requests may use.
     pub reclaimed: bool,
-    /// Weights that it is to hold; `None` where no orders are to be given.
+    /// Weights that it is to have loaded; `None` if no orders are to be sent to it.
     pub weights: Option<BTreeSet<Name>>,
 }
 
-/// Bounds on orders to load weights.
+/// Limits of orders to load weights.
 #[derive(Debug, Clone, PartialEq)]
 pub struct WeightStore {
-    /// Loads at once, over all targets.
+    /// Limit of concurrent loads, over all targets.
     pub loads_at_once: usize,
-    /// Longest time from the sending of an order until it has no effect any more.
+    /// Longest time after its sending in which an order may still take effect.
     pub longest_order_ms: u64,
 }
 
@@ -98,18 +99,18 @@
 /// Limits of a workspace.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Workspace {
-    /// Name.
+    /// Unique name.
     pub name: Name,
-    /// Share under contention.
+    /// Weight of its share when workspaces compete for capacity.
     pub weight: u32,
-    /// Most online requests at once at one process; 0 for no limit of its own.
+    /// Limit of concurrent online requests in one process; 0 for no limit of its own.
     pub max_in_flight: u32,
 }
 
 /// One revision of the declarations.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Manifest {
-    /// Revision; a process applies only higher ones.
+    /// Revision number; a process applies only a higher one than that of its active manifest.
     pub revision: u64,
     /// Services by name.
     pub services: BTreeMap<Name, Service>,
@@ -117,16 +118,16 @@
     pub targets: BTreeMap<Name, Target>,
     /// Workspaces by name.
     pub workspaces: BTreeMap<Name, Workspace>,
-    /// Bounds on orders to load weights.
+    /// Limits of orders to load weights.
     pub weight_store: WeightStore,
 }
 
-/// What is wrong with a manifest, with the place in it.
+/// An invalid field of a manifest.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ManifestError {
-    /// Path of the field, as `targets[2].address`.
+    /// Path of the field, such as `targets[2].address`.
     pub field: String,
-    /// What is wrong, with a hint.
+    /// Why its value is invalid, and how to correct it.
     pub problem: String,
 }
 
@@ -139,11 +140,11 @@
 impl std::error::Error for ManifestError {}
 
 impl Manifest {
-    /// Checks declarations and takes them as `revision`.
+    /// Validates declarations and builds the manifest of this revision.
     ///
     /// # Errors
     ///
-    /// The first field that is wrong.
+    /// The first invalid field.
     pub fn new(revision: u64, declared: &declared::Manifest) -> Result<Manifest, ManifestError> {
         let mut manifest = Manifest { revision, ..Manifest::default() };
         for (index, service) in declared.services.iter().enumerate() {
@@ -205,14 +206,16 @@
         if !self.services.contains_key(target.service.as_str()) {
             return Err(ManifestError {
                 field: format!("targets[{index}].service"),
-                problem: format!("no service `{}` is declared; add it to services", target.service),
+                problem: format!(
+                    "service `{}` is not declared; add it to services",
+                    target.service
+                ),
             });
         }
         if target.loan_limit > target.concurrency_limit.get() {
             return Err(ManifestError {
                 field: format!("targets[{index}].loan_limit"),
-                problem: "is above concurrency_limit; lend at most what the target takes"
-                    .to_owned(),
+                problem: "is above concurrency_limit; use at most that value".to_owned(),
             });
         }
         let checked = Target {
@@ -253,17 +256,19 @@
     }
 }
 
-/// Checks that a name can stand in paths, labels and logs.
+/// Checks that a name is safe in paths, metric labels and logs.
 ///
 /// # Errors
 ///
-/// The name is empty, longer than 63 bytes, or holds other characters than `a-z`, `0-9`, `-`, `_` and `.`.
+/// The name is empty, longer than 63 bytes, or contains other characters than `a-z`, `0-9`, `-`, `_` and `.`.
 pub fn checked_name(field: &str, name: &str) -> Result<Name, ManifestError> {
     let allowed = |it: char| it.is_ascii_lowercase() || it.is_ascii_digit() || "-_.".contains(it);
     if name.is_empty() || name.len() > 63 || !name.chars().all(allowed) {
         return Err(ManifestError {
             field: field.to_owned(),
-            problem: format!("`{name}` is no name; use 1 to 63 of a-z, 0-9, `-`, `_` and `.`"),
+            problem: format!(
+                "`{name}` is not a valid name; use 1 to 63 characters of a-z, 0-9, `-`, `_` and `.`"
+            ),
         });
     }
     Ok(name.into())
@@ -278,10 +283,10 @@
         return Ok(None);
     }
     let mut checked = BTreeSet::new();
-    for (place, weight) in weights.iter().enumerate() {
-        let field = format!("targets[{index}].weights[{place}]");
-        if weight.is_empty() || weight.len() > MAX_WEIGHT_BYTES {
-            let problem = format!("use 1 to {MAX_WEIGHT_BYTES} bytes");
+    for (position, weight) in weights.iter().enumerate() {
+        let field = format!("targets[{index}].weights[{position}]");
+        if weight.is_empty() || weight.len() > MAX_WEIGHT_NAME_BYTES {
+            let problem = format!("use 1 to {MAX_WEIGHT_NAME_BYTES} bytes");
             return Err(ManifestError { field, problem });
         }
         if !checked.insert(Name::from(weight.as_str())) {
--- a/crates/samphiredoor-core/src/manifest_log.rs
+++ b/crates/samphiredoor-core/src/manifest_log.rs
@@ -1,11 +1,11 @@
-//! Which revision of the manifest is in force, and how it is changed.
+//! The active revision of the manifest, and changes to it.
 //!
-//! The safety: a change is one conditional update of one object, and [`ManifestLog`] takes only revisions above the one
-//! it holds, whoever offers them: the store, a watch, a peer or an operator. Stale reads and replayed events thereby
-//! change nothing. The speed: watchers and peers say that there is a newer revision.
+//! A change is one conditional update of one object. [`ManifestLog`] applies only revisions above the active one,
+//! whether they come from the store, a watch, a peer or an operator, so stale reads and replayed events change nothing.
+//! Watches and peers announce new revisions early; correctness does not depend on them.
 //!
-//! A change counts as accepted when it stands in the store and a second process holds it, so that it outlives the door
-//! that accepted it even when the store is lost right after.
+//! A change is accepted when it is stored and a second process has applied it. So it survives the loss of the process
+//! that accepted it, even if the store is lost right after.
 
 use std::sync::Arc;
 
@@ -17,194 +17,195 @@
     store::{Kind, Labels, ObjectKey, StoreAnswer, StoreOp, Stored, Version},
 };
 
-/// Layout of the manifest's record that this version writes, and the highest that it reads.
+/// Format of the manifest record that this version writes, and the highest that it reads.
 pub const MANIFEST_FORMAT: u32 = 1;
 
-const WRITE_TRIES: u32 = 3;
+const MAX_WRITE_TRIES: u32 = 3;
 
-/// Key of the one manifest object.
+/// Key of the manifest, which is one object in the store.
 pub fn manifest_key() -> ObjectKey {
     ObjectKey::new(Kind::Manifest, "current")
 }
 
-/// What became of a record that was offered.
+/// Result of offering a record.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Offered {
-    /// It is in force from now on.
+    /// The record was applied and is now active.
     Applied(Arc<Manifest>),
-    /// It was in force already.
+    /// The record was active already.
     Known,
-    /// A higher revision is in force.
+    /// A higher revision is active.
     Older {
-        /// Revision offered.
+        /// Revision of the record.
         revision: u64,
     },
-    /// The revision in force has another content; the store must have been set back between the two writes.
+    /// The active manifest has the same revision but another writer. The store must have been restored to an earlier
+    /// state between the two writes.
     Forked {
         /// Revision of both.
         revision: u64,
     },
-    /// It cannot be used, for this reason.
+    /// The record is not valid, for this reason.
     Unusable(String),
 }
 
 #[derive(Debug)]
-struct Held {
+struct Active {
     revision: u64,
     writer: String,
     previous_writer: String,
     record: Arc<[u8]>,
 }
 
-/// The revision in force in one process.
+/// The active revision in one process.
 #[derive(Debug, Default)]
 pub struct ManifestLog {
-    held: Option<Held>,
+    active: Option<Active>,
 }
 
 impl ManifestLog {
-    /// Revision in force; 0 before the first.
+    /// Active revision; 0 before the first.
     pub fn revision(&self) -> u64 {
-        self.held.as_ref().map_or(0, |it| it.revision)
+        self.active.as_ref().map_or(0, |it| it.revision)
     }
 
-    /// Record of the revision in force, to be handed on.
+    /// Record of the active revision, to be forwarded to peers.
     pub fn record(&self) -> Option<&Arc<[u8]>> {
-        self.held.as_ref().map(|it| &it.record)
+        self.active.as_ref().map(|it| &it.record)
     }
 
-    /// Whether what is in force is this record, or the change that came right on top of it.
+    /// Whether the active revision is this record, or the change that directly followed it.
     ///
-    /// A higher revision alone does not say so: after the store was set back, a change can be given a revision that the
-    /// fleet has left behind, and would be told as accepted though it is in force nowhere.
+    /// A higher revision alone is not enough: after the store was restored to an earlier state, a change can get a
+    /// revision that the fleet has already passed, and would be reported as accepted though it is active nowhere.
     pub fn covers(&self, bytes: &[u8]) -> bool {
-        let (Some(held), Ok(record)) = (&self.held, read_record(bytes)) else { return false };
-        match held.revision.checked_sub(record.revision) {
-            Some(0) => held.writer == record.writer,
-            Some(1) => held.previous_writer == record.writer,
+        let (Some(active), Ok(record)) = (&self.active, read_record(bytes)) else { return false };
+        match active.revision.checked_sub(record.revision) {
+            Some(0) => active.writer == record.writer,
+            Some(1) => active.previous_writer == record.writer,
             _ => false,
         }
     }
 
-    /// Takes a record if its revision is above the one in force.
+    /// Applies a record if its revision is above the active one.
     pub fn offer(&mut self, bytes: &[u8]) -> Offered {
         let record = match read_record(bytes) {
             Ok(record) => record,
             Err(problem) => return Offered::Unusable(problem),
         };
         let revision = record.revision;
-        if let Some(held) = &self.held
-            && revision <= held.revision
+        if let Some(active) = &self.active
+            && revision <= active.revision
         {
-            return match revision == held.revision {
-                true if record.writer == held.writer => Offered::Known,
+            return match revision == active.revision {
+                true if record.writer == active.writer => Offered::Known,
                 true => Offered::Forked { revision },
                 false => Offered::Older { revision },
             };
         }
-        let manifest = match read_manifest(&record) {
+        let manifest = match decode_manifest(&record) {
             Ok(manifest) => Arc::new(manifest),
             Err(problem) => return Offered::Unusable(problem),
         };
         let (writer, previous_writer) = (record.writer, record.previous_writer);
-        self.held = Some(Held { revision, writer, previous_writer, record: bytes.into() });
+        self.active = Some(Active { revision, writer, previous_writer, record: bytes.into() });
         Offered::Applied(manifest)
     }
 }
 
-/// Reads a manifest's record of a format that this version knows.
+/// Decodes a manifest record.
 ///
 /// # Errors
 ///
-/// What is wrong with it.
+/// The record is not valid JSON, has a newer format, or has revision 0.
 pub fn read_record(bytes: &[u8]) -> Result<ManifestRecord, String> {
     let record: ManifestRecord = serde_json::from_slice(bytes).map_err(|err| err.to_string())?;
     if record.format > MANIFEST_FORMAT {
         return Err(format!("format {} is newer than {MANIFEST_FORMAT}", record.format));
     }
     if record.revision == 0 {
-        return Err("revision 0 cannot be in force".to_owned());
+        return Err("revision 0 is not valid; revisions start at 1".to_owned());
     }
     Ok(record)
 }
 
-fn read_manifest(record: &ManifestRecord) -> Result<Manifest, String> {
+fn decode_manifest(record: &ManifestRecord) -> Result<Manifest, String> {
     let declared =
         serde_json::from_value(record.manifest.clone()).map_err(|err| err.to_string())?;
     Manifest::new(record.revision, &declared).map_err(|err| err.to_string())
 }
 
-/// Who besides the accepting process holds a revision.
+/// Whether another process has confirmed that it applied a revision.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Holders {
-    /// At least one other process.
+    /// At least one other process has.
     Another,
-    /// No other process lives.
+    /// No other process is live.
     Sole,
-    /// Others live, and none of them confirmed it.
+    /// Other processes are live, and none of them has.
     Unconfirmed,
 }
 
-/// What happened to a change.
+/// Events that a change handles.
 #[derive(Debug, Clone)]
 pub enum ChangeInput {
-    /// It begins; this revision is in force here.
+    /// The change begins.
     Start {
-        /// Revision in force.
+        /// Active revision in this process.
         held: u64,
     },
-    /// The store answered.
+    /// Answer of the store to the last call.
     Stored(StoreAnswer),
-    /// The peers answered.
+    /// Result of replicating the record to peers.
     Held(Holders),
 }
 
-/// What a change does next.
+/// Next step of a change.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ChangeStep {
     /// Make a store call.
     Call(StoreOp),
-    /// Put the record in force here, and have peers hold it.
+    /// Apply the record in this process, and have peers apply it.
     Hold {
         /// The record as stored.
         record: Arc<[u8]>,
-        /// Its revision.
+        /// Revision of the record.
         revision: u64,
     },
-    /// It ended.
+    /// The change has ended.
     End(ChangeEnd),
 }
 
-/// How a change ended.
+/// Outcome of a change.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ChangeEnd {
-    /// It is accepted.
+    /// The change is stored, and a peer has applied it or there is none.
     Accepted {
-        /// Its revision.
+        /// Revision of the change.
         revision: u64,
     },
-    /// Another change was first; this one had no effect.
+    /// Another change came first; this one had no effect.
     Lost {
-        /// Revision that stands.
+        /// Latest revision.
         revision: u64,
         /// Writer of that revision.
         winner: Name,
     },
     /// The store was not reachable; this change had no effect.
     Unavailable,
-    /// The store stopped answering while it was written; it may have taken effect.
+    /// The store did not answer the write; the change may have taken effect.
     MayBeWritten {
-        /// Revision that it has if it took effect.
+        /// Revision of the change if it took effect.
         revision: u64,
     },
-    /// It stands in the store, but no other process confirmed that it holds it.
+    /// The change is stored, but no other process confirmed that it applied it.
     WrittenNotHeld {
-        /// Its revision.
+        /// Revision of the change.
         revision: u64,
     },
-    /// The store takes no value of this size; this change had no effect.
+    /// The record is larger than the store accepts; this change had no effect.
     TooLarge,
-    /// The stored manifest cannot be read, so it is not replaced.
+    /// The stored manifest cannot be decoded, so it is not replaced.
     Unreadable(String),
 }
 
@@ -214,15 +215,15 @@
     op: StoreOp,
     record: Arc<[u8]>,
     tries: u32,
-    doubtful: bool,
+    unknown_outcome: bool,
 }
 
 #[derive(Debug)]
 enum State {
     Reading,
     Writing(Write),
-    Rereading(Write),
-    Holding { revision: u64 },
+    ReadingAgain(Write),
+    Replicating { revision: u64 },
     Ended,
 }
 
@@ -232,30 +233,33 @@
     writer: Name,
     expected: Option<u64>,
     declared: serde_json::Value,
-    held: u64,
+    // Active revision in this process when the change began.
+    active_revision: u64,
     state: State,
 }
 
 impl ManifestChange {
-    /// Change by `writer`, a token that no other write has, to the declarations `declared`. With an expected revision
-    /// it has no effect unless that revision is the last one.
+    /// Change to the declarations `declared`. `writer` is a token that identifies this change and that no other change
+    /// has. With an expected revision, the change has no effect unless that revision is the latest one.
     pub fn new(writer: Name, declared: serde_json::Value, expected: Option<u64>) -> ManifestChange {
-        ManifestChange { writer, expected, declared, held: 0, state: State::Reading }
+        ManifestChange { writer, expected, declared, active_revision: 0, state: State::Reading }
     }
 
-    /// Takes one event; gives what to do next.
+    /// Handles one event and returns the next step.
     pub fn step(&mut self, input: ChangeInput) -> ChangeStep {
         let state = std::mem::replace(&mut self.state, State::Ended);
         match (state, input) {
             (_, ChangeInput::Start { held }) => {
-                self.held = held;
+                self.active_revision = held;
                 self.state = State::Reading;
                 ChangeStep::Call(StoreOp::Get { key: manifest_key() })
             }
             (State::Reading, ChangeInput::Stored(answer)) => self.read(answer),
             (State::Writing(write), ChangeInput::Stored(answer)) => self.written(write, answer),
-            (State::Rereading(write), ChangeInput::Stored(answer)) => self.reread(write, answer),
-            (State::Holding { revision }, ChangeInput::Held(holders)) => {
+            (State::ReadingAgain(write), ChangeInput::Stored(answer)) => {
+                self.read_again(write, answer)
+            }
+            (State::Replicating { revision }, ChangeInput::Held(holders)) => {
                 ChangeStep::End(match holders {
                     Holders::Another | Holders::Sole => ChangeEnd::Accepted { revision },
                     Holders::Unconfirmed => ChangeEnd::WrittenNotHeld { revision },
@@ -266,7 +270,7 @@
     }
 
     fn read(&mut self, answer: StoreAnswer) -> ChangeStep {
-        let (stored, before) = match answer {
+        let (stored, previous) = match answer {
             StoreAnswer::Object(stored) => match read_record(&stored.value) {
                 Ok(record) => (Some(stored), Some(record)),
                 Err(problem) => return ChangeStep::End(ChangeEnd::Unreadable(problem)),
@@ -274,14 +278,15 @@
             StoreAnswer::Absent => (None, None),
             _ => return ChangeStep::End(ChangeEnd::Unavailable),
         };
-        let stored_revision = before.as_ref().map_or(0, |it| it.revision);
-        // After the store was set back, the fleet holds a higher revision; the next must be above both.
-        let last = stored_revision.max(self.held);
+        let stored_revision = previous.as_ref().map_or(0, |it| it.revision);
+        // After the store was restored to an earlier state, the fleet has a higher revision; the next one must be above
+        // both.
+        let last = stored_revision.max(self.active_revision);
         if self.expected.is_some_and(|it| it != last) {
-            let winner = before.map(|it| it.writer).unwrap_or_default();
+            let winner = previous.map(|it| it.writer).unwrap_or_default();
             return ChangeStep::End(ChangeEnd::Lost { revision: last, winner: winner.into() });
         }
-        self.write(Write::new(self, last + 1, stored.as_ref(), before))
+        self.write(Write::new(self, last + 1, stored.as_ref(), previous))
     }
 
     fn write(&mut self, mut write: Write) -> ChangeStep {
@@ -291,60 +296,66 @@
         ChangeStep::Call(op)
     }
 
-    fn hold(&mut self, write: Write) -> ChangeStep {
+    fn replicate(&mut self, write: Write) -> ChangeStep {
         let revision = write.revision;
-        self.state = State::Holding { revision };
+        self.state = State::Replicating { revision };
         ChangeStep::Hold { record: write.record, revision }
     }
 
     fn written(&mut self, mut write: Write, answer: StoreAnswer) -> ChangeStep {
         match answer {
-            StoreAnswer::Object(_) => self.hold(write),
+            StoreAnswer::Object(_) => self.replicate(write),
             StoreAnswer::TooLarge => ChangeStep::End(ChangeEnd::TooLarge),
-            // Only a read can tell whether the write that stands is this one.
+            // Only a read shows whether the stored record is that of this change.
             StoreAnswer::Conflict | StoreAnswer::Taken | StoreAnswer::Unknown => {
-                write.doubtful |= answer == StoreAnswer::Unknown;
-                self.state = State::Rereading(write);
+                write.unknown_outcome |= answer == StoreAnswer::Unknown;
+                self.state = State::ReadingAgain(write);
                 ChangeStep::Call(StoreOp::Get { key: manifest_key() })
             }
-            _ => ChangeStep::End(unresolved(&write)),
+            _ => ChangeStep::End(failed_outcome(&write)),
         }
     }
 
-    fn reread(&mut self, write: Write, answer: StoreAnswer) -> ChangeStep {
+    fn read_again(&mut self, write: Write, answer: StoreAnswer) -> ChangeStep {
         let stored = match answer {
             StoreAnswer::Object(stored) => stored,
-            StoreAnswer::Absent if write.tries < WRITE_TRIES => return self.write(write),
-            _ => return ChangeStep::End(unresolved(&write)),
+            StoreAnswer::Absent if write.tries < MAX_WRITE_TRIES => return self.write(write),
+            _ => return ChangeStep::End(failed_outcome(&write)),
         };
         let Ok(record) = read_record(&stored.value) else {
-            return ChangeStep::End(unresolved(&write));
+            return ChangeStep::End(failed_outcome(&write));
         };
         if record.writer == *self.writer {
-            return self.hold(write);
+            return self.replicate(write);
         }
         if record.previous_writer == *self.writer {
             let revision = write.revision;
-            return self.superseded(revision, stored, record);
+            return self.replicate_next(revision, stored, record);
         }
         if Some(stored.version) == write.version() {
-            // The lost write has not taken effect. It is sent again as it was: of the two at most one can.
-            return match write.tries < WRITE_TRIES {
+            // The write with unknown outcome has not taken effect. It is sent again with the same expected version, so
+            // that at most one of the two can.
+            return match write.tries < MAX_WRITE_TRIES {
                 true => self.write(write),
-                false => ChangeStep::End(unresolved(&write)),
+                false => ChangeStep::End(failed_outcome(&write)),
             };
         }
-        // The lost write may have stood for a while: others came on top of it, or the store was set back.
-        if write.doubtful {
-            return ChangeStep::End(unresolved(&write));
+        // The write with unknown outcome may have taken effect before others followed it or the store was restored.
+        if write.unknown_outcome {
+            return ChangeStep::End(failed_outcome(&write));
         }
         let winner = record.writer.into();
         ChangeStep::End(ChangeEnd::Lost { revision: record.revision, winner })
     }
 
-    // This change took effect and the next one came on top of it; holding the next one outlives both.
-    fn superseded(&mut self, revision: u64, stored: Stored, record: ManifestRecord) -> ChangeStep {
-        self.state = State::Holding { revision };
+    // This change took effect and the next one followed it; replicating the next one secures both.
+    fn replicate_next(
+        &mut self,
+        revision: u64,
+        stored: Stored,
+        record: ManifestRecord,
+    ) -> ChangeStep {
+        self.state = State::Replicating { revision };
         ChangeStep::Hold { record: stored.value, revision: record.revision }
     }
 }
@@ -354,10 +365,10 @@
         change: &ManifestChange,
         revision: u64,
         stored: Option<&Stored>,
-        before: Option<ManifestRecord>,
+        replaced: Option<ManifestRecord>,
     ) -> Write {
-        let (previous, previous_writer) = match before {
-            Some(before) => (Some(before.manifest), before.writer),
+        let (previous, previous_writer) = match replaced {
+            Some(replaced) => (Some(replaced.manifest), replaced.writer),
             None => (None, String::new()),
         };
         let record = ManifestRecord {
@@ -374,7 +385,7 @@
             Some(it) => StoreOp::Update { key, version: it.version, labels, value },
             None => StoreOp::Create { key, labels, value },
         };
-        Write { revision, op, record, tries: 0, doubtful: false }
+        Write { revision, op, record, tries: 0, unknown_outcome: false }
     }
 
     fn version(&self) -> Option<Version> {
@@ -385,8 +396,8 @@
     }
 }
 
-fn unresolved(write: &Write) -> ChangeEnd {
-    match write.doubtful {
+fn failed_outcome(write: &Write) -> ChangeEnd {
+    match write.unknown_outcome {
         true => ChangeEnd::MayBeWritten { revision: write.revision },
         false => ChangeEnd::Unavailable,
     }
