--- a/crates/samphiredoor-core/examples/membership_slope.rs
+++ b/crates/samphiredoor-core/examples/membership_slope.rs
@@ -1,5 +1,7 @@
-//! What membership costs a process at several sizes of the fleet: messages, reads of the store, time, state, and how
-//! long a crash takes to be known everywhere. Run it in release.
+//! Cost of membership per process at several sizes of the fleet: messages, reads of the store, CPU time and links, and
+//! the time until a crash is known to all processes and until the lease of the crashed process has expired.
+//!
+//! `cargo run --release -p samphiredoor-core --example membership_slope`
 
 #[allow(dead_code)]
 #[path = "../tests/fleet/mod.rs"]
@@ -11,7 +13,7 @@
 use samphiredoor_core::membership::MemberState;
 
 const SIZES: [usize; 3] = [9, 92, 920];
-const STEADY_MS: u64 = 60_000;
+const MEASURED_MS: u64 = 60_000;
 
 fn main() {
     println!(
@@ -29,15 +31,16 @@
     }
     fleet.run(30_000);
     assert!(fleet.converged(), "the fleet has converged before it is measured");
-    let (beats, changes, reads, lists) = (fleet.beats, fleet.changes, fleet.reads, fleet.lists);
+    let (beats, changes, reads, lists) =
+        (fleet.heartbeats, fleet.changes, fleet.reads, fleet.lists);
     let start = Instant::now();
-    fleet.run(STEADY_MS);
+    fleet.run(MEASURED_MS);
     let cpu_s = start.elapsed().as_secs_f64();
-    let seconds = STEADY_MS as f64 / 1_000.0;
+    let seconds = MEASURED_MS as f64 / 1_000.0;
     let per_door = |count: u64| count as f64 / doors as f64 / seconds;
     let links: usize = fleet.nodes.iter().map(|it| it.membership.linked().count()).sum();
-    // Beats are counted where they are sent; each answer is one too.
-    let beats = per_door(fleet.beats - beats);
+    // Heartbeats are counted when they are sent; each answer counts as one, too.
+    let beats = per_door(fleet.heartbeats - beats);
     let changes = per_door(fleet.changes - changes);
     let reads = (fleet.reads - reads) as f64 / seconds;
     let lists = (fleet.lists - lists) as f64 / seconds;
@@ -51,7 +54,7 @@
             known.is_none_or(|it| it.state == MemberState::Dead)
         })
     });
-    let lapse = fleet.run_until(4 * LEASE_MS, |it| it.up().any(|it| !it.lapsed.is_empty()));
+    let lapse = fleet.run_until(4 * LEASE_MS, |it| it.up().any(|it| !it.expired_leases.is_empty()));
     let known_ms = known.unwrap_or_default();
     let lapse_ms = known_ms + lapse.unwrap_or_default();
     println!(
--- a/crates/samphiredoor-core/tests/fleet/mod.rs
+++ b/crates/samphiredoor-core/tests/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! A plain loop over membership state machines: it passes their messages on, and keeps their lease objects.
+//! A simulated fleet: runs membership state machines in steps, delivers their messages and stores their lease objects.
 
 use std::{
     collections::{BTreeMap, BTreeSet, VecDeque},
@@ -19,18 +19,18 @@
 pub const LEASE_MS: u64 = 5_000;
 const RENEW_MS: u64 = 1_500;
 
-/// What is done to a heartbeat on its way.
+/// How a heartbeat is delivered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Fate {
-    Arrives,
-    IsLost,
-    IsDoubled,
-    IsLate,
+pub enum Delivery {
+    Normal,
+    Lost,
+    Duplicated,
+    Delayed,
 }
 
 pub struct Node {
     pub membership: Membership,
-    pub lapsed: BTreeSet<(Name, u64)>,
+    pub expired_leases: BTreeSet<(Name, u64)>,
     pub up: bool,
     incarnation: u64,
     renewals: u64,
@@ -41,15 +41,15 @@
     pub nodes: Vec<Node>,
     pub leases: BTreeMap<Name, ProcessLease>,
     pub now_ms: u64,
-    pub beats: u64,
+    pub heartbeats: u64,
     pub changes: u64,
     pub reads: u64,
     pub lists: u64,
-    /// Members that one side of a cut reaches, by number; `None` without a cut.
-    pub cut: Option<usize>,
+    /// Network partition between the processes with numbers below this one and the others; `None` without one.
+    pub partition: Option<usize>,
     zones: usize,
     links: BTreeSet<(usize, usize)>,
-    fates: VecDeque<Fate>,
+    deliveries: VecDeque<Delivery>,
 }
 
 pub fn name(number: usize) -> Name {
@@ -61,24 +61,24 @@
 }
 
 impl Fleet {
-    /// Fleet without processes, over so many availability zones.
+    /// Fleet without processes. Processes are spread over this number of availability zones.
     pub fn new(zones: usize) -> Fleet {
         Fleet {
             nodes: Vec::new(),
             leases: BTreeMap::new(),
             now_ms: 0,
-            beats: 0,
+            heartbeats: 0,
             changes: 0,
             reads: 0,
             lists: 0,
-            cut: None,
+            partition: None,
             zones,
             links: BTreeSet::new(),
-            fates: VecDeque::new(),
+            deliveries: VecDeque::new(),
         }
     }
 
-    /// Starts a process, or starts it anew.
+    /// Starts a process, or restarts it with a higher incarnation.
     pub fn start(&mut self, number: usize) {
         let incarnation = self.now_ms + 1;
         let own = Member {
@@ -98,7 +98,7 @@
         };
         let node = Node {
             membership: Membership::new(config),
-            lapsed: BTreeSet::new(),
+            expired_leases: BTreeSet::new(),
             up: true,
             incarnation,
             renewals: 0,
@@ -113,7 +113,7 @@
         self.renew(number, false);
     }
 
-    /// Ends a process without a word.
+    /// Ends a process without a shutdown and closes its links.
     pub fn crash(&mut self, number: usize) {
         self.nodes[number].up = false;
         let links: Vec<_> =
@@ -123,33 +123,33 @@
         }
     }
 
-    /// Freezes a process: its links stand, and it neither answers nor renews its lease.
+    /// Freezes a process: its links stay open, and it neither answers nor renews its lease.
     pub fn freeze(&mut self, number: usize) {
         self.nodes[number].up = false;
     }
 
-    /// Begins a planned stop.
+    /// Begins the graceful shutdown of a process.
     pub fn stop(&mut self, number: usize) {
         self.renew(number, true);
-        self.give(number, MembershipInput::Stopping);
+        self.handle(number, MembershipInput::Stopping);
     }
 
-    /// What is done to the next heartbeats.
-    pub fn with_fates(&mut self, fates: impl IntoIterator<Item = Fate>) {
-        self.fates = fates.into_iter().collect();
+    /// Sets how the next heartbeats are delivered; all later ones are delivered at once.
+    pub fn set_deliveries(&mut self, deliveries: impl IntoIterator<Item = Delivery>) {
+        self.deliveries = deliveries.into_iter().collect();
     }
 
-    /// Lets time pass.
+    /// Advances the time by `ms`.
     pub fn run(&mut self, ms: u64) {
         for _ in 0..ms / STEP_MS {
             self.step();
         }
     }
 
-    /// Lets time pass until `done`; gives the time that passed, or `None` after `most_ms`.
-    pub fn run_until(&mut self, most_ms: u64, done: impl Fn(&Fleet) -> bool) -> Option<u64> {
+    /// Advances the time until `done`. Returns the time that passed, or `None` if it is not done after `max_ms`.
+    pub fn run_until(&mut self, max_ms: u64, done: impl Fn(&Fleet) -> bool) -> Option<u64> {
         let start_ms = self.now_ms;
-        while self.now_ms < start_ms + most_ms {
+        while self.now_ms < start_ms + max_ms {
             if done(self) {
                 return Some(self.now_ms - start_ms);
             }
@@ -158,12 +158,12 @@
         done(self).then(|| self.now_ms - start_ms)
     }
 
-    /// Processes that are up.
+    /// Processes that are neither crashed nor frozen.
     pub fn up(&self) -> impl Iterator<Item = &Node> {
         self.nodes.iter().filter(|it| it.up)
     }
 
-    /// Whether all processes that are up hold exactly those for live that are.
+    /// Whether the live members of each process that is up are exactly the processes that are up.
     pub fn converged(&self) -> bool {
         let up: BTreeSet<(Name, u64)> = self
             .up()
@@ -195,9 +195,9 @@
                     let beat = self.nodes[number].membership.beat();
                     self.send(number, to, beat, false);
                 }
-                self.give(number, input);
+                self.handle(number, input);
             }
-            self.give(number, MembershipInput::Tick);
+            self.handle(number, MembershipInput::Tick);
         }
     }
 
@@ -216,26 +216,26 @@
         };
         self.leases.insert(name(number), lease);
         let renewals = node.renewals;
-        self.give(number, MembershipInput::Renewed(renewals));
+        self.handle(number, MembershipInput::Renewed(renewals));
     }
 
     fn reaches(&self, a: usize, b: usize) -> bool {
-        self.cut.is_none_or(|it| (a < it) == (b < it))
+        self.partition.is_none_or(|it| (a < it) == (b < it))
     }
 
-    fn give(&mut self, number: usize, input: MembershipInput) {
+    fn handle(&mut self, number: usize, input: MembershipInput) {
         let mut inputs = VecDeque::from([input]);
         while let Some(input) = inputs.pop_front() {
             let mut actions = Vec::new();
             let now = Now::new(self.now_ms, 0);
             self.nodes[number].membership.handle(now, input, &mut actions);
             for action in actions {
-                inputs.extend(self.act(number, action));
+                inputs.extend(self.execute(number, action));
             }
         }
     }
 
-    fn act(&mut self, own: usize, action: MembershipAction) -> Vec<MembershipInput> {
+    fn execute(&mut self, own: usize, action: MembershipAction) -> Vec<MembershipInput> {
         match action {
             MembershipAction::Connect { peer, .. } => return vec![self.connect(own, peer)],
             MembershipAction::Close { peer, .. } => self.unlink(own, number(&peer)),
@@ -266,7 +266,7 @@
                 return vec![MembershipInput::Leases(leases.collect())];
             }
             MembershipAction::Lapsed { process, incarnation } => {
-                self.nodes[own].lapsed.insert((process, incarnation));
+                self.nodes[own].expired_leases.insert((process, incarnation));
             }
             MembershipAction::ConnectSeed { .. }
             | MembershipAction::PeerRevision { .. }
@@ -299,19 +299,19 @@
     }
 
     fn send(&mut self, from: usize, to: usize, beat: Beat, wants_answer: bool) {
-        self.beats += 1;
+        self.heartbeats += 1;
         self.changes += beat.changes.len() as u64;
-        let fate = self.fates.pop_front().unwrap_or(Fate::Arrives);
-        if fate == Fate::IsLost || !self.reaches(from, to) {
+        let delivery = self.deliveries.pop_front().unwrap_or(Delivery::Normal);
+        if delivery == Delivery::Lost || !self.reaches(from, to) {
             return;
         }
-        let delay_ms = if fate == Fate::IsLate { 7 * STEP_MS } else { 0 };
+        let delay_ms = if delivery == Delivery::Delayed { 7 * STEP_MS } else { 0 };
         let input = MembershipInput::Beat { from: name(from), beat };
         if !self.nodes[to].up {
             return;
         }
         let inbox = &mut self.nodes[to].inbox;
-        if fate == Fate::IsDoubled {
+        if delivery == Delivery::Duplicated {
             inbox.push_back((self.now_ms + 3 * STEP_MS, input.clone(), false));
         }
         inbox.push_back((self.now_ms + delay_ms, input, wants_answer));
--- a/crates/samphiredoor-core/tests/membership.rs
+++ b/crates/samphiredoor-core/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Membership under joins, stops, crashes, cuts, and heartbeats that are lost, late or doubled.
+//! Membership under joins, shutdowns, crashes, network partitions, and lost, delayed or duplicated heartbeats.
 
 mod fleet;
 
@@ -15,9 +15,9 @@
     time::Now,
 };
 
-use fleet::{Fate, Fleet, LEASE_MS, name};
+use fleet::{Delivery, Fleet, LEASE_MS, name};
 
-const MOST_MS: u64 = 120_000;
+const MAX_CONVERGE_MS: u64 = 120_000;
 
 #[derive(Debug, Clone)]
 enum Step {
@@ -25,28 +25,28 @@
     Restart(usize),
     Crash(usize),
     Stop(usize),
-    Cut(usize),
-    Mend,
-    Pass(u64),
-    Fates(Vec<Fate>),
+    Partition(usize),
+    Heal,
+    Advance(u64),
+    Deliveries(Vec<Delivery>),
 }
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
-    let fate = prop_oneof![
-        3 => Just(Fate::Arrives),
-        1 => Just(Fate::IsLost),
-        1 => Just(Fate::IsDoubled),
-        1 => Just(Fate::IsLate),
+    let delivery = prop_oneof![
+        3 => Just(Delivery::Normal),
+        1 => Just(Delivery::Lost),
+        1 => Just(Delivery::Duplicated),
+        1 => Just(Delivery::Delayed),
     ];
     let step = prop_oneof![
         3 => Just(Step::Join),
         2 => (0..12_usize).prop_map(Step::Restart),
         2 => (0..12_usize).prop_map(Step::Crash),
         1 => (0..12_usize).prop_map(Step::Stop),
-        1 => (1..6_usize).prop_map(Step::Cut),
-        1 => Just(Step::Mend),
-        3 => (1..40_u64).prop_map(|it| Step::Pass(it * 100)),
-        2 => vec(fate, 0..60).prop_map(Step::Fates),
+        1 => (1..6_usize).prop_map(Step::Partition),
+        1 => Just(Step::Heal),
+        3 => (1..40_u64).prop_map(|it| Step::Advance(it * 100)),
+        2 => vec(delivery, 0..60).prop_map(Step::Deliveries),
     ];
     vec(step, 1..25)
 }
@@ -66,45 +66,45 @@
         Step::Restart(it) if it < len => fleet.start(it),
         Step::Crash(it) if it < len && fleet.up().count() > 1 => fleet.crash(it),
         Step::Stop(it) if it < len && fleet.nodes[it].up => fleet.stop(it),
-        Step::Cut(it) => fleet.cut = Some(it),
-        Step::Mend => fleet.cut = None,
-        Step::Pass(ms) => fleet.run(ms),
-        Step::Fates(fates) => fleet.with_fates(fates),
+        Step::Partition(it) => fleet.partition = Some(it),
+        Step::Heal => fleet.partition = None,
+        Step::Advance(ms) => fleet.run(ms),
+        Step::Deliveries(deliveries) => fleet.set_deliveries(deliveries),
         _ => {}
     }
 }
 
-/// A door that is down stays in lists, or one that works is missing from them, so that its share of work goes nowhere.
-/// It happens when joins, crashes, cuts and lost heartbeats come in a sequence that leaves doors with reports that
-/// differ. The cause would be gossip that ended before all had it, or a report of death that nobody contradicts.
+/// Guards against rosters that keep a dead process or lack a live one, so that nobody does its share of the work. A
+/// sequence of joins, crashes, partitions and lost heartbeats can leave processes with differing reports, if gossip ends
+/// before all have it or if a false report of death is not refuted.
 #[test]
-fn doors_agree_on_who_is_live_once_faults_end() {
-    let converge = |steps: Vec<Step>| {
+fn rosters_converge_once_faults_end() {
+    let converges = |steps: Vec<Step>| {
         let mut fleet = Fleet::new(3);
         fleet.start(0);
         for step in steps {
             apply(&mut fleet, step);
         }
-        fleet.cut = None;
-        fleet.with_fates([]);
-        let took = fleet.run_until(MOST_MS, Fleet::converged);
-        prop_assert!(took.is_some(), "doors still differ after {MOST_MS} ms");
+        fleet.partition = None;
+        fleet.set_deliveries([]);
+        let converged_ms = fleet.run_until(MAX_CONVERGE_MS, Fleet::converged);
+        prop_assert!(converged_ms.is_some(), "rosters still differ after {MAX_CONVERGE_MS} ms");
         Ok(())
     };
-    runner().run(&steps(), converge).expect("all cases hold");
+    runner().run(&steps(), converges).expect("all cases hold");
 }
 
-/// The jobs of a lost door are never taken up. The door dies, or freezes with its connections open, and the cause would
-/// be a silence that none of those who are left notices and watches until the lease is over.
+/// Guards against the jobs of a lost process not being taken over. The process crashes, or freezes with its connections
+/// open, and none of the remaining processes notices that it does not answer and reads its lease until it has expired.
 #[test]
-fn the_lapse_of_each_lost_door_is_noticed_by_another() {
-    let noticed = |(doors, crashed, frozen): (usize, Vec<usize>, bool)| {
+fn another_process_detects_the_expired_lease_of_each_lost_process() {
+    let expiry_is_detected = |(processes, crashed, frozen): (usize, Vec<usize>, bool)| {
         let mut fleet = Fleet::new(3);
-        for number in 0..doors {
+        for number in 0..processes {
             fleet.start(number);
         }
         fleet.run(5_000);
-        let lost: Vec<usize> = crashed.into_iter().map(|it| it % doors).collect();
+        let lost: Vec<usize> = crashed.into_iter().map(|it| it % processes).collect();
         for number in &lost {
             if fleet.up().count() > 1 {
                 match frozen {
@@ -115,56 +115,60 @@
         }
         fleet.run(2 * LEASE_MS);
         for number in lost {
-            let known = fleet.up().any(|it| it.lapsed.iter().any(|(it, _)| *it == name(number)));
-            prop_assert!(known || fleet.nodes[number].up, "nobody noticed door {number}");
+            let detected =
+                fleet.up().any(|it| it.expired_leases.iter().any(|(it, _)| *it == name(number)));
+            prop_assert!(
+                detected || fleet.nodes[number].up,
+                "the loss of process {number} was not detected"
+            );
         }
         Ok(())
     };
     runner()
-        .run(&(2..12_usize, vec(0..12_usize, 1..6), any::<bool>()), noticed)
+        .run(&(2..12_usize, vec(0..12_usize, 1..6), any::<bool>()), expiry_is_detected)
         .expect("all cases hold");
 }
 
-/// Two doors work on one job although both are well. A cut parts the fleet, each side holds the other for dead, and the
-/// cause would be a lapse that is called on silence alone, while the lease object shows renewals.
+/// Guards against two live processes working on one job. A partition splits the fleet and each side reports the other
+/// dead. A lease must not be declared expired for missing heartbeats alone while its object shows renewals.
 #[test]
-fn a_door_that_renews_its_lease_never_lapses() {
-    let kept = |(doors, cut): (usize, usize)| {
+fn a_renewed_lease_is_never_declared_expired() {
+    let stays_valid = |(processes, partition): (usize, usize)| {
         let mut fleet = Fleet::new(3);
-        for number in 0..doors {
+        for number in 0..processes {
             fleet.start(number);
         }
         fleet.run(3_000);
-        fleet.cut = Some(cut);
+        fleet.partition = Some(partition);
         fleet.run(4 * LEASE_MS);
-        prop_assert!(fleet.up().all(|it| it.lapsed.is_empty()));
+        prop_assert!(fleet.up().all(|it| it.expired_leases.is_empty()));
         Ok(())
     };
-    runner().run(&(2..9_usize, 1..8_usize), kept).expect("all cases hold");
+    runner().run(&(2..9_usize, 1..8_usize), stays_valid).expect("all cases hold");
 }
 
-/// Doors report each other dead all day, and lists of doors flicker. Nothing is wrong with any of them; the cause would
-/// be links on which neither side beats as often as the other expects.
+/// Guards against live processes that keep reporting each other dead, so that rosters flap. It happens when a side of a
+/// link sends heartbeats less often than the other side expects.
 #[test]
 fn a_fleet_without_faults_reports_nobody_dead() {
-    let quiet = |doors: usize| {
+    let no_false_report = |processes: usize| {
         let mut fleet = Fleet::new(3);
-        for number in 0..doors {
+        for number in 0..processes {
             fleet.start(number);
         }
         fleet.run(60_000);
-        let contradicted = |it: &Member| it.counter > 0 || it.state != MemberState::Live;
+        let reported_dead = |it: &Member| it.counter > 0 || it.state != MemberState::Live;
         let all = fleet.up().flat_map(|it| it.membership.roster().iter());
-        prop_assert!(!all.into_iter().any(contradicted));
+        prop_assert!(!all.into_iter().any(reported_dead));
         Ok(())
     };
-    runner().run(&(2..16_usize), quiet).expect("all cases hold");
+    runner().run(&(2..16_usize), no_false_report).expect("all cases hold");
 }
 
-/// A door keeps a member in its lists that is long gone, because the heartbeats that told of it were lost. The cause
-/// would be that nobody notices when two doors know different members.
+/// Guards against a member that stays in a roster long after its death, because the heartbeats with the report were
+/// lost and the processes do not detect that their rosters differ.
 #[test]
-fn a_peer_that_goes_on_to_know_other_members_is_asked_for_all() {
+fn members_are_pulled_from_a_peer_whose_digest_keeps_differing() {
     let own = Member { name: name(0), ..member(1, 0, MemberState::Live) };
     let config = MembershipConfig { own, heartbeat_ms: 500, lease_ms: LEASE_MS, seeds: Vec::new() };
     let mut membership = Membership::new(config);
@@ -174,9 +178,9 @@
     membership.handle(Now::new(0, 0), up, &mut out);
     out.clear();
     let beat = Beat { members_digest: membership.roster().digest() ^ 1, ..Beat::default() };
-    for beats in 1..=3 {
+    for heartbeats in 1..=3 {
         let input = MembershipInput::Beat { from: name(1), beat: beat.clone() };
-        membership.handle(Now::new(beats * 500, 0), input, &mut out);
+        membership.handle(Now::new(heartbeats * 500, 0), input, &mut out);
     }
     assert_eq!(out, [MembershipAction::PullMembers { from: name(1) }]);
 }
@@ -193,10 +197,10 @@
     }
 }
 
-/// A restarted door gets no work: reports of its earlier start, late or doubled, arrive after those of the new one and
-/// replace them. The cause would be reports taken in the order of their arrival.
+/// Guards against a restarted process that gets no work, because delayed or duplicated reports on its earlier
+/// incarnation arrive last and replace those on the new one.
 #[test]
-fn a_report_of_an_earlier_start_never_replaces_a_later_one() {
+fn a_report_on_an_earlier_incarnation_never_replaces_a_later_one() {
     let state =
         prop_oneof![Just(MemberState::Live), Just(MemberState::Stopping), Just(MemberState::Dead)];
     let reports = vec((1..4_u64, 0..3_u64, state), 1..20);
