--- a/crates/samphiredoor-core/tests/manifest.rs
+++ b/crates/samphiredoor-core/tests/manifest.rs
@@ -1,4 +1,5 @@
-//! Revisions of the manifest under replays, races of operators, lost answers, and a store that is set back.
+//! Revisions of the manifest under replayed records, concurrent changes, lost answers of the store, stale reads, and a
+//! store that is restored to an earlier state.
 
 use std::{collections::BTreeSet, sync::Arc};
 
@@ -16,7 +17,7 @@
 };
 use serde_json::json;
 
-const DOORS: usize = 3;
+const PROCESSES: usize = 3;
 
 /// Runner with a fixed seed; `SAMPHIREDOOR_CASES` lengthens the run.
 fn runner() -> TestRunner {
@@ -26,29 +27,29 @@
     TestRunner::new_with_rng(config, TestRng::deterministic_rng(RngAlgorithm::ChaCha))
 }
 
-/// How the store treats the next call of a change.
+/// How the store handles the next call of a change.
 #[derive(Debug, Clone, Copy)]
-enum Answering {
-    Well,
-    /// Takes effect; the answer is lost.
-    Loses,
-    /// Refuses.
-    Down,
-    /// A read gives what stood before the last write.
+enum StoreBehaviour {
+    Normal,
+    /// The call takes effect, and its answer is lost.
+    AnswerLost,
+    /// The call has no effect.
+    Unavailable,
+    /// A read returns the value before the last write.
     Stale,
 }
 
 #[derive(Debug, Clone)]
 enum Step {
-    Begin { door: usize, expects: bool },
-    Go { change: usize, answering: Answering },
+    Start { process: usize, expects: bool },
+    Continue { change: usize, behaviour: StoreBehaviour },
     Confirm { change: usize, by: usize },
     ConfirmFails { change: usize },
-    Replay { door: usize, record: usize },
-    SetBack { record: usize },
+    Replay { process: usize, record: usize },
+    RestoreStore { record: usize },
 }
 
-/// One object with a version, and all that it ever held.
+/// One object with a version, and the history of its values.
 #[derive(Default)]
 struct Store {
     version: u64,
@@ -58,14 +59,14 @@
 }
 
 impl Store {
-    fn call(&mut self, op: StoreOp, answering: Answering) -> StoreAnswer {
-        if matches!(answering, Answering::Down) {
+    fn call(&mut self, op: StoreOp, behaviour: StoreBehaviour) -> StoreAnswer {
+        if matches!(behaviour, StoreBehaviour::Unavailable) {
             return StoreAnswer::Unavailable;
         }
         let write = op.is_write();
         let answer = match op {
-            StoreOp::Get { .. } => match (answering, &self.before) {
-                (Answering::Stale, Some((version, value))) => object(*version, value.as_ref()),
+            StoreOp::Get { .. } => match (behaviour, &self.before) {
+                (StoreBehaviour::Stale, Some((version, value))) => object(*version, value.as_ref()),
                 _ => object(self.version, self.current.as_ref()),
             },
             StoreOp::Create { .. } if self.current.is_some() => StoreAnswer::Taken,
@@ -73,9 +74,9 @@
             StoreOp::Create { value, .. } | StoreOp::Update { value, .. } => self.put(value),
             _ => StoreAnswer::Unavailable,
         };
-        match answering {
-            Answering::Loses if write => StoreAnswer::Unknown,
-            Answering::Loses => StoreAnswer::Unavailable,
+        match behaviour {
+            StoreBehaviour::AnswerLost if write => StoreAnswer::Unknown,
+            StoreBehaviour::AnswerLost => StoreAnswer::Unavailable,
             _ => answer,
         }
     }
@@ -101,12 +102,12 @@
     }
 }
 
-struct Running {
-    door: usize,
+struct RunningChange {
+    process: usize,
     writer: String,
     change: ManifestChange,
     next: Next,
-    // Revision that the operator was told; it may be superseded by one on top of it.
+    // Revision that was reported as accepted, 0 before that. A later change may have replaced it already.
     revision: u64,
 }
 
@@ -119,28 +120,28 @@
 #[derive(Default)]
 struct Model {
     store: Store,
-    doors: [ManifestLog; DOORS],
-    highest: [u64; DOORS],
-    changes: Vec<Running>,
-    set_back: bool,
-    told_no_effect: BTreeSet<String>,
+    processes: [ManifestLog; PROCESSES],
+    highest: [u64; PROCESSES],
+    changes: Vec<RunningChange>,
+    restored: bool,
+    reported_no_effect: BTreeSet<String>,
 }
 
 impl Model {
     fn apply(&mut self, step: &Step) -> Result<(), TestCaseError> {
         match *step {
-            Step::Begin { door, expects } => self.begin(door, expects),
-            Step::Go { change, answering } => self.go(change, answering)?,
+            Step::Start { process, expects } => self.start(process, expects),
+            Step::Continue { change, behaviour } => self.advance(change, behaviour)?,
             Step::Confirm { change, by } => self.confirm(change, by)?,
             Step::ConfirmFails { change } => self.held(change, Holders::Unconfirmed)?,
-            Step::Replay { door, record } => {
+            Step::Replay { process, record } => {
                 if let Some(record) = self.store.history.get(record).cloned() {
-                    self.doors[door].offer(&record);
+                    self.processes[process].offer(&record);
                 }
             }
-            Step::SetBack { record } => {
+            Step::RestoreStore { record } => {
                 if let Some(record) = self.store.history.get(record).cloned() {
-                    self.set_back = true;
+                    self.restored = true;
                     self.store.version += 1;
                     self.store.current = Some(record);
                 }
@@ -149,9 +150,9 @@
         self.check()
     }
 
-    fn begin(&mut self, door: usize, expects: bool) {
+    fn start(&mut self, process: usize, expects: bool) {
         let writer = format!("operator-{}", self.changes.len());
-        let held = self.doors[door].revision();
+        let held = self.processes[process].revision();
         let declared = json!({ "services": [{ "name": writer.clone(), "kind": "plain" }] });
         let mut change =
             ManifestChange::new(writer.as_str().into(), declared, expects.then_some(held));
@@ -159,28 +160,28 @@
             ChangeStep::Call(op) => Next::Call(op),
             _ => Next::Ended,
         };
-        self.changes.push(Running { door, writer, change, next, revision: 0 });
+        self.changes.push(RunningChange { process, writer, change, next, revision: 0 });
     }
 
-    fn go(&mut self, number: usize, answering: Answering) -> Result<(), TestCaseError> {
+    fn advance(&mut self, number: usize, behaviour: StoreBehaviour) -> Result<(), TestCaseError> {
         let Some(running) = self.changes.get_mut(number) else { return Ok(()) };
         let Next::Call(op) = &running.next else { return Ok(()) };
-        let answer = self.store.call(op.clone(), answering);
+        let answer = self.store.call(op.clone(), behaviour);
         let step = running.change.step(ChangeInput::Stored(answer));
-        self.next(number, step)
+        self.take_step(number, step)
     }
 
-    fn next(&mut self, number: usize, step: ChangeStep) -> Result<(), TestCaseError> {
+    fn take_step(&mut self, number: usize, step: ChangeStep) -> Result<(), TestCaseError> {
         let running = &mut self.changes[number];
         running.next = match step {
             ChangeStep::Call(op) => Next::Call(op),
             ChangeStep::Hold { record, .. } => {
-                self.doors[running.door].offer(&record);
+                self.processes[running.process].offer(&record);
                 Next::Hold(record)
             }
             ChangeStep::End(end) => {
                 if let ChangeEnd::Lost { .. } | ChangeEnd::Unavailable = end {
-                    self.told_no_effect.insert(running.writer.clone());
+                    self.reported_no_effect.insert(running.writer.clone());
                 }
                 if let ChangeEnd::Accepted { revision } = end {
                     running.revision = revision;
@@ -195,11 +196,11 @@
         let Some(running) = self.changes.get_mut(number) else { return Ok(()) };
         let Next::Hold(record) = &running.next else { return Ok(()) };
         let record = Arc::clone(record);
-        if by == running.door {
+        if by == running.process {
             return Ok(());
         }
-        self.doors[by].offer(&record);
-        let covered = [by, running.door].iter().all(|it| self.doors[*it].covers(&record));
+        self.processes[by].offer(&record);
+        let covered = [by, running.process].iter().all(|it| self.processes[*it].covers(&record));
         self.held(number, if covered { Holders::Another } else { Holders::Unconfirmed })
     }
 
@@ -208,56 +209,57 @@
         let Next::Hold(record) = &running.next else { return Ok(()) };
         let record = Arc::clone(record);
         let step = running.change.step(ChangeInput::Held(holders));
-        self.next(number, step)?;
+        self.take_step(number, step)?;
         if self.changes[number].revision > 0 {
-            let holding = self.doors.iter().filter(|it| it.covers(&record)).count();
-            prop_assert!(holding >= 2, "accepted, and only {holding} hold it");
+            let appliers = self.processes.iter().filter(|it| it.covers(&record)).count();
+            prop_assert!(appliers >= 2, "accepted, but only {appliers} processes have applied it");
         }
         Ok(())
     }
 
     fn check(&mut self) -> Result<(), TestCaseError> {
-        for (door, highest) in self.doors.iter().zip(&mut self.highest) {
-            prop_assert!(door.revision() >= *highest, "a revision went back");
-            *highest = door.revision();
+        for (process, highest) in self.processes.iter().zip(&mut self.highest) {
+            prop_assert!(process.revision() >= *highest, "the active revision decreased");
+            *highest = process.revision();
         }
         let mut writers = BTreeSet::new();
         let mut revisions = BTreeSet::new();
         for value in &self.store.history {
             let record = read_record(value).map_err(TestCaseError::fail)?;
             prop_assert!(writers.insert(record.writer.clone()), "one change took effect twice");
-            let told = self.told_no_effect.contains(&record.writer);
-            prop_assert!(!told, "{} took effect though told not", record.writer);
+            let reported = self.reported_no_effect.contains(&record.writer);
+            prop_assert!(!reported, "{} took effect but was reported not to", record.writer);
             let once = revisions.insert(record.revision);
-            prop_assert!(once || self.set_back, "two changes have revision {}", record.revision);
+            prop_assert!(once || self.restored, "two changes have revision {}", record.revision);
         }
         Ok(())
     }
 }
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
-    let answering = prop_oneof![
-        5 => Just(Answering::Well),
-        2 => Just(Answering::Loses),
-        1 => Just(Answering::Down),
-        2 => Just(Answering::Stale),
+    let behaviour = prop_oneof![
+        5 => Just(StoreBehaviour::Normal),
+        2 => Just(StoreBehaviour::AnswerLost),
+        1 => Just(StoreBehaviour::Unavailable),
+        2 => Just(StoreBehaviour::Stale),
     ];
     let step = prop_oneof![
-        2 => (0..DOORS, any::<bool>()).prop_map(|(door, expects)| Step::Begin { door, expects }),
-        6 => (0..6_usize, answering).prop_map(|(change, answering)| Step::Go { change, answering }),
-        2 => (0..6_usize, 0..DOORS).prop_map(|(change, by)| Step::Confirm { change, by }),
+        2 => (0..PROCESSES, any::<bool>()).prop_map(|(process, expects)| Step::Start { process, expects }),
+        6 => (0..6_usize, behaviour).prop_map(|(change, behaviour)| Step::Continue { change, behaviour }),
+        2 => (0..6_usize, 0..PROCESSES).prop_map(|(change, by)| Step::Confirm { change, by }),
         1 => (0..6_usize).prop_map(|change| Step::ConfirmFails { change }),
-        1 => (0..DOORS, 0..6_usize).prop_map(|(door, record)| Step::Replay { door, record }),
-        1 => (0..6_usize).prop_map(|record| Step::SetBack { record }),
+        1 => (0..PROCESSES, 0..6_usize).prop_map(|(process, record)| Step::Replay { process, record }),
+        1 => (0..6_usize).prop_map(|record| Step::RestoreStore { record }),
     ];
     vec(step, 1..60)
 }
 
-/// An operator's change is undone, or done twice, or told as lost and done all the same. Operators race through three
-/// doors, answers of the store are lost, reads are stale, old records are replayed, and the store is set back. The
-/// cause would be a record taken without regard to its revision, or a lost write that is written again blindly.
+/// Guards against a change that is undone, takes effect twice, or takes effect after it was reported not to. Operators
+/// make concurrent changes through three processes, answers of the store are lost, reads are stale, old records are
+/// replayed, and the store is restored to an earlier state. It happens if a record is applied regardless of its
+/// revision, or if a write with unknown outcome is sent again without a read.
 #[test]
-fn revisions_only_grow_and_each_change_takes_effect_as_told() {
+fn revisions_only_grow_and_each_change_takes_effect_as_reported() {
     let holds = |steps: Vec<Step>| {
         let mut model = Model::default();
         steps.iter().try_for_each(|step| model.apply(step))
@@ -265,33 +267,33 @@
     runner().run(&steps(), holds).expect("all cases hold");
 }
 
-/// An operator is told that a change may or may not stand, though a look would tell. The store took the write and lost
-/// the answer, and the cause would be a door that does not know its own write again.
+/// Guards against an unknown outcome being reported to the operator although a read resolves it: the store made the
+/// write and lost the answer, and the process has to recognise the record as its own.
 #[test]
-fn a_lost_write_is_known_again_by_its_writer() {
+fn a_write_whose_answer_was_lost_is_recognised_by_its_writer() {
     let mut change = ManifestChange::new("operator-0".into(), json!({}), None);
     let mut store = Store::default();
     let ChangeStep::Call(read) = change.step(ChangeInput::Start { held: 0 }) else { panic!() };
-    let answer = store.call(read, Answering::Well);
+    let answer = store.call(read, StoreBehaviour::Normal);
     let ChangeStep::Call(write) = change.step(ChangeInput::Stored(answer)) else { panic!() };
-    let answer = store.call(write, Answering::Loses);
+    let answer = store.call(write, StoreBehaviour::AnswerLost);
     let ChangeStep::Call(read) = change.step(ChangeInput::Stored(answer)) else { panic!() };
-    let answer = store.call(read, Answering::Well);
+    let answer = store.call(read, StoreBehaviour::Normal);
     let step = change.step(ChangeInput::Stored(answer));
     assert!(matches!(step, ChangeStep::Hold { revision: 1, .. }), "{step:?}");
 }
 
-/// After the store was set back, the next change is lost on a fleet that holds higher revisions. The cause would be a
-/// revision that follows on what the store holds alone.
+/// Guards against a change that the fleet ignores because its active revision is higher: after the store was restored to
+/// an earlier state, the next revision must not follow from the stored one alone.
 #[test]
-fn a_change_comes_above_what_the_store_and_the_fleet_hold() {
+fn a_change_gets_a_revision_above_the_stored_and_the_active_one() {
     let mut change = ManifestChange::new("operator-0".into(), json!({}), None);
     let mut store = Store::default();
     store.put(record(1, 5, "former").into());
     let ChangeStep::Call(read) = change.step(ChangeInput::Start { held: 9 }) else { panic!() };
-    let answer = store.call(read, Answering::Well);
+    let answer = store.call(read, StoreBehaviour::Normal);
     let ChangeStep::Call(write) = change.step(ChangeInput::Stored(answer)) else { panic!() };
-    let answer = store.call(write, Answering::Well);
+    let answer = store.call(write, StoreBehaviour::Normal);
     let step = change.step(ChangeInput::Stored(answer));
     assert!(matches!(step, ChangeStep::Hold { revision: 10, .. }), "{step:?}");
 }
@@ -319,12 +321,12 @@
 }
 
 refused! {
-    an_older_revision_is_not_put_in_force: record(1, 4, "b") => Offered::Older { revision: 4 },
-    the_same_revision_with_other_content_is_told: record(1, 5, "b") => Offered::Forked { .. },
+    an_older_revision_is_not_applied: record(1, 4, "b") => Offered::Older { revision: 4 },
+    the_same_revision_of_another_writer_is_reported: record(1, 5, "b") => Offered::Forked { .. },
     the_same_record_changes_nothing: record(1, 5, "a") => Offered::Known,
     a_record_of_a_newer_format_is_refused: record(2, 6, "b") => Offered::Unusable(_),
-    a_record_that_is_no_json_is_refused: b"{" => Offered::Unusable(_),
-    declarations_that_make_no_sense_are_refused:
+    a_record_that_is_not_json_is_refused: b"{" => Offered::Unusable(_),
+    invalid_declarations_are_refused:
         br#"{"revision":6,"writer":"b","manifest":{"services":[{"name":"A","kind":"plain"}]}}"#
         => Offered::Unusable(_),
 }
