--- a/crates/samphiredoor-core/examples/dispatch_slope.rs
+++ b/crates/samphiredoor-core/examples/dispatch_slope.rs
@@ -1,4 +1,5 @@
-//! Time for an event and memory for a request or target, over the number of targets and of requests in flight.
+//! Time per event and memory per request or target of the dispatcher, at several numbers of targets and of requests in
+//! flight.
 //!
 //! `cargo run --release -p samphiredoor-core --example dispatch_slope`
 
@@ -41,8 +42,8 @@
         "services": [{ "name": "small", "kind": "engine" }],
         "targets": (0..targets).map(target).collect::<Vec<_>>(),
     });
-    let declared = serde_json::from_value(declared).expect("the declarations have their shape");
-    Arc::new(Manifest::new(revision, &declared).expect("the declarations make sense"))
+    let declared = serde_json::from_value(declared).expect("the declarations match the schema");
+    Arc::new(Manifest::new(revision, &declared).expect("the declarations are valid"))
 }
 
 fn location(zone: usize) -> Location {
@@ -52,7 +53,7 @@
     }
 }
 
-fn ask(request: u64, class: Class) -> RequestSpec {
+fn request_spec(request: u64, class: Class) -> RequestSpec {
     RequestSpec {
         request: RequestId(request),
         class,
@@ -92,7 +93,7 @@
         let limit = 2 * in_flight.div_ceil(targets.min(36)).max(1);
         run.handle(Input::Manifest(manifest(1, targets, limit)));
         while run.in_flight.len() < in_flight {
-            run.online();
+            run.start_online();
         }
         run
     }
@@ -103,14 +104,14 @@
         black_box(&self.out);
     }
 
-    fn online(&mut self) {
+    fn start_online(&mut self) {
         let request = self.next;
         self.next += 1;
-        self.handle(Input::Request(ask(request, Class::Online)));
+        self.handle(Input::Request(request_spec(request, Class::Online)));
         self.in_flight.push_back(request);
     }
 
-    fn end(&mut self) {
+    fn end_oldest(&mut self) {
         if let Some(request) = self.in_flight.pop_front() {
             self.handle(Input::AttemptEnded {
                 request: RequestId(request),
@@ -120,7 +121,7 @@
     }
 
     /// Mean time of `event`, in nanoseconds.
-    fn time(&mut self, rounds: u64, mut event: impl FnMut(&mut Run)) -> f64 {
+    fn mean_ns(&mut self, rounds: u64, mut event: impl FnMut(&mut Run)) -> f64 {
         let start = Instant::now();
         for _ in 0..rounds {
             event(self);
@@ -129,8 +130,8 @@
     }
 }
 
-/// Mean growth of the resident memory for each of `count` things that `make` makes. They are never freed, as the next
-/// measurement would use their memory again.
+/// Mean growth of the resident memory per value, over `count` values that `make` creates. They are never freed, so that
+/// the next measurement does not reuse their memory.
 fn bytes_each<T>(count: usize, mut make: impl FnMut() -> T) -> f64 {
     let before = resident_bytes();
     let held: Vec<T> = (0..count).map(|_| make()).collect();
@@ -157,7 +158,7 @@
     }
 }
 
-// Comes first, before anything is freed.
+// Runs first: memory that was freed before would be reused and not counted.
 fn measure_memory() {
     const TARGETS: usize = 4_500;
     let manifest_bytes = bytes_each(20, || manifest(1, TARGETS, 8));
@@ -172,16 +173,16 @@
     const REQUESTS: u64 = 100_000;
     let mut run = Run::new(100, 0);
     run.handle(Input::Manifest(manifest(2, 100, 10_000)));
-    let online_bytes = bytes_each(1, || (0..REQUESTS).for_each(|_| run.online()));
+    let online_bytes = bytes_each(1, || (0..REQUESTS).for_each(|_| run.start_online()));
     println!("bytes of a request in flight: {:.0}", online_bytes / REQUESTS as f64);
     let mut run = Run::new(100, 0);
     run.handle(Input::Manifest(manifest(2, 0, 1)));
     const ITEMS: u64 = 8_000;
     let batch_bytes = bytes_each(1, || {
         for item in 0..ITEMS {
-            let mut ask = ask(item, Class::Batch);
-            ask.job = format!("job-{}", item / 500).into();
-            run.handle(Input::Request(ask));
+            let mut spec = request_spec(item, Class::Batch);
+            spec.job = format!("job-{}", item / 500).into();
+            run.handle(Input::Request(spec));
         }
     });
     println!("bytes of an item that waits: {:.0}", batch_bytes / ITEMS as f64);
@@ -189,31 +190,31 @@
 
 fn measure(targets: usize, in_flight: usize) {
     let mut run = Run::new(targets, in_flight);
-    let pair_ns = run.time(ROUNDS, |it| {
-        it.online();
-        it.end();
+    let request_ns = run.mean_ns(ROUNDS, |it| {
+        it.start_online();
+        it.end_oldest();
     });
     let name = run.dispatcher.targets_in_use().next().map(|it| Name::clone(it.0));
     let target = name.expect("a target is in use");
-    let load_ns = run.time(ROUNDS, |it| {
+    let load_ns = run.mean_ns(ROUNDS, |it| {
         let target = Name::clone(&target);
         it.handle(Input::LoadReport { target, running: 1, waiting: 0 });
     });
-    let tick_ns = run.time(ROUNDS, |it| it.handle(Input::Tick));
-    // Items wait beside: no event may look at all of them.
+    let tick_ns = run.mean_ns(ROUNDS, |it| it.handle(Input::Tick));
+    // Queued batch items must not slow down the events of online requests, so no event may scan all of them.
     for request in 0..400 {
-        run.handle(Input::Request(ask(1_000_000_000 + request, Class::Batch)));
+        run.handle(Input::Request(request_spec(1_000_000_000 + request, Class::Batch)));
     }
-    let batch_ns = run.time(ROUNDS, |it| {
-        it.online();
-        it.end();
+    let batch_ns = run.mean_ns(ROUNDS, |it| {
+        it.start_online();
+        it.end_oldest();
     });
     println!(
-        "{targets:>7} {in_flight:>9} {pair_ns:>12.0} {load_ns:>8.0} {tick_ns:>8.0} {batch_ns:>14.0}"
+        "{targets:>7} {in_flight:>9} {request_ns:>12.0} {load_ns:>8.0} {tick_ns:>8.0} {batch_ns:>14.0}"
     );
 }
 
-/// How many of 920 processes use each of a service's 1,125 targets.
+/// Prints the distribution of how many of 920 processes use each of the 1,125 targets of a service.
 fn measure_subsets() {
     const PROCESSES: usize = 920;
     let shared = manifest(1, 1_125, 8);
--- a/crates/samphiredoor-core/examples/membership_slope.rs
+++ b/crates/samphiredoor-core/examples/membership_slope.rs
@@ -54,7 +54,8 @@
             known.is_none_or(|it| it.state == MemberState::Dead)
         })
     });
-    let expired = fleet.run_until(4 * LEASE_MS, |it| it.up().any(|it| !it.expired_leases.is_empty()));
+    let expired =
+        fleet.run_until(4 * LEASE_MS, |it| it.up().any(|it| !it.expired_leases.is_empty()));
     let known_ms = known.unwrap_or_default();
     let expired_ms = known_ms + expired.unwrap_or_default();
     println!(
--- a/crates/samphiredoor-core/examples/overload.rs
+++ b/crates/samphiredoor-core/examples/overload.rs
@@ -1,9 +1,10 @@
-//! Goodput of the dispatcher under overload, after it, and through the loss of an availability zone.
+//! Goodput of the dispatcher during overload, after it, and during and after the loss of an availability zone.
 //!
-//! Discrete events around one dispatcher: ten targets in two zones, each with room for eight requests of about 100 ms,
-//! and callers that want an answer within a second and come back when they get none. `breaking` targets are declared
-//! with twice the room that they have, and drop connections above it. `rude` callers come back after 100 ms whatever
-//! they are told. All is seeded: the same figures in each run.
+//! A discrete-event simulation of one dispatcher with ten targets in two zones. Each target has capacity for eight
+//! concurrent requests of about 100 ms. Callers set a deadline of one second and retry requests that were not answered.
+//! In the rows named `breaking`, the targets are declared with twice their capacity and drop connections above it. In
+//! the rows named `rude`, callers retry after 100 ms regardless of the retry delay in the answer. The seed is fixed, so
+//! each run gives the same figures.
 //!
 //! `cargo run --release -p samphiredoor-core --example overload`
 
@@ -27,64 +28,67 @@
 
 const SEED: u64 = 1;
 const TARGETS: usize = 10;
-const ROOM: u32 = 8;
+const TARGET_CAPACITY: u32 = 8;
 const SERVICE_MS: f64 = 100.0;
 const DEADLINE_MS: u64 = 1_000;
 const MAX_TRIES: u32 = 8;
-const CAPACITY_PER_S: f64 = TARGETS as f64 * ROOM as f64 / SERVICE_MS * 1_000.0;
-const CHANGE_S: usize = 10;
-const END_S: usize = 30;
-const LAST_S: usize = 60;
+const CAPACITY_PER_S: f64 = TARGETS as f64 * TARGET_CAPACITY as f64 / SERVICE_MS * 1_000.0;
+const SCENARIO_START_S: usize = 10;
+const SCENARIO_END_S: usize = 30;
+const SIMULATED_S: usize = 60;
 
 #[derive(Debug, Clone, Copy)]
 struct Variant {
     name: &'static str,
     policy: Policy,
-    breaking: bool,
-    rude: bool,
+    /// Whether targets are declared with twice their capacity.
+    overdeclared: bool,
+    /// Whether callers ignore the retry delay in the answer.
+    ignores_retry_delay: bool,
 }
 
+/// What happens between `SCENARIO_START_S` and `SCENARIO_END_S`.
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Trouble {
-    /// Load at this multiple of capacity.
+enum Scenario {
+    /// Load at this multiple of the capacity; 0.5 before and after.
     Load(f64),
-    /// Half of the targets break every request, at 0.8 of the whole capacity.
+    /// Half of the targets fail every request; load at 0.8 of the capacity of all targets.
     ZoneLost,
-    /// All targets break half of the requests, at 0.8 of the whole capacity.
-    HalfBroken,
+    /// All targets fail half of the requests; load at 0.8 of the capacity of all targets.
+    HalfOfRequestsFail,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     Arrive,
-    Return { tries: u32 },
-    End { request: u64, attempt: u32, broken: bool },
+    Retry { tries: u32 },
+    End { request: u64, attempt: u32, failed: bool },
     Timeout { request: u64 },
     Tick,
 }
 
-struct Call {
+struct PendingRequest {
     tries: u32,
     attempt: u32,
     target: Option<Name>,
 }
 
-struct World {
+struct Simulation {
     variant: Variant,
-    trouble: Trouble,
+    scenario: Scenario,
     now_ms: u64,
     events: BinaryHeap<Reverse<(u64, u64, Event)>>,
     sequence: u64,
     dispatcher: Dispatcher,
-    calls: BTreeMap<u64, Call>,
-    next_call: u64,
+    requests: BTreeMap<u64, PendingRequest>,
+    next_request: u64,
     at_target: BTreeMap<Name, u32>,
     rng: SmallRng,
-    good: Vec<u32>,
+    completed: Vec<u32>,
     attempts: Vec<u32>,
 }
 
-fn manifest(breaking: bool) -> Manifest {
+fn manifest(overdeclared: bool) -> Manifest {
     let target = |it: usize| {
         json!({
             "name": format!("target-{it}"),
@@ -93,43 +97,43 @@
             "region": "region",
             "availability_zone": if it.is_multiple_of(2) { "a" } else { "b" },
             "owner": "owner",
-            "concurrency_limit": if breaking { 2 * ROOM } else { ROOM },
+            "concurrency_limit": if overdeclared { 2 * TARGET_CAPACITY } else { TARGET_CAPACITY },
         })
     };
     let declared = json!({
         "services": [{ "name": "small", "kind": "engine" }],
         "targets": (0..TARGETS).map(target).collect::<Vec<_>>(),
     });
-    let declared = serde_json::from_value(declared).expect("the declarations have their shape");
-    Manifest::new(1, &declared).expect("the declarations make sense")
+    let declared = serde_json::from_value(declared).expect("the declarations match the schema");
+    Manifest::new(1, &declared).expect("the declarations are valid")
 }
 
-impl World {
-    fn new(variant: Variant, trouble: Trouble) -> World {
+impl Simulation {
+    fn new(variant: Variant, scenario: Scenario) -> Simulation {
         let location = Location { region: "region".into(), availability_zone: "a".into() };
-        let mut world = World {
+        let mut simulation = Simulation {
             variant,
-            trouble,
+            scenario,
             now_ms: 0,
             events: BinaryHeap::new(),
             sequence: 0,
             dispatcher: Dispatcher::new(location, SEED).with_policy(variant.policy),
-            calls: BTreeMap::new(),
-            next_call: 0,
+            requests: BTreeMap::new(),
+            next_request: 0,
             at_target: BTreeMap::new(),
             rng: SmallRng::seed_from_u64(SEED),
-            good: vec![0; LAST_S],
-            attempts: vec![0; LAST_S],
+            completed: vec![0; SIMULATED_S],
+            attempts: vec![0; SIMULATED_S],
         };
-        world.input(Input::Manifest(Arc::new(manifest(variant.breaking))));
-        world.after(0.0, Event::Arrive);
-        world.after(0.0, Event::Tick);
-        world
+        simulation.input(Input::Manifest(Arc::new(manifest(variant.overdeclared))));
+        simulation.schedule(0.0, Event::Arrive);
+        simulation.schedule(0.0, Event::Tick);
+        simulation
     }
 
-    fn run(mut self) -> World {
+    fn run(mut self) -> Simulation {
         while let Some(Reverse((at_ms, _, event))) = self.events.pop() {
-            if at_ms >= LAST_S as u64 * 1_000 {
+            if at_ms >= SIMULATED_S as u64 * 1_000 {
                 break;
             }
             self.now_ms = at_ms;
@@ -142,20 +146,20 @@
         (self.now_ms / 1_000) as usize
     }
 
-    fn in_trouble(&self) -> bool {
-        (CHANGE_S..END_S).contains(&self.second())
+    fn in_scenario(&self) -> bool {
+        (SCENARIO_START_S..SCENARIO_END_S).contains(&self.second())
     }
 
     fn rate_per_s(&self) -> f64 {
-        let load = match self.trouble {
-            Trouble::Load(load) if self.in_trouble() => load,
-            Trouble::Load(_) => 0.5,
-            Trouble::ZoneLost | Trouble::HalfBroken => 0.8,
+        let load = match self.scenario {
+            Scenario::Load(load) if self.in_scenario() => load,
+            Scenario::Load(_) => 0.5,
+            Scenario::ZoneLost | Scenario::HalfOfRequestsFail => 0.8,
         };
         CAPACITY_PER_S * load
     }
 
-    fn after(&mut self, wait_ms: f64, event: Event) {
+    fn schedule(&mut self, wait_ms: f64, event: Event) {
         self.sequence += 1;
         let at_ms = self.now_ms + wait_ms.round() as u64;
         self.events.push(Reverse((at_ms, self.sequence, event)));
@@ -164,29 +168,29 @@
     fn step(&mut self, event: Event) {
         match event {
             Event::Arrive => {
-                self.call(1);
+                self.arrive(1);
                 let wait_ms = -self.rng.random_range(f64::EPSILON..1.0_f64).ln() * 1_000.0;
                 let wait_ms = wait_ms / self.rate_per_s();
-                // Times are whole milliseconds: the rest of a wait is kept by chance.
+                // Event times are whole milliseconds; rounding up at random keeps the mean wait.
                 let rounded_up = self.rng.random_bool(wait_ms.fract());
-                self.after(wait_ms.floor() + f64::from(u8::from(rounded_up)), Event::Arrive);
+                self.schedule(wait_ms.floor() + f64::from(u8::from(rounded_up)), Event::Arrive);
             }
-            Event::Return { tries } => self.call(tries),
-            Event::End { request, attempt, broken } => self.end(request, attempt, broken),
+            Event::Retry { tries } => self.arrive(tries),
+            Event::End { request, attempt, failed } => self.end(request, attempt, failed),
             Event::Timeout { request } => self.timeout(request),
             Event::Tick => {
                 self.input(Input::Tick);
-                self.after(10.0, Event::Tick);
+                self.schedule(10.0, Event::Tick);
             }
         }
     }
 
-    fn call(&mut self, tries: u32) {
-        let request = self.next_call;
-        self.next_call += 1;
-        self.calls.insert(request, Call { tries, attempt: 0, target: None });
-        self.after(DEADLINE_MS as f64, Event::Timeout { request });
-        let ask = RequestSpec {
+    fn arrive(&mut self, tries: u32) {
+        let request = self.next_request;
+        self.next_request += 1;
+        self.requests.insert(request, PendingRequest { tries, attempt: 0, target: None });
+        self.schedule(DEADLINE_MS as f64, Event::Timeout { request });
+        let spec = RequestSpec {
             request: RequestId(request),
             class: Class::Online,
             service: "small".into(),
@@ -199,30 +203,31 @@
             job: "".into(),
             due_unix_ms: None,
         };
-        self.input(Input::Request(ask));
+        self.input(Input::Request(spec));
     }
 
-    fn end(&mut self, request: u64, attempt: u32, broken: bool) {
-        let Some(call) = self.calls.get_mut(&request).filter(|it| it.attempt == attempt) else {
+    fn end(&mut self, request: u64, attempt: u32, failed: bool) {
+        let Some(pending) = self.requests.get_mut(&request).filter(|it| it.attempt == attempt)
+        else {
             return;
         };
-        let Some(target) = call.target.take() else { return };
+        let Some(target) = pending.target.take() else { return };
         *self.at_target.entry(target).or_default() -= 1;
         let lost = AttemptEnd::AnswerLost(MayHaveRunReason::ConnectionLost);
-        let end = if broken { lost } else { AttemptEnd::Completed };
-        if !broken {
-            self.calls.remove(&request);
+        let end = if failed { lost } else { AttemptEnd::Completed };
+        if !failed {
+            self.requests.remove(&request);
             let second = self.second();
-            self.good[second] += 1;
+            self.completed[second] += 1;
         }
         self.input(Input::AttemptEnded { request: RequestId(request), end });
     }
 
-    /// The caller's deadline has passed: the door closes the connection to the target.
+    /// The caller's deadline has passed: the gateway closes the connection to the target.
     fn timeout(&mut self, request: u64) {
-        let Some(call) = self.calls.get_mut(&request) else { return };
+        let Some(pending) = self.requests.get_mut(&request) else { return };
         let request_id = RequestId(request);
-        match call.target.take() {
+        match pending.target.take() {
             Some(target) => {
                 *self.at_target.entry(target).or_default() -= 1;
                 let end = AttemptEnd::AnswerLost(MayHaveRunReason::DeadlinePassed);
@@ -243,7 +248,9 @@
                 Action::Dispatch { request, target, .. } => self.send(request.0, target),
                 Action::Refuse { request, verdict } => {
                     let retry_after_ms = match verdict {
-                        Verdict::NotRun { retry_after_ms, .. } if !self.variant.rude => {
+                        Verdict::NotRun { retry_after_ms, .. }
+                            if !self.variant.ignores_retry_delay =>
+                        {
                             retry_after_ms
                         }
                         _ => 100,
@@ -256,28 +263,29 @@
     }
 
     fn give_up(&mut self, request: u64, retry_after_ms: u64) {
-        let Some(call) = self.calls.remove(&request) else { return };
-        if call.tries < MAX_TRIES {
-            self.after(retry_after_ms as f64, Event::Return { tries: call.tries + 1 });
+        let Some(pending) = self.requests.remove(&request) else { return };
+        if pending.tries < MAX_TRIES {
+            self.schedule(retry_after_ms as f64, Event::Retry { tries: pending.tries + 1 });
         }
     }
 
     fn send(&mut self, request: u64, target: Name) {
-        let lost = self.trouble == Trouble::ZoneLost && self.in_trouble() && is_in_a(&target);
-        let half_broken = self.trouble == Trouble::HalfBroken && self.in_trouble();
+        let lost =
+            self.scenario == Scenario::ZoneLost && self.in_scenario() && is_in_zone_a(&target);
+        let half_fail = self.scenario == Scenario::HalfOfRequestsFail && self.in_scenario();
         let second = self.second();
         self.attempts[second] += 1;
-        let beside = self.at_target.entry(Name::clone(&target)).or_default();
-        *beside += 1;
-        let above = beside.saturating_sub(ROOM);
-        let breaks = lost || ((above > 0 || half_broken) && self.rng.random_bool(0.5));
-        let slowed = f64::from((*beside).max(ROOM)) / f64::from(ROOM);
-        let service_ms = SERVICE_MS * slowed * self.rng.random_range(0.5..1.5);
-        let Some(call) = self.calls.get_mut(&request) else { return };
-        call.attempt += 1;
-        call.target = Some(target);
-        let attempt = call.attempt;
-        self.after(service_ms, Event::End { request, attempt, broken: breaks });
+        let in_flight = self.at_target.entry(Name::clone(&target)).or_default();
+        *in_flight += 1;
+        let excess = in_flight.saturating_sub(TARGET_CAPACITY);
+        let fails = lost || ((excess > 0 || half_fail) && self.rng.random_bool(0.5));
+        let slowdown = f64::from((*in_flight).max(TARGET_CAPACITY)) / f64::from(TARGET_CAPACITY);
+        let service_ms = SERVICE_MS * slowdown * self.rng.random_range(0.5..1.5);
+        let Some(pending) = self.requests.get_mut(&request) else { return };
+        pending.attempt += 1;
+        pending.target = Some(target);
+        let attempt = pending.attempt;
+        self.schedule(service_ms, Event::End { request, attempt, failed: fails });
     }
 
     fn mean(per_second: &[u32], from_s: usize, to_s: usize) -> f64 {
@@ -285,25 +293,26 @@
     }
 }
 
-fn is_in_a(target: &str) -> bool {
+fn is_in_zone_a(target: &str) -> bool {
     target.ends_with(['0', '2', '4', '6', '8'])
 }
 
 fn main() {
-    let whole = Policy::default();
-    let unlimited_retries = whole.with_retry_percent(100_000);
-    let unbounded_queue = whole.with_queue(10_000_000, usize::MAX);
-    let variant = |name, policy| Variant { name, policy, breaking: false, rude: false };
-    let breaking = |name, policy| Variant { breaking: true, ..variant(name, policy) };
+    let default_policy = Policy::default();
+    let unlimited_retries = default_policy.with_retry_percent(100_000);
+    let unbounded_queue = default_policy.with_queue(10_000_000, usize::MAX);
+    let variant =
+        |name, policy| Variant { name, policy, overdeclared: false, ignores_retry_delay: false };
+    let overdeclared = |name, policy| Variant { overdeclared: true, ..variant(name, policy) };
     let variants = [
-        variant("all", whole),
+        variant("all", default_policy),
         variant("no retry budget", unlimited_retries),
         variant("no queue bound", unbounded_queue),
-        Variant { rude: true, ..variant("all, rude callers", whole) },
-        Variant { rude: true, ..variant("no queue bound, rude", unbounded_queue) },
-        breaking("all, breaking", whole),
-        breaking("no retry budget, breaking", unlimited_retries),
-        breaking("no queue bound, breaking", unbounded_queue),
+        Variant { ignores_retry_delay: true, ..variant("all, rude callers", default_policy) },
+        Variant { ignores_retry_delay: true, ..variant("no queue bound, rude", unbounded_queue) },
+        overdeclared("all, breaking", default_policy),
+        overdeclared("no retry budget, breaking", unlimited_retries),
+        overdeclared("no queue bound, breaking", unbounded_queue),
     ];
     println!("goodput as a share of capacity ({CAPACITY_PER_S}/s)");
     println!(
@@ -315,22 +324,24 @@
     }
 }
 
-/// Goodput under load, in the last ten seconds after the highest one, and the same for the other troubles; attempts are
-/// those for each answer while all targets break half of the requests.
+/// Prints goodput under each load, in the last ten seconds after the highest one, and during and after a lost zone.
+/// The last columns are goodput and attempts per answer while all targets fail half of the requests.
 fn print_row(variant: Variant) {
-    let during = |it: &World| World::mean(&it.good, 15, END_S) / CAPACITY_PER_S;
-    let after = |it: &World| World::mean(&it.good, 50, LAST_S) / CAPACITY_PER_S;
-    let loads = [0.5, 1.0, 2.0, 4.0].map(|it| World::new(variant, Trouble::Load(it)).run());
+    let during =
+        |it: &Simulation| Simulation::mean(&it.completed, 15, SCENARIO_END_S) / CAPACITY_PER_S;
+    let after = |it: &Simulation| Simulation::mean(&it.completed, 50, SIMULATED_S) / CAPACITY_PER_S;
+    let loads = [0.5, 1.0, 2.0, 4.0].map(|it| Simulation::new(variant, Scenario::Load(it)).run());
     let [half, one, two, four] = loads.each_ref().map(during);
     let after_four = after(&loads[3]);
-    let zone = World::new(variant, Trouble::ZoneLost).run();
-    let broken = World::new(variant, Trouble::HalfBroken).run();
-    let attempts = World::mean(&broken.attempts, 15, END_S) / World::mean(&broken.good, 15, END_S);
+    let zone = Simulation::new(variant, Scenario::ZoneLost).run();
+    let half_failed = Simulation::new(variant, Scenario::HalfOfRequestsFail).run();
+    let attempts = Simulation::mean(&half_failed.attempts, 15, SCENARIO_END_S)
+        / Simulation::mean(&half_failed.completed, 15, SCENARIO_END_S);
     println!(
         "{:<27} {half:>5.2} {one:>5.2} {two:>5.2} {four:>5.2} {after_four:>9.2} {:>5.2} {:>9.2} {:>7.2} {attempts:>9.2}",
         variant.name,
         during(&zone),
         after(&zone),
-        during(&broken),
+        during(&half_failed),
     );
 }
--- a/crates/samphiredoor-core/tests/manifest.rs
+++ b/crates/samphiredoor-core/tests/manifest.rs
@@ -283,8 +283,8 @@
     assert!(matches!(step, ChangeStep::Hold { revision: 1, .. }), "{step:?}");
 }
 
-/// Guards against a change that the fleet ignores because its active revision is higher: after the store was restored to
-/// an earlier state, the next revision must not follow from the stored one alone.
+/// Guards against a change that the fleet ignores because its active revision is higher: after the store was restored
+/// to an earlier state, the next revision must not follow from the stored one alone.
 #[test]
 fn a_change_gets_a_revision_above_the_stored_and_the_active_one() {
     let mut change = ManifestChange::new("operator-0".into(), json!({}), None);
--- a/crates/samphiredoor-core/tests/membership.rs
+++ b/crates/samphiredoor-core/tests/membership.rs
@@ -74,9 +74,9 @@
     }
 }
 
-/// Guards against rosters that keep a dead process or lack a live one, so that nobody does its share of the work. A
-/// sequence of joins, crashes, partitions and lost heartbeats can leave processes with differing reports, if gossip ends
-/// before all have it or if a false report of death is not refuted.
+/// Guards against rosters that keep a dead process or lack a live one, so that a share of the work is left undone.
+/// After joins, crashes, partitions and lost heartbeats, reports can differ for good if gossip ends before all processes
+/// have it, or if a false report of death is not refuted.
 #[test]
 fn rosters_converge_once_faults_end() {
     let converges = |steps: Vec<Step>| {
