--- a/crates/samphiredoor-core/src/manifest_log.rs
+++ b/crates/samphiredoor-core/src/manifest_log.rs
@@ -4,8 +4,8 @@
 //! whether they come from the store, a watch, a peer or an operator, so stale reads and replayed events change nothing.
 //! Watches and peers announce new revisions early; correctness does not depend on them.
 //!
-//! A change is accepted when it is stored and a second process has applied it. So it survives the loss of the process
-//! that accepted it, even if the store is lost right after.
+//! A change is accepted when it is stored and a second process has applied it, if there is one. So it survives the loss
+//! of the process that accepted it, even if the store is lost right after.
 
 use std::sync::Arc;
 
--- a/crates/samphiredoor-core/src/membership/mod.rs
+++ b/crates/samphiredoor-core/src/membership/mod.rs
@@ -44,6 +44,7 @@
 const PROBE_HEARTBEATS: u64 = 4;
 // The changes of a page are gossiped only up to this number; a longer page holds what other members have already.
 const MAX_GOSSIPED_PER_PAGE: usize = 8;
+// Interval between two lists of the leases: `LIST_PER_MEMBER_MS` for each member, but at least `LIST_MIN_MS`.
 const LIST_MIN_MS: u64 = 60_000;
 const LIST_PER_MEMBER_MS: u64 = 2_000;
 // A dead member is removed from the roster after this many lengths of the lease.
@@ -63,6 +64,7 @@
 // A monitored member without a link or without answers.
 #[derive(Debug)]
 struct Unresponsive {
+    // When the last heartbeat was received, or when the missing link was noticed.
     since_ms: u64,
     // When its lease object is to be read next.
     next_read_ms: u64,
