--- a/crates/samphiredoor-core/src/manifest.rs
+++ b/crates/samphiredoor-core/src/manifest.rs
@@ -175,7 +175,7 @@
         index: usize,
         service: &declared::Service,
     ) -> Result<(), ManifestError> {
-        let name = checked_name(&format!("services[{index}].name"), &service.name)?;
+        let name = validate_name(&format!("services[{index}].name"), &service.name)?;
         let checked = Service {
             name: Arc::clone(&name),
             kind: match service.kind {
@@ -198,7 +198,7 @@
     }
 
     fn add_target(&mut self, index: usize, target: &declared::Target) -> Result<(), ManifestError> {
-        let name = checked_name(&format!("targets[{index}].name"), &target.name)?;
+        let name = validate_name(&format!("targets[{index}].name"), &target.name)?;
         let address = target.address.parse().map_err(|_| ManifestError {
             field: format!("targets[{index}].address"),
             problem: format!("`{}` is not an IP address with a port", target.address),
@@ -243,7 +243,7 @@
         index: usize,
         workspace: &declared::Workspace,
     ) -> Result<(), ManifestError> {
-        let name = checked_name(&format!("workspaces[{index}].name"), &workspace.name)?;
+        let name = validate_name(&format!("workspaces[{index}].name"), &workspace.name)?;
         let checked = Workspace {
             name: Arc::clone(&name),
             weight: workspace.weight.get(),
--- a/crates/samphiredoor-core/src/manifest_log.rs
+++ b/crates/samphiredoor-core/src/manifest_revisions.rs
@@ -91,7 +91,7 @@
     pub fn offer(&mut self, bytes: &[u8]) -> Offered {
         let record = match read_record(bytes) {
             Ok(record) => record,
-            Err(problem) => return Offered::Unusable(problem),
+            Err(problem) => return UpdateOutcome::Unusable(problem),
         };
         let revision = record.revision;
         if let Some(active) = &self.active
@@ -105,7 +105,7 @@
         }
         let manifest = match decode_manifest(&record) {
             Ok(manifest) => Arc::new(manifest),
-            Err(problem) => return Offered::Unusable(problem),
+            Err(problem) => return UpdateOutcome::Unusable(problem),
         };
         let (writer, previous_writer) = (record.writer, record.previous_writer);
         self.active = Some(Active { revision, writer, previous_writer, record: bytes.into() });
@@ -345,7 +345,7 @@
             return ChangeStep::End(failed_outcome(&write));
         }
         let winner = record.writer.into();
-        ChangeStep::End(ChangeEnd::Lost { revision: record.revision, winner })
+        ChangeStep::End(ChangeEnd::Conflict { revision: record.revision, winner })
     }
 
     // This change took effect and the next one followed it; replicating the next one secures both.
--- a/crates/samphiredoor-core/src/membership/mod.rs
+++ b/crates/samphiredoor-core/src/membership/mod.rs
@@ -8,9 +8,9 @@
 //!
 //! Membership is a hint. A live member that is reported dead refutes the report, and a false report costs only speed.
 
-mod choice;
 mod gossip;
 mod messages;
+mod rendezvous;
 mod roster;
 
 use std::{
@@ -20,8 +20,8 @@
 
 use samphiredoor_schema::objects::ProcessLease;
 
-pub use choice::preferred;
-pub use messages::{Beat, MembershipAction, MembershipConfig, MembershipInput};
+pub use messages::{Heartbeat, MembershipAction, MembershipConfig, MembershipInput};
+pub use rendezvous::rendezvous_select;
 pub use roster::{Member, MemberState, Roster};
 
 use crate::{Name, lease::LeaseTable, time::Now};
@@ -146,8 +146,8 @@
                     unresponsive.next_read_ms = now.mono_ms + READ_RETRY_MS;
                 }
             }
-            MembershipInput::Renewed(renewals) => self.renewals = renewals,
-            MembershipInput::Revision(revision) => self.revision = self.revision.max(revision),
+            MembershipInput::LeaseRenewed(renewals) => self.renewals = renewals,
+            MembershipInput::OwnRevision(revision) => self.revision = self.revision.max(revision),
             MembershipInput::Stopping => {
                 let mut own = self.roster.own().clone();
                 own.state = MemberState::Stopping;
@@ -199,7 +199,7 @@
         if self.merge_report(member, out) {
             self.gossip.add(&name, self.roster.len());
             self.choose_links(now, out);
-            out.push(MembershipAction::Changed);
+            out.push(MembershipAction::LiveMembersChanged);
         }
     }
 
@@ -222,7 +222,7 @@
             self.gossip.add(name, self.roster.len());
         }
         self.choose_links(now, out);
-        out.push(MembershipAction::Changed);
+        out.push(MembershipAction::LiveMembersChanged);
     }
 
     // Returns whether the report changed the roster.
@@ -297,8 +297,8 @@
         }
         self.leases.observe_renewals(now, from, beat.incarnation, beat.renewals);
         let digest = self.roster.digest();
-        if beat.revision > self.revision {
-            let revision = beat.revision;
+        if heartbeat.revision > self.revision {
+            let revision = heartbeat.revision;
             out.push(MembershipAction::PeerRevision { from: Arc::clone(from), revision });
         }
         let Some(link) = self.links.get_mut(from) else { return };
@@ -405,8 +405,8 @@
             }
         }
         for to in to {
-            let beat = self.beat();
-            out.push(MembershipAction::Beat { to, beat });
+            let heartbeat = self.next_heartbeat();
+            out.push(MembershipAction::SendHeartbeat { to, heartbeat });
         }
     }
 
@@ -499,7 +499,7 @@
         let keep_ms = FORGET_LEASES * self.config.lease_ms + EXPIRY_MARGIN_MS;
         if self.roster.forget_dead(now, keep_ms) {
             self.choose_links(now, out);
-            out.push(MembershipAction::Changed);
+            out.push(MembershipAction::LiveMembersChanged);
         }
     }
 }
--- a/crates/samphiredoor-core/tests/manifest.rs
+++ b/crates/samphiredoor-core/tests/manifest.rs
@@ -9,9 +9,9 @@
     test_runner::{Config, RngAlgorithm, TestRng, TestRunner},
 };
 use samphiredoor_core::{
-    manifest_log::{
-        ChangeEnd, ChangeInput, ChangeStep, Holders, ManifestChange, ManifestLog, Offered,
-        manifest_key, read_record,
+    manifest_revisions::{
+        ActiveManifest, ChangeEnd, ChangeInput, ChangeStep, ManifestChange, PeerConfirmation,
+        UpdateOutcome, decode_record, manifest_key,
     },
     store::{Labels, StoreAnswer, StoreOp, Stored, Value, Version},
 };
@@ -204,7 +204,7 @@
         self.held(number, if covered { Holders::Another } else { Holders::Unconfirmed })
     }
 
-    fn held(&mut self, number: usize, holders: Holders) -> Result<(), TestCaseError> {
+    fn held(&mut self, number: usize, confirmation: PeerConfirmation) -> Result<(), TestCaseError> {
         let Some(running) = self.changes.get_mut(number) else { return Ok(()) };
         let Next::Hold(record) = &running.next else { return Ok(()) };
         let record = Arc::clone(record);
@@ -225,7 +225,7 @@
         let mut writers = BTreeSet::new();
         let mut revisions = BTreeSet::new();
         for value in &self.store.history {
-            let record = read_record(value).map_err(TestCaseError::fail)?;
+            let record = decode_record(value).map_err(TestCaseError::fail)?;
             prop_assert!(writers.insert(record.writer.clone()), "one change took effect twice");
             let reported = self.reported_no_effect.contains(&record.writer);
             prop_assert!(!reported, "{} took effect but was reported not to", record.writer);
@@ -280,7 +280,7 @@
     let ChangeStep::Call(read) = change.step(ChangeInput::Stored(answer)) else { panic!() };
     let answer = store.call(read, StoreBehaviour::Normal);
     let step = change.step(ChangeInput::Stored(answer));
-    assert!(matches!(step, ChangeStep::Hold { revision: 1, .. }), "{step:?}");
+    assert!(matches!(step, ChangeStep::ApplyAndReplicate { revision: 1, .. }), "{step:?}");
 }
 
 /// Guards against a change that the fleet ignores because its active revision is higher: after the store was restored
@@ -295,7 +295,7 @@
     let ChangeStep::Call(write) = change.step(ChangeInput::Stored(answer)) else { panic!() };
     let answer = store.call(write, StoreBehaviour::Normal);
     let step = change.step(ChangeInput::Stored(answer));
-    assert!(matches!(step, ChangeStep::Hold { revision: 10, .. }), "{step:?}");
+    assert!(matches!(step, ChangeStep::ApplyAndReplicate { revision: 10, .. }), "{step:?}");
 }
 
 fn record(format: u32, revision: u64, writer: &str) -> Vec<u8> {
@@ -310,11 +310,11 @@
         $(
             #[test]
             fn $name() {
-                let mut log = ManifestLog::default();
-                log.offer(&record(1, 5, "a"));
-                let offered = log.offer($bytes.as_ref());
+                let mut active = ActiveManifest::default();
+                active.update_if_newer(&record(1, 5, "a"));
+                let offered = active.update_if_newer($bytes.as_ref());
                 assert!(matches!(offered, $expected), "{offered:?}");
-                assert_eq!(log.revision(), 5);
+                assert_eq!(active.revision(), 5);
             }
         )*
     };
@@ -328,5 +328,5 @@
     a_record_that_is_not_json_is_refused: b"{" => Offered::Unusable(_),
     invalid_declarations_are_refused:
         br#"{"revision":6,"writer":"b","manifest":{"services":[{"name":"A","kind":"plain"}]}}"#
-        => Offered::Unusable(_),
+        => UpdateOutcome::Unusable(_),
 }
--- a/crates/samphiredoor-core/tests/membership.rs
+++ b/crates/samphiredoor-core/tests/membership.rs
@@ -9,8 +9,8 @@
 };
 use samphiredoor_core::{
     membership::{
-        Beat, Member, MemberState, Membership, MembershipAction, MembershipConfig, MembershipInput,
-        Roster,
+        Heartbeat, Member, MemberState, Membership, MembershipAction, MembershipConfig,
+        MembershipInput, Roster,
     },
     time::Now,
 };
--- a/crates/samphiredoor/src/commands.rs
+++ b/crates/samphiredoor/src/commands.rs
@@ -9,7 +9,7 @@
 use hyper::{Response, StatusCode};
 use samphiredoor_core::{
     manifest::Manifest,
-    manifest_log::{ChangeEnd, manifest_key, read_record},
+    manifest_revisions::{ChangeEnd, decode_record, manifest_key},
     store::{StoreAnswer, StoreOp},
 };
 use samphiredoor_net::Body;
@@ -113,7 +113,7 @@
         let expected = Some(record.revision);
         let operator = &door.config.name;
         end = manifest_change::change(door, operator, record.manifest, expected).await;
-        if !matches!(end, ChangeEnd::Lost { .. }) {
+        if !matches!(end, ChangeEnd::Conflict { .. }) {
             break;
         }
     }
@@ -127,9 +127,9 @@
         return Err(no_manifest());
     };
     let unreadable = |_| bad_request("manifest", "the stored one cannot be read");
-    let record = read_record(&stored.value).map_err(unreadable)?;
+    let record = decode_record(&stored.value).map_err(unreadable)?;
     match door.manifest.above(record.revision).await {
-        Some(held) => read_record(&held).map_err(unreadable),
+        Some(held) => decode_record(&held).map_err(unreadable),
         None => Ok(record),
     }
 }
--- a/crates/samphiredoor/tests/it/platform/discovery.rs
+++ b/crates/samphiredoor/tests/it/platform/discovery.rs
@@ -220,8 +220,8 @@
     let leaving = platform.start_target("t-1", FAST);
     platform.start_gateway();
     platform.start_gateway();
-    platform.wait_logged(0, "peers: heard");
-    platform.wait_logged(1, "peers: heard");
+    platform.wait_logged(0, "peers: peer is live");
+    platform.wait_logged(1, "peers: peer is live");
     platform.set_way_fault(1, StoreFault::WatchesSilent);
     std::thread::sleep(Duration::from_millis(100));
     platform.set_way_fault(1, StoreFault::None);
@@ -297,6 +297,6 @@
     platform.gateway(0).kill();
     platform.restart_gateway(0);
     platform.wait_ready(0);
-    platform.wait_logged(0, "peers: cells worked out");
+    platform.wait_logged(0, "peers: cells computed");
     assert_eq!(creates(&platform), before);
 }
