--- a/crates/samphiredoor-core/src/manifest.rs
+++ b/crates/samphiredoor-core/src/manifest.rs
@@ -261,7 +261,7 @@
 /// # Errors
 ///
 /// The name is empty, longer than 63 bytes, or contains other characters than `a-z`, `0-9`, `-`, `_` and `.`.
-pub fn checked_name(field: &str, name: &str) -> Result<Name, ManifestError> {
+pub fn validate_name(field: &str, name: &str) -> Result<Name, ManifestError> {
     let allowed = |it: char| it.is_ascii_lowercase() || it.is_ascii_digit() || "-_.".contains(it);
     if name.is_empty() || name.len() > 63 || !name.chars().all(allowed) {
         return Err(ManifestError {
--- a/crates/samphiredoor-core/src/manifest_revisions.rs
+++ b/crates/samphiredoor-core/src/manifest_revisions.rs
@@ -1,6 +1,6 @@
 //! The active revision of the manifest, and changes to it.
 //!
-//! A change is one conditional update of one object. [`ManifestLog`] applies only revisions above the active one,
+//! A change is one conditional update of one object. [`ActiveManifest`] applies only revisions above the active one,
 //! whether they come from the store, a watch, a peer or an operator, so stale reads and replayed events change nothing.
 //! Watches and peers announce new revisions early; correctness does not depend on them.
 //!
@@ -29,11 +29,11 @@
 
 /// Result of offering a record.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Offered {
+pub enum UpdateOutcome {
     /// The record was applied and is now active.
     Applied(Arc<Manifest>),
     /// The record was active already.
-    Known,
+    AlreadyActive,
     /// A higher revision is active.
     Older {
         /// Revision of the record.
@@ -59,11 +59,11 @@
 
 /// The active revision in one process.
 #[derive(Debug, Default)]
-pub struct ManifestLog {
+pub struct ActiveManifest {
     active: Option<Active>,
 }
 
-impl ManifestLog {
+impl ActiveManifest {
     /// Active revision; 0 before the first.
     pub fn revision(&self) -> u64 {
         self.active.as_ref().map_or(0, |it| it.revision)
@@ -78,8 +78,8 @@
     ///
     /// A higher revision alone is not enough: after the store was restored to an earlier state, a change can get a
     /// revision that the fleet has already passed, and would be reported as accepted though it is active nowhere.
-    pub fn covers(&self, bytes: &[u8]) -> bool {
-        let (Some(active), Ok(record)) = (&self.active, read_record(bytes)) else { return false };
+    pub fn is_at_or_one_above(&self, bytes: &[u8]) -> bool {
+        let (Some(active), Ok(record)) = (&self.active, decode_record(bytes)) else { return false };
         match active.revision.checked_sub(record.revision) {
             Some(0) => active.writer == record.writer,
             Some(1) => active.previous_writer == record.writer,
@@ -88,8 +88,8 @@
     }
 
     /// Applies a record if its revision is above the active one.
-    pub fn offer(&mut self, bytes: &[u8]) -> Offered {
-        let record = match read_record(bytes) {
+    pub fn update_if_newer(&mut self, bytes: &[u8]) -> UpdateOutcome {
+        let record = match decode_record(bytes) {
             Ok(record) => record,
             Err(problem) => return UpdateOutcome::Unusable(problem),
         };
@@ -98,9 +98,9 @@
             && revision <= active.revision
         {
             return match revision == active.revision {
-                true if record.writer == active.writer => Offered::Known,
-                true => Offered::Forked { revision },
-                false => Offered::Older { revision },
+                true if record.writer == active.writer => UpdateOutcome::AlreadyActive,
+                true => UpdateOutcome::Forked { revision },
+                false => UpdateOutcome::Older { revision },
             };
         }
         let manifest = match decode_manifest(&record) {
@@ -109,7 +109,7 @@
         };
         let (writer, previous_writer) = (record.writer, record.previous_writer);
         self.active = Some(Active { revision, writer, previous_writer, record: bytes.into() });
-        Offered::Applied(manifest)
+        UpdateOutcome::Applied(manifest)
     }
 }
 
@@ -118,7 +118,7 @@
 /// # Errors
 ///
 /// The record is not valid JSON, has a newer format, or has revision 0.
-pub fn read_record(bytes: &[u8]) -> Result<ManifestRecord, String> {
+pub fn decode_record(bytes: &[u8]) -> Result<ManifestRecord, String> {
     let record: ManifestRecord = serde_json::from_slice(bytes).map_err(|err| err.to_string())?;
     if record.format > MANIFEST_FORMAT {
         return Err(format!("format {} is newer than {MANIFEST_FORMAT}", record.format));
@@ -137,11 +137,11 @@
 
 /// Whether another process has confirmed that it applied a revision.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Holders {
+pub enum PeerConfirmation {
     /// At least one other process has.
-    Another,
+    Confirmed,
     /// No other process is live.
-    Sole,
+    NoPeers,
     /// Other processes are live, and none of them has.
     Unconfirmed,
 }
@@ -157,7 +157,7 @@
     /// Answer of the store to the last call.
     Stored(StoreAnswer),
     /// Result of replicating the record to peers.
-    Held(Holders),
+    Replicated(PeerConfirmation),
 }
 
 /// Next step of a change.
@@ -166,7 +166,7 @@
     /// Make a store call.
     Call(StoreOp),
     /// Apply the record in this process, and have peers apply it.
-    Hold {
+    ApplyAndReplicate {
         /// The record as stored.
         record: Arc<[u8]>,
         /// Revision of the record.
@@ -185,7 +185,7 @@
         revision: u64,
     },
     /// Another change came first; this one had no effect.
-    Lost {
+    Conflict {
         /// Latest revision.
         revision: u64,
         /// Writer of that revision.
@@ -199,7 +199,7 @@
         revision: u64,
     },
     /// The change is stored, but no other process confirmed that it applied it.
-    WrittenNotHeld {
+    WrittenUnconfirmed {
         /// Revision of the change.
         revision: u64,
     },
@@ -259,10 +259,12 @@
             (State::ReadingAgain(write), ChangeInput::Stored(answer)) => {
                 self.read_again(write, answer)
             }
-            (State::Replicating { revision }, ChangeInput::Held(holders)) => {
-                ChangeStep::End(match holders {
-                    Holders::Another | Holders::Sole => ChangeEnd::Accepted { revision },
-                    Holders::Unconfirmed => ChangeEnd::WrittenNotHeld { revision },
+            (State::Replicating { revision }, ChangeInput::Replicated(confirmation)) => {
+                ChangeStep::End(match confirmation {
+                    PeerConfirmation::Confirmed | PeerConfirmation::NoPeers => {
+                        ChangeEnd::Accepted { revision }
+                    }
+                    PeerConfirmation::Unconfirmed => ChangeEnd::WrittenUnconfirmed { revision },
                 })
             }
             _ => ChangeStep::End(ChangeEnd::Unavailable),
@@ -271,7 +273,7 @@
 
     fn read(&mut self, answer: StoreAnswer) -> ChangeStep {
         let (stored, previous) = match answer {
-            StoreAnswer::Object(stored) => match read_record(&stored.value) {
+            StoreAnswer::Object(stored) => match decode_record(&stored.value) {
                 Ok(record) => (Some(stored), Some(record)),
                 Err(problem) => return ChangeStep::End(ChangeEnd::Unreadable(problem)),
             },
@@ -284,7 +286,7 @@
         let last = stored_revision.max(self.active_revision);
         if self.expected.is_some_and(|it| it != last) {
             let winner = previous.map(|it| it.writer).unwrap_or_default();
-            return ChangeStep::End(ChangeEnd::Lost { revision: last, winner: winner.into() });
+            return ChangeStep::End(ChangeEnd::Conflict { revision: last, winner: winner.into() });
         }
         self.write(Write::new(self, last + 1, stored.as_ref(), previous))
     }
@@ -299,7 +301,7 @@
     fn replicate(&mut self, write: Write) -> ChangeStep {
         let revision = write.revision;
         self.state = State::Replicating { revision };
-        ChangeStep::Hold { record: write.record, revision }
+        ChangeStep::ApplyAndReplicate { record: write.record, revision }
     }
 
     fn written(&mut self, mut write: Write, answer: StoreAnswer) -> ChangeStep {
@@ -322,7 +324,7 @@
             StoreAnswer::Absent if write.tries < MAX_WRITE_TRIES => return self.write(write),
             _ => return ChangeStep::End(failed_outcome(&write)),
         };
-        let Ok(record) = read_record(&stored.value) else {
+        let Ok(record) = decode_record(&stored.value) else {
             return ChangeStep::End(failed_outcome(&write));
         };
         if record.writer == *self.writer {
@@ -356,7 +358,7 @@
         record: ManifestRecord,
     ) -> ChangeStep {
         self.state = State::Replicating { revision };
-        ChangeStep::Hold { record: stored.value, revision: record.revision }
+        ChangeStep::ApplyAndReplicate { record: stored.value, revision: record.revision }
     }
 }
 
--- a/crates/samphiredoor-core/src/membership/messages.rs
+++ b/crates/samphiredoor-core/src/membership/messages.rs
@@ -22,7 +22,7 @@
 
 /// Content of a heartbeat, and of the answer to one.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Beat {
+pub struct Heartbeat {
     /// Incarnation of the sender.
     pub incarnation: u64,
     /// Number of the last renewal of the sender's lease.
@@ -56,11 +56,11 @@
         peer: Name,
     },
     /// A heartbeat was received, or the answer to one.
-    Beat {
+    Heartbeat {
         /// Its sender.
         from: Name,
         /// Its content.
-        beat: Beat,
+        heartbeat: Heartbeat,
     },
     /// A page of the members that a peer knows, pulled from it.
     Members(Vec<Member>),
@@ -76,19 +76,19 @@
         lease: Box<ProcessLease>,
     },
     /// A lease object was to be read and does not exist.
-    LeaseGone {
+    LeaseDeleted {
         /// Process that held the lease.
         process: Name,
     },
     /// A lease object could not be read or decoded.
-    LeaseUnread {
+    LeaseReadFailed {
         /// Process that holds the lease.
         process: Name,
     },
     /// The own lease was renewed; the value is the number of the renewal.
-    Renewed(u64),
+    LeaseRenewed(u64),
     /// A manifest of this revision became active in this process.
-    Revision(u64),
+    OwnRevision(u64),
     /// This process has begun a graceful shutdown.
     Stopping,
     /// Time passed; due heartbeats, reads and connection attempts follow.
@@ -117,12 +117,12 @@
         /// Whether to close the links that the member opened as well.
         accepted: bool,
     },
-    /// Send a heartbeat; its answer is to be reported as [`MembershipInput::Beat`].
-    Beat {
+    /// Send a heartbeat; its answer is to be reported as [`MembershipInput::Heartbeat`].
+    SendHeartbeat {
         /// Its receiver.
         to: Name,
         /// Its content.
-        beat: Beat,
+        heartbeat: Heartbeat,
     },
     /// Request all members that a peer knows; they are to be reported as [`MembershipInput::Members`].
     PullMembers {
@@ -138,7 +138,7 @@
     ListLeases,
     /// The lease of a process has expired or was replaced by a later incarnation, so that its work can be taken over.
     /// Repeated as long as the object of an expired lease exists.
-    Lapsed {
+    LeaseExpired {
         /// Process whose lease has expired.
         process: Name,
         /// Incarnation whose lease has expired.
@@ -152,5 +152,5 @@
         revision: u64,
     },
     /// The members given by [`Membership::live`] have changed, or their state.
-    Changed,
+    LiveMembersChanged,
 }
--- a/crates/samphiredoor-core/src/membership/mod.rs
+++ b/crates/samphiredoor-core/src/membership/mod.rs
@@ -132,7 +132,9 @@
             MembershipInput::ConnectFailed { peer } => {
                 self.connecting.remove(&peer);
             }
-            MembershipInput::Beat { from, beat } => self.heartbeat_received(now, &from, beat, out),
+            MembershipInput::Heartbeat { from, heartbeat } => {
+                self.heartbeat_received(now, &from, heartbeat, out)
+            }
             MembershipInput::Members(members) => self.apply_page(now, members, out),
             MembershipInput::Leases(leases) => self.leases_listed(now, leases, out),
             MembershipInput::ListFailed => {
@@ -140,8 +142,8 @@
                 self.next_list_ms = now.mono_ms + READ_RETRY_MS;
             }
             MembershipInput::Lease { process, lease } => self.lease_read(now, process, *lease, out),
-            MembershipInput::LeaseGone { process } => self.lease_deleted(now, &process),
-            MembershipInput::LeaseUnread { process } => {
+            MembershipInput::LeaseDeleted { process } => self.lease_deleted(now, &process),
+            MembershipInput::LeaseReadFailed { process } => {
                 if let Some(unresponsive) = self.unresponsive.get_mut(&process) {
                     unresponsive.next_read_ms = now.mono_ms + READ_RETRY_MS;
                 }
@@ -178,8 +180,8 @@
     }
 
     /// Creates the next heartbeat. The changes in it count as sent.
-    pub fn beat(&mut self) -> Beat {
-        Beat {
+    pub fn next_heartbeat(&mut self) -> Heartbeat {
+        Heartbeat {
             incarnation: self.roster.own().incarnation,
             renewals: self.renewals,
             revision: self.revision,
@@ -238,7 +240,7 @@
             && self.monitored.contains(&name)
         {
             // A later incarnation has replaced the lease, so the earlier one cannot hold it any more.
-            out.push(MembershipAction::Lapsed { process: name, incarnation });
+            out.push(MembershipAction::LeaseExpired { process: name, incarnation });
         }
         true
     }
@@ -289,13 +291,13 @@
         &mut self,
         now: Now,
         from: &Name,
-        beat: Beat,
+        heartbeat: Heartbeat,
         out: &mut Vec<MembershipAction>,
     ) {
-        for member in beat.changes {
+        for member in heartbeat.changes {
             self.apply_report(now, member, out);
         }
-        self.leases.observe_renewals(now, from, beat.incarnation, beat.renewals);
+        self.leases.observe_renewals(now, from, heartbeat.incarnation, heartbeat.renewals);
         let digest = self.roster.digest();
         if heartbeat.revision > self.revision {
             let revision = heartbeat.revision;
@@ -305,7 +307,7 @@
         link.last_received_ms = now.mono_ms;
         self.unresponsive.remove(from);
         link.digest_mismatches =
-            if digest == beat.members_digest { 0 } else { link.digest_mismatches + 1 };
+            if digest == heartbeat.members_digest { 0 } else { link.digest_mismatches + 1 };
         // Digests differ for a while as gossip spreads; if they differ for longer, a change was lost.
         if link.digest_mismatches > 2 {
             link.digest_mismatches = 0;
@@ -342,7 +344,7 @@
         match self.leases.expires_at(&process, EXPIRY_MARGIN_MS) {
             Some(expires_ms) if now.mono_ms >= expires_ms => {
                 unresponsive.next_read_ms = now.mono_ms + lease_ms / 2;
-                out.push(MembershipAction::Lapsed { process, incarnation });
+                out.push(MembershipAction::LeaseExpired { process, incarnation });
             }
             Some(expires_ms) => unresponsive.next_read_ms = expires_ms,
             None => {}
--- a/crates/samphiredoor-core/src/membership/rendezvous.rs
+++ b/crates/samphiredoor-core/src/membership/rendezvous.rs
@@ -10,7 +10,7 @@
 /// The `count` members with the highest rendezvous weights for `key`. Processes whose rosters differ may choose other
 /// members for a while, so the choice is a hint. When a member joins or leaves, only the keys that it is chosen for
 /// move.
-pub fn preferred<'a>(
+pub fn rendezvous_select<'a>(
     key: &str,
     members: impl IntoIterator<Item = &'a Name>,
     count: usize,
--- a/crates/samphiredoor-core/tests/fleet/mod.rs
+++ b/crates/samphiredoor-core/tests/fleet/mod.rs
@@ -217,7 +217,7 @@
         };
         self.leases.insert(name(number), lease);
         let renewals = node.renewals;
-        self.handle(number, MembershipInput::Renewed(renewals));
+        self.handle(number, MembershipInput::LeaseRenewed(renewals));
     }
 
     fn reaches(&self, a: usize, b: usize) -> bool {
@@ -266,7 +266,7 @@
                 let leases = self.leases.iter().map(|(name, lease)| (name.clone(), lease.clone()));
                 return vec![MembershipInput::Leases(leases.collect())];
             }
-            MembershipAction::Lapsed { process, incarnation } => {
+            MembershipAction::LeaseExpired { process, incarnation } => {
                 self.nodes[own].expired_leases.insert((process, incarnation));
             }
             MembershipAction::ConnectSeed { .. }
@@ -299,15 +299,15 @@
         }
     }
 
-    fn send(&mut self, from: usize, to: usize, beat: Beat, wants_answer: bool) {
+    fn send(&mut self, from: usize, to: usize, heartbeat: Heartbeat, wants_answer: bool) {
         self.heartbeats += 1;
-        self.changes += beat.changes.len() as u64;
+        self.changes += heartbeat.changes.len() as u64;
         let delivery = self.deliveries.pop_front().unwrap_or(Delivery::Normal);
         if delivery == Delivery::Lost || !self.reaches(from, to) {
             return;
         }
         let delay_ms = if delivery == Delivery::Delayed { 7 * STEP_MS } else { 0 };
-        let input = MembershipInput::Beat { from: name(from), beat };
+        let input = MembershipInput::Heartbeat { from: name(from), heartbeat };
         if !self.nodes[to].up {
             return;
         }
--- a/crates/samphiredoor-core/tests/manifest.rs
+++ b/crates/samphiredoor-core/tests/manifest.rs
@@ -120,7 +120,7 @@
 #[derive(Default)]
 struct Model {
     store: Store,
-    processes: [ManifestLog; PROCESSES],
+    processes: [ActiveManifest; PROCESSES],
     highest: [u64; PROCESSES],
     changes: Vec<RunningChange>,
     restored: bool,
@@ -133,10 +133,10 @@
             Step::Start { process, expects } => self.start(process, expects),
             Step::Continue { change, behaviour } => self.advance(change, behaviour)?,
             Step::Confirm { change, by } => self.confirm(change, by)?,
-            Step::ConfirmFails { change } => self.held(change, Holders::Unconfirmed)?,
+            Step::ConfirmFails { change } => self.held(change, PeerConfirmation::Unconfirmed)?,
             Step::Replay { process, record } => {
                 if let Some(record) = self.store.history.get(record).cloned() {
-                    self.processes[process].offer(&record);
+                    self.processes[process].update_if_newer(&record);
                 }
             }
             Step::RestoreStore { record } => {
@@ -175,12 +175,12 @@
         let running = &mut self.changes[number];
         running.next = match step {
             ChangeStep::Call(op) => Next::Call(op),
-            ChangeStep::Hold { record, .. } => {
-                self.processes[running.process].offer(&record);
+            ChangeStep::ApplyAndReplicate { record, .. } => {
+                self.processes[running.process].update_if_newer(&record);
                 Next::Hold(record)
             }
             ChangeStep::End(end) => {
-                if let ChangeEnd::Lost { .. } | ChangeEnd::Unavailable = end {
+                if let ChangeEnd::Conflict { .. } | ChangeEnd::Unavailable = end {
                     self.reported_no_effect.insert(running.writer.clone());
                 }
                 if let ChangeEnd::Accepted { revision } = end {
@@ -199,19 +199,24 @@
         if by == running.process {
             return Ok(());
         }
-        self.processes[by].offer(&record);
-        let covered = [by, running.process].iter().all(|it| self.processes[*it].covers(&record));
-        self.held(number, if covered { Holders::Another } else { Holders::Unconfirmed })
+        self.processes[by].update_if_newer(&record);
+        let covered =
+            [by, running.process].iter().all(|it| self.processes[*it].is_at_or_one_above(&record));
+        self.held(
+            number,
+            if covered { PeerConfirmation::Confirmed } else { PeerConfirmation::Unconfirmed },
+        )
     }
 
     fn held(&mut self, number: usize, confirmation: PeerConfirmation) -> Result<(), TestCaseError> {
         let Some(running) = self.changes.get_mut(number) else { return Ok(()) };
         let Next::Hold(record) = &running.next else { return Ok(()) };
         let record = Arc::clone(record);
-        let step = running.change.step(ChangeInput::Held(holders));
+        let step = running.change.step(ChangeInput::Replicated(confirmation));
         self.take_step(number, step)?;
         if self.changes[number].revision > 0 {
-            let appliers = self.processes.iter().filter(|it| it.covers(&record)).count();
+            let appliers =
+                self.processes.iter().filter(|it| it.is_at_or_one_above(&record)).count();
             prop_assert!(appliers >= 2, "accepted, but only {appliers} processes have applied it");
         }
         Ok(())
@@ -321,11 +326,11 @@
 }
 
 refused! {
-    an_older_revision_is_not_applied: record(1, 4, "b") => Offered::Older { revision: 4 },
-    the_same_revision_of_another_writer_is_reported: record(1, 5, "b") => Offered::Forked { .. },
-    the_same_record_changes_nothing: record(1, 5, "a") => Offered::Known,
-    a_record_of_a_newer_format_is_refused: record(2, 6, "b") => Offered::Unusable(_),
-    a_record_that_is_not_json_is_refused: b"{" => Offered::Unusable(_),
+    an_older_revision_is_not_applied: record(1, 4, "b") => UpdateOutcome::Older { revision: 4 },
+    the_same_revision_of_another_writer_is_reported: record(1, 5, "b") => UpdateOutcome::Forked { .. },
+    the_same_record_changes_nothing: record(1, 5, "a") => UpdateOutcome::AlreadyActive,
+    a_record_of_a_newer_format_is_refused: record(2, 6, "b") => UpdateOutcome::Unusable(_),
+    a_record_that_is_not_json_is_refused: b"{" => UpdateOutcome::Unusable(_),
     invalid_declarations_are_refused:
         br#"{"revision":6,"writer":"b","manifest":{"services":[{"name":"A","kind":"plain"}]}}"#
         => UpdateOutcome::Unusable(_),
--- a/crates/samphiredoor-core/tests/membership.rs
+++ b/crates/samphiredoor-core/tests/membership.rs
@@ -177,9 +177,10 @@
     let up = MembershipInput::LinkUp { peer, opened: true };
     membership.handle(Now::new(0, 0), up, &mut out);
     out.clear();
-    let beat = Beat { members_digest: membership.roster().digest() ^ 1, ..Beat::default() };
+    let heartbeat =
+        Heartbeat { members_digest: membership.roster().digest() ^ 1, ..Heartbeat::default() };
     for heartbeats in 1..=3 {
-        let input = MembershipInput::Beat { from: name(1), beat: beat.clone() };
+        let input = MembershipInput::Heartbeat { from: name(1), heartbeat: heartbeat.clone() };
         membership.handle(Now::new(heartbeats * 500, 0), input, &mut out);
     }
     assert_eq!(out, [MembershipAction::PullMembers { from: name(1) }]);
