--- a/crates/samphiredoor-core/src/manifest_revisions.rs
+++ b/crates/samphiredoor-core/src/manifest_revisions.rs
@@ -27,7 +27,7 @@
     ObjectKey::new(Kind::Manifest, "current")
 }
 
-/// Result of offering a record.
+/// Result of [`ActiveManifest::update_if_newer`].
 #[derive(Debug, Clone, PartialEq)]
 pub enum UpdateOutcome {
     /// The record was applied and is now active.
@@ -50,7 +50,7 @@
 }
 
 #[derive(Debug)]
-struct Active {
+struct ActiveRecord {
     revision: u64,
     writer: String,
     previous_writer: String,
@@ -60,7 +60,7 @@
 /// The active revision in one process.
 #[derive(Debug, Default)]
 pub struct ActiveManifest {
-    active: Option<Active>,
+    active: Option<ActiveRecord>,
 }
 
 impl ActiveManifest {
@@ -108,7 +108,8 @@
             Err(problem) => return UpdateOutcome::Unusable(problem),
         };
         let (writer, previous_writer) = (record.writer, record.previous_writer);
-        self.active = Some(Active { revision, writer, previous_writer, record: bytes.into() });
+        self.active =
+            Some(ActiveRecord { revision, writer, previous_writer, record: bytes.into() });
         UpdateOutcome::Applied(manifest)
     }
 }
--- a/crates/samphiredoor-core/tests/fleet/mod.rs
+++ b/crates/samphiredoor-core/tests/fleet/mod.rs
@@ -53,6 +53,7 @@
     deliveries: VecDeque<Delivery>,
 }
 
+/// Name of a process; its hash determines the position on the ring.
 pub fn name(number: usize) -> Name {
     Arc::from(format!("door-{number:04}"))
 }
--- a/crates/samphiredoor-core/tests/manifest.rs
+++ b/crates/samphiredoor-core/tests/manifest.rs
@@ -133,7 +133,9 @@
             Step::Start { process, expects } => self.start(process, expects),
             Step::Continue { change, behaviour } => self.advance(change, behaviour)?,
             Step::Confirm { change, by } => self.confirm(change, by)?,
-            Step::ConfirmFails { change } => self.held(change, PeerConfirmation::Unconfirmed)?,
+            Step::ConfirmFails { change } => {
+                self.end_replication(change, PeerConfirmation::Unconfirmed)?
+            }
             Step::Replay { process, record } => {
                 if let Some(record) = self.store.history.get(record).cloned() {
                     self.processes[process].update_if_newer(&record);
@@ -200,15 +202,19 @@
             return Ok(());
         }
         self.processes[by].update_if_newer(&record);
-        let covered =
+        let both_applied =
             [by, running.process].iter().all(|it| self.processes[*it].is_at_or_one_above(&record));
-        self.held(
+        self.end_replication(
             number,
-            if covered { PeerConfirmation::Confirmed } else { PeerConfirmation::Unconfirmed },
+            if both_applied { PeerConfirmation::Confirmed } else { PeerConfirmation::Unconfirmed },
         )
     }
 
-    fn held(&mut self, number: usize, confirmation: PeerConfirmation) -> Result<(), TestCaseError> {
+    fn end_replication(
+        &mut self,
+        number: usize,
+        confirmation: PeerConfirmation,
+    ) -> Result<(), TestCaseError> {
         let Some(running) = self.changes.get_mut(number) else { return Ok(()) };
         let Next::Hold(record) = &running.next else { return Ok(()) };
         let record = Arc::clone(record);
@@ -310,22 +316,22 @@
     serde_json::to_vec(&record).expect("JSON")
 }
 
-macro_rules! refused {
+macro_rules! not_applied {
     ($($name:ident: $bytes:expr => $expected:pat,)*) => {
         $(
             #[test]
             fn $name() {
                 let mut active = ActiveManifest::default();
                 active.update_if_newer(&record(1, 5, "a"));
-                let offered = active.update_if_newer($bytes.as_ref());
-                assert!(matches!(offered, $expected), "{offered:?}");
+                let outcome = active.update_if_newer($bytes.as_ref());
+                assert!(matches!(outcome, $expected), "{outcome:?}");
                 assert_eq!(active.revision(), 5);
             }
         )*
     };
 }
 
-refused! {
+not_applied! {
     an_older_revision_is_not_applied: record(1, 4, "b") => UpdateOutcome::Older { revision: 4 },
     the_same_revision_of_another_writer_is_reported: record(1, 5, "b") => UpdateOutcome::Forked { .. },
     the_same_record_changes_nothing: record(1, 5, "a") => UpdateOutcome::AlreadyActive,
