--- a/crates/samphiredoor/src/access.rs
+++ b/crates/samphiredoor/src/access.rs
@@ -25,13 +25,13 @@
     /// nothing about the token.
     pub fn admits(&self, headers: &HeaderMap) -> bool {
         let value = headers.get(header::AUTHORIZATION).and_then(|it| it.to_str().ok());
-        let shown = value.and_then(|it| it.strip_prefix("Bearer "));
-        shown.is_some_and(|it| self.is(it.as_bytes()))
+        let presented = value.and_then(|it| it.strip_prefix("Bearer "));
+        presented.is_some_and(|it| self.matches(it.as_bytes()))
     }
 
     /// Whether `shown` is this token.
-    pub fn is(&self, shown: &[u8]) -> bool {
-        blake3::hash(shown.trim_ascii()) == self.0
+    pub fn matches(&self, presented: &[u8]) -> bool {
+        blake3::hash(presented.trim_ascii()) == self.0
     }
 }
 
--- a/crates/samphiredoor/src/answers.rs
+++ b/crates/samphiredoor/src/answers.rs
@@ -7,7 +7,7 @@
 use serde_json::json;
 
 /// Answer with a JSON body.
-pub fn json_answer<T: Serialize>(status: StatusCode, value: &T) -> Response<Body> {
+pub fn json_response<T: Serialize>(status: StatusCode, value: &T) -> Response<Body> {
     answers::json(status, serde_json::to_vec(value).unwrap_or_default())
 }
 
@@ -21,23 +21,23 @@
             "ran": "not run",
         }
     });
-    json_answer(StatusCode::BAD_REQUEST, &value)
+    json_response(StatusCode::BAD_REQUEST, &value)
 }
 
 /// Answer for a path or object that does not exist.
 pub fn not_found(what: &str) -> Response<Body> {
     let value = json!({ "error": { "type": "not_found", "message": what, "ran": "not run" } });
-    json_answer(StatusCode::NOT_FOUND, &value)
+    json_response(StatusCode::NOT_FOUND, &value)
 }
 
 /// Answer to a request that got none from a target.
 ///
 /// The verdict goes along in the answer's extensions, for whoever records what came of the request.
-pub fn verdict_answer(verdict: Verdict) -> Response<Body> {
+pub fn verdict_response(verdict: Verdict) -> Response<Body> {
     let mut response = match verdict {
         Verdict::NotRun { retry_after_ms, reason } => not_run(retry_after_ms, reason),
         Verdict::MayHaveRun { reason } => may_have_run(reason),
-        Verdict::Done => json_answer(StatusCode::OK, &json!({})),
+        Verdict::Done => json_response(StatusCode::OK, &json!({})),
     };
     response.extensions_mut().insert(verdict);
     response
@@ -57,7 +57,7 @@
         Verdict::MayHaveRun { reason } => json!({
             "error": {
                 "type": reason.label(),
-                "message": doubt_message(reason),
+                "message": may_have_run_message(reason),
                 "ran": "may have run",
             }
         }),
@@ -67,7 +67,7 @@
 
 fn not_run(retry_after_ms: u64, reason: Refusal) -> Response<Body> {
     let verdict = Verdict::NotRun { retry_after_ms, reason };
-    let mut response = json_answer(refusal_status(reason), &verdict_json(verdict));
+    let mut response = json_response(refusal_status(reason), &verdict_json(verdict));
     if retry_after_ms > 0 {
         let seconds = retry_after_ms.div_ceil(1_000);
         if let Ok(value) = header::HeaderValue::from_str(&seconds.to_string()) {
@@ -88,7 +88,7 @@
         | MayHaveRunReason::IntentWithoutOutcome
         | MayHaveRunReason::AnswerNotKept => StatusCode::BAD_GATEWAY,
     };
-    let mut response = json_answer(status, &verdict_json(Verdict::MayHaveRun { reason }));
+    let mut response = json_response(status, &verdict_json(Verdict::MayHaveRun { reason }));
     if matches!(reason, MayHaveRunReason::StillRunning | MayHaveRunReason::StoreAnswerLost) {
         let soon = header::HeaderValue::from_static("1");
         response.headers_mut().insert(header::RETRY_AFTER, soon);
@@ -134,7 +134,7 @@
     }
 }
 
-fn doubt_message(reason: MayHaveRunReason) -> &'static str {
+fn may_have_run_message(reason: MayHaveRunReason) -> &'static str {
     match reason {
         MayHaveRunReason::ConnectionLost => "the target was lost before it answered",
         MayHaveRunReason::AnswerCut => "the target's answer was cut",
--- a/crates/samphiredoor/src/callers.rs
+++ b/crates/samphiredoor/src/callers.rs
@@ -19,7 +19,9 @@
         (&Method::GET, ["v1", "batches", job]) => job_reads::status(door, job).await,
         (&Method::DELETE, ["v1", "batches", job]) => job_control::remove(door, job).await,
         (&Method::POST, ["v1", "batches", job, "cancel"]) => job_control::cancel(&door, job).await,
-        (&Method::GET, ["v1", "batches", _, "bodies", name]) => job_reads::body(door, name).await,
+        (&Method::GET, ["v1", "batches", _, "bodies", name]) => {
+            job_reads::large_body(door, name).await
+        }
         (&Method::GET, ["v1", "batches", job, "results"]) => {
             job_reads::results(door, job, request.uri().query().unwrap_or_default()).await
         }
--- a/crates/samphiredoor/src/commands.rs
+++ b/crates/samphiredoor/src/commands.rs
@@ -18,7 +18,7 @@
 use serde_json::{Value, json};
 
 use crate::{
-    answers::{bad_request, json_answer},
+    answers::{bad_request, json_response},
     door::Door,
     job_control, manifest_change,
 };
@@ -61,7 +61,7 @@
     };
     log::info!("quarantine: an operator lifts {fingerprint:016x}");
     door.quarantine.lift(fingerprint);
-    json_answer(StatusCode::OK, &json!({ "lifted": format!("{fingerprint:016x}") }))
+    json_response(StatusCode::OK, &json!({ "lifted": format!("{fingerprint:016x}") }))
 }
 
 fn section(object: Settable) -> &'static str {
@@ -145,5 +145,5 @@
 
 fn no_manifest() -> Response<Body> {
     let value = json!({ "error": "the store is not reachable, or holds no manifest" });
-    json_answer(StatusCode::SERVICE_UNAVAILABLE, &value)
+    json_response(StatusCode::SERVICE_UNAVAILABLE, &value)
 }
--- a/crates/samphiredoor/src/dispatch_task.rs
+++ b/crates/samphiredoor/src/dispatch_task.rs
@@ -29,13 +29,13 @@
 const TICK: Duration = Duration::from_millis(10);
 const TICKS_BETWEEN_METRICS: u64 = 10;
 // Word that a target leaves is told again more often than this while it holds.
-const TOLD_LEAVING_MS: u64 = 30_000;
+const REPORTED_LEAVING_MS: u64 = 30_000;
 
 /// What the dispatcher decided for a request.
 #[derive(Debug, Clone)]
-pub enum Placement {
+pub enum Decision {
     /// Send it there.
-    Go {
+    Dispatch {
         /// Where it listens.
         address: SocketAddr,
     },
@@ -57,7 +57,7 @@
 }
 
 enum Message {
-    Ask(RequestSpec, flume::Sender<Placement>),
+    Request(RequestSpec, flume::Sender<Decision>),
     Input(Input),
     TargetsInUse(flume::Sender<Vec<TargetInUse>>),
     TargetViews(flume::Sender<Vec<TargetView>>),
@@ -65,33 +65,33 @@
 
 /// Handle to the dispatcher's task.
 #[derive(Clone)]
-pub struct Dispatch {
+pub struct DispatchHandle {
     messages: flume::Sender<Message>,
     next_request: Rc<Cell<u64>>,
 }
 
-impl Dispatch {
-    /// Starts the task; what it has to tell other doors goes to `news`.
+impl DispatchHandle {
+    /// Starts the task; what it has to tell other doors goes to `hints`.
     pub fn start(
         clock: Clock,
         location: Location,
         seed: u64,
         metrics: Rc<Metrics>,
-        news: flume::Sender<(Name, Hint)>,
-    ) -> Dispatch {
+        hints: flume::Sender<(Name, Hint)>,
+    ) -> DispatchHandle {
         let (messages, inbox) = flume::unbounded();
         let dispatcher = Dispatcher::new(location, seed);
         let task = Task {
             clock,
             dispatcher,
             waiting: HashMap::new(),
-            recalled: HashMap::new(),
-            news,
+            preempted_at: HashMap::new(),
+            hints,
             metrics,
             ticks: 0,
         };
         compio::runtime::spawn(task.run(inbox)).detach();
-        Dispatch { messages, next_request: Rc::new(Cell::new(1)) }
+        DispatchHandle { messages, next_request: Rc::new(Cell::new(1)) }
     }
 
     /// Puts a manifest in force.
@@ -100,8 +100,8 @@
     }
 
     /// Gives the target no new work for a while.
-    pub fn leaving(&self, target: Name) {
-        self.input(Input::ReportedLeaving { target, for_ms: TOLD_LEAVING_MS });
+    pub fn mark_leaving(&self, target: Name) {
+        self.input(Input::ReportedLeaving { target, for_ms: REPORTED_LEAVING_MS });
     }
 
     /// New identity for a request.
@@ -112,17 +112,17 @@
     }
 
     /// Asks for a target.
-    pub fn ask(&self, ask: RequestSpec) -> Ticket {
-        let (sender, placements) = flume::unbounded();
-        let ticket = Ticket {
-            request: ask.request,
-            placements,
+    pub fn submit(&self, spec: RequestSpec) -> RequestHandle {
+        let (sender, decisions) = flume::unbounded();
+        let handle = RequestHandle {
+            request: spec.request,
+            decisions,
             messages: self.messages.clone(),
             open: true,
             at_target: false,
         };
-        let _ = self.messages.send(Message::Ask(ask, sender));
-        ticket
+        let _ = self.messages.send(Message::Request(spec, sender));
+        handle
     }
 
     /// Targets that this process uses.
@@ -146,35 +146,35 @@
 }
 
 /// A request as the dispatcher knows it. Dropping it says that nobody waits any more.
-pub struct Ticket {
+pub struct RequestHandle {
     request: RequestId,
-    placements: flume::Receiver<Placement>,
+    decisions: flume::Receiver<Decision>,
     messages: flume::Sender<Message>,
     open: bool,
     at_target: bool,
 }
 
-impl Ticket {
+impl RequestHandle {
     /// Waits for the next decision.
-    pub async fn placement(&mut self) -> Placement {
-        match self.placements.recv_async().await {
-            Ok(placement) => {
-                match placement {
-                    Placement::Go { .. } => self.at_target = true,
-                    Placement::Refused(_) => self.open = false,
-                    Placement::Abort => {}
+    pub async fn decision(&mut self) -> Decision {
+        match self.decisions.recv_async().await {
+            Ok(decision) => {
+                match decision {
+                    Decision::Dispatch { .. } => self.at_target = true,
+                    Decision::Refused(_) => self.open = false,
+                    Decision::Abort => {}
                 }
-                placement
+                decision
             }
             Err(_) => {
                 self.open = false;
                 let reason = Refusal::Stopping;
-                Placement::Refused(Verdict::NotRun { retry_after_ms: 1_000, reason })
+                Decision::Refused(Verdict::NotRun { retry_after_ms: 1_000, reason })
             }
         }
     }
 
-    /// Says how the attempt in hand ended, once for each attempt. An end that closes the request closes the ticket;
+    /// Says how the attempt in hand ended, once for each attempt. An end that closes the request closes the handle;
     /// after any other a decision follows.
     pub fn ended(&mut self, end: AttemptEnd) {
         if !std::mem::take(&mut self.at_target) {
@@ -186,7 +186,7 @@
     }
 }
 
-impl Drop for Ticket {
+impl Drop for RequestHandle {
     fn drop(&mut self) {
         if self.open {
             let input = Input::Cancelled { request: self.request };
@@ -198,9 +198,9 @@
 struct Task {
     clock: Clock,
     dispatcher: Dispatcher,
-    waiting: HashMap<RequestId, flume::Sender<Placement>>,
-    recalled: HashMap<RequestId, Instant>,
-    news: flume::Sender<(Name, Hint)>,
+    waiting: HashMap<RequestId, flume::Sender<Decision>>,
+    preempted_at: HashMap<RequestId, Instant>,
+    hints: flume::Sender<(Name, Hint)>,
     metrics: Rc<Metrics>,
     ticks: u64,
 }
@@ -211,9 +211,9 @@
         let mut inbox = Ticking::new(inbox, TICK);
         loop {
             let input = match inbox.next().await {
-                Next::Message(Message::Ask(ask, reply)) => {
-                    self.waiting.insert(ask.request, reply);
-                    Input::Request(ask)
+                Next::Message(Message::Request(spec, reply)) => {
+                    self.waiting.insert(spec.request, reply);
+                    Input::Request(spec)
                 }
                 Next::Message(Message::Input(input)) => input,
                 Next::Message(Message::TargetViews(reply)) => {
@@ -230,7 +230,7 @@
                     Input::Tick
                 }
             };
-            self.forget_ended(&input);
+            self.remove_finished(&input);
             self.dispatcher.handle(self.clock.now(), input, &mut actions);
             for action in actions.drain(..) {
                 self.act(action);
@@ -252,11 +252,11 @@
         self.ticks += 1;
     }
 
-    fn forget_ended(&mut self, input: &Input) {
+    fn remove_finished(&mut self, input: &Input) {
         if let Input::Cancelled { request } | Input::AttemptEnded { request, .. } = input
-            && let Some(recalled) = self.recalled.remove(request)
+            && let Some(preempted_at) = self.preempted_at.remove(request)
         {
-            self.metrics.recalled(recalled.elapsed().as_secs_f64());
+            self.metrics.recalled(preempted_at.elapsed().as_secs_f64());
         }
         match input {
             Input::Cancelled { request } => {
@@ -269,28 +269,30 @@
         }
     }
 
-    fn tell(&self, door: Name, news: Hint) {
-        let _ = self.news.send((door, news));
+    fn send_hint(&self, gateway: Name, hint: Hint) {
+        let _ = self.hints.send((gateway, hint));
     }
 
     fn act(&mut self, action: Action) {
-        let (request, placement) = match action {
-            Action::Dispatch { request, address, .. } => (request, Placement::Go { address }),
+        let (request, decision) = match action {
+            Action::Dispatch { request, address, .. } => (request, Decision::Dispatch { address }),
             Action::Abort { request } => {
-                self.recalled.insert(request, Instant::now());
-                (request, Placement::Abort)
+                self.preempted_at.insert(request, Instant::now());
+                (request, Decision::Abort)
             }
-            Action::Refuse { request, verdict } => (request, Placement::Refused(verdict)),
+            Action::Refuse { request, verdict } => (request, Decision::Refused(verdict)),
             Action::SlotGrant { target, grant } => {
                 let SlotGrant { gateway, slots, epoch } = grant;
-                let news = Hint::Recall { target, batch_slots: slots, epoch };
-                return self.tell(gateway, news);
+                let hint = Hint::Recall { target, batch_slots: slots, epoch };
+                return self.send_hint(gateway, hint);
+            }
+            Action::Demand { allocator, load } => {
+                return self.send_hint(allocator, Hint::Need(load));
             }
-            Action::Demand { allocator, load } => return self.tell(allocator, Hint::Need(load)),
         };
-        let last = matches!(placement, Placement::Refused(_));
+        let last = matches!(decision, Decision::Refused(_));
         if let Some(reply) = self.waiting.get(&request) {
-            let _ = reply.send(placement);
+            let _ = reply.send(decision);
         }
         if last {
             self.waiting.remove(&request);
--- a/crates/samphiredoor/src/door.rs
+++ b/crates/samphiredoor/src/door.rs
@@ -9,9 +9,10 @@
 use samphiredoor_net::clock::Clock;
 
 use crate::{
-    config::DoorConfig, dispatch_task::Dispatch, jobs_task::Jobs, keys_task::KeysHandle,
-    manifest_task::ManifestHandle, metrics::Metrics, orders_task::OrdersHandle, peers::Peers,
-    quarantine_task::QuarantineHandle, store_client::StoreClient, targets::TargetPools,
+    config::DoorConfig, dispatch_task::DispatchHandle, jobs_task::JobsHandle,
+    keys_task::KeysHandle, manifest_task::ManifestHandle, metrics::Metrics,
+    orders_task::OrdersHandle, peers::Peers, quarantine_task::QuarantineHandle,
+    store_client::StoreClient, targets::TargetPools,
 };
 
 /// Handles to all tasks of a door.
@@ -23,9 +24,9 @@
     /// Start of the process, to tell it from an earlier one of the same name.
     pub incarnation: u64,
     /// The dispatcher's task.
-    pub dispatch: Dispatch,
+    pub dispatch: DispatchHandle,
     /// The ledger's task.
-    pub jobs: Jobs,
+    pub jobs: JobsHandle,
     /// The idempotency keys' task.
     pub keys: KeysHandle,
     /// The manifest's task.
--- a/crates/samphiredoor/src/hosts_task.rs
+++ b/crates/samphiredoor/src/hosts_task.rs
@@ -95,7 +95,7 @@
 fn tell(door: &Door, leaving: &HashSet<IpAddr>) {
     let manifest = door.manifest.current();
     for target in manifest.targets.values().filter(|it| leaving.contains(&it.address.ip())) {
-        door.dispatch.leaving(Name::clone(&target.name));
+        door.dispatch.mark_leaving(Name::clone(&target.name));
         door.peers.tell_all(Hint::Leaving(Name::clone(&target.name)));
     }
 }
--- a/crates/samphiredoor/src/item_call.rs
+++ b/crates/samphiredoor/src/item_call.rs
@@ -96,7 +96,7 @@
     }
 
     /// Whether the next attempt goes on where the last one was cut.
-    pub fn resumes(&self) -> bool {
+    pub fn is_resumable(&self) -> bool {
         self.resumable.is_some()
     }
 
@@ -112,8 +112,8 @@
         address: SocketAddr,
         is_engine: bool,
     ) -> Result<ItemEnd, AttemptEnd> {
-        if let Some(whole) = self.finished() {
-            return Ok(whole);
+        if let Some(answer) = self.finished_answer() {
+            return Ok(answer);
         }
         let exchange = within(ITEM_DEADLINE, async {
             let sent = door.targets.send(address, &self.next_call()).await;
@@ -130,7 +130,7 @@
             match &self.resumable {
                 Some(Resumable { partial, .. }) if status == 200 => {
                     read_events(partial, response.into_body()).await?;
-                    Ok(ItemEnd::Answered { status, body: self.whole(&partial.borrow()) })
+                    Ok(ItemEnd::Answered { status, body: self.assemble_answer(&partial.borrow()) })
                 }
                 _ => read_answer(status, response.into_body()).await,
             }
@@ -139,10 +139,10 @@
     }
 
     /// An attempt that was cut between its last token and the end of its framing has nothing left to ask for.
-    fn finished(&self) -> Option<ItemEnd> {
+    fn finished_answer(&self) -> Option<ItemEnd> {
         let partial = self.resumable.as_ref()?.partial.borrow();
         let finished = !partial.finish_reason.is_null();
-        finished.then(|| ItemEnd::Answered { status: 200, body: self.whole(&partial) })
+        finished.then(|| ItemEnd::Answered { status: 200, body: self.assemble_answer(&partial) })
     }
 
     fn next_call(&self) -> Call {
@@ -160,7 +160,7 @@
     }
 
     /// The answer as an engine would have given it in one piece.
-    fn whole(&self, partial: &Partial) -> Value {
+    fn assemble_answer(&self, partial: &Partial) -> Value {
         let chat = self.call.uri.path().contains("/chat/");
         let reason = &partial.finish_reason;
         let (object, choice) = match chat {
@@ -194,22 +194,22 @@
 
 async fn read_events(partial: &RefCell<Partial>, mut body: Answer) -> Result<(), AttemptEnd> {
     let cut = AttemptEnd::AnswerLost(MayHaveRunReason::AnswerCut);
-    let mut unread = Vec::new();
+    let mut unparsed = Vec::new();
     while let Some(frame) = body.frame().await {
         let Ok(data) = frame.map_err(|_| cut)?.into_data() else { continue };
-        unread.extend_from_slice(&data);
-        while let Some(end) = unread.windows(2).position(|it| it == b"\n\n") {
-            take_event(&mut partial.borrow_mut(), &unread[..end]);
-            unread.drain(..end + 2);
+        unparsed.extend_from_slice(&data);
+        while let Some(end) = unparsed.windows(2).position(|it| it == b"\n\n") {
+            apply_event(&mut partial.borrow_mut(), &unparsed[..end]);
+            unparsed.drain(..end + 2);
         }
-        if unread.len() + partial.borrow().text.len() > MAX_RESULT_BYTES {
+        if unparsed.len() + partial.borrow().text.len() > MAX_RESULT_BYTES {
             return Err(cut);
         }
     }
     if partial.borrow().done { Ok(()) } else { Err(cut) }
 }
 
-fn take_event(partial: &mut Partial, event: &[u8]) {
+fn apply_event(partial: &mut Partial, event: &[u8]) {
     let Some(data) = event.strip_prefix(b"data: ") else { return };
     if data == b"[DONE]" {
         partial.done = true;
--- a/crates/samphiredoor/src/item_run.rs
+++ b/crates/samphiredoor/src/item_run.rs
@@ -3,10 +3,10 @@
 use std::rc::Rc;
 
 use crate::{
-    ask::{REQUEST_ID_HEADER, fingerprint, is_engine, passed_headers},
-    dispatch_task::{Placement, Ticket},
+    dispatch_task::{Decision, RequestHandle},
     door::Door,
     item_call::{ITEM_DEADLINE, ItemCall},
+    request_spec::{REQUEST_ID_HEADER, fingerprint, forwarded_headers, is_engine},
     targets::Call,
 };
 use bytes::Bytes;
@@ -26,99 +26,101 @@
 pub async fn run(door: Rc<Door>, work: ItemWork, stop: flume::Receiver<()>) -> ItemEnd {
     let started = std::time::Instant::now();
     let request = door.dispatch.next_request();
-    let call = match call(&door, &work, request) {
+    let call = match build_call(&door, &work, request) {
         Ok(call) if is_resumable(&door, &work) => ItemCall::new(call).with_resume(),
         Ok(call) => ItemCall::new(call),
         Err(reason) => return ItemEnd::Refused { reason },
     };
-    let ask = ask(&door, &work, request, call.body_bytes());
-    let fingerprint = ask.fingerprint;
-    let mut ticket = door.dispatch.ask(ask);
+    let spec = request_spec(&door, &work, request, call.body_bytes());
+    let fingerprint = spec.fingerprint;
+    let mut handle = door.dispatch.submit(spec);
     loop {
-        let placement = select_biased! {
+        let decision = select_biased! {
             _ = stop.recv_async().fuse() => return ItemEnd::NotRun { retry_after_ms: 0 },
-            placement = ticket.placement().fuse() => placement,
+            decision = handle.decision().fuse() => decision,
         };
-        match placement {
-            Placement::Go { address } => {
-                let entered = door.quarantine.enter(request, fingerprint, address);
-                let pass = match until_cut(entered, &mut ticket, &stop).await {
-                    Attempted::Ended(Some(pass)) => pass,
-                    Attempted::Ended(None) => return quarantined(&door),
-                    Attempted::Recalled | Attempted::Stopped => {
-                        ticket.ended(AttemptEnd::Aborted);
+        match decision {
+            Decision::Dispatch { address } => {
+                let admission = door.quarantine.admit(request, fingerprint, address);
+                let admitted = match until_interrupted(admission, &mut handle, &stop).await {
+                    AttemptResult::Ended(Some(admitted)) => admitted,
+                    AttemptResult::Ended(None) => return end_quarantined(&door),
+                    AttemptResult::Preempted | AttemptResult::Stopped => {
+                        handle.ended(AttemptEnd::Aborted);
                         return ItemEnd::NotRun { retry_after_ms: 0 };
                     }
                 };
                 let attempt = call.attempt(&door, address, is_engine(&door, &work.service));
-                let attempted = match work.repeatable {
-                    true => until_cut(attempt, &mut ticket, &stop).await,
-                    false => Attempted::Ended(attempt.await),
+                let result = match work.repeatable {
+                    true => until_interrupted(attempt, &mut handle, &stop).await,
+                    false => AttemptResult::Ended(attempt.await),
                 };
-                match attempted {
-                    Attempted::Ended(Ok(end)) => {
-                        pass.answered();
-                        ticket.ended(AttemptEnd::Completed);
+                match result {
+                    AttemptResult::Ended(Ok(end)) => {
+                        admitted.answered();
+                        handle.ended(AttemptEnd::Completed);
                         let elapsed_s = started.elapsed().as_secs_f64();
                         door.metrics.ended(Class::Batch, Verdict::Done, elapsed_s);
                         return end;
                     }
-                    Attempted::Ended(Err(end)) => {
+                    AttemptResult::Ended(Err(end)) => {
                         if matches!(end, AttemptEnd::AnswerLost(reason) if reason.is_loss()) {
-                            pass.lost().await;
+                            admitted.connection_lost().await;
                         }
-                        ticket.ended(end);
+                        handle.ended(end);
                     }
-                    Attempted::Recalled if call.resumes() => ticket.ended(AttemptEnd::Preempted),
-                    Attempted::Recalled | Attempted::Stopped => {
-                        ticket.ended(AttemptEnd::Aborted);
+                    AttemptResult::Preempted if call.is_resumable() => {
+                        handle.ended(AttemptEnd::Preempted)
+                    }
+                    AttemptResult::Preempted | AttemptResult::Stopped => {
+                        handle.ended(AttemptEnd::Aborted);
                         return ItemEnd::NotRun { retry_after_ms: 0 };
                     }
                 }
             }
-            Placement::Abort => {}
-            Placement::Refused(verdict) => {
+            Decision::Abort => {}
+            Decision::Refused(verdict) => {
                 door.metrics.ended(Class::Batch, verdict, 0.0);
-                return refused(verdict);
+                return item_end(verdict);
             }
         }
     }
 }
 
 /// What became of an attempt.
-enum Attempted<T> {
+enum AttemptResult<T> {
     /// It ended by itself.
     Ended(T),
     /// The dispatcher wants the capacity back.
-    Recalled,
+    Preempted,
     /// The item is stopped.
     Stopped,
 }
 
 /// Waits for the answer, or for a word that the attempt is to be cut. Dropping the attempt closes its connection, which
 /// cancels it on an engine.
-async fn until_cut<T>(
+async fn until_interrupted<T>(
     attempt: impl Future<Output = T>,
-    ticket: &mut Ticket,
+    handle: &mut RequestHandle,
     stop: &flume::Receiver<()>,
-) -> Attempted<T> {
+) -> AttemptResult<T> {
     let mut attempt = std::pin::pin!(attempt.fuse());
     select_biased! {
-        ended = attempt => Attempted::Ended(ended),
-        _ = stop.recv_async().fuse() => Attempted::Stopped,
-        _ = ticket.placement().fuse() => Attempted::Recalled,
+        ended = attempt => AttemptResult::Ended(ended),
+        _ = stop.recv_async().fuse() => AttemptResult::Stopped,
+        _ = handle.decision().fuse() => AttemptResult::Preempted,
     }
 }
 
 /// End of an item that is blamed for the death of targets. It is final also where a run of it was lost: the item can
 /// never be done.
-fn quarantined(door: &Door) -> ItemEnd {
+fn end_quarantined(door: &Door) -> ItemEnd {
     let reason = Refusal::Quarantined;
     door.metrics.ended(Class::Batch, Verdict::NotRun { retry_after_ms: 0, reason }, 0.0);
     ItemEnd::Refused { reason: reason.to_string() }
 }
 
-fn refused(verdict: Verdict) -> ItemEnd {
+fn item_end(verdict: Verdict) -> ItemEnd {
     match verdict {
         Verdict::MayHaveRun { .. } => ItemEnd::MayHaveRun,
         Verdict::NotRun { reason, .. } if is_final(reason) => {
@@ -148,10 +150,10 @@
     }
 }
 
-fn call(door: &Door, work: &ItemWork, request: RequestId) -> Result<Call, String> {
+fn build_call(door: &Door, work: &ItemWork, request: RequestId) -> Result<Call, String> {
     let uri = work.url.parse().map_err(|_| "url: is no path".to_owned())?;
-    let mut headers = passed_headers(&HeaderMap::new(), door, request);
-    if let Ok(id) = header::HeaderValue::from_str(&item_id(&work.item)) {
+    let mut headers = forwarded_headers(&HeaderMap::new(), door, request);
+    if let Ok(id) = header::HeaderValue::from_str(&request_id(&work.item)) {
         headers.insert(REQUEST_ID_HEADER, id);
     }
     headers.insert(header::CONTENT_TYPE, header::HeaderValue::from_static("application/json"));
@@ -164,7 +166,12 @@
     manifest.services.get(&work.service).is_some_and(|it| it.resumable)
 }
 
-fn ask(door: &Door, work: &ItemWork, request: RequestId, body_bytes: usize) -> RequestSpec {
+fn request_spec(
+    door: &Door,
+    work: &ItemWork,
+    request: RequestId,
+    body_bytes: usize,
+) -> RequestSpec {
     let path = work.url.split('?').next().unwrap_or_default();
     RequestSpec {
         request,
@@ -181,6 +188,6 @@
     }
 }
 
-fn item_id(item: &ItemRef) -> String {
+fn request_id(item: &ItemRef) -> String {
     format!("{}-{:05}-{}", item.job, item.chunk, item.index)
 }
--- a/crates/samphiredoor/src/job_control.rs
+++ b/crates/samphiredoor/src/job_control.rs
@@ -15,10 +15,10 @@
 use serde_json::json;
 
 use crate::{
-    answers::{json_answer, not_found, verdict_answer},
+    answers::{json_response, not_found, verdict_response},
     door::Door,
     job_reads::{chunk_results, header_json, read_header, unreadable},
-    jobs::store_refusal,
+    jobs::store_unavailable,
 };
 
 /// Cancels a job; the answer says how far it came, or that it had finished before.
@@ -34,19 +34,19 @@
                 door.jobs.cancel_hint(job.clone());
                 let owner: Name = header.owner.process.as_str().into();
                 door.peers.tell(owner, Hint::Cancelled(job.clone()));
-                return json_answer(StatusCode::OK, &header_json(&job, &header));
+                return json_response(StatusCode::OK, &header_json(&job, &header));
             }
             CancelStep::Finished { header } => {
                 let mut value = header_json(&job, &header);
                 value["error"] = json!("the job had finished before");
-                return json_answer(StatusCode::CONFLICT, &value);
+                return json_response(StatusCode::CONFLICT, &value);
             }
             CancelStep::Absent => return not_found("no such job"),
             CancelStep::Unreadable => return unreadable(),
-            CancelStep::NotCancelled => return store_refusal(),
+            CancelStep::NotCancelled => return store_unavailable(),
             CancelStep::MayBeCancelled => {
                 let reason = MayHaveRunReason::StoreAnswerLost;
-                return verdict_answer(Verdict::MayHaveRun { reason });
+                return verdict_response(Verdict::MayHaveRun { reason });
             }
         }
     }
@@ -62,7 +62,7 @@
     if !matches!(header.state, JobState::Cancelled | JobState::Finished) {
         let mut value = header_json(&job, &header);
         value["error"] = json!("the job has not ended; cancel it first");
-        return json_answer(StatusCode::CONFLICT, &value);
+        return json_response(StatusCode::CONFLICT, &value);
     }
     // The names of the bodies stand in the results, so they are read before anything is removed.
     let bodies = match body_names(&door, &header).await {
@@ -73,11 +73,11 @@
     match door.store.call(op).await {
         StoreAnswer::Deleted => {}
         StoreAnswer::Absent => return not_found("no such job"),
-        _ => return store_refusal(),
+        _ => return store_unavailable(),
     }
     log::info!("jobs: {job} is removed");
-    compio::runtime::spawn(remove_parts(door, header, bodies)).detach();
-    json_answer(StatusCode::OK, &json!({ "id": &*job, "deleted": true }))
+    compio::runtime::spawn(remove_objects(door, header, bodies)).detach();
+    json_response(StatusCode::OK, &json!({ "id": &*job, "deleted": true }))
 }
 
 async fn body_names(door: &Door, header: &JobHeader) -> Result<Vec<String>, Response<Body>> {
@@ -90,7 +90,7 @@
     Ok(names)
 }
 
-async fn remove_parts(door: Rc<Door>, header: JobHeader, bodies: Vec<String>) {
+async fn remove_objects(door: Rc<Door>, header: JobHeader, bodies: Vec<String>) {
     let bodies = bodies.into_iter().map(|it| ObjectKey::new(Kind::Results, it));
     let chunks = (0..header.chunks)
         .flat_map(|it| [results_key(&header.upload, it), chunk_key(&header.upload, it)]);
--- a/crates/samphiredoor/src/job_reads.rs
+++ b/crates/samphiredoor/src/job_reads.rs
@@ -14,16 +14,16 @@
 use serde_json::{Value, json};
 
 use crate::{
-    answers::{bad_request, json_answer, not_found},
+    answers::{bad_request, json_response, not_found},
     door::Door,
-    jobs::store_refusal,
+    jobs::store_unavailable,
 };
 
 /// Prefix of the objects that hold large bodies.
 pub const BODY_PREFIX: &str = "body-";
 const RESULT_CHUNKS_PER_PAGE: u32 = 4;
 /// Chunks behind the last checkpoint of a job that another door works on whose results are counted for its status.
-const COUNTED_CHUNKS: u32 = 4;
+const MAX_COUNTED_CHUNKS: u32 = 4;
 
 /// Status of a job. Where another door works on it the counts are "at least".
 pub async fn status(door: Rc<Door>, job: &str) -> Response<Body> {
@@ -39,7 +39,7 @@
         value["request_counts"]["completed"] = json!(completed);
         value["request_counts"]["failed"] = json!(failed);
     }
-    json_answer(StatusCode::OK, &value)
+    json_response(StatusCode::OK, &value)
 }
 
 async fn counts(door: &Door, job: &JobId, header: &JobHeader) -> (u32, u32) {
@@ -47,7 +47,7 @@
         return (progress.completed, progress.failed);
     }
     let (mut completed, mut failed) = (header.completed, header.failed);
-    let last = header.opened_chunks.min(header.done_chunks.saturating_add(COUNTED_CHUNKS));
+    let last = header.opened_chunks.min(header.done_chunks.saturating_add(MAX_COUNTED_CHUNKS));
     for chunk in header.done_chunks..last {
         let Ok(Some(read)) = chunk_results(door, header, chunk).await else { break };
         let answered = read.results.values().filter(|it| it.status < 300 && it.status >= 200);
@@ -99,14 +99,14 @@
 }
 
 /// Body of one result that was too large to stand among the others.
-pub async fn body(door: Rc<Door>, name: &str) -> Response<Body> {
+pub async fn large_body(door: Rc<Door>, name: &str) -> Response<Body> {
     if !name.starts_with(BODY_PREFIX) {
         return not_found("no such body");
     }
     match door.store.call(StoreOp::Get { key: ObjectKey::new(Kind::Results, name) }).await {
         StoreAnswer::Object(stored) => answers::json(StatusCode::OK, stored.value.to_vec()),
         StoreAnswer::Absent => not_found("no such body"),
-        _ => store_refusal(),
+        _ => store_unavailable(),
     }
 }
 
@@ -127,7 +127,7 @@
             }
         },
         StoreAnswer::Absent => Ok(None),
-        _ => Err(store_refusal()),
+        _ => Err(store_unavailable()),
     }
 }
 
@@ -168,7 +168,7 @@
             }
         },
         StoreAnswer::Absent => Err(not_found("no such job")),
-        _ => Err(store_refusal()),
+        _ => Err(store_unavailable()),
     }
 }
 
@@ -177,7 +177,7 @@
     let value = json!({
         "error": { "type": "unreadable", "message": "the job's header cannot be read; ask the operators" }
     });
-    json_answer(StatusCode::INTERNAL_SERVER_ERROR, &value)
+    json_response(StatusCode::INTERNAL_SERVER_ERROR, &value)
 }
 
 /// A job as callers see it.
--- a/crates/samphiredoor/src/jobs.rs
+++ b/crates/samphiredoor/src/jobs.rs
@@ -13,11 +13,11 @@
 use samphiredoor_schema::objects::Chunk;
 
 use crate::{
-    answers::{bad_request, json_answer, verdict_answer},
-    ask::{KEY_HEADER, WORKSPACE_HEADER, header_text},
+    answers::{bad_request, json_response, verdict_response},
     door::Door,
     job_reads::header_json,
     request_body::RequestBody,
+    request_spec::{KEY_HEADER, WORKSPACE_HEADER, header_text},
 };
 
 /// Header that says whether an item may be run more than once.
@@ -28,19 +28,19 @@
 const LEASE_RETRY_AFTER_MS: u64 = 1_000;
 const LEASE_POLL: Duration = Duration::from_millis(20);
 const LEASE_POLLS: u32 = 50;
-const CHUNK_TRIES: u32 = 3;
-const CHUNKS_AT_ONCE: usize = 4;
+const CHUNK_WRITE_ATTEMPTS: u32 = 3;
+const MAX_CONCURRENT_CHUNK_WRITES: usize = 4;
 
 /// Takes a submission; answers when the job is durable, and not before.
 pub async fn submit(door: Rc<Door>, request: Request<Incoming>) -> Response<Body> {
     let (parts, body) = request.into_parts();
-    let mut accepting = match accepting(&door, &parts.headers) {
+    let mut accepting = match parse_headers(&door, &parts.headers) {
         Ok(accepting) => accepting,
         Err(answer) => return answer,
     };
-    if !lease_comes(&door).await {
+    if !wait_for_lease(&door).await {
         let reason = Refusal::NotReady;
-        return verdict_answer(Verdict::NotRun { retry_after_ms: LEASE_RETRY_AFTER_MS, reason });
+        return verdict_response(Verdict::NotRun { retry_after_ms: LEASE_RETRY_AFTER_MS, reason });
     }
     let mut submission = Submission::new();
     let uploaded = upload(&door, &accepting, body, &mut submission).await;
@@ -56,7 +56,7 @@
 
 /// Waits a little for the process's lease. A process that never had one could not be found to be gone, and its jobs
 /// would never be taken from it.
-async fn lease_comes(door: &Door) -> bool {
+async fn wait_for_lease(door: &Door) -> bool {
     for _ in 0..LEASE_POLLS {
         if door.jobs.lease_held(door.clock.now()) {
             return true;
@@ -66,7 +66,7 @@
     false
 }
 
-fn accepting(door: &Door, headers: &HeaderMap) -> Result<Accepting, Response<Body>> {
+fn parse_headers(door: &Door, headers: &HeaderMap) -> Result<Accepting, Response<Body>> {
     let Some(key) = header_text(headers, KEY_HEADER) else {
         return Err(bad_request(KEY_HEADER, "name the job, so that sending it again is safe"));
     };
@@ -106,7 +106,7 @@
     while let Some(piece) = body.piece().await.map_err(|err| err.answer())? {
         for (number, chunk) in submission.push(&piece).map_err(|bad| bad_line(&bad))? {
             writes.push(write_chunk(door, accepting, number, chunk));
-            if writes.len() >= CHUNKS_AT_ONCE {
+            if writes.len() >= MAX_CONCURRENT_CHUNK_WRITES {
                 writes.next().await.unwrap_or(Ok(()))?;
             }
         }
@@ -130,7 +130,7 @@
     number: u32,
     chunk: Chunk,
 ) -> Result<(), Response<Body>> {
-    for _ in 0..CHUNK_TRIES {
+    for _ in 0..CHUNK_WRITE_ATTEMPTS {
         match door.store.call(Acceptance::chunk_op(&accepting.upload, number, &chunk)).await {
             // The name is this upload's alone: whatever stands there, this call or an earlier try wrote it.
             StoreAnswer::Object(_) | StoreAnswer::Taken => return Ok(()),
@@ -138,13 +138,13 @@
             _ => break,
         }
     }
-    Err(store_refusal())
+    Err(store_unavailable())
 }
 
 /// Answer where the store is of no help and nothing was done.
-pub fn store_refusal() -> Response<Body> {
+pub fn store_unavailable() -> Response<Body> {
     let reason = Refusal::StoreUnavailable;
-    verdict_answer(Verdict::NotRun { retry_after_ms: STORE_RETRY_AFTER_MS, reason })
+    verdict_response(Verdict::NotRun { retry_after_ms: STORE_RETRY_AFTER_MS, reason })
 }
 
 async fn accept(door: &Rc<Door>, accepting: &Accepting, submission: &Submission) -> Response<Body> {
@@ -154,28 +154,28 @@
         match step {
             SubmissionStep::Store(op) => step = acceptance.answered(door.store.call(op).await),
             SubmissionStep::Accepted { job, header, version, resent } => {
-                let answer = json_answer(StatusCode::OK, &header_json(&job, &header));
+                let answer = json_response(StatusCode::OK, &header_json(&job, &header));
                 if resent {
                     remove_chunks(door, &accepting.upload, submission.chunks());
                 } else {
                     log::info!("jobs: {job} accepted with {} items", header.items);
-                    door.jobs.owned(job, header, version);
+                    door.jobs.add_owned_job(job, header, version);
                 }
                 return answer;
             }
             SubmissionStep::Conflicting { .. } => {
                 remove_chunks(door, &accepting.upload, submission.chunks());
                 let reason = Refusal::KeyReused;
-                return verdict_answer(Verdict::NotRun { retry_after_ms: 0, reason });
+                return verdict_response(Verdict::NotRun { retry_after_ms: 0, reason });
             }
             SubmissionStep::NotAccepted => {
                 remove_chunks(door, &accepting.upload, submission.chunks());
-                return store_refusal();
+                return store_unavailable();
             }
             // The header may stand, and then needs its chunks.
             SubmissionStep::MayBeAccepted => {
                 let reason = MayHaveRunReason::StoreAnswerLost;
-                return verdict_answer(Verdict::MayHaveRun { reason });
+                return verdict_response(Verdict::MayHaveRun { reason });
             }
         }
     }
--- a/crates/samphiredoor/src/jobs_task.rs
+++ b/crates/samphiredoor/src/jobs_task.rs
@@ -20,9 +20,9 @@
 use crate::{config::DoorConfig, metrics::Metrics, peers::Peers, store_client::StoreClient};
 
 const TICK: Duration = Duration::from_millis(100);
-const EMPTY_POLL: Duration = Duration::from_millis(20);
+const IDLE_POLL: Duration = Duration::from_millis(20);
 /// The margin by which hand-outs stop before the lease ends, as a part of the lease.
-const LEASE_MARGIN_PART: u64 = 10;
+const LEASE_MARGIN_DIVISOR: u64 = 10;
 const MAX_LEASE_MARGIN_MS: u64 = 1_000;
 
 enum Message {
@@ -33,7 +33,7 @@
 
 /// Handle to the ledger's task.
 #[derive(Clone)]
-pub struct Jobs {
+pub struct JobsHandle {
     messages: flume::Sender<Message>,
     valid_until_ms: Rc<Cell<u64>>,
 }
@@ -41,20 +41,20 @@
 /// Inbox of the ledger's task, before the task starts.
 pub struct JobsInbox(flume::Receiver<Message>);
 
-impl Jobs {
+impl JobsHandle {
     /// Handle and inbox.
-    pub fn new() -> (Jobs, JobsInbox) {
+    pub fn new() -> (JobsHandle, JobsInbox) {
         let (messages, inbox) = flume::unbounded();
-        (Jobs { messages, valid_until_ms: Rc::default() }, JobsInbox(inbox))
+        (JobsHandle { messages, valid_until_ms: Rc::default() }, JobsInbox(inbox))
     }
 
     /// Hands over a job that this process owns.
-    pub fn owned(&self, job: JobId, header: Box<JobHeader>, version: Version) {
+    pub fn add_owned_job(&self, job: JobId, header: Box<JobHeader>, version: Version) {
         self.input(LedgerInput::Owned { job, header, version });
     }
 
     /// Says until when this process holds its lease, by its monotonic clock; 0 if it is lost.
-    pub fn lease(&self, valid_until_ms: u64) {
+    pub fn set_lease(&self, valid_until_ms: u64) {
         self.valid_until_ms.set(valid_until_ms);
         self.input(LedgerInput::Lease { valid_until_ms });
     }
@@ -65,12 +65,12 @@
     }
 
     /// Says that the lease of a process has lapsed, so that its jobs may be taken.
-    pub fn lapsed(&self, process: Name, incarnation: u64) {
+    pub fn lease_expired(&self, process: Name, incarnation: u64) {
         self.input(LedgerInput::Lapsed { process, incarnation });
     }
 
     /// Says which processes hold their leases.
-    pub fn live(&self, processes: Vec<Name>) {
+    pub fn set_live_processes(&self, processes: Vec<Name>) {
         self.input(LedgerInput::Live { processes });
     }
 
@@ -80,23 +80,23 @@
     }
 
     /// Says that another process has handed a job over.
-    pub fn offered(&self, job: JobId) {
+    pub fn job_handed_over(&self, job: JobId) {
         self.input(LedgerInput::Offered { job });
     }
 
     /// Begins to hand all jobs over.
-    pub fn stopping(&self) {
+    pub fn begin_handover(&self) {
         self.input(LedgerInput::Stopping);
     }
 
     /// Waits until this process works on no job.
-    pub async fn empty(&self) {
+    pub async fn wait_until_idle(&self) {
         loop {
             let (sender, receiver) = flume::bounded(1);
             let _ = self.messages.send(Message::Len(sender));
             match receiver.recv_async().await {
                 Ok(0) | Err(_) => return,
-                Ok(_) => compio::time::sleep(EMPTY_POLL).await,
+                Ok(_) => compio::time::sleep(IDLE_POLL).await,
             }
         }
     }
@@ -120,7 +120,7 @@
     /// Clock of the process.
     pub clock: Clock,
     /// The task's own handle.
-    pub handle: Jobs,
+    pub handle: JobsHandle,
     /// Other doors, which are offered jobs that are handed over.
     pub peers: Peers,
     /// The object API.
@@ -138,7 +138,7 @@
     F: Future<Output = ItemEnd> + 'static,
 {
     let ledger = Ledger::new(env.config.clone());
-    Task { env, ledger, stops: HashMap::new(), actions: Vec::new() }.run(inbox).await;
+    Task { env, ledger, stop_senders: HashMap::new(), actions: Vec::new() }.run(inbox).await;
 }
 
 /// How the ledger of a process works; `writer` is its name in records.
@@ -146,7 +146,7 @@
     let lease_ms = config.lease.as_millis() as u64;
     let renew_ms = config.renew.as_millis() as u64;
     LedgerConfig {
-        lease_margin_ms: (lease_ms / LEASE_MARGIN_PART).min(MAX_LEASE_MARGIN_MS),
+        lease_margin_ms: (lease_ms / LEASE_MARGIN_DIVISOR).min(MAX_LEASE_MARGIN_MS),
         sweep_ms: renew_ms,
         free_list_ms: renew_ms,
         ..LedgerConfig::new(config.name(), incarnation, writer)
@@ -157,7 +157,7 @@
     env: JobsEnv<R>,
     ledger: Ledger,
     // Runs under way, and how to stop them.
-    stops: HashMap<ItemRef, flume::Sender<()>>,
+    stop_senders: HashMap<ItemRef, flume::Sender<()>>,
     actions: Vec<LedgerAction>,
 }
 
@@ -185,7 +185,7 @@
 
     fn handle(&mut self, input: LedgerInput) {
         if let LedgerInput::ItemEnded { item, end } = &input {
-            self.stops.remove(item);
+            self.stop_senders.remove(item);
             self.env.metrics.item_ended(end_label(end));
         }
         self.ledger.handle(self.env.clock.now(), input, &mut self.actions);
@@ -204,7 +204,7 @@
             }
             LedgerAction::Run(work) => self.run_item(*work),
             LedgerAction::Stop(item) => {
-                if let Some(stop) = self.stops.remove(&item) {
+                if let Some(stop) = self.stop_senders.remove(&item) {
                     let _ = stop.send(());
                 }
             }
@@ -219,7 +219,7 @@
 
     fn run_item(&mut self, work: ItemWork) {
         let (stop, stopped) = flume::bounded(1);
-        self.stops.insert(work.item.clone(), stop);
+        self.stop_senders.insert(work.item.clone(), stop);
         let (handle, item) = (self.env.handle.clone(), work.item.clone());
         let running = (self.env.run_item)(work, stopped);
         compio::runtime::spawn(async move {
--- a/crates/samphiredoor/src/keyed.rs
+++ b/crates/samphiredoor/src/keyed.rs
@@ -17,10 +17,10 @@
 use samphiredoor_net::{Body, BoxError, pool::within};
 
 use crate::{
-    answers::{bad_request, verdict_answer},
-    ask::{KEY_HEADER, header_text},
-    keys_task::{KeyDecision, KeyTicket},
-    online::Online,
+    answers::{bad_request, verdict_response},
+    keys_task::{KeyDecision, KeyedRequestHandle},
+    online::OnlineRequest,
+    request_spec::{KEY_HEADER, header_text},
     stream_end::StreamEnd,
     targets::Call,
 };
@@ -45,27 +45,27 @@
 }
 
 /// Answers a request under a key.
-pub async fn answer(mut online: Online, mut ask: RequestSpec, key: Name) -> Response<Body> {
+pub async fn answer(mut online: OnlineRequest, mut spec: RequestSpec, key: Name) -> Response<Body> {
     // A run that outlived the memory of its key could meet a second one.
-    let longest = online.door.config.remember_keys / 2;
-    online.deadline = online.deadline.min(Instant::now() + longest);
+    let max_run = online.door.config.remember_keys / 2;
+    online.deadline = online.deadline.min(Instant::now() + max_run);
     // A keyed request is never sent to a second target after doubt, also where its service may be called again.
-    ask.repeatable = false;
+    spec.repeatable = false;
     let arrival = Arrival {
-        request: ask.request,
-        key: key_id(&ask.workspace, &key),
-        digest: digest(&ask.service, &online.call),
+        request: spec.request,
+        key: key_id(&spec.workspace, &key),
+        digest: digest(&spec.service, &online.call),
         deadline_unix_ms: online.door.clock.now().unix_ms + online.time_left().as_millis() as u64,
     };
-    let mut ticket = online.door.keys.arrive(arrival);
-    let mut joined = false;
+    let mut handle = online.door.keys.submit(arrival);
+    let mut is_joined = false;
     loop {
-        match within(online.time_left(), ticket.decision()).await {
-            Some(KeyDecision::Run) => return run(online, ask, ticket).await,
-            Some(KeyDecision::Joined) => joined = true,
+        match within(online.time_left(), handle.decision()).await {
+            Some(KeyDecision::Run) => return run(online, spec, handle).await,
+            Some(KeyDecision::Joined) => is_joined = true,
             Some(KeyDecision::Replay(answer)) => return replay(&online, answer),
             Some(KeyDecision::Refused(verdict)) => return online.refused(verdict),
-            None if joined => {
+            None if is_joined => {
                 let reason = MayHaveRunReason::StillRunning;
                 return online.refused(Verdict::MayHaveRun { reason });
             }
@@ -90,26 +90,32 @@
 }
 
 /// Runs in a task of its own: the caller may go away, the run and its record go on.
-async fn run(online: Online, ask: RequestSpec, ticket: KeyTicket) -> Response<Body> {
+async fn run(
+    online: OnlineRequest,
+    spec: RequestSpec,
+    handle: KeyedRequestHandle,
+) -> Response<Body> {
     let (sender, receiver) = oneshot::channel();
     compio::runtime::spawn(async move {
-        let response = record(online.run(ask).await, ticket);
+        let response = record(online.run(spec).await, handle);
         let _ = sender.send(response);
     })
     .detach();
     match receiver.await {
         Ok(response) => response,
-        Err(_) => verdict_answer(Verdict::MayHaveRun { reason: MayHaveRunReason::ConnectionLost }),
+        Err(_) => {
+            verdict_response(Verdict::MayHaveRun { reason: MayHaveRunReason::ConnectionLost })
+        }
     }
 }
 
-fn record(response: Response<Body>, ticket: KeyTicket) -> Response<Body> {
+fn record(response: Response<Body>, handle: KeyedRequestHandle) -> Response<Body> {
     if let Some(verdict) = response.extensions().get::<Verdict>() {
         match *verdict {
             Verdict::NotRun { retry_after_ms, reason } => {
-                ticket.ended(KeyOutcome::NotRun { retry_after_ms, reason });
+                handle.ended(KeyOutcome::NotRun { retry_after_ms, reason });
             }
-            Verdict::MayHaveRun { reason } => ticket.ended(KeyOutcome::MayHaveRun(reason)),
+            Verdict::MayHaveRun { reason } => handle.ended(KeyOutcome::MayHaveRun(reason)),
             Verdict::Done => {}
         }
         return response;
@@ -125,10 +131,10 @@
         Body::Full(content) => {
             let bytes = content.clone().unwrap_or_default();
             kept.body = (bytes.len() <= MAX_BODY_BYTES).then(|| bytes.as_ref().into());
-            ticket.ended(KeyOutcome::Answered(kept));
+            handle.ended(KeyOutcome::Answered(kept));
             Body::Full(content)
         }
-        Body::Stream(_) => record_stream(body, parts.extensions.get().cloned(), kept, ticket),
+        Body::Stream(_) => record_stream(body, parts.extensions.get().cloned(), kept, handle),
     };
     Response::from_parts(parts, body)
 }
@@ -138,11 +144,16 @@
     end: Option<StreamEnd>,
     kept: KeptAnswer,
     bytes: Vec<u8>,
-    ticket: KeyTicket,
+    handle: KeyedRequestHandle,
 }
 
-fn record_stream(body: Body, end: Option<StreamEnd>, kept: KeptAnswer, ticket: KeyTicket) -> Body {
-    let recording = Recording { body, end, kept, bytes: Vec::new(), ticket };
+fn record_stream(
+    body: Body,
+    end: Option<StreamEnd>,
+    kept: KeptAnswer,
+    handle: KeyedRequestHandle,
+) -> Body {
+    let recording = Recording { body, end, kept, bytes: Vec::new(), handle };
     Body::stream(futures_util::stream::unfold(Some(recording), Recording::next))
 }
 
@@ -155,8 +166,8 @@
             Some(Ok(frame)) => {
                 let piece = frame.into_data().unwrap_or_default();
                 // One byte above the bound is enough to know that the answer is too large.
-                let room = (MAX_BODY_BYTES + 1).saturating_sub(this.bytes.len());
-                this.bytes.extend_from_slice(&piece[..piece.len().min(room)]);
+                let remaining = (MAX_BODY_BYTES + 1).saturating_sub(this.bytes.len());
+                this.bytes.extend_from_slice(&piece[..piece.len().min(remaining)]);
                 Some((Ok(piece), Some(this)))
             }
             Some(Err(err)) => Some((Err(err), None)),
@@ -173,19 +184,19 @@
                 if self.bytes.len() <= MAX_BODY_BYTES {
                     self.kept.body = Some(self.bytes.into());
                 }
-                self.ticket.ended(KeyOutcome::Answered(self.kept));
+                self.handle.ended(KeyOutcome::Answered(self.kept));
             }
             Some(Verdict::MayHaveRun { reason }) => {
-                self.ticket.ended(KeyOutcome::MayHaveRun(reason));
+                self.handle.ended(KeyOutcome::MayHaveRun(reason));
             }
             Some(Verdict::NotRun { .. }) | None => {
-                self.ticket.ended(KeyOutcome::MayHaveRun(MayHaveRunReason::AnswerCut));
+                self.handle.ended(KeyOutcome::MayHaveRun(MayHaveRunReason::AnswerCut));
             }
         }
     }
 }
 
-fn replay(online: &Online, answer: KeptAnswer) -> Response<Body> {
+fn replay(online: &OnlineRequest, answer: KeptAnswer) -> Response<Body> {
     let Some(body) = answer.body else {
         return online.refused(Verdict::MayHaveRun { reason: MayHaveRunReason::AnswerNotKept });
     };
--- a/crates/samphiredoor/src/keys_task.rs
+++ b/crates/samphiredoor/src/keys_task.rs
@@ -15,7 +15,7 @@
 use crate::{metrics::Metrics, store_client::StoreClient};
 
 const TICK: Duration = Duration::from_millis(100);
-const EMPTY_POLL: Duration = Duration::from_millis(20);
+const IDLE_POLL: Duration = Duration::from_millis(20);
 const STOPPING_RETRY_AFTER_MS: u64 = 1_000;
 
 /// What was decided for a request under a key.
@@ -40,7 +40,7 @@
 #[derive(Clone)]
 pub struct KeysHandle {
     messages: flume::Sender<Message>,
-    open: Rc<Cell<usize>>,
+    open_count: Rc<Cell<usize>>,
 }
 
 /// Inbox of the keys' task, before the task starts.
@@ -50,26 +50,26 @@
     /// Handle and inbox.
     pub fn new() -> (KeysHandle, KeysInbox) {
         let (messages, inbox) = flume::unbounded();
-        (KeysHandle { messages, open: Rc::default() }, KeysInbox(inbox))
+        (KeysHandle { messages, open_count: Rc::default() }, KeysInbox(inbox))
     }
 
     /// Hands over a request that arrived under a key.
-    pub fn arrive(&self, arrival: Arrival) -> KeyTicket {
+    pub fn submit(&self, arrival: Arrival) -> KeyedRequestHandle {
         let (sender, decisions) = flume::unbounded();
         let request = arrival.request;
         let _ = self.messages.send(Message::Arrived(arrival, sender));
-        KeyTicket { request, decisions, messages: self.messages.clone(), open: true }
+        KeyedRequestHandle { request, decisions, messages: self.messages.clone(), open: true }
     }
 
     /// Waits until no keyed request runs and all outcomes are written.
-    pub async fn empty(&self) {
-        while self.open.get() > 0 {
-            compio::time::sleep(EMPTY_POLL).await;
+    pub async fn wait_until_idle(&self) {
+        while self.open_count.get() > 0 {
+            compio::time::sleep(IDLE_POLL).await;
         }
     }
 
     /// Says that the lease of a process has lapsed; a hint.
-    pub fn lapsed(&self, process: &str, incarnation: u64) {
+    pub fn lease_expired(&self, process: &str, incarnation: u64) {
         let holder = holder_name(process, incarnation);
         let _ = self.messages.send(Message::Input(KeysInput::Lapsed { holder }));
     }
@@ -77,14 +77,14 @@
 
 /// A request as the keys know it. Dropping it says that nobody waits any more; if it ran, it counts as one that may
 /// have run.
-pub struct KeyTicket {
+pub struct KeyedRequestHandle {
     request: RequestId,
     decisions: flume::Receiver<KeyDecision>,
     messages: flume::Sender<Message>,
     open: bool,
 }
 
-impl KeyTicket {
+impl KeyedRequestHandle {
     /// Waits for the next decision.
     pub async fn decision(&mut self) -> KeyDecision {
         let stopping = || {
@@ -104,7 +104,7 @@
     }
 }
 
-impl Drop for KeyTicket {
+impl Drop for KeyedRequestHandle {
     fn drop(&mut self) {
         if self.open {
             let input = KeysInput::Gone { request: self.request };
@@ -150,7 +150,7 @@
         for action in actions.drain(..) {
             task.act(action);
         }
-        task.env.handle.open.set(task.keys.open_len());
+        task.env.handle.open_count.set(task.keys.open_len());
         task.env.metrics.keys().set_unsaved(task.keys.unsaved_len());
     }
 }
@@ -170,15 +170,15 @@
                     let _ = messages.send(Message::Input(KeysInput::Stored { call, answer }));
                 });
             }
-            KeysAction::Run { request } => self.tell(request, KeyDecision::Run),
-            KeysAction::Joined { request } => self.tell(request, KeyDecision::Joined),
+            KeysAction::Run { request } => self.reply(request, KeyDecision::Run),
+            KeysAction::Joined { request } => self.reply(request, KeyDecision::Joined),
             KeysAction::Replay { request, answer } => {
                 self.env.metrics.keys().replayed();
-                self.tell(request, KeyDecision::Replay(answer));
+                self.reply(request, KeyDecision::Replay(answer));
                 self.waiting.remove(&request);
             }
             KeysAction::Refuse { request, verdict } => {
-                self.tell(request, KeyDecision::Refused(verdict));
+                self.reply(request, KeyDecision::Refused(verdict));
                 self.waiting.remove(&request);
             }
             KeysAction::Unreadable { object } => {
@@ -188,7 +188,7 @@
         }
     }
 
-    fn tell(&self, request: RequestId, decision: KeyDecision) {
+    fn reply(&self, request: RequestId, decision: KeyDecision) {
         if let Some(reply) = self.waiting.get(&request) {
             let _ = reply.send(decision);
         }
--- a/crates/samphiredoor/src/lease_task.rs
+++ b/crates/samphiredoor/src/lease_task.rs
@@ -42,13 +42,13 @@
                     });
                 }
                 LeaseAction::Held { valid_until_ms } => {
-                    door.jobs.lease(valid_until_ms);
+                    door.jobs.set_lease(valid_until_ms);
                     door.orders.lease(valid_until_ms);
                     door.peers.input(MembershipInput::Renewed(lease.renewals()));
                 }
                 LeaseAction::Lost => {
                     log::error!("lease: a later process has this name; this one stops working");
-                    door.jobs.lease(0);
+                    door.jobs.set_lease(0);
                     door.orders.lease(0);
                     door.stopping.set(true);
                 }
--- a/crates/samphiredoor/src/lending_task.rs
+++ b/crates/samphiredoor/src/lending_task.rs
@@ -11,25 +11,25 @@
 
 use crate::door::Door;
 
-const PERIOD: Duration = Duration::from_millis(250);
+const LIVE_REPORT_PERIOD: Duration = Duration::from_millis(250);
 
 /// Runs until the process ends.
-pub async fn run(door: Rc<Door>, news: flume::Receiver<(Name, Hint)>) {
+pub async fn run(door: Rc<Door>, hints: flume::Receiver<(Name, Hint)>) {
     loop {
-        tell_live_doors(&door);
-        let telling = async {
-            while let Ok((to, news)) = news.recv_async().await {
-                door.peers.tell(to, news);
+        report_live_gateways(&door);
+        let forwarding = async {
+            while let Ok((to, hint)) = hints.recv_async().await {
+                door.peers.tell(to, hint);
             }
         };
-        if within(PERIOD, telling).await.is_some() {
+        if within(LIVE_REPORT_PERIOD, forwarding).await.is_some() {
             return;
         }
     }
 }
 
 /// Lending divides targets among the doors that live; a stopping one is left out, so that its part moves on in time.
-fn tell_live_doors(door: &Door) {
+fn report_live_gateways(door: &Door) {
     let own = LiveGateway { name: door.config.name(), region: Name::clone(&door.config.region) };
     let members = door.peers.live();
     let others = members.iter().filter(|it| it.name != own.name);
--- a/crates/samphiredoor/src/load_poll.rs
+++ b/crates/samphiredoor/src/load_poll.rs
@@ -18,9 +18,9 @@
 
 use crate::{dispatch_task::TargetInUse, door::Door, targets::Call};
 
-const PAUSE: Duration = Duration::from_millis(250);
-const TIMEOUT: Duration = Duration::from_millis(1_000);
-const IDLE_PER_ROUND: usize = 2;
+const POLL_INTERVAL: Duration = Duration::from_millis(250);
+const POLL_TIMEOUT: Duration = Duration::from_millis(1_000);
+const IDLE_TARGETS_PER_ROUND: usize = 2;
 const MAX_REPORT_BYTES: usize = 16 * 1024;
 const LOAD_PATH: &str = "/load";
 
@@ -42,31 +42,31 @@
 
 /// Asks again and again until the process ends.
 pub async fn run(door: Rc<Door>) {
-    let mut turn = 0;
+    let mut idle_offset = 0;
     loop {
-        let round = next_round(&door, &mut turn).await;
+        let round = next_round(&door, &mut idle_offset).await;
         if round.is_empty() {
-            compio::time::sleep(PAUSE).await;
+            compio::time::sleep(POLL_INTERVAL).await;
         }
         for target in round {
-            for input in ask(&door, &target).await {
+            for input in poll(&door, &target).await {
                 door.dispatch.input(input);
             }
-            compio::time::sleep(PAUSE).await;
+            compio::time::sleep(POLL_INTERVAL).await;
         }
     }
 }
 
-async fn next_round(door: &Door, turn: &mut usize) -> Vec<TargetInUse> {
+async fn next_round(door: &Door, idle_offset: &mut usize) -> Vec<TargetInUse> {
     let mut targets = door.dispatch.targets_in_use().await;
     // Targets come and go for as long as the process runs; connections to those that have gone would pile up.
     door.targets.keep_only(&targets.iter().map(|it| it.address).collect());
     targets.retain(|it| is_engine(door, it));
     let (mut round, idle): (Vec<_>, Vec<_>) = targets.into_iter().partition(|it| it.busy);
-    let by_turns = idle.iter().cycle().skip(*turn % idle.len().max(1));
-    let taken = IDLE_PER_ROUND.min(idle.len());
-    round.extend(by_turns.take(taken).cloned());
-    *turn += taken;
+    let rotated = idle.iter().cycle().skip(*idle_offset % idle.len().max(1));
+    let count = IDLE_TARGETS_PER_ROUND.min(idle.len());
+    round.extend(rotated.take(count).cloned());
+    *idle_offset += count;
     round
 }
 
@@ -77,7 +77,7 @@
     service.is_some_and(|it| it.kind == ServiceKind::Engine)
 }
 
-async fn ask(door: &Door, target: &TargetInUse) -> Vec<Input> {
+async fn poll(door: &Door, target: &TargetInUse) -> Vec<Input> {
     let call = Call {
         method: Method::GET,
         uri: Uri::from_static(LOAD_PATH),
@@ -96,7 +96,7 @@
         let report: Report = serde_json::from_slice(&body).ok()?;
         Some(inputs(target, &report))
     };
-    within(TIMEOUT, exchange).await.flatten().unwrap_or_default()
+    within(POLL_TIMEOUT, exchange).await.flatten().unwrap_or_default()
 }
 
 fn inputs(target: &TargetInUse, report: &Report) -> Vec<Input> {
--- a/crates/samphiredoor/src/main.rs
+++ b/crates/samphiredoor/src/main.rs
@@ -2,7 +2,6 @@
 
 mod access;
 mod answers;
-mod ask;
 mod callers;
 mod cli;
 mod commands;
@@ -36,15 +35,16 @@
 mod operators;
 mod orders_task;
 mod parts;
-mod passing;
 mod peers;
 mod process;
 mod quarantine_metrics;
 mod quarantine_task;
 mod query_rows;
 mod request_body;
+mod request_spec;
 mod store_client;
 mod stream_end;
+mod stream_forwarding;
 mod targets;
 
 use std::{path::PathBuf, process::ExitCode};
--- a/crates/samphiredoor/src/manifest_change.rs
+++ b/crates/samphiredoor/src/manifest_change.rs
@@ -10,7 +10,7 @@
 use serde_json::json;
 
 use crate::{
-    answers::{bad_request, json_answer},
+    answers::{bad_request, json_response},
     door::Door,
     manifest_task::Source,
 };
@@ -67,7 +67,7 @@
 pub fn answer(end: ChangeEnd) -> Response<Body> {
     let (status, value) = match end {
         ChangeEnd::Accepted { revision } => {
-            return json_answer(StatusCode::OK, &json!({ "revision": revision }));
+            return json_response(StatusCode::OK, &json!({ "revision": revision }));
         }
         ChangeEnd::Lost { revision, winner } => (
             StatusCode::CONFLICT,
@@ -101,5 +101,5 @@
             json!({ "error": format!("the stored manifest cannot be read: {problem}") }),
         ),
     };
-    json_answer(status, &value)
+    json_response(status, &value)
 }
--- a/crates/samphiredoor/src/manifest_http.rs
+++ b/crates/samphiredoor/src/manifest_http.rs
@@ -8,9 +8,9 @@
 
 use crate::{
     answers::{bad_request, not_found},
-    ask::header_text,
     door::Door,
     manifest_change::{answer, change},
+    request_spec::header_text,
 };
 
 const MAX_MANIFEST_BYTES: usize = 450_000;
--- a/crates/samphiredoor/src/manifest_task.rs
+++ b/crates/samphiredoor/src/manifest_task.rs
@@ -16,7 +16,7 @@
 
 use crate::{
     config::DoorConfig,
-    dispatch_task::Dispatch,
+    dispatch_task::DispatchHandle,
     metrics::{ManifestRefusal, Metrics},
     peers::Peers,
     store_client::{StoreClient, WatchEvent},
@@ -90,7 +90,7 @@
     /// The task's own handle.
     pub handle: ManifestHandle,
     /// The dispatcher, which works by the manifest in force.
-    pub dispatch: Dispatch,
+    pub dispatch: DispatchHandle,
     /// Other doors.
     pub peers: Peers,
     /// The object API.
--- a/crates/samphiredoor/src/members_task.rs
+++ b/crates/samphiredoor/src/members_task.rs
@@ -273,9 +273,9 @@
             let process = Name::clone(process);
             self.tell(sweeper, Hint::Lapsed { process, incarnation });
         }
-        self.door.jobs.lapsed(Name::clone(process), incarnation);
+        self.door.jobs.lease_expired(Name::clone(process), incarnation);
         self.door.orders.lapsed(Name::clone(process), incarnation);
-        self.door.keys.lapsed(process, incarnation);
+        self.door.keys.lease_expired(process, incarnation);
     }
 
     fn working(&self) -> Vec<Name> {
@@ -285,7 +285,7 @@
 
     fn publish(&self) {
         let live: Vec<Member> = self.membership.live().cloned().collect();
-        self.door.jobs.live(self.working());
+        self.door.jobs.set_live_processes(self.working());
         self.door.metrics.members(live.len());
         self.door.peers.set_live(live.into());
     }
--- a/crates/samphiredoor/src/news.rs
+++ b/crates/samphiredoor/src/news.rs
@@ -8,13 +8,13 @@
 pub fn deliver(door: &Door, from: &Name, news: Hint) {
     match news {
         Hint::Cancelled(job) => door.jobs.cancel_hint(job),
-        Hint::HandedOver(job) => door.jobs.offered(job),
+        Hint::HandedOver(job) => door.jobs.job_handed_over(job),
         Hint::Lapsed { process, incarnation } => {
-            door.jobs.lapsed(Name::clone(&process), incarnation);
-            door.keys.lapsed(&process, incarnation);
+            door.jobs.lease_expired(Name::clone(&process), incarnation);
+            door.keys.lease_expired(&process, incarnation);
             door.orders.lapsed(process, incarnation);
         }
-        Hint::Leaving(target) => door.dispatch.leaving(target),
+        Hint::Leaving(target) => door.dispatch.mark_leaving(target),
         // The members task handles revisions itself.
         Hint::Revision(_) => {}
         Hint::Recall { target, batch_slots, epoch } => {
@@ -25,7 +25,7 @@
             door.dispatch.input(Input::Demand { gateway: Name::clone(from), load });
         }
         Hint::Suspect { fingerprint, deaths, lifted } => {
-            door.quarantine.told(Suspect { fingerprint, deaths, lifted });
+            door.quarantine.record_peer_report(Suspect { fingerprint, deaths, lifted });
         }
     }
 }
--- a/crates/samphiredoor/src/online.rs
+++ b/crates/samphiredoor/src/online.rs
@@ -25,16 +25,19 @@
 };
 
 use crate::{
-    answers::{bad_request, verdict_answer},
-    ask::{DEADLINE_HEADER, header_text, is_engine, make_ask, passed_headers, read_head},
-    dispatch_task::{Placement, Ticket},
+    answers::{bad_request, verdict_response},
+    dispatch_task::{Decision, RequestHandle},
     door::Door,
     keyed,
     metrics::Running,
-    passing::{Passing, next_piece},
-    quarantine_task::Pass,
+    quarantine_task::AdmittedAttempt,
     request_body::RequestBody,
-    stream_end::{DoneMark, StreamEnd},
+    request_spec::{
+        DEADLINE_HEADER, build_request_spec, forwarded_headers, header_text, is_engine,
+        read_completion_params,
+    },
+    stream_end::{DoneDetector, StreamEnd},
+    stream_forwarding::{ForwardedStream, next_piece},
     targets::Call,
 };
 
@@ -44,39 +47,41 @@
     let started = Instant::now();
     let (parts, body) = request.into_parts();
     let body = RequestBody::new(body, door.config.max_body_bytes, door.config.body_timeout);
-    let body = match body.whole().await {
+    let body = match body.read_to_end().await {
         Ok(body) => body,
         Err(err) => return err.answer(),
     };
-    let head = match read_head(&parts.uri, &body) {
-        Ok(head) => head,
+    let params = match read_completion_params(&parts.uri, &body) {
+        Ok(params) => params,
         Err(problem) => return bad_request("model", &problem),
     };
     let key = match keyed::caller_key(&parts.headers) {
         Ok(key) => key,
         Err(answer) => return answer,
     };
-    let (ask, deadline) = match make_ask(&door, &parts.headers, &head, &parts.uri, &body) {
-        Ok(ask) => ask,
-        Err(answer) => return answer,
-    };
+    let (spec, deadline) =
+        match build_request_spec(&door, &parts.headers, &params, &parts.uri, &body) {
+            Ok(spec) => spec,
+            Err(answer) => return answer,
+        };
     let call = Call {
         method: parts.method,
         uri: parts.uri,
-        headers: passed_headers(&parts.headers, &door, ask.request),
+        headers: forwarded_headers(&parts.headers, &door, spec.request),
         body,
     };
     let running = door.metrics.running();
-    let is_engine = is_engine(&door, &ask.service);
-    let online = Online { door, call, is_engine, stream: head.stream, started, deadline, running };
+    let is_engine = is_engine(&door, &spec.service);
+    let online =
+        OnlineRequest { door, call, is_engine, stream: params.stream, started, deadline, running };
     match key {
-        Some(key) => keyed::answer(online, ask, key).await,
-        None => online.run(ask).await,
+        Some(key) => keyed::answer(online, spec, key).await,
+        None => online.run(spec).await,
     }
 }
 
 /// One online request with all that its attempts need.
-pub struct Online {
+pub struct OnlineRequest {
     /// The door's tasks.
     pub door: Rc<Door>,
     /// Call to send.
@@ -93,51 +98,51 @@
 /// How an attempt ended for the caller.
 enum Outcome {
     /// With a whole answer.
-    Whole(Response<Body>, AttemptEnd),
+    Complete(Response<Body>, AttemptEnd),
     /// With the beginning of a stream.
-    Begun(Box<response::Parts>, Answer, Bytes),
+    StreamStarted(Box<response::Parts>, Answer, Bytes),
     /// Without anything that the caller could get.
-    Nothing(AttemptEnd),
+    NoAnswer(AttemptEnd),
 }
 
-impl Online {
+impl OnlineRequest {
     /// Places and sends the request until it has an answer or a verdict. An answer of the door itself has its verdict
     /// in its extensions, a stream its [`StreamEnd`].
-    pub async fn run(mut self, ask: RequestSpec) -> Response<Body> {
-        let mut ticket = self.door.dispatch.ask(ask.clone());
-        let mut doubt = None;
+    pub async fn run(mut self, spec: RequestSpec) -> Response<Body> {
+        let mut handle = self.door.dispatch.submit(spec.clone());
+        let mut may_have_run = None;
         loop {
-            let address = match within(self.time_left(), ticket.placement()).await {
-                Some(Placement::Go { address }) => address,
-                Some(Placement::Abort) => continue,
-                Some(Placement::Refused(verdict)) => return self.refused(verdict),
-                None => return self.refused(out_of_time(doubt)),
+            let address = match within(self.time_left(), handle.decision()).await {
+                Some(Decision::Dispatch { address }) => address,
+                Some(Decision::Abort) => continue,
+                Some(Decision::Refused(verdict)) => return self.refused(verdict),
+                None => return self.refused(deadline_verdict(may_have_run)),
             };
-            let entered = self.door.quarantine.enter(ask.request, ask.fingerprint, address);
-            let pass = match within(self.time_left(), entered).await {
-                Some(Some(pass)) => pass,
-                Some(None) => return self.refused(quarantined(doubt)),
-                None => return self.refused(out_of_time(doubt)),
+            let admission = self.door.quarantine.admit(spec.request, spec.fingerprint, address);
+            let admitted = match within(self.time_left(), admission).await {
+                Some(Some(admitted)) => admitted,
+                Some(None) => return self.refused(quarantined_verdict(may_have_run)),
+                None => return self.refused(deadline_verdict(may_have_run)),
             };
             match self.attempt(address).await {
-                Outcome::Whole(response, end) => {
-                    pass.answered();
-                    ticket.ended(end);
-                    self.count(Verdict::Done);
+                Outcome::Complete(response, end) => {
+                    admitted.answered();
+                    handle.ended(end);
+                    self.record_verdict(Verdict::Done);
                     return response;
                 }
-                Outcome::Begun(parts, body, first) => {
-                    return self.pass_on(*parts, body, first, ticket, pass);
+                Outcome::StreamStarted(parts, body, first) => {
+                    return self.forward_stream(*parts, body, first, handle, admitted);
                 }
-                Outcome::Nothing(end) => {
+                Outcome::NoAnswer(end) => {
                     if let AttemptEnd::AnswerLost(reason) = end {
-                        doubt.get_or_insert(reason);
+                        may_have_run.get_or_insert(reason);
                         if reason.is_loss() {
                             // Before another attempt, so that it is not sent to a second target unsuspected.
-                            pass.lost().await;
+                            admitted.connection_lost().await;
                         }
                     }
-                    ticket.ended(end);
+                    handle.ended(end);
                 }
             }
         }
@@ -149,41 +154,41 @@
         let sent = self.door.targets.send(address, &self.call);
         let response = match within(self.time_left(), sent).await {
             Some(Ok(response)) => response,
-            Some(Err(SendError::NotSent(_))) => return Outcome::Nothing(AttemptEnd::NotSent),
+            Some(Err(SendError::NotSent(_))) => return Outcome::NoAnswer(AttemptEnd::NotSent),
             Some(Err(SendError::MayHaveRun(_))) => {
-                return Outcome::Nothing(AttemptEnd::AnswerLost(MayHaveRunReason::ConnectionLost));
+                return Outcome::NoAnswer(AttemptEnd::AnswerLost(MayHaveRunReason::ConnectionLost));
             }
             None => {
-                return Outcome::Nothing(AttemptEnd::AnswerLost(MayHaveRunReason::DeadlinePassed));
+                return Outcome::NoAnswer(AttemptEnd::AnswerLost(MayHaveRunReason::DeadlinePassed));
             }
         };
         let status = response.status();
         if let Some(pushback) = pushback(self.is_engine, &response) {
-            return Outcome::Nothing(pushback);
+            return Outcome::NoAnswer(pushback);
         }
         if self.stream && status.is_success() {
-            return self.begin(response).await;
+            return self.start_stream(response).await;
         }
         let end = if status.is_server_error() { AttemptEnd::Failed } else { AttemptEnd::Completed };
         match self.read_answer(response).await {
-            Ok(response) => Outcome::Whole(response, end),
-            Err(doubt) => Outcome::Nothing(AttemptEnd::AnswerLost(doubt)),
+            Ok(response) => Outcome::Complete(response, end),
+            Err(reason) => Outcome::NoAnswer(AttemptEnd::AnswerLost(reason)),
         }
     }
 
     /// Waits for a stream's first piece. Until then nothing has reached the caller, so that a request that may run
     /// twice can still be sent to another target.
-    async fn begin(&self, response: Response<Answer>) -> Outcome {
+    async fn start_stream(&self, response: Response<Answer>) -> Outcome {
         let (parts, mut body) = response.into_parts();
         match next_piece(&mut body, self.deadline).await {
-            Ok(Some(first)) => Outcome::Begun(Box::new(parts), body, first),
+            Ok(Some(first)) => Outcome::StreamStarted(Box::new(parts), body, first),
             Ok(None) if self.is_engine => {
-                Outcome::Nothing(AttemptEnd::AnswerLost(MayHaveRunReason::AnswerCut))
+                Outcome::NoAnswer(AttemptEnd::AnswerLost(MayHaveRunReason::AnswerCut))
             }
             Ok(None) => {
-                Outcome::Whole(Response::from_parts(parts, Body::empty()), AttemptEnd::Completed)
+                Outcome::Complete(Response::from_parts(parts, Body::empty()), AttemptEnd::Completed)
             }
-            Err(doubt) => Outcome::Nothing(AttemptEnd::AnswerLost(doubt)),
+            Err(reason) => Outcome::NoAnswer(AttemptEnd::AnswerLost(reason)),
         }
     }
 
@@ -192,14 +197,14 @@
         self.deadline.saturating_duration_since(Instant::now())
     }
 
-    fn count(&self, verdict: Verdict) {
+    fn record_verdict(&self, verdict: Verdict) {
         self.door.metrics.ended(Class::Online, verdict, self.started.elapsed().as_secs_f64());
     }
 
     /// Counts a verdict and gives the answer that tells it.
     pub fn refused(&self, verdict: Verdict) -> Response<Body> {
-        self.count(verdict);
-        verdict_answer(verdict)
+        self.record_verdict(verdict);
+        verdict_response(verdict)
     }
 
     async fn read_answer(
@@ -218,45 +223,45 @@
         }
     }
 
-    fn pass_on(
+    fn forward_stream(
         self,
         mut parts: response::Parts,
         body: Answer,
         first: Bytes,
-        ticket: Ticket,
-        pass: Pass,
+        handle: RequestHandle,
+        admitted: AdmittedAttempt,
     ) -> Response<Body> {
         strip_framing(&mut parts.headers);
         let end = StreamEnd::default();
         parts.extensions.insert(end.clone());
-        let passing = Passing {
+        let forwarded = ForwardedStream {
             body,
             first: Some(first),
-            done: self.is_engine.then(DoneMark::default),
+            done_detector: self.is_engine.then(DoneDetector::default),
             end,
-            ticket,
-            pass: Some(pass),
+            handle,
+            admitted: Some(admitted),
             metrics: Rc::clone(&self.door.metrics),
             started: self.started,
             deadline: self.deadline,
             _running: self.running,
         };
-        let pieces = futures_util::stream::unfold(Some(passing), Passing::next);
+        let pieces = futures_util::stream::unfold(Some(forwarded), ForwardedStream::next);
         Response::from_parts(parts, Body::stream(pieces))
     }
 }
 
 /// Verdict when the deadline passes while no target has the request: an earlier attempt may have run.
-fn out_of_time(doubt: Option<MayHaveRunReason>) -> Verdict {
-    match doubt {
+fn deadline_verdict(may_have_run: Option<MayHaveRunReason>) -> Verdict {
+    match may_have_run {
         Some(reason) => Verdict::MayHaveRun { reason },
         None => Verdict::NotRun { retry_after_ms: 0, reason: Refusal::DeadlineTooShort },
     }
 }
 
 /// Verdict on a request that is blamed for the death of targets; final in either case.
-fn quarantined(doubt: Option<MayHaveRunReason>) -> Verdict {
-    match doubt {
+fn quarantined_verdict(may_have_run: Option<MayHaveRunReason>) -> Verdict {
+    match may_have_run {
         Some(_) => Verdict::MayHaveRun { reason: MayHaveRunReason::TargetsDied },
         None => Verdict::NotRun { retry_after_ms: 0, reason: Refusal::Quarantined },
     }
--- a/crates/samphiredoor/src/operators.rs
+++ b/crates/samphiredoor/src/operators.rs
@@ -10,7 +10,7 @@
 use serde_json::json;
 
 use crate::{
-    answers::{bad_request, json_answer, not_found},
+    answers::{bad_request, json_response, not_found},
     commands,
     door::Door,
     manifest_http,
@@ -23,7 +23,7 @@
 pub async fn answer(door: Rc<Door>, request: Request<Incoming>) -> Response<Body> {
     match (request.method(), request.uri().path()) {
         (&Method::GET, "/health") => {
-            return json_answer(StatusCode::OK, &json!({ "health": "ok" }));
+            return json_response(StatusCode::OK, &json!({ "health": "ok" }));
         }
         (&Method::GET, "/ready") => return ready(&door),
         _ => {}
@@ -33,7 +33,7 @@
     {
         log::warn!("operators: a request without the token was refused");
         let value = json!({ "error": "show the operators' token as `authorization: Bearer`" });
-        return json_answer(StatusCode::UNAUTHORIZED, &value);
+        return json_response(StatusCode::UNAUTHORIZED, &value);
     }
     match (request.method(), request.uri().path()) {
         (&Method::POST, "/statement") => statement(&door, request).await,
@@ -48,7 +48,7 @@
     let revision = door.manifest.current().revision;
     let ready = revision > 0 && !door.stopping.get();
     let status = if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
-    json_answer(status, &json!({ "ready": ready, "revision": revision }))
+    json_response(status, &json!({ "ready": ready, "revision": revision }))
 }
 
 async fn statement(door: &Rc<Door>, request: Request<Incoming>) -> Response<Body> {
@@ -61,9 +61,9 @@
         Ok(Statement::Query(query)) => match query_rows::answer(door, &query).await {
             Ok(answer) if query.count => {
                 let value = json!({ "count": answer.rows.len(), "truncated": answer.truncated });
-                json_answer(StatusCode::OK, &value)
+                json_response(StatusCode::OK, &value)
             }
-            Ok(answer) => json_answer(
+            Ok(answer) => json_response(
                 StatusCode::OK,
                 &json!({
                     "fields": query.noun.fields(),
@@ -78,5 +78,8 @@
 }
 
 fn store_down() -> Response<Body> {
-    json_answer(StatusCode::SERVICE_UNAVAILABLE, &json!({ "error": "the store is not reachable" }))
+    json_response(
+        StatusCode::SERVICE_UNAVAILABLE,
+        &json!({ "error": "the store is not reachable" }),
+    )
 }
--- a/crates/samphiredoor/src/parts.rs
+++ b/crates/samphiredoor/src/parts.rs
@@ -17,12 +17,11 @@
 use samphiredoor_net::clock::Clock;
 
 use crate::{
-    ask,
     config::DoorConfig,
-    dispatch_task::Dispatch,
+    dispatch_task::DispatchHandle,
     door::Door,
     hosts_task, item_run,
-    jobs_task::{self, Jobs, JobsEnv, JobsInbox},
+    jobs_task::{self, JobsEnv, JobsHandle, JobsInbox},
     keys_task::{self, KeysEnv, KeysHandle, KeysInbox},
     lease_task, lending_task, load_poll,
     manifest_task::{self, ManifestEnv, ManifestHandle, ManifestInbox},
@@ -31,6 +30,7 @@
     orders_task::{self, OrdersEnv, OrdersHandle, OrdersInbox},
     peers::{Peers, PeersInbox},
     quarantine_task::{self, QuarantineEnv, QuarantineHandle, QuarantineInbox},
+    request_spec,
     store_client::StoreClient,
     targets::TargetPools,
 };
@@ -68,7 +68,7 @@
     let clock = Clock::new();
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     let incarnation = since.as_micros() as u64;
-    let (jobs, jobs_inbox) = Jobs::new();
+    let (jobs, jobs_inbox) = JobsHandle::new();
     let (keys, keys_inbox) = KeysHandle::new();
     let (quarantine, quarantine_inbox) = QuarantineHandle::new();
     let (manifest, manifest_inbox) = ManifestHandle::new();
@@ -81,11 +81,11 @@
     };
     let metrics = Metrics::new();
     // By name, so that a restarted door uses the same targets as before.
-    let seed = ask::hash(config.name.as_bytes());
+    let seed = request_spec::hash(config.name.as_bytes());
     let door = Door {
         clock,
         incarnation,
-        dispatch: Dispatch::start(clock, location, seed, Rc::clone(&metrics), lending_news),
+        dispatch: DispatchHandle::start(clock, location, seed, Rc::clone(&metrics), lending_news),
         jobs,
         keys,
         quarantine,
--- a/crates/samphiredoor/src/process.rs
+++ b/crates/samphiredoor/src/process.rs
@@ -59,7 +59,7 @@
     log::info!("door: stopping");
     door.stopping.set(true);
     door.peers.input(MembershipInput::Stopping);
-    door.jobs.stopping();
+    door.jobs.begin_handover();
     if let Some(callers) = &callers {
         callers.drain();
     }
@@ -67,8 +67,8 @@
     drop(callers);
     let all = async {
         let _ = serving.await;
-        door.jobs.empty().await;
-        door.keys.empty().await;
+        door.jobs.wait_until_idle().await;
+        door.keys.wait_until_idle().await;
     };
     let finished = compio::time::timeout(door.config.finish, all).await.is_ok();
     log::info!("door: stopped, all requests finished: {finished}");
--- a/crates/samphiredoor/src/quarantine_task.rs
+++ b/crates/samphiredoor/src/quarantine_task.rs
@@ -22,11 +22,11 @@
 const TICK: Duration = Duration::from_millis(250);
 const PROBE_TIMEOUT: Duration = Duration::from_millis(100);
 /// Pause before the second probe: a process that ends may close its connections before its listener.
-const PROBE_PAUSE: Duration = Duration::from_millis(20);
+const SECOND_PROBE_DELAY: Duration = Duration::from_millis(20);
 
 enum Message {
-    Enter { attempt: RequestId, fingerprint: u64, target: SocketAddr, reply: flume::Sender<bool> },
-    Lost { attempt: RequestId, settled: flume::Sender<()> },
+    Admit { attempt: RequestId, fingerprint: u64, target: SocketAddr, reply: flume::Sender<bool> },
+    Lost { attempt: RequestId, resolved: flume::Sender<()> },
     List(flume::Sender<Vec<Suspect>>),
     Input(QuarantineInput),
 }
@@ -35,7 +35,7 @@
 #[derive(Clone)]
 pub struct QuarantineHandle {
     messages: flume::Sender<Message>,
-    suspects_any: Rc<Cell<bool>>,
+    has_suspects: Rc<Cell<bool>>,
 }
 
 /// Inbox of the quarantine's task, before the task starts.
@@ -45,28 +45,28 @@
     /// Handle and inbox.
     pub fn new() -> (QuarantineHandle, QuarantineInbox) {
         let (messages, inbox) = flume::unbounded();
-        (QuarantineHandle { messages, suspects_any: Rc::default() }, QuarantineInbox(inbox))
+        (QuarantineHandle { messages, has_suspects: Rc::default() }, QuarantineInbox(inbox))
     }
 
     /// Says that an attempt is about to be sent, and waits until it may be; `None` if the request is blamed.
-    pub async fn enter(
+    pub async fn admit(
         &self,
         attempt: RequestId,
         fingerprint: u64,
         target: SocketAddr,
-    ) -> Option<Pass> {
-        let (reply, decided) = flume::bounded(1);
-        let pass = Pass { attempt, messages: self.messages.clone(), open: true };
-        self.send(Message::Enter { attempt, fingerprint, target, reply });
-        if self.suspects_any.get() && !decided.recv_async().await.unwrap_or(true) {
-            pass.close();
+    ) -> Option<AdmittedAttempt> {
+        let (reply, reply_receiver) = flume::bounded(1);
+        let admitted = AdmittedAttempt { attempt, messages: self.messages.clone(), open: true };
+        self.send(Message::Admit { attempt, fingerprint, target, reply });
+        if self.has_suspects.get() && !reply_receiver.recv_async().await.unwrap_or(true) {
+            admitted.close();
             return None;
         }
-        Some(pass)
+        Some(admitted)
     }
 
     /// Takes what a peer told.
-    pub fn told(&self, suspect: Suspect) {
+    pub fn record_peer_report(&self, suspect: Suspect) {
         self.send(Message::Input(QuarantineInput::Told(suspect)));
     }
 
@@ -88,28 +88,28 @@
 }
 
 /// An attempt that may be sent. Dropping it says that the attempt ended in a way that says nothing about the request.
-pub struct Pass {
+pub struct AdmittedAttempt {
     attempt: RequestId,
     messages: flume::Sender<Message>,
     open: bool,
 }
 
-impl Pass {
+impl AdmittedAttempt {
     /// The whole answer arrived.
     pub fn answered(mut self) {
         self.leave(Left::Answered);
     }
 
     /// The connection was lost after the request was sent; waits until it is known what that means.
-    pub async fn lost(mut self) {
+    pub async fn connection_lost(mut self) {
         self.open = false;
-        let (settled, wait) = flume::bounded(1);
-        let _ = self.messages.send(Message::Lost { attempt: self.attempt, settled });
+        let (resolved, wait) = flume::bounded(1);
+        let _ = self.messages.send(Message::Lost { attempt: self.attempt, resolved });
         let _ = wait.recv_async().await;
     }
 
     /// The same for an attempt that is not followed by another one.
-    pub fn lost_at_the_end(mut self) {
+    pub fn connection_lost_without_retry(mut self) {
         self.leave(Left::Lost);
     }
 
@@ -124,7 +124,7 @@
     }
 }
 
-impl Drop for Pass {
+impl Drop for AdmittedAttempt {
     fn drop(&mut self) {
         if self.open {
             self.leave(Left::Otherwise);
@@ -152,8 +152,8 @@
 pub async fn run(env: QuarantineEnv, inbox: QuarantineInbox) {
     let mut task = Task {
         quarantine: Quarantine::new(env.config.clone()),
-        entering: HashMap::new(),
-        settling: HashMap::new(),
+        awaiting_admission: HashMap::new(),
+        awaiting_resolution: HashMap::new(),
         env,
     };
     let mut actions = Vec::new();
@@ -169,26 +169,26 @@
         for action in actions.drain(..) {
             task.act(action);
         }
-        task.env.handle.suspects_any.set(task.quarantine.suspects_any());
+        task.env.handle.has_suspects.set(task.quarantine.suspects_any());
     }
 }
 
 struct Task {
     env: QuarantineEnv,
     quarantine: Quarantine,
-    entering: HashMap<RequestId, flume::Sender<bool>>,
-    settling: HashMap<RequestId, flume::Sender<()>>,
+    awaiting_admission: HashMap<RequestId, flume::Sender<bool>>,
+    awaiting_resolution: HashMap<RequestId, flume::Sender<()>>,
 }
 
 impl Task {
     fn input(&mut self, message: Message) -> Option<QuarantineInput> {
         match message {
-            Message::Enter { attempt, fingerprint, target, reply } => {
-                self.entering.insert(attempt, reply);
+            Message::Admit { attempt, fingerprint, target, reply } => {
+                self.awaiting_admission.insert(attempt, reply);
                 Some(QuarantineInput::Enter { attempt, fingerprint, target })
             }
-            Message::Lost { attempt, settled } => {
-                self.settling.insert(attempt, settled);
+            Message::Lost { attempt, resolved } => {
+                self.awaiting_resolution.insert(attempt, resolved);
                 Some(QuarantineInput::Left { attempt, how: Left::Lost })
             }
             Message::List(reply) => {
@@ -197,7 +197,7 @@
             }
             Message::Input(input) => {
                 if let QuarantineInput::Left { attempt, .. } = &input {
-                    self.entering.remove(attempt);
+                    self.awaiting_admission.remove(attempt);
                 }
                 Some(input)
             }
@@ -206,20 +206,20 @@
 
     fn act(&mut self, action: QuarantineAction) {
         match action {
-            QuarantineAction::Go { attempt } => self.entered(attempt, true),
-            QuarantineAction::Refuse { attempt } => self.entered(attempt, false),
+            QuarantineAction::Go { attempt } => self.reply_admission(attempt, true),
+            QuarantineAction::Refuse { attempt } => self.reply_admission(attempt, false),
             QuarantineAction::Probe { target } => {
                 let messages = self.env.handle.messages.clone();
                 compio::runtime::spawn(async move {
-                    let refused = is_refused(target).await;
+                    let refused = refuses_connections(target).await;
                     let probed = QuarantineInput::Probed { target, refused };
                     let _ = messages.send(Message::Input(probed));
                 })
                 .detach();
             }
             QuarantineAction::Settled { attempt } => {
-                if let Some(settled) = self.settling.remove(&attempt) {
-                    let _ = settled.send(());
+                if let Some(resolved) = self.awaiting_resolution.remove(&attempt) {
+                    let _ = resolved.send(());
                 }
             }
             QuarantineAction::Tell(Suspect { fingerprint, deaths, lifted }) => {
@@ -240,23 +240,23 @@
         }
     }
 
-    fn entered(&mut self, attempt: RequestId, may_go: bool) {
-        if let Some(reply) = self.entering.remove(&attempt) {
-            let _ = reply.send(may_go);
+    fn reply_admission(&mut self, attempt: RequestId, may_be_sent: bool) {
+        if let Some(reply) = self.awaiting_admission.remove(&attempt) {
+            let _ = reply.send(may_be_sent);
         }
     }
 }
 
 /// Whether a target refuses connections. One that does not answer is cut off rather than dead.
-async fn is_refused(target: SocketAddr) -> bool {
-    if refuses(target).await {
+async fn refuses_connections(target: SocketAddr) -> bool {
+    if refuses_connection(target).await {
         return true;
     }
-    compio::time::sleep(PROBE_PAUSE).await;
-    refuses(target).await
+    compio::time::sleep(SECOND_PROBE_DELAY).await;
+    refuses_connection(target).await
 }
 
-async fn refuses(target: SocketAddr) -> bool {
+async fn refuses_connection(target: SocketAddr) -> bool {
     match within(PROBE_TIMEOUT, TcpStream::connect(target)).await {
         Some(Err(err)) => err.kind() == std::io::ErrorKind::ConnectionRefused,
         Some(Ok(_)) | None => false,
--- a/crates/samphiredoor/src/request_body.rs
+++ b/crates/samphiredoor/src/request_body.rs
@@ -13,7 +13,7 @@
 };
 use serde_json::json;
 
-use crate::answers::{bad_request, json_answer};
+use crate::answers::{bad_request, json_response};
 
 /// A body as it arrives.
 pub struct RequestBody {
@@ -31,7 +31,7 @@
     /// The client did not send in time.
     TooSlow,
     /// The connection failed or the framing was cut.
-    Cut,
+    Truncated,
 }
 
 impl BodyError {
@@ -39,11 +39,11 @@
     pub fn answer(self) -> Response<Body> {
         match self {
             BodyError::TooLarge => bad_request("body", "is larger than this door takes"),
-            BodyError::Cut => bad_request("body", "was cut"),
+            BodyError::Truncated => bad_request("body", "was cut"),
             BodyError::TooSlow => {
                 let message = "body: no more of it came in time";
                 let error = json!({ "type": "body_timeout", "message": message, "ran": "not run" });
-                json_answer(StatusCode::REQUEST_TIMEOUT, &json!({ "error": error }))
+                json_response(StatusCode::REQUEST_TIMEOUT, &json!({ "error": error }))
             }
         }
     }
@@ -59,7 +59,7 @@
     pub async fn piece(&mut self) -> Result<Option<Bytes>, BodyError> {
         let piece = match next_piece(&mut self.incoming, self.wait).await {
             Ok(piece) => piece,
-            Err(PieceError::Cut) => return Err(BodyError::Cut),
+            Err(PieceError::Cut) => return Err(BodyError::Truncated),
             Err(PieceError::Late) => return Err(BodyError::TooSlow),
         };
         self.bytes += piece.as_ref().map_or(0, Bytes::len);
@@ -70,7 +70,7 @@
     }
 
     /// The whole body.
-    pub async fn whole(mut self) -> Result<Bytes, BodyError> {
+    pub async fn read_to_end(mut self) -> Result<Bytes, BodyError> {
         let Some(first) = self.piece().await? else { return Ok(Bytes::new()) };
         let Some(second) = self.piece().await? else { return Ok(first) };
         let mut whole = BytesMut::from(&first[..]);
--- a/crates/samphiredoor/src/ask.rs
+++ b/crates/samphiredoor/src/request_spec.rs
@@ -25,13 +25,13 @@
 pub const REQUEST_ID_HEADER: &str = "x-request-id";
 
 const DEFAULT_WORKSPACE: &str = "default";
-const LONGEST_DEADLINE: Duration = Duration::from_secs(24 * 60 * 60);
-const PREFIX_BYTES: usize = 256;
+const MAX_DEADLINE: Duration = Duration::from_secs(24 * 60 * 60);
+const HASHED_PREFIX_BYTES: usize = 256;
 
 /// Beginning of a completion call, as far as a door reads it.
 #[derive(Debug, Default)]
 #[derive(Deserialize)]
-pub struct Head {
+pub struct CompletionParams {
     #[serde(default)]
     /// Service asked for.
     pub model: String,
@@ -45,15 +45,15 @@
 /// # Errors
 ///
 /// What is wrong with the body.
-pub fn read_head(uri: &Uri, body: &Bytes) -> Result<Head, String> {
+pub fn read_completion_params(uri: &Uri, body: &Bytes) -> Result<CompletionParams, String> {
     if let Some(service) = service_in_path(uri.path()) {
-        return Ok(Head { model: service.to_owned(), stream: false });
+        return Ok(CompletionParams { model: service.to_owned(), stream: false });
     }
-    let head: Head = serde_json::from_slice(body).map_err(|err| err.to_string())?;
-    if head.model.is_empty() {
-        return Err("name the service to ask".to_owned());
+    let params: CompletionParams = serde_json::from_slice(body).map_err(|err| err.to_string())?;
+    if params.model.is_empty() {
+        return Err("name the service to spec".to_owned());
     }
-    Ok(head)
+    Ok(params)
 }
 
 /// Makes the dispatcher's view of the request, with the deadline by this process's clock.
@@ -61,40 +61,40 @@
 /// # Errors
 ///
 /// The answer to a request whose headers make no sense.
-pub fn make_ask(
+pub fn build_request_spec(
     door: &Door,
     headers: &HeaderMap,
-    head: &Head,
+    params: &CompletionParams,
     uri: &Uri,
     body: &Bytes,
 ) -> Result<(RequestSpec, Instant), Response<Body>> {
     let workspace: Name =
         header_text(headers, WORKSPACE_HEADER).unwrap_or(DEFAULT_WORKSPACE).into();
     let manifest = door.manifest.current();
-    let service = manifest.services.get(head.model.as_str());
+    let service = manifest.services.get(params.model.as_str());
     let default = door.config.default_deadline;
     let deadline = match header_text(headers, DEADLINE_HEADER) {
         None => service.map_or(default, |it| default.min(Duration::from_millis(it.deadline_ms))),
         Some(text) => match text.parse() {
-            Ok(deadline_ms) => Duration::from_millis(deadline_ms).min(LONGEST_DEADLINE),
+            Ok(deadline_ms) => Duration::from_millis(deadline_ms).min(MAX_DEADLINE),
             Err(_) => return Err(bad_request(DEADLINE_HEADER, "is no number of milliseconds")),
         },
     };
-    let prefix = &body[..body.len().min(PREFIX_BYTES)];
-    let ask = RequestSpec {
+    let prefix = &body[..body.len().min(HASHED_PREFIX_BYTES)];
+    let spec = RequestSpec {
         request: door.dispatch.next_request(),
         class: Class::Online,
-        service: head.model.as_str().into(),
+        service: params.model.as_str().into(),
         workspace,
         deadline_ms: door.clock.now().mono_ms + deadline.as_millis() as u64,
         repeatable: service.is_none_or(|it| it.repeatable),
-        prefix_hash: if is_engine(door, &head.model) { hash(prefix) } else { 0 },
+        prefix_hash: if is_engine(door, &params.model) { hash(prefix) } else { 0 },
         fingerprint: fingerprint(uri.path(), body),
         body_bytes: body.len() as u32,
         job: Name::from(""),
         due_unix_ms: None,
     };
-    Ok((ask, Instant::now() + deadline))
+    Ok((spec, Instant::now() + deadline))
 }
 
 /// Whether a service is a model engine.
@@ -126,11 +126,11 @@
 }
 
 /// Headers of a call to a target: what the caller sent about the content, and an id that is unique among all doors.
-pub fn passed_headers(headers: &HeaderMap, door: &Door, request: RequestId) -> HeaderMap {
-    let mut passed = HeaderMap::new();
+pub fn forwarded_headers(headers: &HeaderMap, door: &Door, request: RequestId) -> HeaderMap {
+    let mut forwarded = HeaderMap::new();
     for name in [header::CONTENT_TYPE, header::ACCEPT, header::AUTHORIZATION] {
         if let Some(value) = headers.get(&name) {
-            passed.insert(name, value.clone());
+            forwarded.insert(name, value.clone());
         }
     }
     let id = match header_text(headers, REQUEST_ID_HEADER) {
@@ -138,7 +138,7 @@
         None => format!("{}-{:x}-{}", door.config.name, door.incarnation, request.0),
     };
     if let Ok(value) = header::HeaderValue::from_str(&id) {
-        passed.insert(REQUEST_ID_HEADER, value);
+        forwarded.insert(REQUEST_ID_HEADER, value);
     }
-    passed
+    forwarded
 }
--- a/crates/samphiredoor/src/stream_end.rs
+++ b/crates/samphiredoor/src/stream_end.rs
@@ -11,13 +11,13 @@
 
 /// Looks for the last event in the pieces of a stream, wherever they are cut.
 #[derive(Debug, Default)]
-pub struct DoneMark {
+pub struct DoneDetector {
     /// Beginning of the line in hand, no longer than the mark and one more.
     line: Vec<u8>,
     seen: bool,
 }
 
-impl DoneMark {
+impl DoneDetector {
     /// Reads the next piece.
     pub fn push(&mut self, piece: &[u8]) {
         for byte in piece {
--- a/crates/samphiredoor/src/passing.rs
+++ b/crates/samphiredoor/src/stream_forwarding.rs
@@ -15,26 +15,26 @@
 
 use crate::{
     answers::verdict_json,
-    dispatch_task::Ticket,
+    dispatch_task::RequestHandle,
     metrics::{Metrics, Running},
-    quarantine_task::Pass,
-    stream_end::{DoneMark, StreamEnd},
+    quarantine_task::AdmittedAttempt,
+    stream_end::{DoneDetector, StreamEnd},
 };
 
 /// A stream on its way to the caller. Dropping it (the caller has gone) closes the connection to the target.
-pub struct Passing {
+pub struct ForwardedStream {
     /// Rest of the answer.
     pub body: Answer,
     /// Piece that was waited for before the answer began.
     pub first: Option<Bytes>,
     /// Looks for the last event; only an engine's stream has one.
-    pub done: Option<DoneMark>,
+    pub done_detector: Option<DoneDetector>,
     /// Told how the stream ended.
     pub end: StreamEnd,
     /// The request as the dispatcher knows it.
-    pub ticket: Ticket,
+    pub handle: RequestHandle,
     /// The attempt as the quarantine knows it.
-    pub pass: Option<Pass>,
+    pub admitted: Option<AdmittedAttempt>,
     /// Counters.
     pub metrics: Rc<Metrics>,
     /// When the request arrived.
@@ -48,38 +48,40 @@
 /// Piece of a stream.
 pub type Piece = Result<Bytes, BoxError>;
 
-impl Passing {
+impl ForwardedStream {
     /// Next piece for the caller; an error event where the answer was cut.
-    pub async fn next(passing: Option<Passing>) -> Option<(Piece, Option<Passing>)> {
-        let mut this = passing?;
+    pub async fn next(
+        forwarded: Option<ForwardedStream>,
+    ) -> Option<(Piece, Option<ForwardedStream>)> {
+        let mut this = forwarded?;
         let piece = match this.first.take() {
             Some(first) => Ok(Some(first)),
             None => next_piece(&mut this.body, this.deadline).await,
         };
-        let is_whole = this.done.as_ref().is_none_or(DoneMark::is_seen);
+        let is_whole = this.done_detector.as_ref().is_none_or(DoneDetector::is_seen);
         match piece {
             Ok(Some(piece)) => {
-                if let Some(done) = &mut this.done {
-                    done.push(&piece);
+                if let Some(detector) = &mut this.done_detector {
+                    detector.push(&piece);
                 }
                 Some((Ok(piece), Some(this)))
             }
             Ok(None) if is_whole => {
-                if let Some(pass) = this.pass.take() {
-                    pass.answered();
+                if let Some(admitted) = this.admitted.take() {
+                    admitted.answered();
                 }
-                this.ticket.ended(AttemptEnd::Completed);
-                this.count(Verdict::Done);
+                this.handle.ended(AttemptEnd::Completed);
+                this.record_verdict(Verdict::Done);
                 None
             }
             cut => {
                 let reason = cut.err().unwrap_or(MayHaveRunReason::AnswerCut);
-                if let Some(pass) = this.pass.take_if(|_| reason.is_loss()) {
-                    pass.lost_at_the_end();
+                if let Some(admitted) = this.admitted.take_if(|_| reason.is_loss()) {
+                    admitted.connection_lost_without_retry();
                 }
-                this.ticket.ended(AttemptEnd::AnswerTruncated(reason));
+                this.handle.ended(AttemptEnd::AnswerTruncated(reason));
                 let verdict = Verdict::MayHaveRun { reason };
-                this.count(verdict);
+                this.record_verdict(verdict);
                 // The caller is told that its answer is cut: an error event, and no `[DONE]` after it.
                 let event = format!("event: error\ndata: {}\n\n", verdict_json(verdict));
                 Some((Ok(event.into()), None))
@@ -87,7 +89,7 @@
         }
     }
 
-    fn count(&self, verdict: Verdict) {
+    fn record_verdict(&self, verdict: Verdict) {
         self.end.set(verdict);
         self.metrics.ended(Class::Online, verdict, self.started.elapsed().as_secs_f64());
     }
