--- a/crates/samphiredoor/src/access.rs
+++ b/crates/samphiredoor/src/access.rs
@@ -1,4 +1,4 @@
-//! Who may use the operators' and the peers' listeners.
+//! Tokens that protect the operators' and the peers' listeners.
 
 use std::path::Path;
 
@@ -7,7 +7,7 @@
 
 const MIN_TOKEN_BYTES: usize = 16;
 
-/// Token that operators show; kept as its digest.
+/// Token that operators and peers present; only its digest is held in memory.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Token(blake3::Hash);
 
@@ -16,30 +16,30 @@
     ///
     /// # Errors
     ///
-    /// The file cannot be read, or its token is too short to keep anybody out.
+    /// Fails if the file cannot be read, or if its token is so short that it could be guessed.
     pub fn read(file: &Path) -> anyhow::Result<Token> {
         Ok(Token(blake3::hash(read_token(file)?.as_bytes())))
     }
 
-    /// Whether the headers show this token. Digests are compared, in constant time, so that the time taken tells
-    /// nothing about the token.
+    /// Whether the `authorization` header carries this token. Digests are compared in constant time, so that the duration
+    /// reveals nothing about the token.
     pub fn admits(&self, headers: &HeaderMap) -> bool {
         let value = headers.get(header::AUTHORIZATION).and_then(|it| it.to_str().ok());
         let presented = value.and_then(|it| it.strip_prefix("Bearer "));
         presented.is_some_and(|it| self.matches(it.as_bytes()))
     }
 
-    /// Whether `shown` is this token.
+    /// Whether `presented` is this token, leading and trailing whitespace aside.
     pub fn matches(&self, presented: &[u8]) -> bool {
         blake3::hash(presented.trim_ascii()) == self.0
     }
 }
 
-/// Reads a token file for a process that has to show the token itself.
+/// Reads a token file for a process that presents the token itself.
 ///
 /// # Errors
 ///
-/// As for [`Token::read`].
+/// Fails as [`Token::read`] does.
 pub fn read_token(file: &Path) -> anyhow::Result<String> {
     let text = std::fs::read_to_string(file)
         .with_context(|| format!("{}: cannot be read", file.display()))?;
--- a/crates/samphiredoor/src/answers.rs
+++ b/crates/samphiredoor/src/answers.rs
@@ -1,4 +1,4 @@
-//! Answers of the doors themselves, as opposed to those of targets.
+//! Answers that the gateway itself generates, as opposed to answers forwarded from targets.
 
 use hyper::{Response, StatusCode, header};
 use samphiredoor_core::verdict::{MayHaveRunReason, Refusal, Verdict};
@@ -6,12 +6,12 @@
 use serde::Serialize;
 use serde_json::json;
 
-/// Answer with a JSON body.
+/// Response with a JSON body.
 pub fn json_response<T: Serialize>(status: StatusCode, value: &T) -> Response<Body> {
     answers::json(status, serde_json::to_vec(value).unwrap_or_default())
 }
 
-/// Answer to a request that is malformed; `field` names the place.
+/// Answer to a malformed request; `field` names the header, field or line that is wrong.
 pub fn bad_request(field: &str, problem: &str) -> Response<Body> {
     let value = json!({
         "error": {
@@ -30,9 +30,9 @@
     json_response(StatusCode::NOT_FOUND, &value)
 }
 
-/// Answer to a request that got none from a target.
+/// Answer to a request that got no answer from a target.
 ///
-/// The verdict goes along in the answer's extensions, for whoever records what came of the request.
+/// The response's extensions hold the verdict, so that the outcome of a keyed request can be recorded.
 pub fn verdict_response(verdict: Verdict) -> Response<Body> {
     let mut response = match verdict {
         Verdict::NotRun { retry_after_ms, reason } => not_run(retry_after_ms, reason),
--- a/crates/samphiredoor/src/callers.rs
+++ b/crates/samphiredoor/src/callers.rs
@@ -1,4 +1,4 @@
-//! The callers' door: paths, and who answers them.
+//! Routes the requests of the callers' listener by method and path.
 
 use std::rc::Rc;
 
@@ -7,7 +7,7 @@
 
 use crate::{answers::not_found, door::Door, job_control, job_reads, jobs, online};
 
-/// Answers one request of a caller.
+/// Answers one request of a caller; 404 for an unknown path.
 pub async fn answer(door: Rc<Door>, request: Request<Incoming>) -> Response<Body> {
     let path = request.uri().path().to_owned();
     if online::is_online(request.method(), &path) {
--- a/crates/samphiredoor/src/dispatch_task.rs
+++ b/crates/samphiredoor/src/dispatch_task.rs
@@ -1,4 +1,4 @@
-//! The task that owns the dispatcher, and the handles by which requests speak to it.
+//! Runs the dispatcher in a task of its own; requests send messages to it and receive its decisions through handles.
 
 use std::{
     cell::Cell,
@@ -28,31 +28,31 @@
 
 const TICK: Duration = Duration::from_millis(10);
 const TICKS_BETWEEN_METRICS: u64 = 10;
-// Word that a target leaves is told again more often than this while it holds.
+// How long a report that a target is leaving counts. Reports are repeated more often than this while they are true.
 const REPORTED_LEAVING_MS: u64 = 30_000;
 
-/// What the dispatcher decided for a request.
+/// Decision of the dispatcher on a request.
 #[derive(Debug, Clone)]
 pub enum Decision {
-    /// Send it there.
+    /// Send the request to a target.
     Dispatch {
-        /// Where it listens.
+        /// Address of the target.
         address: SocketAddr,
     },
-    /// Cut the attempt in hand.
+    /// Abort the current attempt to free its slot.
     Abort,
-    /// It ends without an answer.
+    /// The request ends without an answer from a target.
     Refused(Verdict),
 }
 
-/// A target that this process uses.
+/// A target that this process may send requests to.
 #[derive(Debug, Clone)]
 pub struct TargetInUse {
-    /// Name.
+    /// Name in the manifest.
     pub name: Name,
-    /// Where it listens.
+    /// Address that it listens on.
     pub address: SocketAddr,
-    /// Whether a request of this process runs there.
+    /// Whether a request of this process is running on it.
     pub busy: bool,
 }
 
@@ -71,7 +71,7 @@
 }
 
 impl DispatchHandle {
-    /// Starts the task; what it has to tell other doors goes to `hints`.
+    /// Starts the task. It sends its messages for other gateways to `hints`, with the name of the receiver.
     pub fn start(
         clock: Clock,
         location: Location,
@@ -94,24 +94,24 @@
         DispatchHandle { messages, next_request: Rc::new(Cell::new(1)) }
     }
 
-    /// Puts a manifest in force.
+    /// Makes a manifest the active one.
     pub fn apply(&self, manifest: Arc<Manifest>) {
         self.input(Input::Manifest(manifest));
     }
 
-    /// Gives the target no new work for a while.
+    /// Reports that a target is leaving: it gets no new work until the report expires.
     pub fn mark_leaving(&self, target: Name) {
         self.input(Input::ReportedLeaving { target, for_ms: REPORTED_LEAVING_MS });
     }
 
-    /// New identity for a request.
+    /// Allocates an id that is unique in this process.
     pub fn next_request(&self) -> RequestId {
         let id = self.next_request.get();
         self.next_request.set(id + 1);
         RequestId(id)
     }
 
-    /// Asks for a target.
+    /// Submits a request; its decisions arrive at the returned handle.
     pub fn submit(&self, spec: RequestSpec) -> RequestHandle {
         let (sender, decisions) = flume::unbounded();
         let handle = RequestHandle {
@@ -125,27 +125,27 @@
         handle
     }
 
-    /// Targets that this process uses.
+    /// Targets that this process may send requests to; none if the task has ended.
     pub async fn targets_in_use(&self) -> Vec<TargetInUse> {
         let (reply, receiver) = flume::bounded(1);
         let _ = self.messages.send(Message::TargetsInUse(reply));
         receiver.recv_async().await.unwrap_or_default()
     }
 
-    /// Targets that this process uses, as it sees them.
+    /// State of these targets as this process sees it, for queries of operators.
     pub async fn target_views(&self) -> Vec<TargetView> {
         let (reply, receiver) = flume::bounded(1);
         let _ = self.messages.send(Message::TargetViews(reply));
         receiver.recv_async().await.unwrap_or_default()
     }
 
-    /// Tells the dispatcher what happened.
+    /// Sends an event to the dispatcher.
     pub fn input(&self, input: Input) {
         let _ = self.messages.send(Message::Input(input));
     }
 }
 
-/// A request as the dispatcher knows it. Dropping it says that nobody waits any more.
+/// A submitted request. Dropping the handle before the request has ended cancels it.
 pub struct RequestHandle {
     request: RequestId,
     decisions: flume::Receiver<Decision>,
@@ -155,7 +155,7 @@
 }
 
 impl RequestHandle {
-    /// Waits for the next decision.
+    /// Waits for the next decision; a refusal if the task has ended.
     pub async fn decision(&mut self) -> Decision {
         match self.decisions.recv_async().await {
             Ok(decision) => {
@@ -174,8 +174,8 @@
         }
     }
 
-    /// Says how the attempt in hand ended, once for each attempt. An end that closes the request closes the handle;
-    /// after any other a decision follows.
+    /// Reports how the current attempt ended; further reports on the same attempt are ignored. After a final end no
+    /// decision follows, after any other one does.
     pub fn ended(&mut self, end: AttemptEnd) {
         if !std::mem::take(&mut self.at_target) {
             return;
--- a/crates/samphiredoor/src/item_call.rs
+++ b/crates/samphiredoor/src/item_call.rs
@@ -1,8 +1,8 @@
-//! The call of one item, through as many attempts as it takes.
+//! The call of one batch item, over all its attempts.
 //!
-//! An item that loses its slot has often generated most of its answer. Where the service's engines can resume, the call
-//! is streamed, what has arrived is kept, and the next attempt asks for the rest only; so taking a slot back costs the
-//! engine a prefill and no tokens. The ledger knows nothing of it: it gets one whole answer.
+//! A preempted item has often generated most of its answer already. If the service's engines can resume, the call is
+//! streamed, the partial output is saved, and the next attempt requests only the rest. A preemption then costs the engine
+//! a prefill and no tokens. The ledger still gets one complete answer.
 
 use std::{cell::RefCell, net::SocketAddr, time::Duration};
 
@@ -18,15 +18,15 @@
 
 use crate::{door::Door, online::pushback, targets::Call};
 
-/// Longest time for one attempt.
+/// Timeout of one attempt, and of the wait for a target.
 pub const ITEM_DEADLINE: Duration = Duration::from_secs(600);
 
 const MAX_RESULT_BYTES: usize = 512 * 1024;
 const RESUME_FIELD: &str = "resume_from_token";
-/// Fields of a call whose answer cannot be put together from the texts of its events.
+/// A call with one of these fields is not resumed: its answer cannot be assembled from the texts of stream events.
 const UNRESUMABLE_FIELDS: [&str; 6] = ["stream", "n", "best_of", "logprobs", "echo", "tools"];
 
-/// What has arrived of an answer.
+/// Output that has arrived so far, over all attempts.
 #[derive(Debug, Default)]
 struct Partial {
     text: String,
@@ -66,7 +66,7 @@
     content: String,
 }
 
-/// Call of one item.
+/// Call of one item, with the output saved for a resumption.
 pub struct ItemCall {
     call: Call,
     resumable: Option<Resumable>,
@@ -78,12 +78,12 @@
 }
 
 impl ItemCall {
-    /// Call of an item.
+    /// A call that is repeated from its start after a preemption.
     pub fn new(call: Call) -> ItemCall {
         ItemCall { call, resumable: None }
     }
 
-    /// Goes on where an attempt was cut, as far as the answer can be put together from its pieces.
+    /// Lets the next attempt resume where the last one was cut off, if the answer can be assembled from stream events.
     pub fn with_resume(mut self) -> ItemCall {
         if !self.call.uri.path().ends_with("/completions") {
             return self;
@@ -95,17 +95,17 @@
         self
     }
 
-    /// Whether the next attempt goes on where the last one was cut.
+    /// Whether the next attempt resumes where the last one was cut off.
     pub fn is_resumable(&self) -> bool {
         self.resumable.is_some()
     }
 
-    /// Bytes of the body.
+    /// Size of the item's body, in bytes.
     pub fn body_bytes(&self) -> usize {
         self.call.body.len()
     }
 
-    /// Makes one attempt. What arrived stays here when the future is dropped.
+    /// Makes one attempt. Output that has arrived stays saved if the future is dropped.
     pub async fn attempt(
         &self,
         door: &Door,
@@ -138,7 +138,8 @@
         exchange.await.unwrap_or(Err(AttemptEnd::AnswerLost(MayHaveRunReason::DeadlinePassed)))
     }
 
-    /// An attempt that was cut between its last token and the end of its framing has nothing left to ask for.
+    /// The complete answer, if an attempt was cut off between its last token and the end of its framing: there is nothing
+    /// left to request then.
     fn finished_answer(&self) -> Option<ItemEnd> {
         let partial = self.resumable.as_ref()?.partial.borrow();
         let finished = !partial.finish_reason.is_null();
@@ -159,7 +160,7 @@
         call
     }
 
-    /// The answer as an engine would have given it in one piece.
+    /// Assembles the answer that an engine would have sent without streaming.
     fn assemble_answer(&self, partial: &Partial) -> Value {
         let chat = self.call.uri.path().contains("/chat/");
         let reason = &partial.finish_reason;
--- a/crates/samphiredoor/src/item_run.rs
+++ b/crates/samphiredoor/src/item_run.rs
@@ -1,4 +1,4 @@
-//! One run of one item at a target.
+//! Runs one item of a batch job: dispatches it to targets until one answers or the run has to end.
 
 use std::rc::Rc;
 
@@ -19,10 +19,10 @@
     verdict::{Refusal, Verdict},
 };
 
-/// Runs an item to its end, or until it is stopped.
+/// Runs an item until it ends or is stopped.
 ///
-/// A run that must not be repeated and has begun is not cut, neither by a stop nor for online requests: cutting it
-/// would leave an item that may have run and has no answer.
+/// A started run of an item that is not repeatable is aborted neither by a stop nor by a preemption for online requests:
+/// that would leave an item that may have run and has no answer.
 pub async fn run(door: Rc<Door>, work: ItemWork, stop: flume::Receiver<()>) -> ItemEnd {
     let started = std::time::Instant::now();
     let request = door.dispatch.next_request();
@@ -87,18 +87,18 @@
     }
 }
 
-/// What became of an attempt.
+/// How the wait for an attempt ended.
 enum AttemptResult<T> {
-    /// It ended by itself.
+    /// The attempt ended by itself.
     Ended(T),
-    /// The dispatcher wants the capacity back.
+    /// The dispatcher aborts the attempt to free its slot.
     Preempted,
-    /// The item is stopped.
+    /// The ledger stops the run.
     Stopped,
 }
 
-/// Waits for the answer, or for a word that the attempt is to be cut. Dropping the attempt closes its connection, which
-/// cancels it on an engine.
+/// Waits until the attempt ends, is preempted or is stopped. Dropping the attempt closes its connection, which cancels
+/// the request on an engine.
 async fn until_interrupted<T>(
     attempt: impl Future<Output = T>,
     handle: &mut RequestHandle,
@@ -112,8 +112,8 @@
     }
 }
 
-/// End of an item that is blamed for the death of targets. It is final also where a run of it was lost: the item can
-/// never be done.
+/// End of a quarantined item, one that is suspected of crashing targets. It is final even if a run of the item was lost,
+/// because the item can never be completed.
 fn end_quarantined(door: &Door) -> ItemEnd {
     let reason = Refusal::Quarantined;
     door.metrics.ended(Class::Batch, Verdict::NotRun { retry_after_ms: 0, reason }, 0.0);
@@ -131,7 +131,7 @@
     }
 }
 
-/// Whether another try would be refused as well.
+/// Whether a retry would be refused for the same reason.
 fn is_final(reason: Refusal) -> bool {
     match reason {
         Refusal::BadRequest
--- a/crates/samphiredoor/src/job_control.rs
+++ b/crates/samphiredoor/src/job_control.rs
@@ -1,4 +1,4 @@
-//! Cancelling and removing batch jobs, from any door.
+//! Cancels and deletes batch jobs, on any gateway.
 
 use std::rc::Rc;
 
@@ -21,7 +21,7 @@
     jobs::store_unavailable,
 };
 
-/// Cancels a job; the answer says how far it came, or that it had finished before.
+/// Cancels a job. The answer holds its progress, or reports that it had finished before.
 pub async fn cancel(door: &Rc<Door>, job: &str) -> Response<Body> {
     let job: JobId = job.into();
     let mut cancellation = Cancellation::new(job.clone());
@@ -30,7 +30,7 @@
         match step {
             CancelStep::Store(op) => step = cancellation.answered(door.store.call(op).await),
             CancelStep::Cancelled { header } => {
-                log::info!("jobs: {job} is cancelled");
+                log::info!("jobs: {job} cancelled");
                 door.jobs.cancel_hint(job.clone());
                 let owner: Name = header.owner.process.as_str().into();
                 door.peers.tell(owner, Hint::Cancelled(job.clone()));
@@ -52,7 +52,7 @@
     }
 }
 
-/// Removes a job that has ended, with its results.
+/// Deletes a job that has ended, with its results.
 pub async fn remove(door: Rc<Door>, job: &str) -> Response<Body> {
     let job: JobId = job.into();
     let (header, version) = match read_header(&door, &job).await {
@@ -64,7 +64,7 @@
         value["error"] = json!("the job has not ended; cancel it first");
         return json_response(StatusCode::CONFLICT, &value);
     }
-    // The names of the bodies stand in the results, so they are read before anything is removed.
+    // The results contain the names of the large bodies, so they are read before anything is deleted.
     let bodies = match body_names(&door, &header).await {
         Ok(bodies) => bodies,
         Err(answer) => return answer,
@@ -75,7 +75,7 @@
         StoreAnswer::Absent => return not_found("no such job"),
         _ => return store_unavailable(),
     }
-    log::info!("jobs: {job} is removed");
+    log::info!("jobs: {job} deleted");
     compio::runtime::spawn(remove_objects(door, header, bodies)).detach();
     json_response(StatusCode::OK, &json!({ "id": &*job, "deleted": true }))
 }
--- a/crates/samphiredoor/src/job_reads.rs
+++ b/crates/samphiredoor/src/job_reads.rs
@@ -1,4 +1,4 @@
-//! Status and results of batch jobs, read from the store by any door, also while another one works on the job.
+//! Status and results of batch jobs. Any gateway reads them from the store, also while a peer works on the job.
 
 use std::rc::Rc;
 
@@ -19,13 +19,14 @@
     jobs::store_unavailable,
 };
 
-/// Prefix of the objects that hold large bodies.
+/// Prefix of the names of objects that hold large result bodies.
 pub const BODY_PREFIX: &str = "body-";
 const RESULT_CHUNKS_PER_PAGE: u32 = 4;
-/// Chunks behind the last checkpoint of a job that another door works on whose results are counted for its status.
+/// For the status of a job that a peer works on, the results of at most this many chunks after the header's last
+/// checkpoint are counted.
 const MAX_COUNTED_CHUNKS: u32 = 4;
 
-/// Status of a job. Where another door works on it the counts are "at least".
+/// Status of a job. While a peer works on the job, the counts are lower bounds.
 pub async fn status(door: Rc<Door>, job: &str) -> Response<Body> {
     let job: JobId = job.into();
     let (header, _) = match read_header(&door, &job).await {
@@ -58,9 +59,10 @@
     (completed, failed)
 }
 
-/// One page of results, as JSON lines; readable while the job runs.
+/// One page of results as JSON lines; available while the job runs.
 ///
-/// `x-after-chunk` names where the next page begins; `x-partial` says that more results of this page are to come.
+/// `x-after-chunk` is the `after_chunk` of the next page; `x-partial` means that this page does not have all its results
+/// yet.
 pub async fn results(door: Rc<Door>, job: &str, query: &str) -> Response<Body> {
     let job: JobId = job.into();
     let (header, _) = match read_header(&door, &job).await {
@@ -98,7 +100,7 @@
     response
 }
 
-/// Body of one result that was too large to stand among the others.
+/// Body of one result that was too large to be stored with the other results of its chunk.
 pub async fn large_body(door: Rc<Door>, name: &str) -> Response<Body> {
     if !name.starts_with(BODY_PREFIX) {
         return not_found("no such body");
@@ -110,7 +112,7 @@
     }
 }
 
-/// Results of one chunk, if they stand and can be read.
+/// Results of one chunk; `None` if there are none or they are unreadable.
 pub async fn chunk_results(
     door: &Door,
     header: &JobHeader,
@@ -122,7 +124,7 @@
             Ok(read) => Ok(Some(read)),
             Err(fault) => {
                 door.metrics.unreadable(fault);
-                log::error!("jobs: results {} are refused: {fault}", key.name);
+                log::error!("jobs: results {} are unreadable: {fault}", key.name);
                 Ok(None)
             }
         },
@@ -152,18 +154,18 @@
     Some(format!("/v1/batches/{job}/bodies/{name}"))
 }
 
-/// Reads a job's header.
+/// Reads the header of a job.
 ///
 /// # Errors
 ///
-/// The answer to the caller: there is none, it cannot be read, or the store is down.
+/// Returns the answer to the caller if there is no such job, its header is unreadable, or the store is unavailable.
 pub async fn read_header(door: &Door, job: &JobId) -> Result<(JobHeader, Version), Response<Body>> {
     match door.store.call(StoreOp::Get { key: header_key(job) }).await {
         StoreAnswer::Object(stored) => match parse_header(&stored.value) {
             Ok(header) => Ok((header, stored.version)),
             Err(fault) => {
                 door.metrics.unreadable(fault);
-                log::error!("jobs: header {job} is refused: {fault}");
+                log::error!("jobs: header {job} is unreadable: {fault}");
                 Err(unreadable())
             }
         },
@@ -172,7 +174,7 @@
     }
 }
 
-/// Answer where a job's header stands and cannot be read.
+/// Answer for a job whose stored header is unreadable.
 pub fn unreadable() -> Response<Body> {
     let value = json!({
         "error": { "type": "unreadable", "message": "the job's header cannot be read; ask the operators" }
@@ -180,7 +182,7 @@
     json_response(StatusCode::INTERNAL_SERVER_ERROR, &value)
 }
 
-/// A job as callers see it.
+/// JSON object that describes a job to callers.
 pub fn header_json(job: &JobId, header: &JobHeader) -> Value {
     let status = match header.state {
         JobState::Running => "in_progress",
--- a/crates/samphiredoor/src/jobs.rs
+++ b/crates/samphiredoor/src/jobs.rs
@@ -1,4 +1,4 @@
-//! Batch jobs at the callers' door: submission.
+//! Accepts batch jobs from callers.
 
 use std::{rc::Rc, time::Duration};
 
@@ -20,9 +20,9 @@
     request_spec::{KEY_HEADER, WORKSPACE_HEADER, header_text},
 };
 
-/// Header that says whether an item may be run more than once.
+/// Header that allows or forbids running an item more than once.
 const REPEATABLE_HEADER: &str = "x-repeatable";
-/// Header that says when the results are due.
+/// Header with the time at which the results are due.
 const DUE_HEADER: &str = "x-due-unix-ms";
 const STORE_RETRY_AFTER_MS: u64 = 2_000;
 const LEASE_RETRY_AFTER_MS: u64 = 1_000;
@@ -31,7 +31,7 @@
 const CHUNK_WRITE_ATTEMPTS: u32 = 3;
 const MAX_CONCURRENT_CHUNK_WRITES: usize = 4;
 
-/// Takes a submission; answers when the job is durable, and not before.
+/// Accepts a submission. The answer is sent only after the job is durable in the store.
 pub async fn submit(door: Rc<Door>, request: Request<Incoming>) -> Response<Body> {
     let (parts, body) = request.into_parts();
     let mut accepting = match parse_headers(&door, &parts.headers) {
@@ -54,8 +54,8 @@
     accept(&door, &accepting, &submission).await
 }
 
-/// Waits a little for the process's lease. A process that never had one could not be found to be gone, and its jobs
-/// would never be taken from it.
+/// Waits up to a second for this process to hold its lease. Without a lease its death could not be detected, and its jobs
+/// would never be taken over.
 async fn wait_for_lease(door: &Door) -> bool {
     for _ in 0..LEASE_POLLS {
         if door.jobs.lease_held(door.clock.now()) {
@@ -94,7 +94,7 @@
     })
 }
 
-/// Reads the body and writes its chunks, a few at a time.
+/// Reads the body and writes its chunks to the store, a few concurrently.
 async fn upload(
     door: &Rc<Door>,
     accepting: &Accepting,
@@ -132,7 +132,8 @@
 ) -> Result<(), Response<Body>> {
     for _ in 0..CHUNK_WRITE_ATTEMPTS {
         match door.store.call(Acceptance::chunk_op(&accepting.upload, number, &chunk)).await {
-            // The name is this upload's alone: whatever stands there, this call or an earlier try wrote it.
+            // The object's name is unique to this upload, so an existing object was written by this call or an earlier
+            // attempt.
             StoreAnswer::Object(_) | StoreAnswer::Taken => return Ok(()),
             StoreAnswer::Unknown => {}
             _ => break,
@@ -141,7 +142,7 @@
     Err(store_unavailable())
 }
 
-/// Answer where the store is of no help and nothing was done.
+/// Answer to a request that was not run because the store is unavailable.
 pub fn store_unavailable() -> Response<Body> {
     let reason = Refusal::StoreUnavailable;
     verdict_response(Verdict::NotRun { retry_after_ms: STORE_RETRY_AFTER_MS, reason })
@@ -172,7 +173,7 @@
                 remove_chunks(door, &accepting.upload, submission.chunks());
                 return store_unavailable();
             }
-            // The header may stand, and then needs its chunks.
+            // The header may be stored, and then its chunks are needed.
             SubmissionStep::MayBeAccepted => {
                 let reason = MayHaveRunReason::StoreAnswerLost;
                 return verdict_response(Verdict::MayHaveRun { reason });
@@ -181,7 +182,7 @@
     }
 }
 
-/// Removes the chunks of an upload that no header names. What is left after a failure is only space.
+/// Deletes the chunks of an upload that no job header refers to. A failed deletion only wastes space.
 fn remove_chunks(door: &Rc<Door>, upload: &str, chunks: u32) {
     let (door, upload) = (Rc::clone(door), upload.to_owned());
     compio::runtime::spawn(async move {
--- a/crates/samphiredoor/src/jobs_task.rs
+++ b/crates/samphiredoor/src/jobs_task.rs
@@ -1,4 +1,5 @@
-//! The task that owns the ledger of jobs, and the handles by which others speak to it.
+//! Runs the ledger, which works on the batch jobs of this process, in a task of its own; others send messages to it
+//! through handles.
 
 use std::{cell::Cell, collections::HashMap, rc::Rc, time::Duration};
 
@@ -21,7 +22,7 @@
 
 const TICK: Duration = Duration::from_millis(100);
 const IDLE_POLL: Duration = Duration::from_millis(20);
-/// The margin by which hand-outs stop before the lease ends, as a part of the lease.
+/// No item is dispatched in the last part of the lease; this part is the lease divided by this number.
 const LEASE_MARGIN_DIVISOR: u64 = 10;
 const MAX_LEASE_MARGIN_MS: u64 = 1_000;
 
@@ -31,29 +32,29 @@
     Len(flume::Sender<usize>),
 }
 
-/// Handle to the ledger's task.
+/// Handle to the task of the ledger.
 #[derive(Clone)]
 pub struct JobsHandle {
     messages: flume::Sender<Message>,
     valid_until_ms: Rc<Cell<u64>>,
 }
 
-/// Inbox of the ledger's task, before the task starts.
+/// Inbox that the task reads once it is started.
 pub struct JobsInbox(flume::Receiver<Message>);
 
 impl JobsHandle {
-    /// Handle and inbox.
+    /// Creates a handle and the inbox that it sends to.
     pub fn new() -> (JobsHandle, JobsInbox) {
         let (messages, inbox) = flume::unbounded();
         (JobsHandle { messages, valid_until_ms: Rc::default() }, JobsInbox(inbox))
     }
 
-    /// Hands over a job that this process owns.
+    /// Adds a newly accepted job, which this process owns.
     pub fn add_owned_job(&self, job: JobId, header: Box<JobHeader>, version: Version) {
         self.input(LedgerInput::Owned { job, header, version });
     }
 
-    /// Says until when this process holds its lease, by its monotonic clock; 0 if it is lost.
+    /// Sets the time until which this process holds its lease, by its monotonic clock; 0 if the lease is lost.
     pub fn set_lease(&self, valid_until_ms: u64) {
         self.valid_until_ms.set(valid_until_ms);
         self.input(LedgerInput::Lease { valid_until_ms });
@@ -64,32 +65,32 @@
         now.mono_ms < self.valid_until_ms.get()
     }
 
-    /// Says that the lease of a process has lapsed, so that its jobs may be taken.
+    /// Reports that the lease of a process has expired, so that its jobs may be taken over.
     pub fn lease_expired(&self, process: Name, incarnation: u64) {
         self.input(LedgerInput::Lapsed { process, incarnation });
     }
 
-    /// Says which processes hold their leases.
+    /// Reports which processes are live members.
     pub fn set_live_processes(&self, processes: Vec<Name>) {
         self.input(LedgerInput::Live { processes });
     }
 
-    /// Says that a job, which this process may own, is cancelled.
+    /// Reports that a job, which this process may own, is cancelled.
     pub fn cancel_hint(&self, job: JobId) {
         self.input(LedgerInput::CancelHint { job });
     }
 
-    /// Says that another process has handed a job over.
+    /// Reports that another process has handed over a job, which this process may take over.
     pub fn job_handed_over(&self, job: JobId) {
         self.input(LedgerInput::Offered { job });
     }
 
-    /// Begins to hand all jobs over.
+    /// Starts to hand over all jobs, for a graceful shutdown.
     pub fn begin_handover(&self) {
         self.input(LedgerInput::Stopping);
     }
 
-    /// Waits until this process works on no job.
+    /// Waits until this process owns no job.
     pub async fn wait_until_idle(&self) {
         loop {
             let (sender, receiver) = flume::bounded(1);
@@ -101,7 +102,7 @@
         }
     }
 
-    /// Progress of a job, if this process owns it.
+    /// Numbers of completed and failed items of a job, if this process owns it.
     pub async fn progress(&self, job: &JobId) -> Option<Progress> {
         let (sender, receiver) = flume::bounded(1);
         let _ = self.messages.send(Message::Progress(job.clone(), sender));
@@ -113,25 +114,25 @@
     }
 }
 
-/// What the ledger's task uses.
+/// Configuration and handles that the task uses.
 pub struct JobsEnv<R> {
-    /// How the ledger works.
+    /// Limits and intervals of the ledger.
     pub config: LedgerConfig,
     /// Clock of the process.
     pub clock: Clock,
-    /// The task's own handle.
+    /// Handle to this task, which receives the store's answers and the ends of items.
     pub handle: JobsHandle,
-    /// Other doors, which are offered jobs that are handed over.
+    /// Peers, which jobs are handed over to.
     pub peers: Peers,
-    /// The object API.
+    /// Client of the object store.
     pub store: StoreClient,
-    /// Counters.
+    /// Metrics of the process.
     pub metrics: Rc<Metrics>,
-    /// Runs an item to its end, or until it is told to stop.
+    /// Runs an item until it ends or a message arrives at the receiver, which stops it.
     pub run_item: R,
 }
 
-/// Runs the ledger until the process ends.
+/// Handles messages until the process ends.
 pub async fn run<R, F>(env: JobsEnv<R>, inbox: JobsInbox)
 where
     R: Fn(ItemWork, flume::Receiver<()>) -> F,
@@ -141,7 +142,7 @@
     Task { env, ledger, stop_senders: HashMap::new(), actions: Vec::new() }.run(inbox).await;
 }
 
-/// How the ledger of a process works; `writer` is its name in records.
+/// Configuration of this process's ledger; `writer` is its name in stored records.
 pub fn ledger_config(config: &DoorConfig, incarnation: u64, writer: Name) -> LedgerConfig {
     let lease_ms = config.lease.as_millis() as u64;
     let renew_ms = config.renew.as_millis() as u64;
@@ -156,7 +157,7 @@
 struct Task<R> {
     env: JobsEnv<R>,
     ledger: Ledger,
-    // Runs under way, and how to stop them.
+    // Senders that stop running items.
     stop_senders: HashMap<ItemRef, flume::Sender<()>>,
     actions: Vec<LedgerAction>,
 }
@@ -210,7 +211,7 @@
             }
             LedgerAction::HandedOver(job) => {
                 self.env.metrics.job_event("handed_over");
-                log::info!("jobs: {job} is handed over");
+                log::info!("jobs: {job} handed over");
                 self.env.peers.offer(job);
             }
             LedgerAction::Note(note) => self.note(&note),
@@ -234,11 +235,11 @@
         match note {
             Note::Taken { job, epoch } => {
                 metrics.job_event("taken");
-                log::info!("jobs: {job} is taken with epoch {epoch}");
+                log::info!("jobs: {job} taken over with epoch {epoch}");
             }
             Note::Dropped { job } => {
                 metrics.job_event("dropped");
-                log::info!("jobs: {job} is dropped, another process has it");
+                log::info!("jobs: {job} dropped, another process owns it");
             }
             Note::Closed { job, state } => {
                 metrics.job_event(state_label(*state));
@@ -246,11 +247,11 @@
             }
             Note::LeaseOver => {
                 metrics.job_event("lease_over");
-                log::warn!("jobs: the lease is over; nothing is run until it is held again");
+                log::warn!("jobs: the lease has expired; no items are run until it is renewed");
             }
             Note::Unreadable { key, fault } => {
                 metrics.unreadable(*fault);
-                log::error!("jobs: {}/{} is refused: {fault}", key.kind.path(), key.name);
+                log::error!("jobs: {}/{} is unreadable: {fault}", key.kind.path(), key.name);
             }
         }
     }
--- a/crates/samphiredoor/src/keyed.rs
+++ b/crates/samphiredoor/src/keyed.rs
@@ -1,7 +1,8 @@
-//! One online request under an idempotency key: it runs at most once, and a resend gets the first answer.
+//! Handles an online request with an idempotency key: it runs at most once, and a resend gets the first answer.
 //!
-//! The run goes on when its caller goes away, so that the answer is there for the resend. A streamed answer is passed
-//! on as it comes and kept once it is complete; its run ends with its caller, and then counts as one that may have run.
+//! The run continues if its caller disconnects, so that the answer is available for the resend. A streamed answer is
+//! forwarded as it arrives and stored once it is complete; its run ends if the caller disconnects, and is then recorded
+//! as one that may have run.
 
 use std::{sync::Arc, time::Instant};
 
@@ -26,14 +27,14 @@
 };
 
 const MAX_KEY_BYTES: usize = 256;
-/// Header of an answer that was kept from an earlier sending.
+/// Header that marks an answer stored from an earlier send of the same request.
 pub const REPLAYED_HEADER: &str = "x-replayed";
 
-/// The caller's key, if it sent one.
+/// The caller's idempotency key, if it sent one.
 ///
 /// # Errors
 ///
-/// An answer that says what is wrong with the key.
+/// Returns the answer to the caller if the key is invalid.
 pub fn caller_key(headers: &HeaderMap) -> Result<Option<Name>, Response<Body>> {
     if !headers.contains_key(KEY_HEADER) {
         return Ok(None);
@@ -44,12 +45,12 @@
     }
 }
 
-/// Answers a request under a key.
+/// Answers a request with an idempotency key.
 pub async fn answer(mut online: OnlineRequest, mut spec: RequestSpec, key: Name) -> Response<Body> {
-    // A run that outlived the memory of its key could meet a second one.
+    // A run must end before its key is forgotten; otherwise a resend could start a second one.
     let max_run = online.door.config.remember_keys / 2;
     online.deadline = online.deadline.min(Instant::now() + max_run);
-    // A keyed request is never sent to a second target after doubt, also where its service may be called again.
+    // A keyed request that may have run is never sent to a second target, even if its service allows repeated calls.
     spec.repeatable = false;
     let arrival = Arrival {
         request: spec.request,
@@ -89,7 +90,7 @@
     Arc::from(&hasher.finalize().to_hex()[..32])
 }
 
-/// Runs in a task of its own: the caller may go away, the run and its record go on.
+/// Runs the request in a task of its own, so that the run is completed and recorded even if the caller disconnects.
 async fn run(
     online: OnlineRequest,
     spec: RequestSpec,
@@ -165,7 +166,7 @@
         match this.body.frame().await {
             Some(Ok(frame)) => {
                 let piece = frame.into_data().unwrap_or_default();
-                // One byte above the bound is enough to know that the answer is too large.
+                // One byte above the limit is enough to tell that the answer is too large.
                 let remaining = (MAX_BODY_BYTES + 1).saturating_sub(this.bytes.len());
                 this.bytes.extend_from_slice(&piece[..piece.len().min(remaining)]);
                 Some((Ok(piece), Some(this)))
--- a/crates/samphiredoor/src/keys_task.rs
+++ b/crates/samphiredoor/src/keys_task.rs
@@ -1,4 +1,5 @@
-//! The task that owns the idempotency keys, and the handles by which requests speak to it.
+//! Runs the state machine of the idempotency keys in a task of its own; requests send messages to it and receive its
+//! decisions through handles.
 
 use std::{cell::Cell, collections::HashMap, rc::Rc, time::Duration};
 
@@ -18,16 +19,16 @@
 const IDLE_POLL: Duration = Duration::from_millis(20);
 const STOPPING_RETRY_AFTER_MS: u64 = 1_000;
 
-/// What was decided for a request under a key.
+/// Decision on a request with an idempotency key.
 #[derive(Debug, Clone)]
 pub enum KeyDecision {
-    /// Run it and report its end.
+    /// Run the request and report its outcome.
     Run,
-    /// It shares the run in hand; another decision follows.
+    /// A run with the same key is in progress; another decision follows when it ends.
     Joined,
-    /// Answer as before.
+    /// Send the stored answer of an earlier run.
     Replay(KeptAnswer),
-    /// It ends without an answer.
+    /// The request ends without an answer from a target.
     Refused(Verdict),
 }
 
@@ -36,24 +37,24 @@
     Input(KeysInput),
 }
 
-/// Handle to the keys' task.
+/// Handle to the task of the keys.
 #[derive(Clone)]
 pub struct KeysHandle {
     messages: flume::Sender<Message>,
     open_count: Rc<Cell<usize>>,
 }
 
-/// Inbox of the keys' task, before the task starts.
+/// Inbox that the task reads once it is started.
 pub struct KeysInbox(flume::Receiver<Message>);
 
 impl KeysHandle {
-    /// Handle and inbox.
+    /// Creates a handle and the inbox that it sends to.
     pub fn new() -> (KeysHandle, KeysInbox) {
         let (messages, inbox) = flume::unbounded();
         (KeysHandle { messages, open_count: Rc::default() }, KeysInbox(inbox))
     }
 
-    /// Hands over a request that arrived under a key.
+    /// Submits a request that carries a key; its decisions arrive at the returned handle.
     pub fn submit(&self, arrival: Arrival) -> KeyedRequestHandle {
         let (sender, decisions) = flume::unbounded();
         let request = arrival.request;
@@ -61,22 +62,22 @@
         KeyedRequestHandle { request, decisions, messages: self.messages.clone(), open: true }
     }
 
-    /// Waits until no keyed request runs and all outcomes are written.
+    /// Waits until no keyed request is running and all outcomes are written to the store.
     pub async fn wait_until_idle(&self) {
         while self.open_count.get() > 0 {
             compio::time::sleep(IDLE_POLL).await;
         }
     }
 
-    /// Says that the lease of a process has lapsed; a hint.
+    /// Reports that the lease of a process has expired. This is a hint, correctness does not depend on it.
     pub fn lease_expired(&self, process: &str, incarnation: u64) {
         let holder = holder_name(process, incarnation);
         let _ = self.messages.send(Message::Input(KeysInput::Lapsed { holder }));
     }
 }
 
-/// A request as the keys know it. Dropping it says that nobody waits any more; if it ran, it counts as one that may
-/// have run.
+/// A submitted request. Dropping the handle reports that nobody waits for the answer any more; if the request was
+/// running, it is recorded as one that may have run.
 pub struct KeyedRequestHandle {
     request: RequestId,
     decisions: flume::Receiver<KeyDecision>,
@@ -85,7 +86,7 @@
 }
 
 impl KeyedRequestHandle {
-    /// Waits for the next decision.
+    /// Waits for the next decision; a refusal if the task has ended.
     pub async fn decision(&mut self) -> KeyDecision {
         let stopping = || {
             let (retry_after_ms, reason) = (STOPPING_RETRY_AFTER_MS, Refusal::Stopping);
@@ -96,7 +97,7 @@
         decision
     }
 
-    /// Says how the run ended.
+    /// Reports the outcome of the run.
     pub fn ended(mut self, outcome: KeyOutcome) {
         self.open = false;
         let input = KeysInput::Ended { request: self.request, outcome };
@@ -113,21 +114,21 @@
     }
 }
 
-/// What the keys' task uses.
+/// Configuration and handles that the task uses.
 pub struct KeysEnv {
-    /// Bounds, and the name of this process in records.
+    /// Limits, and the name of this process in stored records.
     pub config: KeysConfig,
     /// Clock of the process.
     pub clock: Clock,
-    /// The task's own handle.
+    /// Handle to this task, which receives the store's answers.
     pub handle: KeysHandle,
-    /// The object API.
+    /// Client of the object store.
     pub store: StoreClient,
-    /// Counters.
+    /// Metrics of the process.
     pub metrics: Rc<Metrics>,
 }
 
-/// Runs the keys until the process ends.
+/// Handles messages until the process ends.
 pub async fn run(env: KeysEnv, inbox: KeysInbox) {
     let keys = Keys::new(env.config.clone());
     let mut task = Task { keys, waiting: HashMap::new(), env };
--- a/crates/samphiredoor/src/lending_task.rs
+++ b/crates/samphiredoor/src/lending_task.rs
@@ -1,4 +1,5 @@
-//! Carries between the dispatcher and the other doors what lending needs: who lives, shares, and traffic.
+//! Connects the dispatcher with other gateways for the allocation of batch slots: reports the live gateways to the
+//! dispatcher, and sends its slot grants and traffic reports to them.
 
 use std::{rc::Rc, time::Duration};
 
@@ -13,7 +14,7 @@
 
 const LIVE_REPORT_PERIOD: Duration = Duration::from_millis(250);
 
-/// Runs until the process ends.
+/// Reports the live gateways periodically and forwards hints until the process ends.
 pub async fn run(door: Rc<Door>, hints: flume::Receiver<(Name, Hint)>) {
     loop {
         report_live_gateways(&door);
@@ -28,7 +29,8 @@
     }
 }
 
-/// Lending divides targets among the doors that live; a stopping one is left out, so that its part moves on in time.
+/// Reports which gateways share the batch slots of targets. A stopping gateway is left out, so that its slots and the
+/// allocation that it does move to others before it ends.
 fn report_live_gateways(door: &Door) {
     let own = LiveGateway { name: door.config.name(), region: Name::clone(&door.config.region) };
     let members = door.peers.live();
--- a/crates/samphiredoor/src/load_poll.rs
+++ b/crates/samphiredoor/src/load_poll.rs
@@ -1,9 +1,9 @@
-//! Asks the engines that this door uses how busy they are, at a bounded rate.
+//! Polls the load of the engines that this process uses, at a bounded rate.
 //!
-//! One call at a time, with a pause between two, whatever the number of engines: so the traffic stays within what a
-//! node may spend for control, and the age of a report grows with the number of engines instead. Engines where this
-//! door has requests are asked in each round, the others by turns. A refused connection takes a target out of work
-//! before a request has to find out.
+//! There is one call at a time, with a pause after each, whatever the number of engines. So the traffic stays within the
+//! budget of a node for control messages, and with more engines the reports get older instead. Engines that run requests
+//! of this process are polled in each round, a few of the idle ones in rotation. A refused connection takes a target out
+//! of service before a request is sent to it.
 
 use std::{rc::Rc, time::Duration};
 
@@ -24,7 +24,7 @@
 const MAX_REPORT_BYTES: usize = 16 * 1024;
 const LOAD_PATH: &str = "/load";
 
-/// An engine's report, as far as it is used.
+/// The fields of an engine's load report that are used.
 #[derive(Debug, Default)]
 #[derive(Deserialize)]
 struct Report {
@@ -40,7 +40,7 @@
     tokens: u64,
 }
 
-/// Asks again and again until the process ends.
+/// Polls until the process ends.
 pub async fn run(door: Rc<Door>) {
     let mut idle_offset = 0;
     loop {
@@ -59,7 +59,7 @@
 
 async fn next_round(door: &Door, idle_offset: &mut usize) -> Vec<TargetInUse> {
     let mut targets = door.dispatch.targets_in_use().await;
-    // Targets come and go for as long as the process runs; connections to those that have gone would pile up.
+    // Targets are added and removed while the process runs; connections to removed ones would accumulate.
     door.targets.keep_only(&targets.iter().map(|it| it.address).collect());
     targets.retain(|it| is_engine(door, it));
     let (mut round, idle): (Vec<_>, Vec<_>) = targets.into_iter().partition(|it| it.busy);
--- a/crates/samphiredoor/src/online.rs
+++ b/crates/samphiredoor/src/online.rs
@@ -1,4 +1,4 @@
-//! One online request, from the caller's bytes to the whole answer.
+//! Handles one online request: reads it, dispatches it to targets until one answers, and returns the answer.
 
 use std::{
     net::SocketAddr,
@@ -42,7 +42,8 @@
 };
 
 const MAX_WHOLE_ANSWER_BYTES: usize = 16 * 1024 * 1024;
-/// Reads, places and answers one online request.
+
+/// Reads, dispatches and answers one online request.
 pub async fn answer(door: Rc<Door>, request: Request<Incoming>) -> Response<Body> {
     let started = Instant::now();
     let (parts, body) = request.into_parts();
@@ -80,34 +81,34 @@
     }
 }
 
-/// One online request with all that its attempts need.
+/// A parsed online request with everything that its attempts need.
 pub struct OnlineRequest {
-    /// The door's tasks.
+    /// Handles to the tasks of this process.
     pub door: Rc<Door>,
-    /// Call to send.
+    /// Call that each attempt sends to a target.
     pub call: Call,
     is_engine: bool,
     stream: bool,
-    /// When it arrived.
+    /// When the request arrived.
     pub started: Instant,
-    /// When an answer is of no use any more.
+    /// When the caller stops waiting for an answer.
     pub deadline: Instant,
     running: Running,
 }
 
-/// How an attempt ended for the caller.
+/// Result of one attempt, as far as the caller gets something from it.
 enum Outcome {
-    /// With a whole answer.
+    /// The complete answer was read.
     Complete(Response<Body>, AttemptEnd),
-    /// With the beginning of a stream.
+    /// The head and the first piece of a streamed answer were read.
     StreamStarted(Box<response::Parts>, Answer, Bytes),
-    /// Without anything that the caller could get.
+    /// Nothing that could be sent to the caller.
     NoAnswer(AttemptEnd),
 }
 
 impl OnlineRequest {
-    /// Places and sends the request until it has an answer or a verdict. An answer of the door itself has its verdict
-    /// in its extensions, a stream its [`StreamEnd`].
+    /// Dispatches and sends the request until a target answers or a verdict ends it. The extensions of the response hold
+    /// the [`Verdict`] if the gateway itself answers, and a [`StreamEnd`] if the answer is streamed.
     pub async fn run(mut self, spec: RequestSpec) -> Response<Body> {
         let mut handle = self.door.dispatch.submit(spec.clone());
         let mut may_have_run = None;
@@ -138,7 +139,8 @@
                     if let AttemptEnd::AnswerLost(reason) = end {
                         may_have_run.get_or_insert(reason);
                         if reason.is_loss() {
-                            // Before another attempt, so that it is not sent to a second target unsuspected.
+                            // The quarantine must decide first; otherwise a request that crashes targets would be sent
+                            // to a second one before it is suspected.
                             admitted.connection_lost().await;
                         }
                     }
@@ -176,8 +178,8 @@
         }
     }
 
-    /// Waits for a stream's first piece. Until then nothing has reached the caller, so that a request that may run
-    /// twice can still be sent to another target.
+    /// Waits for the first piece of a stream. Nothing has reached the caller before that, so a repeatable request can
+    /// still be sent to another target.
     async fn start_stream(&self, response: Response<Answer>) -> Outcome {
         let (parts, mut body) = response.into_parts();
         match next_piece(&mut body, self.deadline).await {
@@ -192,7 +194,7 @@
         }
     }
 
-    /// Time to the deadline.
+    /// Time that is left until the deadline; zero once it has passed.
     pub fn time_left(&self) -> Duration {
         self.deadline.saturating_duration_since(Instant::now())
     }
@@ -201,7 +203,7 @@
         self.door.metrics.ended(Class::Online, verdict, self.started.elapsed().as_secs_f64());
     }
 
-    /// Counts a verdict and gives the answer that tells it.
+    /// Counts a verdict in the metrics and returns it as an answer to the caller.
     pub fn refused(&self, verdict: Verdict) -> Response<Body> {
         self.record_verdict(verdict);
         verdict_response(verdict)
@@ -251,7 +253,7 @@
     }
 }
 
-/// Verdict when the deadline passes while no target has the request: an earlier attempt may have run.
+/// Verdict when the deadline passes while no target has the request. An earlier attempt may have run it.
 fn deadline_verdict(may_have_run: Option<MayHaveRunReason>) -> Verdict {
     match may_have_run {
         Some(reason) => Verdict::MayHaveRun { reason },
@@ -259,7 +261,7 @@
     }
 }
 
-/// Verdict on a request that is blamed for the death of targets; final in either case.
+/// Verdict on a quarantined request, one that is suspected of crashing targets. A retry cannot succeed in either case.
 fn quarantined_verdict(may_have_run: Option<MayHaveRunReason>) -> Verdict {
     match may_have_run {
         Some(_) => Verdict::MayHaveRun { reason: MayHaveRunReason::TargetsDied },
@@ -267,7 +269,8 @@
     }
 }
 
-/// What an engine says by 503 or 429: that it refused the request without running it.
+/// Recognizes a refusal of an engine: 503 and 429 mean that it did not run the request. A plain service's 503 or 429 is
+/// its answer, because only the service knows whether the request ran.
 pub fn pushback<B>(is_engine: bool, response: &Response<B>) -> Option<AttemptEnd> {
     let refuses = matches!(
         response.status(),
@@ -280,13 +283,14 @@
     })
 }
 
+/// Removes the headers that describe the framing of the connection to the target.
 fn strip_framing(headers: &mut HeaderMap) {
     for name in [header::TRANSFER_ENCODING, header::CONTENT_LENGTH, header::CONNECTION] {
         headers.remove(name);
     }
 }
 
-/// Whether a path is for online requests.
+/// Whether a method and path belong to an online request.
 pub fn is_online(method: &Method, path: &str) -> bool {
     let completion = matches!(path, "/v1/completions" | "/v1/chat/completions");
     (completion && method == Method::POST) || service_in_path(path).is_some()
--- a/crates/samphiredoor/src/quarantine_task.rs
+++ b/crates/samphiredoor/src/quarantine_task.rs
@@ -1,7 +1,7 @@
-//! The task that owns the quarantine, and the handles by which attempts speak to it.
+//! Runs the quarantine in a task of its own; attempts send messages to it through handles.
 //!
-//! An attempt enters before it is sent and leaves when it has ended. It waits for the answer to its entry only while
-//! some request is suspected, so that the quarantine costs an ordinary request two messages and no turn.
+//! An attempt is announced before it is sent, and reported again when it has ended. It waits for admission only while
+//! some request is suspected, so that without a suspect the quarantine costs a request two messages and no wait.
 
 use std::{cell::Cell, collections::HashMap, net::SocketAddr, rc::Rc, time::Duration};
 
@@ -21,7 +21,7 @@
 
 const TICK: Duration = Duration::from_millis(250);
 const PROBE_TIMEOUT: Duration = Duration::from_millis(100);
-/// Pause before the second probe: a process that ends may close its connections before its listener.
+/// Delay before the second probe: a process that ends may close its connections before its listening socket.
 const SECOND_PROBE_DELAY: Duration = Duration::from_millis(20);
 
 enum Message {
@@ -31,24 +31,24 @@
     Input(QuarantineInput),
 }
 
-/// Handle to the quarantine's task.
+/// Handle to the task of the quarantine.
 #[derive(Clone)]
 pub struct QuarantineHandle {
     messages: flume::Sender<Message>,
     has_suspects: Rc<Cell<bool>>,
 }
 
-/// Inbox of the quarantine's task, before the task starts.
+/// Inbox that the task reads once it is started.
 pub struct QuarantineInbox(flume::Receiver<Message>);
 
 impl QuarantineHandle {
-    /// Handle and inbox.
+    /// Creates a handle and the inbox that it sends to.
     pub fn new() -> (QuarantineHandle, QuarantineInbox) {
         let (messages, inbox) = flume::unbounded();
         (QuarantineHandle { messages, has_suspects: Rc::default() }, QuarantineInbox(inbox))
     }
 
-    /// Says that an attempt is about to be sent, and waits until it may be; `None` if the request is blamed.
+    /// Announces an attempt and waits until it may be sent; `None` if the request is quarantined.
     pub async fn admit(
         &self,
         attempt: RequestId,
@@ -65,17 +65,17 @@
         Some(admitted)
     }
 
-    /// Takes what a peer told.
+    /// Records a suspect that a peer reported.
     pub fn record_peer_report(&self, suspect: Suspect) {
         self.send(Message::Input(QuarantineInput::Told(suspect)));
     }
 
-    /// Lifts the suspicion of a request.
+    /// Lifts the suspicion of a request here and at all peers.
     pub fn lift(&self, fingerprint: u64) {
         self.send(Message::Input(QuarantineInput::Lift { fingerprint }));
     }
 
-    /// All that are suspected, blamed or lifted.
+    /// All suspected, quarantined and lifted requests.
     pub async fn list(&self) -> Vec<Suspect> {
         let (reply, answer) = flume::bounded(1);
         self.send(Message::List(reply));
@@ -87,7 +87,7 @@
     }
 }
 
-/// An attempt that may be sent. Dropping it says that the attempt ended in a way that says nothing about the request.
+/// An attempt that may be sent. Dropping it reports an end from which nothing follows about the request.
 pub struct AdmittedAttempt {
     attempt: RequestId,
     messages: flume::Sender<Message>,
@@ -95,12 +95,13 @@
 }
 
 impl AdmittedAttempt {
-    /// The whole answer arrived.
+    /// Reports that the complete answer arrived.
     pub fn answered(mut self) {
         self.leave(Left::Answered);
     }
 
-    /// The connection was lost after the request was sent; waits until it is known what that means.
+    /// Reports that the connection was lost after the request was sent, and waits until the quarantine has found out
+    /// whether the target died.
     pub async fn connection_lost(mut self) {
         self.open = false;
         let (resolved, wait) = flume::bounded(1);
@@ -108,7 +109,7 @@
         let _ = wait.recv_async().await;
     }
 
-    /// The same for an attempt that is not followed by another one.
+    /// Reports a lost connection without waiting, for a request that is not sent again.
     pub fn connection_lost_without_retry(mut self) {
         self.leave(Left::Lost);
     }
@@ -132,23 +133,23 @@
     }
 }
 
-/// What the quarantine's task uses.
+/// Configuration and handles that the task uses.
 pub struct QuarantineEnv {
-    /// Bounds, and the name of this process in records.
+    /// Limits, and the name of this process in stored records.
     pub config: QuarantineConfig,
     /// Clock of the process.
     pub clock: Clock,
-    /// The task's own handle.
+    /// Handle to this task, which receives the results of probes and the store's answers.
     pub handle: QuarantineHandle,
-    /// Other doors, which are told of suspects.
+    /// Peers, which suspects are reported to.
     pub peers: Peers,
-    /// The object API.
+    /// Client of the object store.
     pub store: StoreClient,
-    /// Counters.
+    /// Metrics of the process.
     pub metrics: Rc<Metrics>,
 }
 
-/// Runs the quarantine until the process ends.
+/// Handles messages until the process ends.
 pub async fn run(env: QuarantineEnv, inbox: QuarantineInbox) {
     let mut task = Task {
         quarantine: Quarantine::new(env.config.clone()),
@@ -228,7 +229,7 @@
             QuarantineAction::Blamed { fingerprint } => {
                 self.env.metrics.quarantine().blamed();
                 log::warn!(
-                    "quarantine: request {fingerprint:016x} is refused, targets died with it"
+                    "quarantine: request {fingerprint:016x} is quarantined, targets died while running it"
                 );
             }
             QuarantineAction::Store { call, op } => {
@@ -247,7 +248,8 @@
     }
 }
 
-/// Whether a target refuses connections. One that does not answer is cut off rather than dead.
+/// Whether a target refuses connections in one of two probes. A target that does not answer is unreachable, which is no
+/// proof that it died.
 async fn refuses_connections(target: SocketAddr) -> bool {
     if refuses_connection(target).await {
         return true;
--- a/crates/samphiredoor/src/request_body.rs
+++ b/crates/samphiredoor/src/request_body.rs
@@ -1,7 +1,7 @@
-//! The body of a caller's request, read with bounds on its size and on each wait.
+//! Reads the body of a caller's request, with limits on its size and on the wait for each piece.
 //!
-//! A client that sends half of a body and then nothing would hold its connection and what was read for ever; it is
-//! answered and cut after the wait that the settings allow.
+//! A client that sends half of a body and then stops would otherwise hold its connection and the memory of what was read
+//! forever. After the configured timeout it is answered and its connection is closed.
 
 use std::time::Duration;
 
@@ -15,7 +15,7 @@
 
 use crate::answers::{bad_request, json_response};
 
-/// A body as it arrives.
+/// A request body that is read piece by piece.
 pub struct RequestBody {
     incoming: Incoming,
     max_bytes: usize,
@@ -23,19 +23,19 @@
     bytes: usize,
 }
 
-/// Why a body was not read to its end.
+/// Why a body was not read to the end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BodyError {
-    /// More than the allowed bytes.
+    /// It is larger than the configured limit.
     TooLarge,
-    /// The client did not send in time.
+    /// The client sent nothing for the configured timeout.
     TooSlow,
-    /// The connection failed or the framing was cut.
+    /// The connection failed, or closed before the end of the framing.
     Truncated,
 }
 
 impl BodyError {
-    /// Answer to the client; nothing was run or accepted.
+    /// Answer to the client. No part of the request was run or accepted.
     pub fn answer(self) -> Response<Body> {
         match self {
             BodyError::TooLarge => bad_request("body", "is larger than this door takes"),
@@ -50,12 +50,12 @@
 }
 
 impl RequestBody {
-    /// Body of at most `max_bytes`, each piece of which comes within `wait`.
+    /// Limits the body to `max_bytes` and the wait for each piece to `wait`.
     pub fn new(incoming: Incoming, max_bytes: usize, wait: Duration) -> RequestBody {
         RequestBody { incoming, max_bytes, wait, bytes: 0 }
     }
 
-    /// The next piece; `None` at the end.
+    /// Reads the next piece; `None` at the end.
     pub async fn piece(&mut self) -> Result<Option<Bytes>, BodyError> {
         let piece = match next_piece(&mut self.incoming, self.wait).await {
             Ok(piece) => piece,
@@ -69,7 +69,7 @@
         Ok(piece)
     }
 
-    /// The whole body.
+    /// Reads the whole body into memory.
     pub async fn read_to_end(mut self) -> Result<Bytes, BodyError> {
         let Some(first) = self.piece().await? else { return Ok(Bytes::new()) };
         let Some(second) = self.piece().await? else { return Ok(first) };
--- a/crates/samphiredoor/src/request_spec.rs
+++ b/crates/samphiredoor/src/request_spec.rs
@@ -1,4 +1,4 @@
-//! What an online request asks for, read from its path, headers and body.
+//! Builds the dispatcher's description of an online request from its path, headers and body.
 
 use std::time::{Duration, Instant};
 
@@ -15,36 +15,36 @@
 
 use crate::{answers::bad_request, door::Door};
 
-/// Header that names the workspace.
+/// Header with the name of the workspace.
 pub const WORKSPACE_HEADER: &str = "x-workspace";
-/// Header that names the deadline, in milliseconds from now.
+/// Header with the deadline, in milliseconds from now.
 pub const DEADLINE_HEADER: &str = "x-deadline-ms";
-/// Header that carries the caller's key.
+/// Header with the caller's idempotency key.
 pub const KEY_HEADER: &str = "idempotency-key";
-/// Header by which targets know a request.
+/// Header with the request id that targets receive.
 pub const REQUEST_ID_HEADER: &str = "x-request-id";
 
 const DEFAULT_WORKSPACE: &str = "default";
 const MAX_DEADLINE: Duration = Duration::from_secs(24 * 60 * 60);
 const HASHED_PREFIX_BYTES: usize = 256;
 
-/// Beginning of a completion call, as far as a door reads it.
+/// The fields of a completion request that the gateway reads.
 #[derive(Debug, Default)]
 #[derive(Deserialize)]
 pub struct CompletionParams {
     #[serde(default)]
-    /// Service asked for.
+    /// Requested service.
     pub model: String,
     #[serde(default)]
     /// Whether the answer is to be streamed.
     pub stream: bool,
 }
 
-/// Reads the service and the form of the answer.
+/// Reads the requested service, and whether to stream the answer.
 ///
 /// # Errors
 ///
-/// What is wrong with the body.
+/// Describes the fault of the body.
 pub fn read_completion_params(uri: &Uri, body: &Bytes) -> Result<CompletionParams, String> {
     if let Some(service) = service_in_path(uri.path()) {
         return Ok(CompletionParams { model: service.to_owned(), stream: false });
@@ -56,11 +56,11 @@
     Ok(params)
 }
 
-/// Makes the dispatcher's view of the request, with the deadline by this process's clock.
+/// Builds the dispatcher's description of the request; the deadline is by the monotonic clock of this process.
 ///
 /// # Errors
 ///
-/// The answer to a request whose headers make no sense.
+/// Returns the answer to the caller if a header is invalid.
 pub fn build_request_spec(
     door: &Door,
     headers: &HeaderMap,
@@ -97,13 +97,13 @@
     Ok((spec, Instant::now() + deadline))
 }
 
-/// Whether a service is a model engine.
+/// Whether a service is a model engine. A service that is not in the manifest counts as one.
 pub fn is_engine(door: &Door, service: &str) -> bool {
     let manifest = door.manifest.current();
     manifest.services.get(service).is_none_or(|it| it.kind == ServiceKind::Engine)
 }
 
-/// Hash that is the same in every process.
+/// Hash that has the same value in every process and incarnation.
 pub fn hash(bytes: &[u8]) -> u64 {
     high_bits(&blake3::hash(bytes))
 }
@@ -113,19 +113,20 @@
     first.iter().fold(0, |sum, byte| sum << 8 | u64::from(*byte))
 }
 
-/// Hash by which a request is known again if it crashes targets: its path and its body.
+/// Hash of a request's path and body, which identifies the request in the quarantine if it crashes targets.
 pub fn fingerprint(path: &str, body: &[u8]) -> u64 {
     let mut hasher = blake3::Hasher::new();
     hasher.update(path.as_bytes()).update(&[0]).update(body);
     high_bits(&hasher.finalize())
 }
 
-/// Text of a header, if it stands and is text.
+/// Value of a header, if it is present and visible ASCII.
 pub fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name).and_then(|it| it.to_str().ok())
 }
 
-/// Headers of a call to a target: what the caller sent about the content, and an id that is unique among all doors.
+/// Headers of a call to a target: the caller's `content-type`, `accept` and `authorization`, and its request id or a new
+/// one that is unique among all gateways.
 pub fn forwarded_headers(headers: &HeaderMap, door: &Door, request: RequestId) -> HeaderMap {
     let mut forwarded = HeaderMap::new();
     for name in [header::CONTENT_TYPE, header::ACCEPT, header::AUTHORIZATION] {
--- a/crates/samphiredoor/src/stream_end.rs
+++ b/crates/samphiredoor/src/stream_end.rs
@@ -1,7 +1,8 @@
-//! Whether a streamed answer is whole.
+//! Detects whether a streamed answer is complete.
 //!
-//! An engine's stream is whole only when its last event, `data: [DONE]`, has been seen. A clean end of the framing
-//! proves nothing: an engine that fails, or a proxy in front of it, may end the framing in order in mid-answer.
+//! The stream of an engine is complete only if its last event, `data: [DONE]`, has arrived. An orderly end of the
+//! framing is no proof: an engine that fails, or a proxy in front of it, may end the framing correctly in the middle of
+//! an answer.
 
 use std::sync::{Arc, OnceLock};
 
@@ -9,16 +10,16 @@
 
 const DONE: &[u8] = b"data: [DONE]";
 
-/// Looks for the last event in the pieces of a stream, wherever they are cut.
+/// Detects the last event of a stream, also if it is split over several pieces.
 #[derive(Debug, Default)]
 pub struct DoneDetector {
-    /// Beginning of the line in hand, no longer than the mark and one more.
+    /// Start of the current line, at most one byte longer than [`DONE`]; that is enough to tell them apart.
     line: Vec<u8>,
     seen: bool,
 }
 
 impl DoneDetector {
-    /// Reads the next piece.
+    /// Scans the next piece.
     pub fn push(&mut self, piece: &[u8]) {
         for byte in piece {
             match byte {
@@ -29,7 +30,7 @@
         }
     }
 
-    /// Whether the last event was seen.
+    /// Whether the last event has arrived.
     pub fn is_seen(&self) -> bool {
         self.seen || self.line == DONE
     }
@@ -40,17 +41,18 @@
     }
 }
 
-/// How a stream ended, told by the one who passes it on; unset while it runs and if its caller went away.
+/// Shared verdict on a stream, set by the code that forwards it. It is unset while the stream runs, and stays unset if the
+/// caller disconnects.
 #[derive(Debug, Clone, Default)]
 pub struct StreamEnd(Arc<OnceLock<Verdict>>);
 
 impl StreamEnd {
-    /// Says how the stream ended.
+    /// Records the verdict; later calls have no effect.
     pub fn set(&self, verdict: Verdict) {
         let _ = self.0.set(verdict);
     }
 
-    /// How the stream ended.
+    /// The verdict, once the stream has ended.
     pub fn get(&self) -> Option<Verdict> {
         self.0.get().copied()
     }
--- a/crates/samphiredoor/src/stream_forwarding.rs
+++ b/crates/samphiredoor/src/stream_forwarding.rs
@@ -1,4 +1,4 @@
-//! A stream on its way from a target to a caller.
+//! Forwards a streamed answer from a target to the caller.
 
 use std::{rc::Rc, time::Instant};
 
@@ -21,27 +21,28 @@
     stream_end::{DoneDetector, StreamEnd},
 };
 
-/// A stream on its way to the caller. Dropping it (the caller has gone) closes the connection to the target.
+/// A streamed answer that is being forwarded. It is dropped when the caller disconnects, which closes the connection to
+/// the target.
 pub struct ForwardedStream {
-    /// Rest of the answer.
+    /// Body of the answer after `first`.
     pub body: Answer,
-    /// Piece that was waited for before the answer began.
+    /// First piece, which was read before the answer to the caller was started.
     pub first: Option<Bytes>,
-    /// Looks for the last event; only an engine's stream has one.
+    /// Detects the last event; only streams of engines have one.
     pub done_detector: Option<DoneDetector>,
-    /// Told how the stream ended.
+    /// Set to the verdict when the stream ends.
     pub end: StreamEnd,
-    /// The request as the dispatcher knows it.
+    /// Reports the end of the attempt to the dispatcher.
     pub handle: RequestHandle,
-    /// The attempt as the quarantine knows it.
+    /// Reports the end of the attempt to the quarantine; `None` once it is reported.
     pub admitted: Option<AdmittedAttempt>,
-    /// Counters.
+    /// Counts the verdict and the latency.
     pub metrics: Rc<Metrics>,
     /// When the request arrived.
     pub started: Instant,
-    /// When the answer is of no use any more.
+    /// When the caller stops waiting for the answer.
     pub deadline: Instant,
-    /// Counts the request as running.
+    /// Counts the request as running until it is dropped.
     pub _running: Running,
 }
 
@@ -49,7 +50,7 @@
 pub type Piece = Result<Bytes, BoxError>;
 
 impl ForwardedStream {
-    /// Next piece for the caller; an error event where the answer was cut.
+    /// Next piece for the caller. A truncated answer ends with an error event.
     pub async fn next(
         forwarded: Option<ForwardedStream>,
     ) -> Option<(Piece, Option<ForwardedStream>)> {
@@ -82,7 +83,7 @@
                 this.handle.ended(AttemptEnd::AnswerTruncated(reason));
                 let verdict = Verdict::MayHaveRun { reason };
                 this.record_verdict(verdict);
-                // The caller is told that its answer is cut: an error event, and no `[DONE]` after it.
+                // An error event without `[DONE]` after it reports the truncation to the caller.
                 let event = format!("event: error\ndata: {}\n\n", verdict_json(verdict));
                 Some((Ok(event.into()), None))
             }
@@ -95,7 +96,7 @@
     }
 }
 
-/// Next piece of an answer; `None` at the end of its framing.
+/// Next piece of an answer; `None` at the end of the framing, which need not be the end of the answer.
 pub async fn next_piece(
     answer: &mut Answer,
     deadline: Instant,
--- a/crates/samphiredoor/src/targets.rs
+++ b/crates/samphiredoor/src/targets.rs
@@ -1,4 +1,4 @@
-//! Connections to targets.
+//! Connection pools to targets.
 
 use std::{
     cell::RefCell,
@@ -14,7 +14,7 @@
     pool::{Answer, SendError},
 };
 
-/// Pools of connections, one for each address.
+/// One connection pool for each address.
 #[derive(Clone, Default)]
 pub struct TargetPools {
     pools: Rc<RefCell<HashMap<SocketAddr, Pool>>>,
@@ -25,7 +25,7 @@
     ///
     /// # Errors
     ///
-    /// Whether the call can have reached the target.
+    /// The variant tells whether the call may have reached the target.
     pub async fn send(
         &self,
         address: SocketAddr,
@@ -39,7 +39,7 @@
         pool.send(request).await
     }
 
-    /// Closes the idle connections to all addresses but those. Calls that run keep theirs.
+    /// Closes the idle connections to all other addresses. Running calls keep their connections.
     pub fn keep_only(&self, addresses: &HashSet<SocketAddr>) {
         self.pools.borrow_mut().retain(|address, _| addresses.contains(address));
     }
