--- a/crates/samphiredoor/src/access.rs
+++ b/crates/samphiredoor/src/access.rs
@@ -7,7 +7,7 @@
 
 const MIN_TOKEN_BYTES: usize = 16;
 
-/// Token that operators and peers present; only its digest is held in memory.
+/// Token that operators present; only its digest is held in memory.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Token(blake3::Hash);
 
@@ -21,8 +21,8 @@
         Ok(Token(blake3::hash(read_token(file)?.as_bytes())))
     }
 
-    /// Whether the `authorization` header carries this token. Digests are compared in constant time, so that the duration
-    /// reveals nothing about the token.
+    /// Whether the `authorization` header carries this token. Digests are compared in constant time, so that the
+    /// duration reveals nothing about the token.
     pub fn admits(&self, headers: &HeaderMap) -> bool {
         let value = headers.get(header::AUTHORIZATION).and_then(|it| it.to_str().ok());
         let presented = value.and_then(|it| it.strip_prefix("Bearer "));
--- a/crates/samphiredoor/src/answers.rs
+++ b/crates/samphiredoor/src/answers.rs
@@ -118,33 +118,37 @@
     match reason {
         Refusal::BadRequest => "the request is malformed",
         Refusal::UnknownService => "no such service is declared; check the model or path",
-        Refusal::NoTarget => "no target of the service takes work now",
-        Refusal::Overloaded => "all targets are busy; come back after the time given",
-        Refusal::WorkspaceLimit => "the workspace is at its own limit",
+        Refusal::NoTarget => "no target of the service accepts requests now",
+        Refusal::Overloaded => "all targets are busy; retry after the given time",
+        Refusal::WorkspaceLimit => "the workspace has reached its limit",
         Refusal::DeadlineTooShort => "the answer would come after the deadline",
-        Refusal::ConnectFailed => "no target could be connected to",
+        Refusal::ConnectFailed => "no target accepted a connection",
         Refusal::StoreUnavailable => {
-            "the object store is not reachable; this sending was not run, an earlier one under the same key may have been"
+            "the object store is unreachable; this request was not run, an earlier one with the same key may have been"
         }
         Refusal::Quarantined => "the request is suspected of crashing targets; ask their owner",
-        Refusal::KeyReused => "the idempotency key stands for another request",
-        Refusal::KeysFull => "there is no room to remember another idempotency key",
-        Refusal::Stopping => "this process is stopping; send again",
+        Refusal::KeyReused => "the idempotency key was used for another request",
+        Refusal::KeysFull => "no more idempotency keys can be stored now",
+        Refusal::Stopping => "this process is stopping; send the request again",
         Refusal::NotReady => "this process has no configuration yet",
     }
 }
 
 fn may_have_run_message(reason: MayHaveRunReason) -> &'static str {
     match reason {
-        MayHaveRunReason::ConnectionLost => "the target was lost before it answered",
-        MayHaveRunReason::AnswerCut => "the target's answer was cut",
+        MayHaveRunReason::ConnectionLost => {
+            "the connection to the target was lost before it answered"
+        }
+        MayHaveRunReason::AnswerCut => "the target's answer was cut off",
         MayHaveRunReason::DeadlinePassed => "the deadline passed before the answer came",
-        MayHaveRunReason::IntentWithoutOutcome => "an earlier run of this request left no outcome",
+        MayHaveRunReason::IntentWithoutOutcome => {
+            "an earlier run of this request has no recorded outcome"
+        }
         MayHaveRunReason::StoreAnswerLost => {
             "the object store did not answer; sending again is safe"
         }
         MayHaveRunReason::StillRunning => "the same request is running; send again for its answer",
-        MayHaveRunReason::AnswerNotKept => "the request ran; its answer was too large to be kept",
+        MayHaveRunReason::AnswerNotKept => "the request ran; its answer was too large to be stored",
         MayHaveRunReason::TargetsDied => "targets died while the request ran; do not send it again",
     }
 }
--- a/crates/samphiredoor/src/item_call.rs
+++ b/crates/samphiredoor/src/item_call.rs
@@ -1,8 +1,8 @@
 //! The call of one batch item, over all its attempts.
 //!
 //! A preempted item has often generated most of its answer already. If the service's engines can resume, the call is
-//! streamed, the partial output is saved, and the next attempt requests only the rest. A preemption then costs the engine
-//! a prefill and no tokens. The ledger still gets one complete answer.
+//! streamed, the partial output is saved, and the next attempt requests only the rest. A preemption then costs the
+//! engine a prefill and no tokens. The ledger still gets one complete answer.
 
 use std::{cell::RefCell, net::SocketAddr, time::Duration};
 
@@ -138,8 +138,8 @@
         exchange.await.unwrap_or(Err(AttemptEnd::AnswerLost(MayHaveRunReason::DeadlinePassed)))
     }
 
-    /// The complete answer, if an attempt was cut off between its last token and the end of its framing: there is nothing
-    /// left to request then.
+    /// The complete answer, if an attempt was cut off between its last token and the end of its framing: there is
+    /// nothing left to request then.
     fn finished_answer(&self) -> Option<ItemEnd> {
         let partial = self.resumable.as_ref()?.partial.borrow();
         let finished = !partial.finish_reason.is_null();
--- a/crates/samphiredoor/src/item_run.rs
+++ b/crates/samphiredoor/src/item_run.rs
@@ -21,8 +21,8 @@
 
 /// Runs an item until it ends or is stopped.
 ///
-/// A started run of an item that is not repeatable is aborted neither by a stop nor by a preemption for online requests:
-/// that would leave an item that may have run and has no answer.
+/// A started run of an item that is not repeatable is aborted neither by a stop nor by a preemption for online
+/// requests: that would leave an item that may have run and has no answer.
 pub async fn run(door: Rc<Door>, work: ItemWork, stop: flume::Receiver<()>) -> ItemEnd {
     let started = std::time::Instant::now();
     let request = door.dispatch.next_request();
@@ -112,8 +112,8 @@
     }
 }
 
-/// End of a quarantined item, one that is suspected of crashing targets. It is final even if a run of the item was lost,
-/// because the item can never be completed.
+/// End of a quarantined item, one that is suspected of crashing targets. It is final even if a run of the item was
+/// lost, because the item can never be completed.
 fn end_quarantined(door: &Door) -> ItemEnd {
     let reason = Refusal::Quarantined;
     door.metrics.ended(Class::Batch, Verdict::NotRun { retry_after_ms: 0, reason }, 0.0);
--- a/crates/samphiredoor/src/job_reads.rs
+++ b/crates/samphiredoor/src/job_reads.rs
@@ -61,8 +61,8 @@
 
 /// One page of results as JSON lines; available while the job runs.
 ///
-/// `x-after-chunk` is the `after_chunk` of the next page; `x-partial` means that this page does not have all its results
-/// yet.
+/// `x-after-chunk` is the `after_chunk` of the next page; `x-partial` means that this page does not have all its
+/// results yet.
 pub async fn results(door: Rc<Door>, job: &str, query: &str) -> Response<Body> {
     let job: JobId = job.into();
     let (header, _) = match read_header(&door, &job).await {
@@ -73,7 +73,7 @@
     let first = match after.map(str::parse::<u32>) {
         None => 0,
         Some(Ok(after)) => after.saturating_add(1),
-        Some(Err(_)) => return bad_request("after_chunk", "is no number"),
+        Some(Err(_)) => return bad_request("after_chunk", "is not a number"),
     };
     let end = header.chunks.min(first.saturating_add(RESULT_CHUNKS_PER_PAGE));
     let mut lines = Vec::new();
--- a/crates/samphiredoor/src/jobs.rs
+++ b/crates/samphiredoor/src/jobs.rs
@@ -54,8 +54,8 @@
     accept(&door, &accepting, &submission).await
 }
 
-/// Waits up to a second for this process to hold its lease. Without a lease its death could not be detected, and its jobs
-/// would never be taken over.
+/// Waits up to a second for this process to hold its lease. Without a lease its death could not be detected, and its
+/// jobs would never be taken over.
 async fn wait_for_lease(door: &Door) -> bool {
     for _ in 0..LEASE_POLLS {
         if door.jobs.lease_held(door.clock.now()) {
@@ -68,7 +68,7 @@
 
 fn parse_headers(door: &Door, headers: &HeaderMap) -> Result<Accepting, Response<Body>> {
     let Some(key) = header_text(headers, KEY_HEADER) else {
-        return Err(bad_request(KEY_HEADER, "name the job, so that sending it again is safe"));
+        return Err(bad_request(KEY_HEADER, "is required, so that sending the job again is safe"));
     };
     if key.is_empty() || key.len() > 256 {
         return Err(bad_request(KEY_HEADER, "use 1 to 256 bytes"));
@@ -81,7 +81,7 @@
     let due_unix_ms = match header_text(headers, DUE_HEADER).map(str::parse) {
         None => None,
         Some(Ok(due_unix_ms)) => Some(due_unix_ms),
-        Some(Err(_)) => return Err(bad_request(DUE_HEADER, "is no number of milliseconds")),
+        Some(Err(_)) => return Err(bad_request(DUE_HEADER, "is not a number of milliseconds")),
     };
     Ok(Accepting {
         workspace: header_text(headers, WORKSPACE_HEADER).unwrap_or("default").into(),
--- a/crates/samphiredoor/src/online.rs
+++ b/crates/samphiredoor/src/online.rs
@@ -107,8 +107,8 @@
 }
 
 impl OnlineRequest {
-    /// Dispatches and sends the request until a target answers or a verdict ends it. The extensions of the response hold
-    /// the [`Verdict`] if the gateway itself answers, and a [`StreamEnd`] if the answer is streamed.
+    /// Dispatches and sends the request until a target answers or a verdict ends it. The extensions of the response
+    /// hold the [`Verdict`] if the gateway itself answers, and a [`StreamEnd`] if the answer is streamed.
     pub async fn run(mut self, spec: RequestSpec) -> Response<Body> {
         let mut handle = self.door.dispatch.submit(spec.clone());
         let mut may_have_run = None;
--- a/crates/samphiredoor/src/request_body.rs
+++ b/crates/samphiredoor/src/request_body.rs
@@ -1,7 +1,7 @@
 //! Reads the body of a caller's request, with limits on its size and on the wait for each piece.
 //!
-//! A client that sends half of a body and then stops would otherwise hold its connection and the memory of what was read
-//! forever. After the configured timeout it is answered and its connection is closed.
+//! A client that sends half of a body and then stops would otherwise hold its connection and the memory of what was
+//! read forever. After the configured timeout it is answered and its connection is closed.
 
 use std::time::Duration;
 
@@ -38,10 +38,10 @@
     /// Answer to the client. No part of the request was run or accepted.
     pub fn answer(self) -> Response<Body> {
         match self {
-            BodyError::TooLarge => bad_request("body", "is larger than this door takes"),
-            BodyError::Truncated => bad_request("body", "was cut"),
+            BodyError::TooLarge => bad_request("body", "is larger than this gateway accepts"),
+            BodyError::Truncated => bad_request("body", "ended too early"),
             BodyError::TooSlow => {
-                let message = "body: no more of it came in time";
+                let message = "body: timed out while waiting for more of it";
                 let error = json!({ "type": "body_timeout", "message": message, "ran": "not run" });
                 json_response(StatusCode::REQUEST_TIMEOUT, &json!({ "error": error }))
             }
--- a/crates/samphiredoor/src/request_spec.rs
+++ b/crates/samphiredoor/src/request_spec.rs
@@ -77,7 +77,7 @@
         None => service.map_or(default, |it| default.min(Duration::from_millis(it.deadline_ms))),
         Some(text) => match text.parse() {
             Ok(deadline_ms) => Duration::from_millis(deadline_ms).min(MAX_DEADLINE),
-            Err(_) => return Err(bad_request(DEADLINE_HEADER, "is no number of milliseconds")),
+            Err(_) => return Err(bad_request(DEADLINE_HEADER, "is not a number of milliseconds")),
         },
     };
     let prefix = &body[..body.len().min(HASHED_PREFIX_BYTES)];
@@ -125,8 +125,8 @@
     headers.get(name).and_then(|it| it.to_str().ok())
 }
 
-/// Headers of a call to a target: the caller's `content-type`, `accept` and `authorization`, and its request id or a new
-/// one that is unique among all gateways.
+/// Headers of a call to a target: the caller's `content-type`, `accept` and `authorization`, and its request id or a
+/// new one that is unique among all gateways.
 pub fn forwarded_headers(headers: &HeaderMap, door: &Door, request: RequestId) -> HeaderMap {
     let mut forwarded = HeaderMap::new();
     for name in [header::CONTENT_TYPE, header::ACCEPT, header::AUTHORIZATION] {
--- a/crates/samphiredoor/src/stream_end.rs
+++ b/crates/samphiredoor/src/stream_end.rs
@@ -41,8 +41,8 @@
     }
 }
 
-/// Shared verdict on a stream, set by the code that forwards it. It is unset while the stream runs, and stays unset if the
-/// caller disconnects.
+/// Shared verdict on a stream, set by the code that forwards it. It is unset while the stream runs, and stays unset if
+/// the caller disconnects.
 #[derive(Debug, Clone, Default)]
 pub struct StreamEnd(Arc<OnceLock<Verdict>>);
 
