--- a/crates/samphiredoor/src/request_spec.rs
+++ b/crates/samphiredoor/src/request_spec.rs
@@ -51,7 +51,7 @@
     }
     let params: CompletionParams = serde_json::from_slice(body).map_err(|err| err.to_string())?;
     if params.model.is_empty() {
-        return Err("name the service to spec".to_owned());
+        return Err("the name of a service is required".to_owned());
     }
     Ok(params)
 }
--- a/crates/samphiredoor/tests/it/dispatch.rs
+++ b/crates/samphiredoor/tests/it/dispatch.rs
@@ -1,4 +1,4 @@
-//! Requests that meet targets which refuse, push back or break off.
+//! Requests to targets that refuse connections, reject requests as overloaded, or break off answers.
 
 use std::{
     net::SocketAddr,
@@ -14,14 +14,14 @@
 
 use crate::env::{TestEnv, get, start, start_engine, target, wait_until};
 
-/// A call with a prompt of its own, as calls with the same prompt go to the same engine.
+/// A call with a unique prompt; calls with the same prompt would go to the same engine.
 fn call(number: usize, stream: bool) -> String {
     let prompt = format!("order {number}");
     json!({ "model": "small", "prompt": prompt, "max_tokens": 3, "stream": stream }).to_string()
 }
 
-/// A door with a good engine and a bad target of the same service.
-fn door_with(bad: SocketAddr) -> TestEnv {
+/// A gateway with a good engine and the bad target `bad` of the same service.
+fn gateway_with(bad: SocketAddr) -> TestEnv {
     let mut env = TestEnv::new();
     env.start_door();
     let engine = start_engine(EngineConfig { step_ms: 1.0, ..EngineConfig::default() });
@@ -51,14 +51,14 @@
     response
 }
 
-/// A host is gone and its target refuses connections. Callers would see errors for their share of requests until the
-/// declarations change, as the door goes on choosing it.
+/// Guards against errors for a share of the requests when a host has failed and its target refuses connections: the
+/// gateway would go on choosing that target until the manifest changes.
 #[test]
-fn a_target_that_refuses_connections_costs_no_caller_an_answer() {
+fn callers_get_answers_although_a_target_refuses_connections() {
     let unused = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = unused.local_addr().expect("an address");
     drop(unused);
-    let mut env = door_with(address);
+    let mut env = gateway_with(address);
     for number in 0..20 {
         let answer = env.post(0, "/v1/completions", &[], &call(number, false));
         assert_eq!(answer.status, 200, "{}", answer.text);
@@ -67,15 +67,15 @@
     wait_until("the ejection is counted", || metric(&mut env, ejections) > 0);
 }
 
-/// An engine is full and says so with 503. The caller would get that answer, though another engine has room.
+/// Guards against forwarding the 503 of a full engine to the caller although another engine has free capacity.
 #[test]
-fn an_engine_that_pushes_back_is_passed_over() {
-    let mut env = door_with(server(|request| match request.uri().path() {
+fn a_request_refused_by_a_full_engine_is_sent_to_another_engine() {
+    let mut env = gateway_with(server(|request| match request.uri().path() {
         "/load" => with_status(StatusCode::NOT_FOUND),
         _ => with_status(StatusCode::SERVICE_UNAVAILABLE),
     }));
     let mut number = 0;
-    wait_until("a request has met the full engine", || {
+    wait_until("a request has reached the full engine", || {
         number += 1;
         let answer = env.post(0, "/v1/completions", &[], &call(number, false));
         assert_eq!(answer.status, 200, "{}", answer.text);
@@ -83,15 +83,15 @@
     });
 }
 
-/// An engine crashes after it has begun to answer a stream, and before its first token. The caller would get an empty
-/// stream, though nothing has reached it and the request may run again.
+/// Guards against an empty stream when an engine crashes after it has sent the head of a streamed answer and before the
+/// first token: nothing has reached the caller, and the request is repeatable.
 #[test]
 fn a_stream_that_breaks_before_its_first_token_is_answered_by_another_engine() {
-    let mut env = door_with(server(|request| match request.uri().path() {
+    let mut env = gateway_with(server(|request| match request.uri().path() {
         "/load" => with_status(StatusCode::NOT_FOUND),
         _ => {
             let broken = async {
-                // Lets the head go out first.
+                // Lets the head be sent first.
                 compio::time::sleep(Duration::from_millis(20)).await;
                 Err::<Bytes, BoxError>("crashed".into())
             };
@@ -99,7 +99,7 @@
         }
     }));
     let mut number = 0;
-    wait_until("a request has met the broken engine", || {
+    wait_until("a request has reached the broken engine", || {
         number += 1;
         let answer = env.post(0, "/v1/completions", &[], &call(number, true));
         assert!(answer.text.contains("data: [DONE]"), "{} {}", answer.status, answer.text);
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn a_target_is_told_the_time_that_is_left() {
+fn targets_receive_the_remaining_deadline() {
     let address = server(|request| {
         let unknown = HeaderValue::from_static("none");
         let left = request.headers().get("x-deadline-ms").unwrap_or(&unknown);
@@ -130,9 +130,9 @@
     assert!((1..=20_000).contains(&of_the_service), "{of_the_service}");
 }
 
-/// A plain service's own 503 is its answer: nobody but it knows whether the call ran.
+/// The 503 of a plain service is its answer: only the service knows whether the call ran.
 #[test]
-fn a_plain_services_own_refusal_is_passed_on() {
+fn a_503_of_a_plain_service_is_forwarded() {
     let address = server(|_| with_status(StatusCode::SERVICE_UNAVAILABLE));
     let mut env = TestEnv::new();
     env.start_door();
@@ -144,8 +144,8 @@
     assert_eq!((answer.status, answer.text.as_str()), (503, "{}"));
 }
 
-/// An engine is full for a while and refuses the items of a job. If each refusal counts as a try, the items end as
-/// failed after four of them, though none has run.
+/// Guards against items that fail without having run: an engine is full for a while and refuses them, and if each
+/// refusal counted as an attempt they would end as failed after four.
 #[test]
 fn an_item_that_a_full_engine_refuses_is_run_later() {
     static REFUSALS: AtomicU32 = AtomicU32::new(0);
@@ -171,7 +171,7 @@
 }
 
 #[test]
-fn a_deadline_beyond_all_measure_is_taken_for_a_long_one() {
+fn an_excessive_deadline_is_limited() {
     let mut env = TestEnv::new();
     env.start_door();
     let engine = start_engine(EngineConfig::default());
--- a/crates/samphiredoor/tests/it/fleet.rs
+++ b/crates/samphiredoor/tests/it/fleet.rs
@@ -235,7 +235,7 @@
         let answer = env.post(1, "/services/pickup/count", &[], r#"{"coach":7}"#);
         assert_eq!(answer.status, 200, "{}", answer.text);
     }
-    relay.join();
+    relay.restore();
     wait_until("jobs are accepted again", || job("joined").status == 200);
 }
 
--- a/crates/samphiredoor/tests/it/jobs.rs
+++ b/crates/samphiredoor/tests/it/jobs.rs
@@ -1,4 +1,4 @@
-//! Batch jobs through real processes that die, freeze and lose their store.
+//! Batch jobs through real gateway processes that are killed, paused, or lose the connection to their store.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -13,7 +13,7 @@
 
 const ITEMS: usize = 600;
 const SHORT_LEASE: &str = "ownership.lease_ms = 1500\nownership.renew_ms = 300\n";
-/// No test waits as long as this lease.
+/// Longer than any test waits, so that no lease expires.
 const LONG_LEASE: &str = "ownership.lease_ms = 600000\nownership.renew_ms = 300\n";
 
 struct Case {
@@ -37,9 +37,9 @@
             "targets": [target("engine-0", "small", engine), target("desk-0", "booking", plain)],
         }));
         let mut case = Case { env, engine, plain };
-        // A door that is lost before any other knew it is only found with their next list of leases.
+        // The loss of a gateway that no peer has discovered yet is detected only when they list the leases next.
         for door in 0..2 {
-            wait_until("the doors know each other", || {
+            wait_until("the gateways have discovered each other", || {
                 case.metric(door, "samphiredoor_members ") == 2
             });
         }
@@ -65,7 +65,7 @@
         wait_until("the job is under way", || completed().is_some_and(|it| it >= at_least));
     }
 
-    /// Outcomes by the caller's own id; no id may have two.
+    /// Outcomes by the caller's item id. Fails if an item has two results.
     fn results(&self, door: usize, job: &str) -> BTreeMap<String, String> {
         let mut results = BTreeMap::new();
         let answer = self.env.get(door, &format!("/v1/batches/{job}/results"));
@@ -92,7 +92,7 @@
         self.metric(door, &format!("samphiredoor_job_events_total{{reason=\"{event}\"}} "))
     }
 
-    /// Sum of the metrics whose lines start so.
+    /// Sum of the metrics whose lines start with `start`.
     fn metric(&mut self, door: usize, start: &str) -> u64 {
         let text = get(self.env.door(door).operators, "/metrics").text;
         let lines = text.lines().filter(|it| it.starts_with(start));
@@ -124,10 +124,10 @@
     lines.join("\n")
 }
 
-/// A child's box stays unpacked because the host that worked on the list was lost. The owner is killed in mid-job; the
-/// other door sees its lease lapse, takes the job and runs what has no result.
+/// Guards against jobs that never complete: the owner is killed in the middle of a job. The other gateway detects that
+/// its lease has expired, takes over the job and runs the items without a result.
 #[test]
-fn the_other_door_finishes_the_job_of_a_killed_owner() {
+fn another_gateway_finishes_the_job_of_a_killed_owner() {
     let mut case = Case::new(SHORT_LEASE);
     let job = case.submit(0, "tour-1", &lines(ITEMS, 4));
     case.wait_for_progress(0, &job, 1);
@@ -138,9 +138,9 @@
     assert_eq!(case.event(1, "taken"), 1);
 }
 
-/// The same, but the host is lost right after it has acknowledged the list, before any item ran.
+/// The same, but the owner is killed right after it has acknowledged the job, before any item has run.
 #[test]
-fn a_job_outlives_the_host_that_acknowledged_it() {
+fn a_job_survives_the_loss_of_the_host_that_acknowledged_it() {
     let mut case = Case::new(SHORT_LEASE);
     let job = case.submit(0, "tour-2", &lines(ITEMS, 4));
     case.env.door(0).kill();
@@ -148,10 +148,11 @@
     case.assert_whole(1, &job);
 }
 
-/// A list is packed twice. Its owner is frozen past its lease, another door finishes the list, and the owner wakes and
-/// goes on where it was. It finds its lease over and the job taken: no result changes, and it drops the job.
+/// Guards against two owners of one job: the owner is paused for longer than its lease, another gateway finishes the
+/// job, and the owner resumes. It finds its lease expired and the job taken over, so it drops the job; no result
+/// changes.
 #[test]
-fn a_frozen_owner_that_wakes_changes_nothing() {
+fn a_paused_owner_that_resumes_changes_no_result() {
     let mut case = Case::new(SHORT_LEASE);
     let job = case.submit(0, "tour-3", &lines(ITEMS, 4));
     case.wait_for_progress(0, &job, 1);
@@ -165,10 +166,10 @@
     case.assert_whole(0, &job);
 }
 
-/// A clerk sends a list again because the first answer was slow, to another door and at the same moment; then the same
-/// key is used for another list. One job stands, and the other list is refused.
+/// A job is submitted to two gateways at the same time, as a caller does that retries after a slow answer; one job is
+/// accepted. Then the same key is used with other items, which is refused.
 #[test]
-fn a_job_sent_to_two_doors_is_accepted_once() {
+fn a_job_submitted_to_two_gateways_is_accepted_once() {
     let case = Case::new(LONG_LEASE);
     let doors: Vec<SocketAddr> = (0..2).map(|it| case.env.callers(it)).collect();
     let senders = doors.into_iter().map(|door| {
@@ -189,21 +190,21 @@
     case.assert_whole(1, &job);
     let runs = case.runs();
     assert!(runs.completed.values().all(|it| *it == 1), "an item was run twice");
-    wait_until("the chunks of the loser are removed", || {
+    wait_until("the chunks of the refused upload are deleted", || {
         let chunks = get(case.env.store, "/apis/samphiredoor.dev/v1/chunks").json();
         chunks["items"].as_array().map(Vec::len) == Some(ITEMS.div_ceil(250))
     });
 }
 
-/// The store is down in mid-job. Results wait in the owner's memory and are written when it is back; no item is run
-/// again.
+/// The store is down in the middle of a job. The owner holds the results in memory and writes them when the store is
+/// back; no item runs again.
 #[test]
-fn a_job_goes_on_after_an_outage_of_the_store() {
+fn a_job_continues_after_a_store_outage() {
     let case = Case::new(LONG_LEASE);
     let job = case.submit(0, "tour-5", &lines(ITEMS, 4));
     case.wait_for_progress(0, &job, 1);
     case.env.faults(&json!({ "outage": true }));
-    wait_until("what was handed out has ended", || case.runs().completed.len() >= 256);
+    wait_until("the dispatched items have ended", || case.runs().completed.len() >= 256);
     assert_eq!(case.env.get(0, &format!("/v1/batches/{job}")).status, 503);
     case.env.faults(&json!({}));
     case.wait_for(0, &job, "completed");
@@ -211,12 +212,12 @@
     assert!(case.runs().completed.values().all(|it| *it == 1), "an item was run twice");
 }
 
-/// Writes take effect and their answers are lost, at the acceptance and all along. Each is looked up before anything is
-/// written again: one job, one result an item, no run repeated.
+/// Writes take effect and their answers are lost, during the acceptance and while the job runs. Each such write is read
+/// back before anything is written again: one job, one result for each item, and no second run.
 #[test]
-fn lost_answers_of_the_store_repeat_nothing() {
+fn lost_store_answers_cause_no_second_run() {
     let case = Case::new(LONG_LEASE);
-    // A chunk is tried three times before the caller is told to come back.
+    // The write of a chunk is attempted three times before the caller is asked to retry.
     case.env.faults(&json!({ "lose_answers": 2 }));
     let job = case.submit(0, "tour-6", &lines(ITEMS, 4));
     case.env.faults(&json!({ "lose_answers": 6 }));
@@ -225,10 +226,10 @@
     assert!(case.runs().completed.values().all(|it| *it == 1), "an item was run twice");
 }
 
-/// An excursion is called off at another desk. The cancel goes to a door that does not work on the list; the owner
-/// learns of it, closes the streams on the engine, and nothing is recorded any more.
+/// A job is cancelled at a gateway that does not own it. The owner is notified, aborts the requests on the engine, and
+/// no result is stored any more.
 #[test]
-fn a_cancel_at_another_door_stops_the_job_and_the_engine() {
+fn a_cancellation_at_another_gateway_stops_the_job_and_the_engine() {
     let case = Case::new(SHORT_LEASE);
     let job = case.submit(0, "tour-7", &lines(ITEMS, 100_000));
     wait_until("the engine works", || load(&case) > 0);
@@ -241,10 +242,10 @@
     assert_eq!(again.json()["status"], "cancelled", "a second cancel changes nothing");
 }
 
-/// An excursion is called off while the owner of its list is frozen, for good. Another door takes the job only to close
-/// it.
+/// A job is cancelled while its owner is paused for longer than its lease. Another gateway takes over the job only to
+/// close it.
 #[test]
-fn a_cancel_reaches_a_job_whose_owner_is_frozen() {
+fn a_job_whose_owner_is_paused_can_be_cancelled() {
     let mut case = Case::new(SHORT_LEASE);
     let job = case.submit(0, "tour-8", &lines(ITEMS, 100_000));
     wait_until("the engine works", || load(&case) > 0);
@@ -252,7 +253,7 @@
     let answer = case.env.post(1, &format!("/v1/batches/{job}/cancel"), &[], "");
     assert_eq!(answer.status, 200, "{}", answer.text);
     case.wait_for(1, &job, "cancelled");
-    assert_eq!(case.metric(1, "samphiredoor_item_ends_total"), 0, "the taker ran an item");
+    assert_eq!(case.metric(1, "samphiredoor_item_ends_total"), 0, "the new owner ran an item");
     case.env.door(0).signal("CONT");
     wait_until("the engine is idle", || load(&case) == 0);
     assert!(case.results(1, &job).is_empty());
@@ -262,10 +263,10 @@
     get(case.engine, "/load").json()["running"].as_u64().unwrap_or(0)
 }
 
-/// A list stands still for a lease's length each time a host is replaced. The owner is told to stop; it commits, frees
-/// the job, and the other door goes on at once.
+/// Guards against jobs that pause for the duration of a lease each time a host is replaced: a stopping owner commits
+/// its results and releases the job, and the other gateway continues it at once.
 #[test]
-fn a_planned_stop_hands_the_job_over() {
+fn a_graceful_shutdown_hands_the_job_over() {
     let mut case = Case::new(LONG_LEASE);
     let job = case.submit(0, "tour-9", &lines(ITEMS, 4));
     case.wait_for_progress(0, &job, 1);
@@ -275,8 +276,8 @@
     case.assert_whole(1, &job);
 }
 
-/// Two farriers stand at one yard. Bookings may not run twice; their owner is killed while some are in flight. Those
-/// that may have run end so and are not sent again; all others are made.
+/// Guards against bookings that are made twice: their items are not repeatable, and the owner is killed while some are
+/// in flight. Those that may have run end as such and are not sent again; all others are made.
 #[test]
 fn bookings_run_at_most_once_although_their_owner_is_killed() {
     let mut case = Case::new(SHORT_LEASE);
@@ -285,9 +286,9 @@
     case.env.door(0).kill();
     case.wait_for(1, &job, "completed");
     let results = case.results(1, &job);
-    let in_doubt = results.values().filter(|it| *it == "may_have_run").count();
+    let may_have_run = results.values().filter(|it| *it == "may_have_run").count();
     assert_eq!(results.len(), 60);
-    assert!(in_doubt <= 16, "more are in doubt than were intended: {results:?}");
+    assert!(may_have_run <= 16, "more may have run than had an intent: {results:?}");
     assert!(results.values().all(|it| it == "answered" || it == "may_have_run"));
     assert!(plain_runs(&case).values().all(|it| *it == 1), "a booking was made twice");
 }
@@ -296,9 +297,9 @@
     serde_json::from_str(&get(case.plain, "/runs").text).expect("the service counts its runs")
 }
 
-/// A finished list can be removed, and its key used again, without meeting the old results.
+/// A finished job can be removed and its key used again; the new job does not see the old results.
 #[test]
-fn a_removed_job_leaves_nothing_to_a_later_one() {
+fn a_removed_job_does_not_affect_a_later_one_with_its_key() {
     let case = Case::new(LONG_LEASE);
     let job = case.submit(0, "tour-10", &lines(10, 2));
     case.wait_for(0, &job, "completed");
@@ -310,8 +311,9 @@
     case.assert_whole(0, &job);
 }
 
-/// A job's calls to the store are counted by the store: its chunks, its header twice, and a write of results for each
-/// group; besides, at most eight writes for results that fill no group, and one in ten seconds from then on.
+/// The store counts the calls of a job: one write for each chunk, two for the header and one for each full group of
+/// results. In addition there are at most eight writes for results that do not fill a group, and after those one in ten
+/// seconds.
 #[test]
 fn a_job_takes_a_bounded_number_of_writes() {
     const CHUNKS: u64 = 4;
--- a/crates/samphiredoor/tests/it/lending.rs
+++ b/crates/samphiredoor/tests/it/lending.rs
@@ -1,4 +1,4 @@
-//! Lent slots taken back from real engines.
+//! Preemption of batch items on a real engine.
 
 use samphiredoor_embedded::engine::EngineConfig;
 use serde_json::{Value, json};
@@ -8,10 +8,10 @@
 const ITEMS: usize = 12;
 const TOKENS: usize = 400;
 
-/// A round sheet has words missing in the middle, or twice. Its answer was half done when a caller's request took the
-/// slot back, and it went on at another time; the cause would be an attempt that goes on at the wrong token.
+/// Guards against answers with missing or repeated words: an online request preempts an item whose answer is partly
+/// generated, and the next attempt resumes at the wrong token.
 #[test]
-fn an_item_that_lost_its_slot_is_answered_whole() {
+fn a_preempted_item_gets_its_complete_answer() {
     let mut env = TestEnv::new();
     env.start_door();
     let config = EngineConfig { step_ms: 2.0, step_per_sequence_ms: 0.1, ..Default::default() };
@@ -24,7 +24,7 @@
     let answer = env.post(0, "/v1/batches", &[("idempotency-key", "sheets")], &lines.join("\n"));
     let job = answer.json()["id"].as_str().expect("an id").to_owned();
     wait_until("several items run", || running(engine) >= 4);
-    wait_until("a slot is taken back", || {
+    wait_until("an item is preempted", || {
         let call = r#"{"model":"small","prompt":"when","max_tokens":2}"#;
         assert_eq!(env.post(0, "/v1/completions", &[], call).status, 200);
         aborted(engine) > 0
--- a/crates/samphiredoor/tests/it/quarantine.rs
+++ b/crates/samphiredoor/tests/it/quarantine.rs
@@ -1,4 +1,4 @@
-//! A request that crashes each target that runs it, through real doors.
+//! A request that crashes each target that runs it, through real gateway processes.
 
 use std::{net::SocketAddr, thread};
 
@@ -11,9 +11,9 @@
 
 const POISON: &str = r#"{"model":"small","prompt":"poison"}"#;
 const PATH: &str = "/v1/completions";
-const NEIGHBOURS: usize = 6;
+const OTHERS: usize = 6;
 
-fn doors_with(targets: &[RawTarget]) -> TestEnv {
+fn gateways_with(targets: &[RawTarget]) -> TestEnv {
     let mut env = TestEnv::new();
     env.start_door();
     env.start_door();
@@ -36,75 +36,77 @@
     answer.json()["error"]["type"].as_str().unwrap_or_default().to_owned()
 }
 
-/// One broken order list kills each engine that reads it, and its sender sends it until every engine is gone; all other
-/// orders go with them. Two engines are lost, then it is refused at once by the door, by its peer, and after a restart;
-/// those that ran beside it are answered by other engines.
+/// Guards against the loss of all engines: a request crashes each engine that runs it, its caller retries, and all
+/// other requests are lost with the engines. After two deaths the request is refused at once by the gateway, by its
+/// peer and by a gateway that starts later. Requests that ran beside it are answered by other engines.
 #[test]
-fn a_request_that_kills_its_targets_is_refused_after_two() {
+fn a_request_that_crashes_targets_is_refused_after_two_deaths() {
     let (open, gate) = flume::unbounded();
     let targets: Vec<RawTarget> = (0..4)
         .map(|_| {
-            let gated = (0..NEIGHBOURS).map(|_| Reply::Gated(gate.clone(), "fine"));
+            let gated = (0..OTHERS).map(|_| Reply::Gated(gate.clone(), "fine"));
             RawTarget::start(gated).with_crash_on("poison")
         })
         .collect();
-    let mut env = doors_with(&targets);
+    let mut env = gateways_with(&targets);
     let callers = env.door(0).callers;
-    let neighbours: Vec<_> = (0..NEIGHBOURS)
+    let others: Vec<_> = (0..OTHERS)
         .map(|number| {
             let body = format!(r#"{{"model":"small","prompt":"order {number}"}}"#);
             thread::spawn(move || post(callers, PATH, &[], &body))
         })
         .collect();
     let running = || targets.iter().map(|it| it.ran().len()).sum::<usize>();
-    wait_until("the neighbours run", || running() == NEIGHBOURS);
+    wait_until("the other requests run", || running() == OTHERS);
     let poison = thread::spawn(move || {
-        // The sender gives up only when it is told that this is final.
+        // The caller retries until the answer reports a final refusal.
         for _ in 0..10 {
             let answer = post(callers, PATH, &[], POISON);
             if answer.status == 422 {
                 return answer;
             }
         }
-        panic!("never told that it is final");
+        panic!("the refusal never became final");
     });
     let poison = loop {
-        // The neighbours finish one by one, wherever they are by now.
+        // The other requests finish one by one, on whichever engine they are running by now.
         let _ = open.send(());
         if poison.is_finished() {
-            break poison.join().expect("told");
+            break poison.join().expect("a final answer");
         }
         thread::sleep(std::time::Duration::from_millis(5));
     };
     assert_eq!(dead(&targets), 2, "{}", poison.text);
-    for _ in 0..10 * NEIGHBOURS {
+    for _ in 0..10 * OTHERS {
         let _ = open.send(());
     }
-    for neighbour in neighbours {
-        let answer = neighbour.join().expect("answered");
+    for other in others {
+        let answer = other.join().expect("answered");
         assert_eq!((answer.status, answer.text.as_str()), (200, "fine"));
     }
     let again = env.post(0, PATH, &[], POISON);
     assert_eq!((again.status, error(&again).as_str()), (422, "quarantined"));
     assert!(again.text.contains(r#""not run""#), "{}", again.text);
     let operators = env.door(1).operators;
-    wait_until("the other door knows", || suspects(operators)[0]["state"] == "refused");
+    wait_until("the peer refuses it", || suspects(operators)[0]["state"] == "refused");
     assert_eq!(env.post(1, PATH, &[], POISON).status, 422);
-    // A door that reads the list before it is written reads it again a minute later only.
+    // A gateway that reads the stored list before it is written reads it again only a minute later.
     let list = "/apis/samphiredoor.dev/v1/suspects";
-    wait_until("the blame is kept", || get(env.store, list).text.contains("\"deaths\":2"));
+    wait_until("the deaths are stored", || get(env.store, list).text.contains("\"deaths\":2"));
     let late = env.start_door();
     let operators = env.door(late).operators;
-    wait_until("a door that starts later knows", || suspects(operators)[0]["state"] == "refused");
+    wait_until("a gateway that starts later refuses it", || {
+        suspects(operators)[0]["state"] == "refused"
+    });
     assert_eq!(dead(&targets), 2);
 }
 
-/// An owner has mended the engines and lifts the suspicion at one door; the request may run again at another.
+/// An owner has repaired the engines and lifts the suspicion on one gateway; the request may run again on another.
 #[test]
 fn a_lifted_request_may_run_again() {
     let targets: Vec<RawTarget> =
         (0..4).map(|_| RawTarget::start([]).with_crash_on("poison")).collect();
-    let mut env = doors_with(&targets);
+    let mut env = gateways_with(&targets);
     env.post(0, PATH, &[], POISON);
     wait_until("it is refused", || env.post(1, PATH, &[], POISON).status == 422);
     let operators = env.door(0).operators;
@@ -119,12 +121,12 @@
     post(operators, "/statement", &[], "suspects").json()["rows"].clone()
 }
 
-/// The same as an item of a job: it ends as a failure, and the others of its job complete.
+/// The same with an item of a job: the item ends as failed, and the other items of the job complete.
 #[test]
-fn an_item_that_kills_its_targets_ends_as_failed() {
+fn an_item_that_crashes_targets_ends_as_failed() {
     let targets: Vec<RawTarget> =
         (0..4).map(|_| RawTarget::start([]).with_crash_on("poison")).collect();
-    let env = doors_with(&targets);
+    let env = gateways_with(&targets);
     let item = |id: &str, prompt: &str| {
         let body = json!({ "model": "small", "prompt": prompt });
         json!({ "custom_id": id, "url": PATH, "body": body }).to_string()
@@ -139,12 +141,12 @@
     assert_eq!(dead(&targets), 2);
 }
 
-/// A target breaks connections and goes on, as one behind a faulty cable. No request is to blame: the sender may send
-/// it again, and it is answered once the target answers.
+/// A target loses connections and stays alive, as with a faulty cable. No request becomes a suspect: the caller may
+/// retry, and gets an answer once the target answers.
 #[test]
-fn a_lost_connection_to_a_living_target_blames_nobody() {
+fn a_lost_connection_to_a_live_target_raises_no_suspicion() {
     let target = RawTarget::start([Reply::Close, Reply::Close, Reply::Close, Reply::Close]);
-    let mut env = doors_with(std::slice::from_ref(&target));
+    let mut env = gateways_with(std::slice::from_ref(&target));
     let call = r#"{"model":"small","prompt":"order 1"}"#;
     wait_until("the request is answered", || {
         let answer = env.post(0, PATH, &[], call);
--- a/crates/samphiredoor/tests/it/raw_target.rs
+++ b/crates/samphiredoor/tests/it/raw_target.rs
@@ -1,4 +1,4 @@
-//! A target on a bare socket, which answers as its script says and records what it ran.
+//! A simulated target on a plain TCP socket, which sends scripted replies and records what it ran.
 
 use std::{
     collections::VecDeque,
@@ -8,26 +8,26 @@
     thread,
 };
 
-/// What becomes of one request.
+/// Scripted handling of one request.
 #[derive(Debug, Clone)]
 pub enum Reply {
-    /// The connection is closed after the request has begun to arrive and before anything is read; it does not run.
+    /// The connection is closed after part of the request has arrived and before anything is read; it does not run.
     CloseUnread,
     /// The request runs, and the connection is closed without an answer.
     Close,
-    /// The request runs, and is answered whole with this body.
+    /// The request runs, and gets a complete answer with this body.
     Whole(&'static str),
     /// The request runs; these bytes are sent and the connection is closed.
     SendAndClose(&'static str),
-    /// The request runs; these bytes are sent and the connection is kept.
+    /// The request runs; these bytes are sent and the connection stays open.
     Send(&'static str),
-    /// The request runs, and is answered with this body once the gate opens.
+    /// The request runs, and gets an answer with this body after a message at the receiver.
     Gated(flume::Receiver<()>, &'static str),
 }
 
 #[derive(Default)]
 struct State {
-    /// Text in a request that ends the target, as a broken request would.
+    /// Text in a request body that crashes the target.
     crash_on: Option<&'static str>,
     dead: bool,
     listener_closed: bool,
@@ -35,10 +35,10 @@
     script: VecDeque<Reply>,
     ran: Vec<String>,
     connections: usize,
-    hung_up: usize,
+    closed_by_client: usize,
 }
 
-/// The target.
+/// Handle to a simulated target.
 #[derive(Clone)]
 pub struct RawTarget {
     pub address: SocketAddr,
@@ -46,7 +46,7 @@
 }
 
 impl RawTarget {
-    /// Target that follows `script`, one reply a request, and answers `ok` after its end.
+    /// Starts a target that uses one reply of `script` for each request, and answers `ok` after the last one.
     pub fn start(script: impl IntoIterator<Item = Reply>) -> RawTarget {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address");
@@ -62,53 +62,53 @@
                 thread::spawn(move || target.serve(stream));
             }
             drop(listener);
-            accepting.state.lock().expect("no panic").listener_closed = true;
+            accepting.state.lock().expect("not poisoned").listener_closed = true;
         });
         target
     }
 
-    /// The same, with an end at the first request that holds `text`: its listener and connections are closed.
+    /// Lets the target crash at the first request that contains `text`: its listener and connections are closed.
     pub fn with_crash_on(self, text: &'static str) -> RawTarget {
-        self.state.lock().expect("no panic").crash_on = Some(text);
+        self.state.lock().expect("not poisoned").crash_on = Some(text);
         self
     }
 
-    /// Whether a request has ended it.
+    /// Whether a request has crashed it.
     pub fn is_dead(&self) -> bool {
-        self.state.lock().expect("no panic").dead
+        self.state.lock().expect("not poisoned").dead
     }
 
     /// Bodies of the requests that ran, in order.
     pub fn ran(&self) -> Vec<String> {
-        self.state.lock().expect("no panic").ran.clone()
+        self.state.lock().expect("not poisoned").ran.clone()
     }
 
-    /// Connections that have brought a request.
+    /// Number of connections on which a request arrived.
     pub fn connections(&self) -> usize {
-        self.state.lock().expect("no panic").connections
+        self.state.lock().expect("not poisoned").connections
     }
 
-    /// Connections that the far side closed.
-    pub fn hung_up(&self) -> usize {
-        self.state.lock().expect("no panic").hung_up
+    /// Number of connections that the client closed.
+    pub fn closed_by_client(&self) -> usize {
+        self.state.lock().expect("not poisoned").closed_by_client
     }
 
     fn serve(&self, mut stream: TcpStream) {
-        self.keep_for_crash(&stream);
+        self.store_stream_if_crashing(&stream);
         if self.closes_unread() {
-            // A close before the first byte is another case: the door may see it in time, and then nothing was sent.
+            // Wait for the first byte: the gateway may notice an earlier close in time, and then it has sent nothing.
             let _ = stream.peek(&mut [0]);
             return;
         }
         let mut is_counted = false;
         while let Some(request) = read_request(&mut stream) {
-            // A look at the load is no run.
+            // A load poll is not counted as a run.
             let Request::Call(body) = request else {
                 let _ = stream.write_all(b"HTTP/1.1 404 Not Found\r\ncontent-length: 0\r\n\r\n");
                 continue;
             };
             let reply = {
-                let mut state = self.state.lock().expect("no panic");
+                let mut state = self.state.lock().expect("not poisoned");
                 let crashes = state.crash_on.is_some_and(|it| body.contains(it));
                 state.ran.push(body);
                 state.connections += usize::from(!is_counted);
@@ -119,22 +119,22 @@
                 }
                 state.script.pop_front().unwrap_or(Reply::Whole("ok"))
             };
-            if !follow(reply, &mut stream) {
+            if !send_reply(reply, &mut stream) {
                 return;
             }
         }
-        self.state.lock().expect("no panic").hung_up += 1;
+        self.state.lock().expect("not poisoned").closed_by_client += 1;
     }
 
     fn crash(&self) {
         let streams = {
-            let mut state = self.state.lock().expect("no panic");
+            let mut state = self.state.lock().expect("not poisoned");
             state.dead = true;
             std::mem::take(&mut state.streams)
         };
-        // Wakes the listener's thread, which then drops the listener; only then are the connections closed.
+        // Wakes the thread of the listener, which then drops it. The connections are closed after that.
         let _ = TcpStream::connect(self.address);
-        while !self.state.lock().expect("no panic").listener_closed {
+        while !self.state.lock().expect("not poisoned").listener_closed {
             thread::yield_now();
         }
         for stream in streams {
@@ -142,16 +142,16 @@
         }
     }
 
-    /// A kept handle holds the connection open, so only a target that is to crash keeps them.
-    fn keep_for_crash(&self, stream: &TcpStream) {
-        let mut state = self.state.lock().expect("no panic");
+    /// A stored handle keeps its connection open, so only a target that may crash stores them.
+    fn store_stream_if_crashing(&self, stream: &TcpStream) {
+        let mut state = self.state.lock().expect("not poisoned");
         if state.crash_on.is_some() {
             state.streams.extend(stream.try_clone());
         }
     }
 
     fn closes_unread(&self) -> bool {
-        let mut state = self.state.lock().expect("no panic");
+        let mut state = self.state.lock().expect("not poisoned");
         let closes = matches!(state.script.front(), Some(Reply::CloseUnread));
         if closes {
             state.script.pop_front();
@@ -160,11 +160,11 @@
     }
 }
 
-/// Sends a reply; tells whether the connection is kept.
-fn follow(reply: Reply, stream: &mut TcpStream) -> bool {
+/// Sends a reply; returns whether the connection stays open.
+fn send_reply(reply: Reply, stream: &mut TcpStream) -> bool {
     match reply {
         Reply::CloseUnread | Reply::Close => false,
-        Reply::Whole(body) => stream.write_all(whole(body).as_bytes()).is_ok(),
+        Reply::Whole(body) => stream.write_all(complete_answer(body).as_bytes()).is_ok(),
         Reply::SendAndClose(text) => {
             let _ = stream.write_all(text.as_bytes());
             false
@@ -172,12 +172,12 @@
         Reply::Send(text) => stream.write_all(text.as_bytes()).is_ok(),
         Reply::Gated(gate, body) => {
             let _ = gate.recv();
-            stream.write_all(whole(body).as_bytes()).is_ok()
+            stream.write_all(complete_answer(body).as_bytes()).is_ok()
         }
     }
 }
 
-fn whole(body: &str) -> String {
+fn complete_answer(body: &str) -> String {
     format!(
         "HTTP/1.1 200 OK\r\ncontent-type: text/plain\r\ncontent-length: {}\r\n\r\n{body}",
         body.len()
@@ -185,11 +185,11 @@
 }
 
 enum Request {
-    Look,
+    LoadPoll,
     Call(String),
 }
 
-/// Next request; `None` once the far side has closed.
+/// Reads the next request; `None` once the client has closed the connection.
 fn read_request(stream: &mut TcpStream) -> Option<Request> {
     let mut read = Vec::new();
     loop {
@@ -201,7 +201,7 @@
                 read_more(stream, &mut read)?;
             }
             if head.starts_with("get ") {
-                return Some(Request::Look);
+                return Some(Request::LoadPoll);
             }
             return Some(Request::Call(String::from_utf8_lossy(&read[end + 4..]).into_owned()));
         }
--- a/crates/samphiredoor/tests/it/relay.rs
+++ b/crates/samphiredoor/tests/it/relay.rs
@@ -1,4 +1,4 @@
-//! A relay between a door and what it talks to, that a test can cut and join.
+//! A TCP relay between a gateway and one of its servers, through which a test can simulate a network partition.
 
 use std::{
     io::{Read, Write},
@@ -10,7 +10,7 @@
     thread,
 };
 
-/// Relay towards one address; while it is cut, connections through it are closed and none is opened.
+/// Relay to one address. While it is cut, existing and new connections are closed at once.
 pub struct Relay {
     pub address: SocketAddr,
     cut: Arc<AtomicBool>,
@@ -24,12 +24,12 @@
         let (cut, open) = (Arc::new(AtomicBool::new(false)), Arc::default());
         let relay = Relay { address, cut: Arc::clone(&cut), open: Arc::clone(&open) };
         thread::spawn(move || {
-            for near in listener.incoming().flatten() {
+            for client in listener.incoming().flatten() {
                 if cut.load(Ordering::SeqCst) {
                     continue;
                 }
-                if let Ok(far) = TcpStream::connect(to) {
-                    join(&near, &far, &open);
+                if let Ok(server) = TcpStream::connect(to) {
+                    forward(&client, &server, &open);
                 }
             }
         });
@@ -43,13 +43,13 @@
         }
     }
 
-    pub fn join(&self) {
+    pub fn restore(&self) {
         self.cut.store(false, Ordering::SeqCst);
     }
 }
 
-fn join(near: &TcpStream, far: &TcpStream, open: &Mutex<Vec<TcpStream>>) {
-    for (from, to) in [(near, far), (far, near)] {
+fn forward(client: &TcpStream, server: &TcpStream, open: &Mutex<Vec<TcpStream>>) {
+    for (from, to) in [(client, server), (server, client)] {
         let (Ok(mut from), Ok(mut to)) = (from.try_clone(), to.try_clone()) else { return };
         if let Ok(clone) = from.try_clone() {
             open.lock().expect("no panic").push(clone);
--- a/crates/samphiredoor/tests/it/slow_clients.rs
+++ b/crates/samphiredoor/tests/it/slow_clients.rs
@@ -1,4 +1,4 @@
-//! Clients that send half of a request.
+//! Clients that send only half of a request.
 
 use std::{
     io::{Read, Write},
@@ -14,7 +14,7 @@
     );
     client.write_all(head.as_bytes()).expect("half of a request");
     let mut answer = String::new();
-    // Ends when the door closes the connection, as it must: the rest of the body would be taken for a request.
+    // Ends when the gateway closes the connection. It has to: the rest of the body would be parsed as a new request.
     client.read_to_string(&mut answer).expect("an answer, and the end");
     answer
 }
@@ -22,8 +22,8 @@
 macro_rules! half_sent {
     ($($name:ident: $path:expr;)*) => {
         $(
-            /// A door runs out of connections and memory: clients on a broken link have sent half of their bodies and
-            /// hold what they have, for ever.
+            /// Guards against a gateway that runs out of connections and memory: clients on a broken link send half of
+            /// their bodies and would hold their connections forever.
             #[test]
             fn $name() {
                 let mut env = TestEnv::new();
@@ -37,6 +37,6 @@
 }
 
 half_sent! {
-    half_an_online_request_is_answered_and_cut: "/v1/completions";
-    half_a_job_is_answered_and_cut: "/v1/batches";
+    half_an_online_request_is_answered_and_closed: "/v1/completions";
+    half_a_job_is_answered_and_closed: "/v1/batches";
 }
--- a/crates/samphiredoor/tests/it/whole_answers.rs
+++ b/crates/samphiredoor/tests/it/whole_answers.rs
@@ -1,4 +1,5 @@
-//! Whole answers, and the truth of "not run", against a target that records what it ran.
+//! Checks that callers get complete answers or an error, and that "not run" is true, with a target that records what it
+//! ran.
 
 use serde_json::json;
 
@@ -9,7 +10,7 @@
 
 const PATH: &str = "/services/booking/confirm";
 
-fn door_with(service: &str, kind: &str, address: std::net::SocketAddr) -> TestEnv {
+fn gateway_with(service: &str, kind: &str, address: std::net::SocketAddr) -> TestEnv {
     let mut env = TestEnv::new();
     env.start_door();
     env.declare(&json!({
@@ -26,17 +27,17 @@
 macro_rules! broken_answers {
     ($($name:ident: $reply:expr => $error:expr, $ran:expr;)*) => {
         $(
-            /// A target breaks off where the door cannot know whether the booking was made. Were it told as "not run"
-            /// or as an answer, it would be made twice, or not at all.
+            /// A target breaks off at a point where the gateway cannot know whether the booking was made. If the
+            /// gateway reported "not run" or an answer, the booking would be made twice or not at all.
             #[test]
             fn $name() {
                 let target = RawTarget::start([$reply]);
-                let env = door_with("booking", "plain", target.address);
+                let env = gateway_with("booking", "plain", target.address);
                 let answer = env.post(0, PATH, &[], "monday");
                 assert_eq!(error(&answer), $error, "{}", answer.text);
                 assert!(answer.text.contains("may have run"), "{}", answer.text);
                 assert_eq!(target.ran().len(), $ran);
-                // The next request gets its own answer by a connection of its own.
+                // The next request gets its own answer over a new connection.
                 let next = env.post(0, PATH, &[], "tuesday");
                 assert_eq!((next.status, next.text.as_str()), (200, "ok"));
                 assert_eq!(target.connections(), $ran + 1);
@@ -57,13 +58,13 @@
     no_framing: Reply::SendAndClose("HTTP/1.1 200 OK\r\n\r\nhalf") => "answer_cut", 1;
 }
 
-/// The answer comes after the caller's deadline. It must not be given to the next caller, who would think that the
-/// wrong yard is booked.
+/// Guards against answers that go to the wrong caller: an answer arrives after the deadline of its caller, and the
+/// connection would be used for the next request.
 #[test]
-fn a_late_answer_goes_to_nobody() {
+fn a_late_answer_is_discarded() {
     let (open, gate) = flume::bounded(1);
     let target = RawTarget::start([Reply::Gated(gate, "late")]);
-    let env = door_with("booking", "plain", target.address);
+    let env = gateway_with("booking", "plain", target.address);
     let late = env.post(0, PATH, &[("x-deadline-ms", "200")], "monday");
     assert_eq!((late.status, error(&late).as_str()), (504, "deadline_passed"));
     assert!(late.text.contains("may have run"), "{}", late.text);
@@ -72,12 +73,12 @@
     assert_eq!(target.ran(), ["monday", "tuesday"]);
 }
 
-/// A target answers twice; the second answer must not be taken for that to the next request.
+/// A target sends two answers; the second one must not be used as the answer to the next request.
 #[test]
-fn a_second_answer_goes_to_nobody() {
+fn a_second_answer_is_discarded() {
     let twice = "HTTP/1.1 200 OK\r\ncontent-length: 3\r\n\r\noneHTTP/1.1 200 OK\r\ncontent-length: 3\r\n\r\ntwo";
     let target = RawTarget::start([Reply::Send(twice)]);
-    let env = door_with("booking", "plain", target.address);
+    let env = gateway_with("booking", "plain", target.address);
     assert_eq!(env.post(0, PATH, &[], "monday").text, "one");
     assert_eq!(env.post(0, PATH, &[], "tuesday").text, "ok");
     assert_eq!(target.ran(), ["monday", "tuesday"]);
@@ -89,18 +90,18 @@
 macro_rules! streams {
     ($($name:ident: $chunks:expr, whole: $whole:expr;)*) => {
         $(
-            /// An engine fails in mid-stream and its framing ends in order. A reader of an allergy note must be told
-            /// that the rest is missing.
+            /// Guards against truncated answers that look complete: an engine fails in the middle of a stream, and its
+            /// framing still ends correctly.
             #[test]
             fn $name() {
                 let text: &'static str = Box::leak(format!("{STREAM}{}", $chunks).into_boxed_str());
                 let target = RawTarget::start([Reply::SendAndClose(text)]);
-                let env = door_with("small", "engine", target.address);
+                let env = gateway_with("small", "engine", target.address);
                 let call = r#"{"model":"small","prompt":"nuts?","stream":true}"#;
                 let answer = env.post(0, "/v1/completions", &[], call);
-                // Where nothing has reached the caller yet, it gets an error instead of a stream.
-                let told = answer.text.contains("event: error") || answer.status == 502;
-                assert_eq!(told, !$whole, "{}", answer.text);
+                // If nothing has reached the caller yet, it gets an error instead of a stream.
+                let reported = answer.text.contains("event: error") || answer.status == 502;
+                assert_eq!(reported, !$whole, "{}", answer.text);
                 assert_eq!(answer.text.contains("answer_cut"), !$whole, "{}", answer.text);
             }
         )*
@@ -119,11 +120,11 @@
     an_empty_stream_is_cut: "0\r\n\r\n", whole: false;
 }
 
-/// Each way of refusing before a target was asked: the target has run nothing, and the answer says so.
+/// Each refusal that happens before a target is called: the target has run nothing, and the answer reports that.
 #[test]
-fn what_is_told_as_not_run_did_not_run() {
+fn requests_reported_as_not_run_did_not_run() {
     let target = RawTarget::start([]);
-    let env = door_with("booking", "plain", target.address);
+    let env = gateway_with("booking", "plain", target.address);
     let long_key = "k".repeat(300);
     let other = ("x-other", "header");
     let cases = [
@@ -142,28 +143,29 @@
     assert!(target.ran().is_empty());
 }
 
-/// No target can be connected to: nothing was sent, and the caller is told when to come back.
+/// No target accepts a connection: nothing was sent, and the answer reports "not run".
 #[test]
-fn a_refused_connection_is_told_as_not_run() {
+fn a_refused_connection_is_reported_as_not_run() {
     let unused = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = unused.local_addr().expect("an address");
     drop(unused);
-    let env = door_with("booking", "plain", address);
+    let env = gateway_with("booking", "plain", address);
     let answer = env.post(0, PATH, &[], "monday");
     assert_eq!(answer.status, 503, "{}", answer.text);
     assert!(answer.text.contains(r#""not run""#), "{}", answer.text);
 }
 
-/// A caller goes away while its answer is on the way. The target must see it, or it works for nobody.
+/// Guards against wasted work of targets: a caller disconnects while its answer is being sent, and the target must see
+/// its connection closed.
 #[test]
-fn a_caller_that_goes_away_is_seen_by_the_target() {
+fn a_target_sees_that_its_caller_disconnected() {
     let target =
         RawTarget::start([Reply::Send("HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nhalf")]);
-    let mut env = door_with("booking", "plain", target.address);
+    let mut env = gateway_with("booking", "plain", target.address);
     let request = format!("POST {PATH} HTTP/1.1\r\nhost: door\r\ncontent-length: 6\r\n\r\nmonday");
     let mut caller = std::net::TcpStream::connect(env.door(0).callers).expect("the door listens");
     std::io::Write::write_all(&mut caller, request.as_bytes()).expect("sent");
     wait_until("the target runs it", || target.ran().len() == 1);
     drop(caller);
-    wait_until("the target sees the end", || target.hung_up() == 1);
+    wait_until("the target sees the connection closed", || target.closed_by_client() == 1);
 }
--- a/crates/samphiredoor/tests/it/whole_path.rs
+++ b/crates/samphiredoor/tests/it/whole_path.rs
@@ -1,10 +1,10 @@
-//! From a caller through a door to a target and back.
+//! Requests from a caller through a gateway to a target, and the answers back.
 
 use std::time::Duration;
 
 use crate::env::{TestEnv, job_lines, wait_until};
 
-fn one_door() -> TestEnv {
+fn one_gateway() -> TestEnv {
     let mut env = TestEnv::new();
     env.start_door();
     env.declare_small_and_pickup(1.0, Duration::ZERO);
@@ -16,7 +16,7 @@
         $(
             #[test]
             fn $name() {
-                let env = one_door();
+                let env = one_gateway();
                 let answer = env.post(0, $path, &[], $body);
                 assert_eq!(answer.status, $status, "{}", answer.text);
                 assert!(answer.text.contains($holds), "{}", answer.text);
@@ -26,7 +26,7 @@
 }
 
 cases! {
-    a_completion_is_answered_whole:
+    a_completion_is_answered_completely:
         "/v1/completions", r#"{"model":"small","prompt":"hello","max_tokens":3}"#
         => 200, "w0 w1 w2";
     a_chat_completion_is_streamed_to_its_end:
@@ -42,7 +42,7 @@
 
 #[test]
 fn a_job_is_completed_and_its_results_are_readable() {
-    let env = one_door();
+    let env = one_gateway();
     let lines = job_lines(600, 2);
     let answer = env.post(0, "/v1/batches", &[("idempotency-key", "tour-7")], &lines);
     assert_eq!(answer.status, 200, "{}", answer.text);
@@ -55,19 +55,19 @@
 }
 
 #[test]
-fn a_job_with_a_bad_line_is_refused_whole_with_its_number() {
-    let env = one_door();
+fn a_job_with_a_bad_line_is_refused_with_the_line_number() {
+    let env = one_gateway();
     let lines = format!("{}\nnot json\n", job_lines(1, 2));
     let answer = env.post(0, "/v1/batches", &[("idempotency-key", "tour-8")], &lines);
     assert_eq!(answer.status, 400);
     assert_eq!(answer.json()["error"]["field"], "line 2");
 }
 
-/// A tour desk's answer breaks off because the host is being replaced. The stream runs, the door gets SIGTERM, and the
-/// cause would be a process that ends while connections are still in use.
+/// Guards against streams that break off when a host is replaced: the gateway gets SIGTERM during a stream, and must
+/// not end while its connections are in use.
 #[test]
-fn a_planned_stop_lets_a_running_stream_finish() {
-    let mut env = one_door();
+fn a_graceful_shutdown_lets_a_running_stream_finish() {
+    let mut env = one_gateway();
     let callers = env.door(0).callers;
     let call = r#"{"model":"small","prompt":"hello","max_tokens":300,"stream":true}"#;
     let caller =
