--- a/crates/samphiredoor/src/dispatch_task.rs
+++ b/crates/samphiredoor/src/dispatch_task.rs
@@ -269,7 +269,7 @@
         }
     }
 
-    fn send_hint(&self, gateway: Name, hint: Hint) {
+    fn notify(&self, gateway: Name, hint: Hint) {
         let _ = self.hints.send((gateway, hint));
     }
 
@@ -284,11 +284,9 @@
             Action::SlotGrant { target, grant } => {
                 let SlotGrant { gateway, slots, epoch } = grant;
                 let hint = Hint::Recall { target, batch_slots: slots, epoch };
-                return self.send_hint(gateway, hint);
-            }
-            Action::Demand { allocator, load } => {
-                return self.send_hint(allocator, Hint::Need(load));
+                return self.notify(gateway, hint);
             }
+            Action::Demand { allocator, load } => return self.notify(allocator, Hint::Need(load)),
         };
         let last = matches!(decision, Decision::Refused(_));
         if let Some(reply) = self.waiting.get(&request) {
--- a/crates/samphiredoor/tests/it/dispatch.rs
+++ b/crates/samphiredoor/tests/it/dispatch.rs
@@ -130,7 +130,7 @@
     assert!((1..=20_000).contains(&of_the_service), "{of_the_service}");
 }
 
-/// The 503 of a plain service is its answer: only the service knows whether the call ran.
+/// The 503 of a plain service is its answer: only the service can tell whether the call ran.
 #[test]
 fn a_503_of_a_plain_service_is_forwarded() {
     let address = server(|_| with_status(StatusCode::SERVICE_UNAVAILABLE));
--- a/crates/samphiredoor/tests/it/keys.rs
+++ b/crates/samphiredoor/tests/it/keys.rs
@@ -88,7 +88,7 @@
     let callers = env.door(0).callers;
     {
         use std::io::Write;
-        let mut caller = std::net::TcpStream::connect(callers).expect("the door listens");
+        let mut caller = std::net::TcpStream::connect(callers).expect("the gateway listens");
         let request = format!(
             "POST {PATH} HTTP/1.1\r\nhost: door\r\nidempotency-key: yard-7\r\ncontent-length: 6\r\n\r\nmonday"
         );
--- a/crates/samphiredoor/tests/it/whole_answers.rs
+++ b/crates/samphiredoor/tests/it/whole_answers.rs
@@ -27,7 +27,7 @@
 macro_rules! broken_answers {
     ($($name:ident: $reply:expr => $error:expr, $ran:expr;)*) => {
         $(
-            /// A target breaks off at a point where the gateway cannot know whether the booking was made. If the
+            /// A target breaks off at a point where the gateway cannot determine whether the booking was made. If the
             /// gateway reported "not run" or an answer, the booking would be made twice or not at all.
             #[test]
             fn $name() {
@@ -163,7 +163,8 @@
         RawTarget::start([Reply::Send("HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nhalf")]);
     let mut env = gateway_with("booking", "plain", target.address);
     let request = format!("POST {PATH} HTTP/1.1\r\nhost: door\r\ncontent-length: 6\r\n\r\nmonday");
-    let mut caller = std::net::TcpStream::connect(env.door(0).callers).expect("the door listens");
+    let mut caller =
+        std::net::TcpStream::connect(env.door(0).callers).expect("the gateway listens");
     std::io::Write::write_all(&mut caller, request.as_bytes()).expect("sent");
     wait_until("the target runs it", || target.ran().len() == 1);
     drop(caller);
