--- a/crates/samphiredoor-core/src/manifest_log.rs
+++ b/crates/samphiredoor-core/src/manifest_revisions.rs
@@ -1,6 +1,6 @@
 //! Which revision of the manifest is in force, and how it is changed.
 //!
-//! The safety: a change is one conditional update of one object, and [`ManifestLog`] takes only revisions above the one
+//! The safety: a change is one conditional update of one object, and [`ActiveManifest`] takes only revisions above the one
 //! it holds, whoever offers them: the store, a watch, a peer or an operator. Stale reads and replayed events thereby
 //! change nothing. The speed: watchers and peers say that there is a newer revision.
 //!
@@ -29,11 +29,11 @@
 
 /// What became of a record that was offered.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Offered {
+pub enum UpdateOutcome {
     /// It is in force from now on.
     Applied(Arc<Manifest>),
     /// It was in force already.
-    Known,
+    AlreadyActive,
     /// A higher revision is in force.
     Older {
         /// Revision offered.
@@ -58,11 +58,11 @@
 
 /// The revision in force in one process.
 #[derive(Debug, Default)]
-pub struct ManifestLog {
+pub struct ActiveManifest {
     held: Option<Held>,
 }
 
-impl ManifestLog {
+impl ActiveManifest {
     /// Revision in force; 0 before the first.
     pub fn revision(&self) -> u64 {
         self.held.as_ref().map_or(0, |it| it.revision)
@@ -77,8 +77,8 @@
     ///
     /// A higher revision alone does not say so: after the store was set back, a change can be given a revision that the
     /// fleet has left behind, and would be told as accepted though it is in force nowhere.
-    pub fn covers(&self, bytes: &[u8]) -> bool {
-        let (Some(held), Ok(record)) = (&self.held, read_record(bytes)) else { return false };
+    pub fn is_at_or_one_above(&self, bytes: &[u8]) -> bool {
+        let (Some(held), Ok(record)) = (&self.held, decode_record(bytes)) else { return false };
         match held.revision.checked_sub(record.revision) {
             Some(0) => held.writer == record.writer,
             Some(1) => held.previous_writer == record.writer,
@@ -87,28 +87,28 @@
     }
 
     /// Takes a record if its revision is above the one in force.
-    pub fn offer(&mut self, bytes: &[u8]) -> Offered {
-        let record = match read_record(bytes) {
+    pub fn update_if_newer(&mut self, bytes: &[u8]) -> UpdateOutcome {
+        let record = match decode_record(bytes) {
             Ok(record) => record,
-            Err(problem) => return Offered::Unusable(problem),
+            Err(problem) => return UpdateOutcome::Unusable(problem),
         };
         let revision = record.revision;
         if let Some(held) = &self.held
             && revision <= held.revision
         {
             return match revision == held.revision {
-                true if record.writer == held.writer => Offered::Known,
-                true => Offered::Forked { revision },
-                false => Offered::Older { revision },
+                true if record.writer == held.writer => UpdateOutcome::AlreadyActive,
+                true => UpdateOutcome::Forked { revision },
+                false => UpdateOutcome::Older { revision },
             };
         }
         let manifest = match read_manifest(&record) {
             Ok(manifest) => Arc::new(manifest),
-            Err(problem) => return Offered::Unusable(problem),
+            Err(problem) => return UpdateOutcome::Unusable(problem),
         };
         let (writer, previous_writer) = (record.writer, record.previous_writer);
         self.held = Some(Held { revision, writer, previous_writer, record: bytes.into() });
-        Offered::Applied(manifest)
+        UpdateOutcome::Applied(manifest)
     }
 }
 
@@ -117,7 +117,7 @@
 /// # Errors
 ///
 /// What is wrong with it.
-pub fn read_record(bytes: &[u8]) -> Result<ManifestRecord, String> {
+pub fn decode_record(bytes: &[u8]) -> Result<ManifestRecord, String> {
     let record: ManifestRecord = serde_json::from_slice(bytes).map_err(|err| err.to_string())?;
     if record.format > MANIFEST_FORMAT {
         return Err(format!("format {} is newer than {MANIFEST_FORMAT}", record.format));
@@ -136,11 +136,11 @@
 
 /// Who besides the accepting process holds a revision.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Holders {
+pub enum PeerConfirmation {
     /// At least one other process.
-    Another,
+    Confirmed,
     /// No other process lives.
-    Sole,
+    NoPeers,
     /// Others live, and none of them confirmed it.
     Unconfirmed,
 }
@@ -156,7 +156,7 @@
     /// The store answered.
     Stored(StoreAnswer),
     /// The peers answered.
-    Held(Holders),
+    Replicated(PeerConfirmation),
 }
 
 /// What a change does next.
@@ -165,7 +165,7 @@
     /// Make a store call.
     Call(StoreOp),
     /// Put the record in force here, and have peers hold it.
-    Hold {
+    ApplyAndReplicate {
         /// The record as stored.
         record: Arc<[u8]>,
         /// Its revision.
@@ -184,7 +184,7 @@
         revision: u64,
     },
     /// Another change was first; this one had no effect.
-    Lost {
+    Conflict {
         /// Revision that stands.
         revision: u64,
         /// Writer of that revision.
@@ -198,7 +198,7 @@
         revision: u64,
     },
     /// It stands in the store, but no other process confirmed that it holds it.
-    WrittenNotHeld {
+    WrittenUnconfirmed {
         /// Its revision.
         revision: u64,
     },
@@ -255,10 +255,12 @@
             (State::Reading, ChangeInput::Stored(answer)) => self.read(answer),
             (State::Writing(write), ChangeInput::Stored(answer)) => self.written(write, answer),
             (State::Rereading(write), ChangeInput::Stored(answer)) => self.reread(write, answer),
-            (State::Holding { revision }, ChangeInput::Held(holders)) => {
-                ChangeStep::End(match holders {
-                    Holders::Another | Holders::Sole => ChangeEnd::Accepted { revision },
-                    Holders::Unconfirmed => ChangeEnd::WrittenNotHeld { revision },
+            (State::Holding { revision }, ChangeInput::Replicated(confirmation)) => {
+                ChangeStep::End(match confirmation {
+                    PeerConfirmation::Confirmed | PeerConfirmation::NoPeers => {
+                        ChangeEnd::Accepted { revision }
+                    }
+                    PeerConfirmation::Unconfirmed => ChangeEnd::WrittenUnconfirmed { revision },
                 })
             }
             _ => ChangeStep::End(ChangeEnd::Unavailable),
@@ -267,7 +269,7 @@
 
     fn read(&mut self, answer: StoreAnswer) -> ChangeStep {
         let (stored, before) = match answer {
-            StoreAnswer::Object(stored) => match read_record(&stored.value) {
+            StoreAnswer::Object(stored) => match decode_record(&stored.value) {
                 Ok(record) => (Some(stored), Some(record)),
                 Err(problem) => return ChangeStep::End(ChangeEnd::Unreadable(problem)),
             },
@@ -279,7 +281,7 @@
         let last = stored_revision.max(self.held);
         if self.expected.is_some_and(|it| it != last) {
             let winner = before.map(|it| it.writer).unwrap_or_default();
-            return ChangeStep::End(ChangeEnd::Lost { revision: last, winner: winner.into() });
+            return ChangeStep::End(ChangeEnd::Conflict { revision: last, winner: winner.into() });
         }
         self.write(Write::new(self, last + 1, stored.as_ref(), before))
     }
@@ -294,7 +296,7 @@
     fn hold(&mut self, write: Write) -> ChangeStep {
         let revision = write.revision;
         self.state = State::Holding { revision };
-        ChangeStep::Hold { record: write.record, revision }
+        ChangeStep::ApplyAndReplicate { record: write.record, revision }
     }
 
     fn written(&mut self, mut write: Write, answer: StoreAnswer) -> ChangeStep {
@@ -317,7 +319,7 @@
             StoreAnswer::Absent if write.tries < WRITE_TRIES => return self.write(write),
             _ => return ChangeStep::End(unresolved(&write)),
         };
-        let Ok(record) = read_record(&stored.value) else {
+        let Ok(record) = decode_record(&stored.value) else {
             return ChangeStep::End(unresolved(&write));
         };
         if record.writer == *self.writer {
@@ -339,13 +341,13 @@
             return ChangeStep::End(unresolved(&write));
         }
         let winner = record.writer.into();
-        ChangeStep::End(ChangeEnd::Lost { revision: record.revision, winner })
+        ChangeStep::End(ChangeEnd::Conflict { revision: record.revision, winner })
     }
 
     // This change took effect and the next one came on top of it; holding the next one outlives both.
     fn superseded(&mut self, revision: u64, stored: Stored, record: ManifestRecord) -> ChangeStep {
         self.state = State::Holding { revision };
-        ChangeStep::Hold { record: stored.value, revision: record.revision }
+        ChangeStep::ApplyAndReplicate { record: stored.value, revision: record.revision }
     }
 }
 
--- a/crates/samphiredoor/src/jobs.rs
+++ b/crates/samphiredoor/src/jobs.rs
@@ -5,7 +5,7 @@
 use futures_util::{StreamExt, stream::FuturesUnordered};
 use hyper::{HeaderMap, Request, Response, StatusCode, body::Incoming};
 use samphiredoor_core::{
-    ledger::{Acceptance, Accepting, BadLine, Submission, SubmissionStep, chunk_key},
+    ledger::{Acceptance, AcceptanceParams, BadLine, Submission, SubmissionStep, chunk_key},
     store::{StoreAnswer, StoreOp},
     verdict::{MayHaveRunReason, Refusal, Verdict},
 };
@@ -34,8 +34,8 @@
 /// Accepts a submission. The answer is sent only after the job is durable in the store.
 pub async fn submit(door: Rc<Door>, request: Request<Incoming>) -> Response<Body> {
     let (parts, body) = request.into_parts();
-    let mut accepting = match parse_headers(&door, &parts.headers) {
-        Ok(accepting) => accepting,
+    let mut params = match parse_headers(&door, &parts.headers) {
+        Ok(params) => params,
         Err(answer) => return answer,
     };
     if !wait_for_lease(&door).await {
@@ -43,15 +43,15 @@
         return verdict_response(Verdict::NotRun { retry_after_ms: LEASE_RETRY_AFTER_MS, reason });
     }
     let mut submission = Submission::new();
-    let uploaded = upload(&door, &accepting, body, &mut submission).await;
+    let uploaded = upload(&door, &params, body, &mut submission).await;
     if let Err(answer) = uploaded {
-        remove_chunks(&door, &accepting.upload, submission.chunks());
+        remove_chunks(&door, &params.upload, submission.chunks());
         return answer;
     }
     let manifest = door.manifest.current();
     let service = manifest.services.get(submission.service());
-    accepting.repeatable &= service.is_none_or(|it| it.repeatable);
-    accept(&door, &accepting, &submission).await
+    params.repeatable &= service.is_none_or(|it| it.repeatable);
+    accept(&door, &params, &submission).await
 }
 
 /// Waits up to a second for this process to hold its lease. Without a lease its death could not be detected, and its
@@ -66,7 +66,7 @@
     false
 }
 
-fn parse_headers(door: &Door, headers: &HeaderMap) -> Result<Accepting, Response<Body>> {
+fn parse_headers(door: &Door, headers: &HeaderMap) -> Result<AcceptanceParams, Response<Body>> {
     let Some(key) = header_text(headers, KEY_HEADER) else {
         return Err(bad_request(KEY_HEADER, "is required, so that sending the job again is safe"));
     };
@@ -83,7 +83,7 @@
         Some(Ok(due_unix_ms)) => Some(due_unix_ms),
         Some(Err(_)) => return Err(bad_request(DUE_HEADER, "is not a number of milliseconds")),
     };
-    Ok(Accepting {
+    Ok(AcceptanceParams {
         workspace: header_text(headers, WORKSPACE_HEADER).unwrap_or("default").into(),
         key: key.into(),
         upload: door.unique_name("up").into(),
@@ -97,7 +97,7 @@
 /// Reads the body and writes its chunks to the store, a few concurrently.
 async fn upload(
     door: &Rc<Door>,
-    accepting: &Accepting,
+    params: &AcceptanceParams,
     body: Incoming,
     submission: &mut Submission,
 ) -> Result<(), Response<Body>> {
@@ -105,14 +105,14 @@
     let mut body = RequestBody::new(body, door.config.max_body_bytes, door.config.body_timeout);
     while let Some(piece) = body.piece().await.map_err(|err| err.answer())? {
         for (number, chunk) in submission.push(&piece).map_err(|bad| bad_line(&bad))? {
-            writes.push(write_chunk(door, accepting, number, chunk));
+            writes.push(write_chunk(door, params, number, chunk));
             if writes.len() >= MAX_CONCURRENT_CHUNK_WRITES {
                 writes.next().await.unwrap_or(Ok(()))?;
             }
         }
     }
     for (number, chunk) in submission.finish().map_err(|bad| bad_line(&bad))? {
-        writes.push(write_chunk(door, accepting, number, chunk));
+        writes.push(write_chunk(door, params, number, chunk));
     }
     while let Some(written) = writes.next().await {
         written?;
@@ -126,12 +126,12 @@
 
 async fn write_chunk(
     door: &Door,
-    accepting: &Accepting,
+    params: &AcceptanceParams,
     number: u32,
     chunk: Chunk,
 ) -> Result<(), Response<Body>> {
     for _ in 0..CHUNK_WRITE_ATTEMPTS {
-        match door.store.call(Acceptance::chunk_op(&accepting.upload, number, &chunk)).await {
+        match door.store.call(Acceptance::chunk_op(&params.upload, number, &chunk)).await {
             // The object's name is unique to this upload, so an existing object was written by this call or an earlier
             // attempt.
             StoreAnswer::Object(_) | StoreAnswer::Taken => return Ok(()),
@@ -148,16 +148,20 @@
     verdict_response(Verdict::NotRun { retry_after_ms: STORE_RETRY_AFTER_MS, reason })
 }
 
-async fn accept(door: &Rc<Door>, accepting: &Accepting, submission: &Submission) -> Response<Body> {
-    let mut acceptance = Acceptance::new(door.clock.now(), accepting, submission);
+async fn accept(
+    door: &Rc<Door>,
+    params: &AcceptanceParams,
+    submission: &Submission,
+) -> Response<Body> {
+    let mut acceptance = Acceptance::new(door.clock.now(), params, submission);
     let mut step = acceptance.start();
     loop {
         match step {
-            SubmissionStep::Store(op) => step = acceptance.answered(door.store.call(op).await),
+            SubmissionStep::Store(op) => step = acceptance.handle_answer(door.store.call(op).await),
             SubmissionStep::Accepted { job, header, version, resent } => {
                 let answer = json_response(StatusCode::OK, &header_json(&job, &header));
                 if resent {
-                    remove_chunks(door, &accepting.upload, submission.chunks());
+                    remove_chunks(door, &params.upload, submission.chunks());
                 } else {
                     log::info!("jobs: {job} accepted with {} items", header.items);
                     door.jobs.add_owned_job(job, header, version);
@@ -165,12 +169,12 @@
                 return answer;
             }
             SubmissionStep::Conflicting { .. } => {
-                remove_chunks(door, &accepting.upload, submission.chunks());
+                remove_chunks(door, &params.upload, submission.chunks());
                 let reason = Refusal::KeyReused;
                 return verdict_response(Verdict::NotRun { retry_after_ms: 0, reason });
             }
             SubmissionStep::NotAccepted => {
-                remove_chunks(door, &accepting.upload, submission.chunks());
+                remove_chunks(door, &params.upload, submission.chunks());
                 return store_unavailable();
             }
             // The header may be stored, and then its chunks are needed.
--- a/crates/samphiredoor/src/jobs_task.rs
+++ b/crates/samphiredoor/src/jobs_task.rs
@@ -14,7 +14,7 @@
 };
 use samphiredoor_net::{
     clock::Clock,
-    ticking::{Next, Ticking},
+    timed_inbox::{InboxEvent, TimedInbox},
 };
 use samphiredoor_schema::objects::{JobHeader, JobState};
 
@@ -67,7 +67,7 @@
 
     /// Reports that the lease of a process has expired, so that its jobs may be taken over.
     pub fn lease_expired(&self, process: Name, incarnation: u64) {
-        self.input(LedgerInput::Lapsed { process, incarnation });
+        self.input(LedgerInput::LeaseExpired { process, incarnation });
     }
 
     /// Reports which processes are live members.
@@ -148,8 +148,8 @@
     let renew_ms = config.renew.as_millis() as u64;
     LedgerConfig {
         lease_margin_ms: (lease_ms / LEASE_MARGIN_DIVISOR).min(MAX_LEASE_MARGIN_MS),
-        sweep_ms: renew_ms,
-        free_list_ms: renew_ms,
+        orphan_scan_ms: renew_ms,
+        free_scan_ms: renew_ms,
         ..LedgerConfig::new(config.name(), incarnation, writer)
     }
 }
@@ -168,18 +168,18 @@
     F: Future<Output = ItemEnd> + 'static,
 {
     async fn run(mut self, inbox: JobsInbox) {
-        let mut inbox = Ticking::new(inbox.0, TICK);
+        let mut inbox = TimedInbox::new(inbox.0, TICK);
         loop {
             match inbox.next().await {
-                Next::Message(Message::Input(input)) => self.handle(input),
-                Next::Message(Message::Progress(job, reply)) => {
+                InboxEvent::Message(Message::Input(input)) => self.handle(input),
+                InboxEvent::Message(Message::Progress(job, reply)) => {
                     let _ = reply.send(self.ledger.progress(&job));
                 }
-                Next::Message(Message::Len(reply)) => {
+                InboxEvent::Message(Message::Len(reply)) => {
                     let _ = reply.send(self.ledger.jobs().count());
                 }
-                Next::Closed => return,
-                Next::Tick => self.handle(LedgerInput::Tick),
+                InboxEvent::Closed => return,
+                InboxEvent::Tick => self.handle(LedgerInput::Tick),
             }
         }
     }
@@ -233,7 +233,7 @@
     fn note(&self, note: &Note) {
         let metrics = &self.env.metrics;
         match note {
-            Note::Taken { job, epoch } => {
+            Note::TakenOver { job, epoch } => {
                 metrics.job_event("taken");
                 log::info!("jobs: {job} taken over with epoch {epoch}");
             }
@@ -245,7 +245,7 @@
                 metrics.job_event(state_label(*state));
                 log::info!("jobs: {job} is {}", state_label(*state));
             }
-            Note::LeaseOver => {
+            Note::LeaseExpired => {
                 metrics.job_event("lease_over");
                 log::warn!("jobs: the lease has expired; no items are run until it is renewed");
             }
--- a/crates/samphiredoor/src/keyed.rs
+++ b/crates/samphiredoor/src/keyed.rs
@@ -12,7 +12,7 @@
 use samphiredoor_core::{
     Name,
     dispatch::{Class, RequestSpec},
-    keys::{Arrival, KeptAnswer, KeyOutcome, MAX_BODY_BYTES, key_id},
+    keys::{KeptAnswer, KeyOutcome, KeyedRequest, MAX_BODY_BYTES, key_id},
     verdict::{MayHaveRunReason, Refusal, Verdict},
 };
 use samphiredoor_net::{Body, BoxError, pool::within};
@@ -52,13 +52,13 @@
     online.deadline = online.deadline.min(Instant::now() + max_run);
     // A keyed request that may have run is never sent to a second target, even if its service allows repeated calls.
     spec.repeatable = false;
-    let arrival = Arrival {
+    let request = KeyedRequest {
         request: spec.request,
         key: key_id(&spec.workspace, &key),
         digest: digest(&spec.service, &online.call),
         deadline_unix_ms: online.door.clock.now().unix_ms + online.time_left().as_millis() as u64,
     };
-    let mut handle = online.door.keys.submit(arrival);
+    let mut handle = online.door.keys.submit(request);
     let mut is_joined = false;
     loop {
         match within(online.time_left(), handle.decision()).await {
--- a/crates/samphiredoor/src/keys_task.rs
+++ b/crates/samphiredoor/src/keys_task.rs
@@ -5,12 +5,14 @@
 
 use samphiredoor_core::{
     dispatch::RequestId,
-    keys::{Arrival, KeptAnswer, KeyOutcome, Keys, KeysAction, KeysConfig, KeysInput, holder_name},
+    keys::{
+        KeptAnswer, KeyOutcome, KeyedRequest, Keys, KeysAction, KeysConfig, KeysInput, holder_name,
+    },
     verdict::{Refusal, Verdict},
 };
 use samphiredoor_net::{
     clock::Clock,
-    ticking::{Next, Ticking},
+    timed_inbox::{InboxEvent, TimedInbox},
 };
 
 use crate::{metrics::Metrics, store_client::StoreClient};
@@ -33,7 +35,7 @@
 }
 
 enum Message {
-    Arrived(Arrival, flume::Sender<KeyDecision>),
+    Arrived(KeyedRequest, flume::Sender<KeyDecision>),
     Input(KeysInput),
 }
 
@@ -55,10 +57,10 @@
     }
 
     /// Submits a request that carries a key; its decisions arrive at the returned handle.
-    pub fn submit(&self, arrival: Arrival) -> KeyedRequestHandle {
+    pub fn submit(&self, keyed: KeyedRequest) -> KeyedRequestHandle {
         let (sender, decisions) = flume::unbounded();
-        let request = arrival.request;
-        let _ = self.messages.send(Message::Arrived(arrival, sender));
+        let request = keyed.request;
+        let _ = self.messages.send(Message::Arrived(keyed, sender));
         KeyedRequestHandle { request, decisions, messages: self.messages.clone(), open: true }
     }
 
@@ -72,7 +74,7 @@
     /// Reports that the lease of a process has expired. This is a hint, correctness does not depend on it.
     pub fn lease_expired(&self, process: &str, incarnation: u64) {
         let holder = holder_name(process, incarnation);
-        let _ = self.messages.send(Message::Input(KeysInput::Lapsed { holder }));
+        let _ = self.messages.send(Message::Input(KeysInput::LeaseExpired { holder }));
     }
 }
 
@@ -100,7 +102,7 @@
     /// Reports the outcome of the run.
     pub fn ended(mut self, outcome: KeyOutcome) {
         self.open = false;
-        let input = KeysInput::Ended { request: self.request, outcome };
+        let input = KeysInput::RunEnded { request: self.request, outcome };
         let _ = self.messages.send(Message::Input(input));
     }
 }
@@ -108,7 +110,7 @@
 impl Drop for KeyedRequestHandle {
     fn drop(&mut self) {
         if self.open {
-            let input = KeysInput::Gone { request: self.request };
+            let input = KeysInput::Cancelled { request: self.request };
             let _ = self.messages.send(Message::Input(input));
         }
     }
@@ -133,18 +135,18 @@
     let keys = Keys::new(env.config.clone());
     let mut task = Task { keys, waiting: HashMap::new(), env };
     let mut actions = Vec::new();
-    let mut inbox = Ticking::new(inbox.0, TICK);
+    let mut inbox = TimedInbox::new(inbox.0, TICK);
     loop {
         let input = match inbox.next().await {
-            Next::Message(Message::Arrived(arrival, reply)) => {
-                task.waiting.insert(arrival.request, reply);
-                KeysInput::Arrived(arrival)
+            InboxEvent::Message(Message::Arrived(keyed, reply)) => {
+                task.waiting.insert(keyed.request, reply);
+                KeysInput::Arrived(keyed)
             }
-            Next::Message(Message::Input(input)) => input,
-            Next::Closed => return,
-            Next::Tick => KeysInput::Tick,
+            InboxEvent::Message(Message::Input(input)) => input,
+            InboxEvent::Closed => return,
+            InboxEvent::Tick => KeysInput::Tick,
         };
-        if let KeysInput::Ended { request, .. } | KeysInput::Gone { request } = &input {
+        if let KeysInput::RunEnded { request, .. } | KeysInput::Cancelled { request } = &input {
             task.waiting.remove(request);
         }
         task.keys.handle(task.env.clock.now(), input, &mut actions);
--- a/crates/samphiredoor/src/online.rs
+++ b/crates/samphiredoor/src/online.rs
@@ -21,7 +21,7 @@
 use samphiredoor_net::{
     Body,
     body::read_whole,
-    pool::{Answer, SendError, within},
+    pool::{ResponseBody, SendError, within},
 };
 
 use crate::{
@@ -101,7 +101,7 @@
     /// The complete answer was read.
     Complete(Response<Body>, AttemptEnd),
     /// The head and the first piece of a streamed answer were read.
-    StreamStarted(Box<response::Parts>, Answer, Bytes),
+    StreamStarted(Box<response::Parts>, ResponseBody, Bytes),
     /// Nothing that could be sent to the caller.
     NoAnswer(AttemptEnd),
 }
@@ -180,7 +180,7 @@
 
     /// Waits for the first piece of a stream. Nothing has reached the caller before that, so a repeatable request can
     /// still be sent to another target.
-    async fn start_stream(&self, response: Response<Answer>) -> Outcome {
+    async fn start_stream(&self, response: Response<ResponseBody>) -> Outcome {
         let (parts, mut body) = response.into_parts();
         match next_piece(&mut body, self.deadline).await {
             Ok(Some(first)) => Outcome::StreamStarted(Box::new(parts), body, first),
@@ -211,7 +211,7 @@
 
     async fn read_answer(
         &self,
-        response: Response<Answer>,
+        response: Response<ResponseBody>,
     ) -> Result<Response<Body>, MayHaveRunReason> {
         let (mut parts, body) = response.into_parts();
         let read = read_whole(body, MAX_WHOLE_ANSWER_BYTES);
@@ -228,7 +228,7 @@
     fn forward_stream(
         self,
         mut parts: response::Parts,
-        body: Answer,
+        body: ResponseBody,
         first: Bytes,
         handle: RequestHandle,
         admitted: AdmittedAttempt,
--- a/crates/samphiredoor/src/peers.rs
+++ b/crates/samphiredoor/src/peers.rs
@@ -8,8 +8,8 @@
 use samphiredoor_core::{
     Name,
     hints::{Hint, Origin},
-    manifest_log::Holders,
-    membership::{Beat, Member, MemberState, MembershipInput, preferred},
+    manifest_revisions::PeerConfirmation,
+    membership::{Heartbeat, Member, MemberState, MembershipInput, rendezvous_select},
 };
 
 /// Longest wait for a peer's answer to one call.
@@ -34,7 +34,7 @@
 #[derive(Debug, Clone)]
 pub enum LinkCommand {
     /// Send a heartbeat and report the answer.
-    Beat(Beat),
+    Heartbeat(Heartbeat),
     /// Tell news.
     Tell(Told),
     /// Ask for all members and report them.
@@ -82,9 +82,9 @@
         /// Which peer.
         from: Name,
         /// What it said.
-        beat: Beat,
+        heartbeat: Heartbeat,
         /// Where the answer goes.
-        reply: flume::Sender<Beat>,
+        reply: flume::Sender<Heartbeat>,
     },
     /// A peer asks for a page of members.
     PageAsked {
@@ -114,7 +114,7 @@
         /// The record.
         record: Arc<[u8]>,
         /// Where the answer goes.
-        reply: flume::Sender<Holders>,
+        reply: flume::Sender<PeerConfirmation>,
     },
     /// A pull of a manifest has ended.
     PullEnded,
@@ -165,7 +165,7 @@
     pub fn offer(&self, job: Name) {
         let live = self.live();
         let working = live.iter().filter(|it| it.state == MemberState::Live).map(|it| &it.name);
-        for taker in preferred(&job, working, 1) {
+        for taker in rendezvous_select(&job, working, 1) {
             self.tell(taker, Hint::HandedOver(Name::clone(&job)));
         }
     }
@@ -176,10 +176,10 @@
     }
 
     /// Has another door hold a manifest's record, and tells whether one does.
-    pub async fn hold(&self, record: Arc<[u8]>) -> Holders {
+    pub async fn hold(&self, record: Arc<[u8]>) -> PeerConfirmation {
         let (reply, answer) = flume::bounded(1);
         self.send(PeerMessage::Hold { record, reply });
-        answer.recv_async().await.unwrap_or(Holders::Unconfirmed)
+        answer.recv_async().await.unwrap_or(PeerConfirmation::Unconfirmed)
     }
 
     /// Tells the membership what happened.
--- a/crates/samphiredoor/src/quarantine_task.rs
+++ b/crates/samphiredoor/src/quarantine_task.rs
@@ -9,12 +9,14 @@
 use samphiredoor_core::{
     dispatch::RequestId,
     hints::Hint,
-    quarantine::{Left, Quarantine, QuarantineAction, QuarantineConfig, QuarantineInput, Suspect},
+    quarantine::{
+        AttemptOutcome, Quarantine, QuarantineAction, QuarantineConfig, QuarantineInput, Suspect,
+    },
 };
 use samphiredoor_net::{
     clock::Clock,
     pool::within,
-    ticking::{Next, Ticking},
+    timed_inbox::{InboxEvent, TimedInbox},
 };
 
 use crate::{metrics::Metrics, peers::Peers, store_client::StoreClient};
@@ -67,7 +69,7 @@
 
     /// Records a suspect that a peer reported.
     pub fn record_peer_report(&self, suspect: Suspect) {
-        self.send(Message::Input(QuarantineInput::Told(suspect)));
+        self.send(Message::Input(QuarantineInput::PeerReport(suspect)));
     }
 
     /// Lifts the suspicion of a request here and at all peers.
@@ -97,7 +99,7 @@
 impl AdmittedAttempt {
     /// Reports that the complete answer arrived.
     pub fn answered(mut self) {
-        self.leave(Left::Answered);
+        self.report_end(AttemptOutcome::Answered);
     }
 
     /// Reports that the connection was lost after the request was sent, and waits until the quarantine has found out
@@ -111,24 +113,24 @@
 
     /// Reports a lost connection without waiting, for a request that is not sent again.
     pub fn connection_lost_without_retry(mut self) {
-        self.leave(Left::Lost);
+        self.report_end(AttemptOutcome::ConnectionLost);
     }
 
     fn close(mut self) {
         self.open = false;
     }
 
-    fn leave(&mut self, how: Left) {
+    fn report_end(&mut self, outcome: AttemptOutcome) {
         self.open = false;
-        let left = QuarantineInput::Left { attempt: self.attempt, how };
-        let _ = self.messages.send(Message::Input(left));
+        let ended = QuarantineInput::Ended { attempt: self.attempt, outcome };
+        let _ = self.messages.send(Message::Input(ended));
     }
 }
 
 impl Drop for AdmittedAttempt {
     fn drop(&mut self) {
         if self.open {
-            self.leave(Left::Otherwise);
+            self.report_end(AttemptOutcome::Other);
         }
     }
 }
@@ -158,19 +160,19 @@
         env,
     };
     let mut actions = Vec::new();
-    let mut inbox = Ticking::new(inbox.0, TICK);
+    let mut inbox = TimedInbox::new(inbox.0, TICK);
     loop {
         let input = match inbox.next().await {
-            Next::Message(message) => task.input(message),
-            Next::Closed => return,
-            Next::Tick => Some(QuarantineInput::Tick),
+            InboxEvent::Message(message) => task.input(message),
+            InboxEvent::Closed => return,
+            InboxEvent::Tick => Some(QuarantineInput::Tick),
         };
         let Some(input) = input else { continue };
         task.quarantine.handle(task.env.clock.now(), input, &mut actions);
         for action in actions.drain(..) {
             task.act(action);
         }
-        task.env.handle.has_suspects.set(task.quarantine.suspects_any());
+        task.env.handle.has_suspects.set(task.quarantine.has_suspects());
     }
 }
 
@@ -186,18 +188,18 @@
         match message {
             Message::Admit { attempt, fingerprint, target, reply } => {
                 self.awaiting_admission.insert(attempt, reply);
-                Some(QuarantineInput::Enter { attempt, fingerprint, target })
+                Some(QuarantineInput::Admit { attempt, fingerprint, target })
             }
             Message::Lost { attempt, resolved } => {
                 self.awaiting_resolution.insert(attempt, resolved);
-                Some(QuarantineInput::Left { attempt, how: Left::Lost })
+                Some(QuarantineInput::Ended { attempt, outcome: AttemptOutcome::ConnectionLost })
             }
             Message::List(reply) => {
                 let _ = reply.send(self.quarantine.suspects().collect());
                 None
             }
             Message::Input(input) => {
-                if let QuarantineInput::Left { attempt, .. } = &input {
+                if let QuarantineInput::Ended { attempt, .. } = &input {
                     self.awaiting_admission.remove(attempt);
                 }
                 Some(input)
@@ -207,7 +209,7 @@
 
     fn act(&mut self, action: QuarantineAction) {
         match action {
-            QuarantineAction::Go { attempt } => self.reply_admission(attempt, true),
+            QuarantineAction::Dispatch { attempt } => self.reply_admission(attempt, true),
             QuarantineAction::Refuse { attempt } => self.reply_admission(attempt, false),
             QuarantineAction::Probe { target } => {
                 let messages = self.env.handle.messages.clone();
@@ -218,15 +220,15 @@
                 })
                 .detach();
             }
-            QuarantineAction::Settled { attempt } => {
+            QuarantineAction::LossResolved { attempt } => {
                 if let Some(resolved) = self.awaiting_resolution.remove(&attempt) {
                     let _ = resolved.send(());
                 }
             }
-            QuarantineAction::Tell(Suspect { fingerprint, deaths, lifted }) => {
+            QuarantineAction::NotifyPeers(Suspect { fingerprint, deaths, lifted }) => {
                 self.env.peers.tell_all(Hint::Suspect { fingerprint, deaths, lifted });
             }
-            QuarantineAction::Blamed { fingerprint } => {
+            QuarantineAction::Quarantined { fingerprint } => {
                 self.env.metrics.quarantine().blamed();
                 log::warn!(
                     "quarantine: request {fingerprint:016x} is quarantined, targets died while running it"
--- a/crates/samphiredoor/src/stream_forwarding.rs
+++ b/crates/samphiredoor/src/stream_forwarding.rs
@@ -10,7 +10,7 @@
 use samphiredoor_net::{
     BoxError,
     body::{self, PieceError},
-    pool::Answer,
+    pool::ResponseBody,
 };
 
 use crate::{
@@ -25,7 +25,7 @@
 /// the target.
 pub struct ForwardedStream {
     /// Body of the answer after `first`.
-    pub body: Answer,
+    pub body: ResponseBody,
     /// First piece, which was read before the answer to the caller was started.
     pub first: Option<Bytes>,
     /// Detects the last event; only streams of engines have one.
@@ -98,12 +98,12 @@
 
 /// Next piece of an answer; `None` at the end of the framing, which need not be the end of the answer.
 pub async fn next_piece(
-    answer: &mut Answer,
+    answer: &mut ResponseBody,
     deadline: Instant,
 ) -> Result<Option<Bytes>, MayHaveRunReason> {
     let left = deadline.saturating_duration_since(Instant::now());
     body::next_piece(answer, left).await.map_err(|err| match err {
         PieceError::Cut => MayHaveRunReason::AnswerCut,
-        PieceError::Late => MayHaveRunReason::DeadlinePassed,
+        PieceError::TimedOut => MayHaveRunReason::DeadlinePassed,
     })
 }
