--- a/crates/samphiredoor/src/dispatch_task.rs
+++ b/crates/samphiredoor/src/dispatch_task.rs
@@ -132,7 +132,7 @@
         receiver.recv_async().await.unwrap_or_default()
     }
 
-    /// State of these targets as this process sees it, for queries of operators.
+    /// State of the same targets as this process sees it.
     pub async fn target_views(&self) -> Vec<TargetView> {
         let (reply, receiver) = flume::bounded(1);
         let _ = self.messages.send(Message::TargetViews(reply));
--- a/crates/samphiredoor/src/online.rs
+++ b/crates/samphiredoor/src/online.rs
@@ -41,7 +41,7 @@
     targets::Call,
 };
 
-const MAX_WHOLE_ANSWER_BYTES: usize = 16 * 1024 * 1024;
+const MAX_ANSWER_BYTES: usize = 16 * 1024 * 1024;
 
 /// Reads, dispatches and answers one online request.
 pub async fn answer(door: Rc<Door>, request: Request<Incoming>) -> Response<Body> {
@@ -214,7 +214,7 @@
         response: Response<ResponseBody>,
     ) -> Result<Response<Body>, MayHaveRunReason> {
         let (mut parts, body) = response.into_parts();
-        let read = read_whole(body, MAX_WHOLE_ANSWER_BYTES);
+        let read = read_whole(body, MAX_ANSWER_BYTES);
         match within(self.time_left(), read).await {
             Some(Ok(body)) => {
                 strip_framing(&mut parts.headers);
--- a/crates/samphiredoor/src/quarantine_task.rs
+++ b/crates/samphiredoor/src/quarantine_task.rs
@@ -89,7 +89,7 @@
     }
 }
 
-/// An attempt that may be sent. Dropping it reports an end from which nothing follows about the request.
+/// An attempt that may be sent. Dropping it reports an end that neither clears the request nor raises suspicion.
 pub struct AdmittedAttempt {
     attempt: RequestId,
     messages: flume::Sender<Message>,
--- a/crates/samphiredoor/src/stream_forwarding.rs
+++ b/crates/samphiredoor/src/stream_forwarding.rs
@@ -59,7 +59,7 @@
             Some(first) => Ok(Some(first)),
             None => next_piece(&mut this.body, this.deadline).await,
         };
-        let is_whole = this.done_detector.as_ref().is_none_or(DoneDetector::is_seen);
+        let is_complete = this.done_detector.as_ref().is_none_or(DoneDetector::is_seen);
         match piece {
             Ok(Some(piece)) => {
                 if let Some(detector) = &mut this.done_detector {
@@ -67,7 +67,7 @@
                 }
                 Some((Ok(piece), Some(this)))
             }
-            Ok(None) if is_whole => {
+            Ok(None) if is_complete => {
                 if let Some(admitted) = this.admitted.take() {
                     admitted.answered();
                 }
@@ -75,8 +75,8 @@
                 this.record_verdict(Verdict::Done);
                 None
             }
-            cut => {
-                let reason = cut.err().unwrap_or(MayHaveRunReason::AnswerCut);
+            truncated => {
+                let reason = truncated.err().unwrap_or(MayHaveRunReason::AnswerCut);
                 if let Some(admitted) = this.admitted.take_if(|_| reason.is_loss()) {
                     admitted.connection_lost_without_retry();
                 }
