--- a/crates/samphiredoor/src/callers.rs
+++ b/crates/samphiredoor/src/callers.rs
@@ -1,4 +1,4 @@
-//! The callers' door: paths, and who answers them.
+//! Routes the requests of the callers' listener by method and path.
 
 use std::rc::Rc;
 
@@ -7,7 +7,7 @@
 
 use crate::{answers::not_found, door::Door, job_control, job_reads, jobs, online};
 
-/// Answers one request of a caller.
+/// Answers one request of a caller; 404 for an unknown path.
 pub async fn answer(door: Rc<Door>, request: Request<Incoming>) -> Response<Body> {
     let path = request.uri().path().to_owned();
     if online::is_online(request.method(), &path) {
@@ -19,7 +19,9 @@
         (&Method::GET, ["v1", "batches", job]) => job_reads::status(door, job).await,
         (&Method::DELETE, ["v1", "batches", job]) => job_control::remove(door, job).await,
         (&Method::POST, ["v1", "batches", job, "cancel"]) => job_control::cancel(&door, job).await,
-        (&Method::GET, ["v1", "batches", _, "bodies", name]) => job_reads::body(door, name).await,
+        (&Method::GET, ["v1", "batches", _, "bodies", name]) => {
+            job_reads::large_body(door, name).await
+        }
         (&Method::GET, ["v1", "batches", job, "results"]) => {
             job_reads::results(door, job, request.uri().query().unwrap_or_default()).await
         }
--- a/crates/samphiredoor/src/jobs.rs
+++ b/crates/samphiredoor/src/jobs.rs
@@ -1,4 +1,4 @@
-//! Batch jobs at the callers' door: submission.
+//! Accepts batch jobs from callers.
 
 use std::{rc::Rc, time::Duration};
 
@@ -13,50 +13,50 @@
 use samphiredoor_schema::objects::Chunk;
 
 use crate::{
-    answers::{bad_request, json_answer, verdict_answer},
-    ask::{KEY_HEADER, WORKSPACE_HEADER, header_text},
+    answers::{bad_request, json_response, verdict_response},
     door::Door,
     job_reads::header_json,
     request_body::RequestBody,
+    request_spec::{KEY_HEADER, WORKSPACE_HEADER, header_text},
 };
 
-/// Header that says whether an item may be run more than once.
+/// Header that allows or forbids running an item more than once.
 const REPEATABLE_HEADER: &str = "x-repeatable";
-/// Header that says when the results are due.
+/// Header with the time at which the results are due.
 const DUE_HEADER: &str = "x-due-unix-ms";
 const STORE_RETRY_AFTER_MS: u64 = 2_000;
 const LEASE_RETRY_AFTER_MS: u64 = 1_000;
 const LEASE_POLL: Duration = Duration::from_millis(20);
 const LEASE_POLLS: u32 = 50;
-const CHUNK_TRIES: u32 = 3;
-const CHUNKS_AT_ONCE: usize = 4;
+const CHUNK_WRITE_ATTEMPTS: u32 = 3;
+const MAX_CONCURRENT_CHUNK_WRITES: usize = 4;
 
-/// Takes a submission; answers when the job is durable, and not before.
+/// Accepts a submission. The answer is sent only after the job is durable in the store.
 pub async fn submit(door: Rc<Door>, request: Request<Incoming>) -> Response<Body> {
     let (parts, body) = request.into_parts();
-    let mut accepting = match accepting(&door, &parts.headers) {
-        Ok(accepting) => accepting,
+    let mut params = match parse_headers(&door, &parts.headers) {
+        Ok(params) => params,
         Err(answer) => return answer,
     };
-    if !lease_comes(&door).await {
+    if !wait_for_lease(&door).await {
         let reason = Refusal::NotReady;
-        return verdict_answer(Verdict::NotRun { retry_after_ms: LEASE_RETRY_AFTER_MS, reason });
+        return verdict_response(Verdict::NotRun { retry_after_ms: LEASE_RETRY_AFTER_MS, reason });
     }
     let mut submission = Submission::new();
-    let uploaded = upload(&door, &accepting, body, &mut submission).await;
+    let uploaded = upload(&door, &params, body, &mut submission).await;
     if let Err(answer) = uploaded {
-        remove_chunks(&door, &accepting.upload, submission.chunks());
+        remove_chunks(&door, &params.upload, submission.chunks());
         return answer;
     }
     let manifest = door.manifest.current();
     let service = manifest.services.get(submission.service());
-    accepting.repeatable &= service.is_none_or(|it| it.repeatable);
-    accept(&door, &accepting, &submission).await
+    params.repeatable &= service.is_none_or(|it| it.repeatable);
+    accept(&door, &params, &submission).await
 }
 
-/// Waits a little for the process's lease. A process that never had one could not be found to be gone, and its jobs
-/// would never be taken from it.
-async fn lease_comes(door: &Door) -> bool {
+/// Waits up to a second for this process to hold its lease. Without a lease its death could not be detected, and its
+/// jobs would never be taken over.
+async fn wait_for_lease(door: &Door) -> bool {
     for _ in 0..LEASE_POLLS {
         if door.jobs.lease_held(door.clock.now()) {
             return true;
@@ -66,9 +66,9 @@
     false
 }
 
-fn accepting(door: &Door, headers: &HeaderMap) -> Result<AcceptanceParams, Response<Body>> {
+fn parse_headers(door: &Door, headers: &HeaderMap) -> Result<AcceptanceParams, Response<Body>> {
     let Some(key) = header_text(headers, KEY_HEADER) else {
-        return Err(bad_request(KEY_HEADER, "name the job, so that sending it again is safe"));
+        return Err(bad_request(KEY_HEADER, "is required, so that sending the job again is safe"));
     };
     if key.is_empty() || key.len() > 256 {
         return Err(bad_request(KEY_HEADER, "use 1 to 256 bytes"));
@@ -81,7 +81,7 @@
     let due_unix_ms = match header_text(headers, DUE_HEADER).map(str::parse) {
         None => None,
         Some(Ok(due_unix_ms)) => Some(due_unix_ms),
-        Some(Err(_)) => return Err(bad_request(DUE_HEADER, "is no number of milliseconds")),
+        Some(Err(_)) => return Err(bad_request(DUE_HEADER, "is not a number of milliseconds")),
     };
     Ok(AcceptanceParams {
         workspace: header_text(headers, WORKSPACE_HEADER).unwrap_or("default").into(),
@@ -94,10 +94,10 @@
     })
 }
 
-/// Reads the body and writes its chunks, a few at a time.
+/// Reads the body and writes its chunks to the store, a few concurrently.
 async fn upload(
     door: &Rc<Door>,
-    accepting: &AcceptanceParams,
+    params: &AcceptanceParams,
     body: Incoming,
     submission: &mut Submission,
 ) -> Result<(), Response<Body>> {
@@ -105,14 +105,14 @@
     let mut body = RequestBody::new(body, door.config.max_body_bytes, door.config.body_timeout);
     while let Some(piece) = body.piece().await.map_err(|err| err.answer())? {
         for (number, chunk) in submission.push(&piece).map_err(|bad| bad_line(&bad))? {
-            writes.push(write_chunk(door, accepting, number, chunk));
-            if writes.len() >= CHUNKS_AT_ONCE {
+            writes.push(write_chunk(door, params, number, chunk));
+            if writes.len() >= MAX_CONCURRENT_CHUNK_WRITES {
                 writes.next().await.unwrap_or(Ok(()))?;
             }
         }
     }
     for (number, chunk) in submission.finish().map_err(|bad| bad_line(&bad))? {
-        writes.push(write_chunk(door, accepting, number, chunk));
+        writes.push(write_chunk(door, params, number, chunk));
     }
     while let Some(written) = writes.next().await {
         written?;
@@ -126,66 +126,67 @@
 
 async fn write_chunk(
     door: &Door,
-    accepting: &AcceptanceParams,
+    params: &AcceptanceParams,
     number: u32,
     chunk: Chunk,
 ) -> Result<(), Response<Body>> {
-    for _ in 0..CHUNK_TRIES {
-        match door.store.call(Acceptance::chunk_op(&accepting.upload, number, &chunk)).await {
-            // The name is this upload's alone: whatever stands there, this call or an earlier try wrote it.
+    for _ in 0..CHUNK_WRITE_ATTEMPTS {
+        match door.store.call(Acceptance::chunk_op(&params.upload, number, &chunk)).await {
+            // The object's name is unique to this upload, so an existing object was written by this call or an earlier
+            // attempt.
             StoreAnswer::Object(_) | StoreAnswer::Taken => return Ok(()),
             StoreAnswer::Unknown => {}
             _ => break,
         }
     }
-    Err(store_refusal())
+    Err(store_unavailable())
 }
 
-/// Answer where the store is of no help and nothing was done.
-pub fn store_refusal() -> Response<Body> {
+/// Answer to a request that was not run because the store is unavailable.
+pub fn store_unavailable() -> Response<Body> {
     let reason = Refusal::StoreUnavailable;
-    verdict_answer(Verdict::NotRun { retry_after_ms: STORE_RETRY_AFTER_MS, reason })
+    verdict_response(Verdict::NotRun { retry_after_ms: STORE_RETRY_AFTER_MS, reason })
 }
 
 async fn accept(
     door: &Rc<Door>,
-    accepting: &AcceptanceParams,
+    params: &AcceptanceParams,
     submission: &Submission,
 ) -> Response<Body> {
-    let mut acceptance = Acceptance::new(door.clock.now(), accepting, submission);
+    let mut acceptance = Acceptance::new(door.clock.now(), params, submission);
     let mut step = acceptance.start();
     loop {
         match step {
             SubmissionStep::Store(op) => step = acceptance.handle_answer(door.store.call(op).await),
             SubmissionStep::Accepted { job, header, version, resent } => {
-                let answer = json_answer(StatusCode::OK, &header_json(&job, &header));
+                let answer = json_response(StatusCode::OK, &header_json(&job, &header));
                 if resent {
-                    remove_chunks(door, &accepting.upload, submission.chunks());
+                    remove_chunks(door, &params.upload, submission.chunks());
                 } else {
                     log::info!("jobs: {job} accepted with {} items", header.items);
-                    door.jobs.owned(job, header, version);
+                    door.jobs.add_owned_job(job, header, version);
                 }
                 return answer;
             }
             SubmissionStep::Conflicting { .. } => {
-                remove_chunks(door, &accepting.upload, submission.chunks());
+                remove_chunks(door, &params.upload, submission.chunks());
                 let reason = Refusal::KeyReused;
-                return verdict_answer(Verdict::NotRun { retry_after_ms: 0, reason });
+                return verdict_response(Verdict::NotRun { retry_after_ms: 0, reason });
             }
             SubmissionStep::NotAccepted => {
-                remove_chunks(door, &accepting.upload, submission.chunks());
-                return store_refusal();
+                remove_chunks(door, &params.upload, submission.chunks());
+                return store_unavailable();
             }
-            // The header may stand, and then needs its chunks.
+            // The header may be stored, and then its chunks are needed.
             SubmissionStep::MayBeAccepted => {
                 let reason = MayHaveRunReason::StoreAnswerLost;
-                return verdict_answer(Verdict::MayHaveRun { reason });
+                return verdict_response(Verdict::MayHaveRun { reason });
             }
         }
     }
 }
 
-/// Removes the chunks of an upload that no header names. What is left after a failure is only space.
+/// Deletes the chunks of an upload that no job header refers to. A failed deletion only wastes space.
 fn remove_chunks(door: &Rc<Door>, upload: &str, chunks: u32) {
     let (door, upload) = (Rc::clone(door), upload.to_owned());
     compio::runtime::spawn(async move {
--- a/crates/samphiredoor/src/quarantine_task.rs
+++ b/crates/samphiredoor/src/quarantine_task.rs
@@ -1,7 +1,7 @@
-//! The task that owns the quarantine, and the handles by which attempts speak to it.
+//! Runs the quarantine in a task of its own; attempts send messages to it through handles.
 //!
-//! An attempt enters before it is sent and leaves when it has ended. It waits for the answer to its entry only while
-//! some request is suspected, so that the quarantine costs an ordinary request two messages and no turn.
+//! An attempt is announced before it is sent, and reported again when it has ended. It waits for admission only while
+//! some request is suspected, so that without a suspect the quarantine costs a request two messages and no wait.
 
 use std::{cell::Cell, collections::HashMap, net::SocketAddr, rc::Rc, time::Duration};
 
@@ -23,61 +23,61 @@
 
 const TICK: Duration = Duration::from_millis(250);
 const PROBE_TIMEOUT: Duration = Duration::from_millis(100);
-/// Pause before the second probe: a process that ends may close its connections before its listener.
-const PROBE_PAUSE: Duration = Duration::from_millis(20);
+/// Delay before the second probe: a process that ends may close its connections before its listening socket.
+const SECOND_PROBE_DELAY: Duration = Duration::from_millis(20);
 
 enum Message {
-    Enter { attempt: RequestId, fingerprint: u64, target: SocketAddr, reply: flume::Sender<bool> },
-    Lost { attempt: RequestId, settled: flume::Sender<()> },
+    Admit { attempt: RequestId, fingerprint: u64, target: SocketAddr, reply: flume::Sender<bool> },
+    Lost { attempt: RequestId, resolved: flume::Sender<()> },
     List(flume::Sender<Vec<Suspect>>),
     Input(QuarantineInput),
 }
 
-/// Handle to the quarantine's task.
+/// Handle to the task of the quarantine.
 #[derive(Clone)]
 pub struct QuarantineHandle {
     messages: flume::Sender<Message>,
     has_suspects: Rc<Cell<bool>>,
 }
 
-/// Inbox of the quarantine's task, before the task starts.
+/// Inbox that the task reads once it is started.
 pub struct QuarantineInbox(flume::Receiver<Message>);
 
 impl QuarantineHandle {
-    /// Handle and inbox.
+    /// Creates a handle and the inbox that it sends to.
     pub fn new() -> (QuarantineHandle, QuarantineInbox) {
         let (messages, inbox) = flume::unbounded();
         (QuarantineHandle { messages, has_suspects: Rc::default() }, QuarantineInbox(inbox))
     }
 
-    /// Says that an attempt is about to be sent, and waits until it may be; `None` if the request is blamed.
-    pub async fn enter(
+    /// Announces an attempt and waits until it may be sent; `None` if the request is quarantined.
+    pub async fn admit(
         &self,
         attempt: RequestId,
         fingerprint: u64,
         target: SocketAddr,
-    ) -> Option<Pass> {
-        let (reply, decided) = flume::bounded(1);
-        let pass = Pass { attempt, messages: self.messages.clone(), open: true };
-        self.send(Message::Enter { attempt, fingerprint, target, reply });
-        if self.has_suspects.get() && !decided.recv_async().await.unwrap_or(true) {
-            pass.close();
+    ) -> Option<AdmittedAttempt> {
+        let (reply, reply_receiver) = flume::bounded(1);
+        let admitted = AdmittedAttempt { attempt, messages: self.messages.clone(), open: true };
+        self.send(Message::Admit { attempt, fingerprint, target, reply });
+        if self.has_suspects.get() && !reply_receiver.recv_async().await.unwrap_or(true) {
+            admitted.close();
             return None;
         }
-        Some(pass)
+        Some(admitted)
     }
 
-    /// Takes what a peer told.
-    pub fn told(&self, suspect: Suspect) {
+    /// Records a suspect that a peer reported.
+    pub fn record_peer_report(&self, suspect: Suspect) {
         self.send(Message::Input(QuarantineInput::PeerReport(suspect)));
     }
 
-    /// Lifts the suspicion of a request.
+    /// Lifts the suspicion of a request here and at all peers.
     pub fn lift(&self, fingerprint: u64) {
         self.send(Message::Input(QuarantineInput::Lift { fingerprint }));
     }
 
-    /// All that are suspected, blamed or lifted.
+    /// All suspected, quarantined and lifted requests.
     pub async fn list(&self) -> Vec<Suspect> {
         let (reply, answer) = flume::bounded(1);
         self.send(Message::List(reply));
@@ -89,73 +89,74 @@
     }
 }
 
-/// An attempt that may be sent. Dropping it says that the attempt ended in a way that says nothing about the request.
-pub struct Pass {
+/// An attempt that may be sent. Dropping it reports an end that neither clears the request nor raises suspicion.
+pub struct AdmittedAttempt {
     attempt: RequestId,
     messages: flume::Sender<Message>,
     open: bool,
 }
 
-impl Pass {
-    /// The whole answer arrived.
+impl AdmittedAttempt {
+    /// Reports that the complete answer arrived.
     pub fn answered(mut self) {
-        self.leave(AttemptOutcome::Answered);
+        self.report_end(AttemptOutcome::Answered);
     }
 
-    /// The connection was lost after the request was sent; waits until it is known what that means.
-    pub async fn lost(mut self) {
+    /// Reports that the connection was lost after the request was sent, and waits until the quarantine has found out
+    /// whether the target died.
+    pub async fn connection_lost(mut self) {
         self.open = false;
-        let (settled, wait) = flume::bounded(1);
-        let _ = self.messages.send(Message::Lost { attempt: self.attempt, settled });
+        let (resolved, wait) = flume::bounded(1);
+        let _ = self.messages.send(Message::Lost { attempt: self.attempt, resolved });
         let _ = wait.recv_async().await;
     }
 
-    /// The same for an attempt that is not followed by another one.
-    pub fn lost_at_the_end(mut self) {
-        self.leave(AttemptOutcome::ConnectionLost);
+    /// Reports a lost connection without waiting, for a request that is not sent again.
+    pub fn connection_lost_without_retry(mut self) {
+        self.report_end(AttemptOutcome::ConnectionLost);
     }
 
     fn close(mut self) {
         self.open = false;
     }
 
-    fn leave(&mut self, outcome: AttemptOutcome) {
+    fn report_end(&mut self, outcome: AttemptOutcome) {
         self.open = false;
-        let left = QuarantineInput::Ended { attempt: self.attempt, outcome };
-        let _ = self.messages.send(Message::Input(left));
+        let ended = QuarantineInput::Ended { attempt: self.attempt, outcome };
+        let _ = self.messages.send(Message::Input(ended));
     }
 }
 
-impl Drop for Pass {
+impl Drop for AdmittedAttempt {
     fn drop(&mut self) {
         if self.open {
-            self.leave(AttemptOutcome::Other);
+            self.report_end(AttemptOutcome::Other);
         }
     }
 }
 
-/// What the quarantine's task uses.
+/// Configuration and handles that the task uses.
 pub struct QuarantineEnv {
-    /// Bounds, and the name of this process in records.
+    /// Limits, and the name of this process in stored records.
     pub config: QuarantineConfig,
     /// Clock of the process.
     pub clock: Clock,
-    /// The task's own handle.
+    /// Handle to this task, which receives the results of probes and the store's answers.
     pub handle: QuarantineHandle,
-    /// Other doors, which are told of suspects.
+    /// Peers, which suspects are reported to.
     pub peers: Peers,
-    /// The object API.
+    /// Client of the object store.
     pub store: StoreClient,
-    /// Counters.
+    /// Metrics of the process.
     pub metrics: Rc<Metrics>,
 }
 
-/// Runs the quarantine until the process ends.
+/// Handles messages until the process ends.
 pub async fn run(env: QuarantineEnv, inbox: QuarantineInbox) {
     let mut task = Task {
         quarantine: Quarantine::new(env.config.clone()),
-        entering: HashMap::new(),
-        settling: HashMap::new(),
+        awaiting_admission: HashMap::new(),
+        awaiting_resolution: HashMap::new(),
         env,
     };
     let mut actions = Vec::new();
@@ -178,19 +179,19 @@
 struct Task {
     env: QuarantineEnv,
     quarantine: Quarantine,
-    entering: HashMap<RequestId, flume::Sender<bool>>,
-    settling: HashMap<RequestId, flume::Sender<()>>,
+    awaiting_admission: HashMap<RequestId, flume::Sender<bool>>,
+    awaiting_resolution: HashMap<RequestId, flume::Sender<()>>,
 }
 
 impl Task {
     fn input(&mut self, message: Message) -> Option<QuarantineInput> {
         match message {
-            Message::Enter { attempt, fingerprint, target, reply } => {
-                self.entering.insert(attempt, reply);
+            Message::Admit { attempt, fingerprint, target, reply } => {
+                self.awaiting_admission.insert(attempt, reply);
                 Some(QuarantineInput::Admit { attempt, fingerprint, target })
             }
-            Message::Lost { attempt, settled } => {
-                self.settling.insert(attempt, settled);
+            Message::Lost { attempt, resolved } => {
+                self.awaiting_resolution.insert(attempt, resolved);
                 Some(QuarantineInput::Ended { attempt, outcome: AttemptOutcome::ConnectionLost })
             }
             Message::List(reply) => {
@@ -199,7 +200,7 @@
             }
             Message::Input(input) => {
                 if let QuarantineInput::Ended { attempt, .. } = &input {
-                    self.entering.remove(attempt);
+                    self.awaiting_admission.remove(attempt);
                 }
                 Some(input)
             }
@@ -208,20 +209,20 @@
 
     fn act(&mut self, action: QuarantineAction) {
         match action {
-            QuarantineAction::Dispatch { attempt } => self.entered(attempt, true),
-            QuarantineAction::Refuse { attempt } => self.entered(attempt, false),
+            QuarantineAction::Dispatch { attempt } => self.reply_admission(attempt, true),
+            QuarantineAction::Refuse { attempt } => self.reply_admission(attempt, false),
             QuarantineAction::Probe { target } => {
                 let messages = self.env.handle.messages.clone();
                 compio::runtime::spawn(async move {
-                    let refused = is_refused(target).await;
+                    let refused = refuses_connections(target).await;
                     let probed = QuarantineInput::Probed { target, refused };
                     let _ = messages.send(Message::Input(probed));
                 })
                 .detach();
             }
             QuarantineAction::LossResolved { attempt } => {
-                if let Some(settled) = self.settling.remove(&attempt) {
-                    let _ = settled.send(());
+                if let Some(resolved) = self.awaiting_resolution.remove(&attempt) {
+                    let _ = resolved.send(());
                 }
             }
             QuarantineAction::NotifyPeers(Suspect { fingerprint, deaths, lifted }) => {
@@ -230,7 +231,7 @@
             QuarantineAction::Quarantined { fingerprint } => {
                 self.env.metrics.quarantine().blamed();
                 log::warn!(
-                    "quarantine: request {fingerprint:016x} is refused, targets died with it"
+                    "quarantine: request {fingerprint:016x} is quarantined, targets died while running it"
                 );
             }
             QuarantineAction::Store { call, op } => {
@@ -242,23 +243,24 @@
         }
     }
 
-    fn entered(&mut self, attempt: RequestId, may_go: bool) {
-        if let Some(reply) = self.entering.remove(&attempt) {
-            let _ = reply.send(may_go);
+    fn reply_admission(&mut self, attempt: RequestId, may_be_sent: bool) {
+        if let Some(reply) = self.awaiting_admission.remove(&attempt) {
+            let _ = reply.send(may_be_sent);
         }
     }
 }
 
-/// Whether a target refuses connections. One that does not answer is cut off rather than dead.
-async fn is_refused(target: SocketAddr) -> bool {
-    if refuses(target).await {
+/// Whether a target refuses connections in one of two probes. A target that does not answer is unreachable, which is no
+/// proof that it died.
+async fn refuses_connections(target: SocketAddr) -> bool {
+    if refuses_connection(target).await {
         return true;
     }
-    compio::time::sleep(PROBE_PAUSE).await;
-    refuses(target).await
+    compio::time::sleep(SECOND_PROBE_DELAY).await;
+    refuses_connection(target).await
 }
 
-async fn refuses(target: SocketAddr) -> bool {
+async fn refuses_connection(target: SocketAddr) -> bool {
     match within(PROBE_TIMEOUT, TcpStream::connect(target)).await {
         Some(Err(err)) => err.kind() == std::io::ErrorKind::ConnectionRefused,
         Some(Ok(_)) | None => false,
--- a/crates/samphiredoor/src/ask.rs
+++ b/crates/samphiredoor/src/request_spec.rs
@@ -1,4 +1,4 @@
-//! What an online request asks for, read from its path, headers and body.
+//! Builds the dispatcher's description of an online request from its path, headers and body.
 
 use std::time::{Duration, Instant};
 
@@ -15,95 +15,95 @@
 
 use crate::{answers::bad_request, door::Door};
 
-/// Header that names the workspace.
+/// Header with the name of the workspace.
 pub const WORKSPACE_HEADER: &str = "x-workspace";
-/// Header that names the deadline, in milliseconds from now.
+/// Header with the deadline, in milliseconds from now.
 pub const DEADLINE_HEADER: &str = "x-deadline-ms";
-/// Header that carries the caller's key.
+/// Header with the caller's idempotency key.
 pub const KEY_HEADER: &str = "idempotency-key";
-/// Header by which targets know a request.
+/// Header with the request id that targets receive.
 pub const REQUEST_ID_HEADER: &str = "x-request-id";
 
 const DEFAULT_WORKSPACE: &str = "default";
-const LONGEST_DEADLINE: Duration = Duration::from_secs(24 * 60 * 60);
-const PREFIX_BYTES: usize = 256;
+const MAX_DEADLINE: Duration = Duration::from_secs(24 * 60 * 60);
+const HASHED_PREFIX_BYTES: usize = 256;
 
-/// Beginning of a completion call, as far as a door reads it.
+/// The fields of a completion request that the gateway reads.
 #[derive(Debug, Default)]
 #[derive(Deserialize)]
-pub struct Head {
+pub struct CompletionParams {
     #[serde(default)]
-    /// Service asked for.
+    /// Requested service.
     pub model: String,
     #[serde(default)]
     /// Whether the answer is to be streamed.
     pub stream: bool,
 }
 
-/// Reads the service and the form of the answer.
+/// Reads the requested service, and whether to stream the answer.
 ///
 /// # Errors
 ///
-/// What is wrong with the body.
-pub fn read_head(uri: &Uri, body: &Bytes) -> Result<Head, String> {
+/// Describes the fault of the body.
+pub fn read_completion_params(uri: &Uri, body: &Bytes) -> Result<CompletionParams, String> {
     if let Some(service) = service_in_path(uri.path()) {
-        return Ok(Head { model: service.to_owned(), stream: false });
+        return Ok(CompletionParams { model: service.to_owned(), stream: false });
     }
-    let head: Head = serde_json::from_slice(body).map_err(|err| err.to_string())?;
-    if head.model.is_empty() {
-        return Err("name the service to ask".to_owned());
+    let params: CompletionParams = serde_json::from_slice(body).map_err(|err| err.to_string())?;
+    if params.model.is_empty() {
+        return Err("the name of a service is required".to_owned());
     }
-    Ok(head)
+    Ok(params)
 }
 
-/// Makes the dispatcher's view of the request, with the deadline by this process's clock.
+/// Builds the dispatcher's description of the request; the deadline is by the monotonic clock of this process.
 ///
 /// # Errors
 ///
-/// The answer to a request whose headers make no sense.
-pub fn make_ask(
+/// Returns the answer to the caller if a header is invalid.
+pub fn build_request_spec(
     door: &Door,
     headers: &HeaderMap,
-    head: &Head,
+    params: &CompletionParams,
     uri: &Uri,
     body: &Bytes,
 ) -> Result<(RequestSpec, Instant), Response<Body>> {
     let workspace: Name =
         header_text(headers, WORKSPACE_HEADER).unwrap_or(DEFAULT_WORKSPACE).into();
     let manifest = door.manifest.current();
-    let service = manifest.services.get(head.model.as_str());
+    let service = manifest.services.get(params.model.as_str());
     let default = door.config.default_deadline;
     let deadline = match header_text(headers, DEADLINE_HEADER) {
         None => service.map_or(default, |it| default.min(Duration::from_millis(it.deadline_ms))),
         Some(text) => match text.parse() {
-            Ok(deadline_ms) => Duration::from_millis(deadline_ms).min(LONGEST_DEADLINE),
-            Err(_) => return Err(bad_request(DEADLINE_HEADER, "is no number of milliseconds")),
+            Ok(deadline_ms) => Duration::from_millis(deadline_ms).min(MAX_DEADLINE),
+            Err(_) => return Err(bad_request(DEADLINE_HEADER, "is not a number of milliseconds")),
         },
     };
-    let prefix = &body[..body.len().min(PREFIX_BYTES)];
-    let ask = RequestSpec {
+    let prefix = &body[..body.len().min(HASHED_PREFIX_BYTES)];
+    let spec = RequestSpec {
         request: door.dispatch.next_request(),
         class: Class::Online,
-        service: head.model.as_str().into(),
+        service: params.model.as_str().into(),
         workspace,
         deadline_ms: door.clock.now().mono_ms + deadline.as_millis() as u64,
         repeatable: service.is_none_or(|it| it.repeatable),
-        prefix_hash: if is_engine(door, &head.model) { hash(prefix) } else { 0 },
+        prefix_hash: if is_engine(door, &params.model) { hash(prefix) } else { 0 },
         fingerprint: fingerprint(uri.path(), body),
         body_bytes: body.len() as u32,
         job: Name::from(""),
         due_unix_ms: None,
     };
-    Ok((ask, Instant::now() + deadline))
+    Ok((spec, Instant::now() + deadline))
 }
 
-/// Whether a service is a model engine.
+/// Whether a service is a model engine. A service that is not in the manifest counts as one.
 pub fn is_engine(door: &Door, service: &str) -> bool {
     let manifest = door.manifest.current();
     manifest.services.get(service).is_none_or(|it| it.kind == ServiceKind::Engine)
 }
 
-/// Hash that is the same in every process.
+/// Hash that has the same value in every process and incarnation.
 pub fn hash(bytes: &[u8]) -> u64 {
     high_bits(&blake3::hash(bytes))
 }
@@ -113,24 +113,25 @@
     first.iter().fold(0, |sum, byte| sum << 8 | u64::from(*byte))
 }
 
-/// Hash by which a request is known again if it crashes targets: its path and its body.
+/// Hash of a request's path and body, which identifies the request in the quarantine if it crashes targets.
 pub fn fingerprint(path: &str, body: &[u8]) -> u64 {
     let mut hasher = blake3::Hasher::new();
     hasher.update(path.as_bytes()).update(&[0]).update(body);
     high_bits(&hasher.finalize())
 }
 
-/// Text of a header, if it stands and is text.
+/// Value of a header, if it is present and visible ASCII.
 pub fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name).and_then(|it| it.to_str().ok())
 }
 
-/// Headers of a call to a target: what the caller sent about the content, and an id that is unique among all doors.
-pub fn passed_headers(headers: &HeaderMap, door: &Door, request: RequestId) -> HeaderMap {
-    let mut passed = HeaderMap::new();
+/// Headers of a call to a target: the caller's `content-type`, `accept` and `authorization`, and its request id or a
+/// new one that is unique among all gateways.
+pub fn forwarded_headers(headers: &HeaderMap, door: &Door, request: RequestId) -> HeaderMap {
+    let mut forwarded = HeaderMap::new();
     for name in [header::CONTENT_TYPE, header::ACCEPT, header::AUTHORIZATION] {
         if let Some(value) = headers.get(&name) {
-            passed.insert(name, value.clone());
+            forwarded.insert(name, value.clone());
         }
     }
     let id = match header_text(headers, REQUEST_ID_HEADER) {
@@ -138,7 +139,7 @@
         None => format!("{}-{:x}-{}", door.config.name, door.incarnation, request.0),
     };
     if let Ok(value) = header::HeaderValue::from_str(&id) {
-        passed.insert(REQUEST_ID_HEADER, value);
+        forwarded.insert(REQUEST_ID_HEADER, value);
     }
-    passed
+    forwarded
 }
