--- a/crates/samphiredoor-core/src/keys/arrival.rs
+++ b/crates/samphiredoor-core/src/keys/arrival.rs
@@ -1,26 +1,26 @@
-//! A request that arrives under a key.
+//! A request that carries an idempotency key, and how keys are hashed to shards.
 
 use std::sync::Arc;
 
 use crate::{Name, dispatch::RequestId};
 
-/// Key of a request within its workspace, hashed; its first digits tell the shard.
+/// Hash of a workspace and an idempotency key, in hexadecimal digits; the first digits select the shard.
 pub type KeyId = Name;
 
-/// A request under a key.
+/// A request that carries an idempotency key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Arrival {
-    /// Identity within this process.
+    /// Id of the request, unique within this process.
     pub request: RequestId,
-    /// Key.
+    /// Hashed idempotency key, as made by [`key_id`].
     pub key: KeyId,
-    /// Digest of the request, to tell a resend from another request under the same key.
+    /// Digest of the request, which distinguishes a resend from another request with the same key.
     pub digest: Name,
-    /// Wall-clock time at which a run of it ends at the latest.
+    /// Wall-clock time by which a run of the request has ended.
     pub deadline_unix_ms: u64,
 }
 
-/// Hashed key of a request: the same for every resend under the same workspace and key.
+/// Hashes an idempotency key within its workspace; each resend with the same workspace and key has the same id.
 pub fn key_id(workspace: &str, key: &str) -> KeyId {
     let mut hasher = blake3::Hasher::new();
     hasher.update(workspace.as_bytes());
@@ -33,7 +33,7 @@
 const KEY_DIGITS: usize = 32;
 const SHARD_DIGITS: usize = 8;
 
-/// Shard of a key, of `shards`.
+/// Number of the shard that holds a key, below `shards`.
 pub(super) fn shard_of(key: &str, shards: u32) -> u32 {
     let digits = key.get(..SHARD_DIGITS).unwrap_or_default();
     u32::from_str_radix(digits, 16).unwrap_or_default() % shards.max(1)
--- a/crates/samphiredoor-core/src/keys/change.rs
+++ b/crates/samphiredoor-core/src/keys/change.rs
@@ -1,4 +1,4 @@
-//! Changes of a shard, and what each of them comes to when the shard was read or written.
+//! Changes of a shard that are not written yet, and what becomes of them after a read or a write of the shard.
 
 use std::sync::Arc;
 
@@ -8,30 +8,30 @@
     arrival::{Arrival, KeyId},
     config::KeysConfig,
     context::{Context, Effect},
-    record::{self, KeptAnswer, Stamp, Standing, is_orphaned},
+    record::{self, IntentId, KeptAnswer, KeyStatus, is_orphaned},
 };
 use crate::verdict::{MayHaveRunReason, Refusal, Verdict};
 
-/// An intent that is to be written.
+/// An intent to be written.
 #[derive(Debug)]
 pub(super) struct Intent {
     pub(super) arrival: Arrival,
-    pub(super) stamp: Stamp,
-    /// Whether the request still waits; if not, the intent is taken back once it is known to stand.
-    pub(super) wanted: bool,
-    /// Whether an earlier write of it may have taken effect, or may yet.
-    pub(super) doubtful: bool,
+    pub(super) intent_id: IntentId,
+    /// Whether the caller still waits. If not, the intent is withdrawn, should it turn out to be committed.
+    pub(super) caller_waits: bool,
+    /// Whether an earlier write of the intent has an unknown outcome: it may have taken effect, or may still do so.
+    pub(super) may_be_stored: bool,
 }
 
-/// An outcome that is to be written.
+/// An outcome to be written.
 #[derive(Debug)]
 pub(super) struct Outcome {
     /// Record to write.
     pub(super) record: KeyRecord,
-    /// The answer, for resends that come before the write.
+    /// The answer, for resends that arrive before the outcome is written.
     pub(super) answer: Option<KeptAnswer>,
-    /// Whether the body must be written to an object of its own first.
-    pub(super) upload: bool,
+    /// Whether the body must first be written to an object of its own.
+    pub(super) needs_upload: bool,
 }
 
 /// A change of a shard that waits for its write.
@@ -41,7 +41,7 @@
     Outcome(Outcome),
 }
 
-/// Decides a change anew after a read; `None` if it is settled.
+/// Compares a change with the record that was read; returns the change if it still has to be written.
 pub(super) fn reconcile(
     record: Option<&KeyRecord>,
     key: &KeyId,
@@ -51,29 +51,32 @@
 ) -> Option<Change> {
     match change {
         Change::Intent(intent) => {
-            let standing = Standing::of(record, &intent.arrival.digest, cx.config, cx.now);
-            match standing {
-                Standing::Free => Some(Change::Intent(intent)),
-                Standing::Own if !record.is_some_and(|it| intent.stamp.is_of(it)) => {
+            let status = KeyStatus::of(record, &intent.arrival.digest, cx.config, cx.now);
+            match status {
+                KeyStatus::Free => Some(Change::Intent(intent)),
+                KeyStatus::OwnIntent if !record.is_some_and(|it| intent.intent_id.matches(it)) => {
                     Some(Change::Intent(intent))
                 }
-                // The write whose answer was lost took effect.
-                Standing::Own => landed(Arc::clone(key), Change::Intent(intent), cx, effects),
+                // An earlier write, whose answer was lost, took effect.
+                KeyStatus::OwnIntent => {
+                    committed(Arc::clone(key), Change::Intent(intent), cx, effects)
+                }
                 other => {
-                    if intent.wanted {
+                    if intent.caller_waits {
                         let orphaned = record.is_some_and(|it| is_orphaned(it, cx.now));
-                        effects.push(conclude(intent.arrival, other, orphaned, cx));
+                        effects.push(respond(intent.arrival, other, orphaned, cx));
                     }
                     None
                 }
             }
         }
         Change::Outcome(outcome) => {
-            let stands = record.is_some_and(|it| same_outcome(it, &outcome.record));
-            let foreign = record.is_some_and(|it| *it.holder != *cx.config.holder);
-            let other_process = foreign && record.is_some_and(|it| it.state != KeyState::NotRun);
-            if stands || other_process {
-                effects.push(Effect::Saved(Arc::clone(key)));
+            let is_saved = record.is_some_and(|it| same_outcome(it, &outcome.record));
+            let other_holder = record.is_some_and(|it| *it.holder != *cx.config.holder);
+            let other_process =
+                other_holder && record.is_some_and(|it| it.state != KeyState::NotRun);
+            if is_saved || other_process {
+                effects.push(Effect::OutcomeSaved(Arc::clone(key)));
                 return None;
             }
             Some(Change::Outcome(outcome))
@@ -85,67 +88,69 @@
     (a.state, &a.holder, a.intent) == (b.state, &b.holder, b.intent)
 }
 
-/// A change stands in the store; returns what must be written next for its key.
-pub(super) fn landed(
+/// Handles a change that is committed; returns what must be written next for its key.
+pub(super) fn committed(
     key: KeyId,
     change: Change,
     cx: &Context<'_>,
     effects: &mut Vec<Effect>,
 ) -> Option<Change> {
     match change {
-        Change::Intent(intent) if intent.wanted => {
-            let Intent { arrival, stamp, .. } = intent;
-            effects.push(Effect::Run { arrival, stamp });
+        Change::Intent(intent) if intent.caller_waits => {
+            let Intent { arrival, intent_id, .. } = intent;
+            effects.push(Effect::Run { arrival, intent_id });
             None
         }
-        Change::Intent(intent) => Some(Change::Outcome(taken_back(&intent, cx.config))),
+        Change::Intent(intent) => Some(Change::Outcome(withdrawn(&intent, cx.config))),
         Change::Outcome(_) => {
-            effects.push(Effect::Saved(key));
+            effects.push(Effect::OutcomeSaved(key));
             None
         }
     }
 }
 
-/// Outcome of an intent that led to no run.
-pub(super) fn taken_back(intent: &Intent, config: &KeysConfig) -> Outcome {
-    let mut record = record::intent(&intent.arrival, config, intent.stamp);
+/// Outcome that withdraws an intent whose request is not run.
+pub(super) fn withdrawn(intent: &Intent, config: &KeysConfig) -> Outcome {
+    let mut record = record::intent_record(&intent.arrival, config, intent.intent_id);
     record.state = KeyState::NotRun;
-    Outcome { record, answer: None, upload: false }
+    Outcome { record, answer: None, needs_upload: false }
 }
 
-/// What a standing other than free means for a request.
-pub(super) fn conclude(
+/// Response to a request that is not run, by the status of its key.
+pub(super) fn respond(
     arrival: Arrival,
-    standing: Standing,
+    status: KeyStatus,
     orphaned: bool,
     cx: &Context<'_>,
 ) -> Effect {
-    match standing {
-        Standing::Answered(answer) => Effect::Replay { arrival, answer },
-        Standing::AnsweredApart(answer, object) => Effect::Fetch { arrival, answer, object },
-        Standing::MayHaveRun(reason) => doubt(arrival, reason),
-        // A lapsed lease is only a hint, so the intent is not taken over: a wrong guess tells "may have run" early,
-        // and the holder's outcome is replayed to the next resend.
-        Standing::Intended(holder) if orphaned || cx.lapsed.contains(&holder) => {
-            doubt(arrival, MayHaveRunReason::IntentWithoutOutcome)
+    match status {
+        KeyStatus::Answered(answer) => Effect::Replay { arrival, answer },
+        KeyStatus::BodyStoredApart(answer, object) => Effect::FetchBody { arrival, answer, object },
+        KeyStatus::MayHaveRun(reason) => may_have_run(arrival, reason),
+        // An expired lease is only a hint, so the intent is not taken over. If the holder is alive after all, this
+        // request is answered "may have run" too early, and the next resend gets the holder's outcome.
+        KeyStatus::OtherIntent(holder) if orphaned || cx.expired_holders.contains(&holder) => {
+            may_have_run(arrival, MayHaveRunReason::IntentWithoutOutcome)
+        }
+        KeyStatus::OtherIntent(_) => may_have_run(arrival, MayHaveRunReason::StillRunning),
+        KeyStatus::OtherRequest => key_reused(arrival),
+        KeyStatus::Free | KeyStatus::OwnIntent => {
+            may_have_run(arrival, MayHaveRunReason::StoreAnswerLost)
         }
-        Standing::Intended(_) => doubt(arrival, MayHaveRunReason::StillRunning),
-        Standing::OtherRequest => reused(arrival),
-        Standing::Free | Standing::Own => doubt(arrival, MayHaveRunReason::StoreAnswerLost),
     }
 }
 
-fn doubt(arrival: Arrival, reason: MayHaveRunReason) -> Effect {
+fn may_have_run(arrival: Arrival, reason: MayHaveRunReason) -> Effect {
     Effect::Refuse { arrival, verdict: Verdict::MayHaveRun { reason } }
 }
 
-/// The key stands for another request.
-pub(super) fn reused(arrival: Arrival) -> Effect {
+/// Refuses a request whose key was used for another request.
+pub(super) fn key_reused(arrival: Arrival) -> Effect {
     let verdict = Verdict::NotRun { retry_after_ms: 0, reason: Refusal::KeyReused };
     Effect::Refuse { arrival, verdict }
 }
 
-/// The request is not run.
+/// Refuses a request that did not run.
 pub(super) fn refuse(arrival: &Arrival, reason: Refusal, retry_after_ms: u64) -> Effect {
     let verdict = Verdict::NotRun { retry_after_ms, reason };
     Effect::Refuse { arrival: arrival.clone(), verdict }
--- a/crates/samphiredoor-core/src/keys/config.rs
+++ b/crates/samphiredoor-core/src/keys/config.rs
@@ -1,29 +1,29 @@
-//! Options of the keys.
+//! Settings of the idempotency keys.
 
 use crate::Name;
 
-/// Shards of all doors together; every door must use the same number.
+/// Number of shards in the store. The same key must map to the same shard everywhere, so all gateways use this number.
 pub const SHARDS: u32 = 65_536;
 
-/// Options of the machine.
+/// Settings of [`Keys`](super::Keys).
 #[derive(Debug, Clone)]
 pub struct KeysConfig {
-    /// Process and incarnation, as made by [`holder_name`].
+    /// Name of this process and incarnation in the records that it writes, as made by [`holder_name`].
     pub holder: Name,
-    /// Shards of all doors together.
+    /// Number of shards in the store; the same at all gateways.
     pub shards: u32,
-    /// How long a key is remembered, by wall clock.
+    /// How long a key is remembered after its intent was created, by wall clock.
     pub remember_ms: u64,
-    /// Requests that may run or wait for their outcome's write at once.
+    /// Limit of the requests that run or whose outcome is not written yet; beyond it new keys are refused.
     pub max_open: usize,
-    /// Bytes of answers that may wait for their write at once.
+    /// Limit of the bytes of answers that are not written yet; beyond it new keys are refused.
     pub max_unsaved_bytes: usize,
-    /// Bytes of shards that are kept in memory.
+    /// Size from which idle shards are evicted from the cache.
     pub cache_bytes: usize,
 }
 
 impl KeysConfig {
-    /// Usual options.
+    /// Default settings for a holder and a retention time.
     pub fn new(holder: Name, remember_ms: u64) -> KeysConfig {
         KeysConfig {
             holder,
@@ -36,7 +36,7 @@
     }
 }
 
-/// Name under which a process writes intents.
+/// Name of an incarnation of a process as the holder of intents.
 pub fn holder_name(process: &str, incarnation: u64) -> Name {
     format!("{process}/{incarnation}").into()
 }
--- a/crates/samphiredoor-core/src/keys/context.rs
+++ b/crates/samphiredoor-core/src/keys/context.rs
@@ -1,30 +1,30 @@
-//! What a step of a shard works with, and what follows from it.
+//! Input of a shard's state transitions, and the effects they return to [`Keys`](super::Keys).
 
 use std::{cell::Cell, collections::BTreeSet};
 
 use super::{
     arrival::{Arrival, KeyId},
     config::KeysConfig,
-    record::{KeptAnswer, Stamp},
+    record::{IntentId, KeptAnswer},
 };
 use crate::{Name, store::StoreOp, time::Now, verdict::Verdict};
 
-/// What a step of a shard may use.
+/// State of the process that a shard reads while it handles an event.
 pub(super) struct Context<'a> {
-    /// Options.
+    /// Settings of the keys.
     pub(super) config: &'a KeysConfig,
-    /// The present moment.
+    /// Time of the event.
     pub(super) now: Now,
-    /// Whether a holder is believed dead.
-    pub(super) lapsed: &'a BTreeSet<Name>,
-    /// Number of writes and intents so far.
-    pub(super) numbers: &'a Cell<u64>,
+    /// Holders whose leases have expired.
+    pub(super) expired_holders: &'a BTreeSet<Name>,
+    /// Number of the last write or intent of this process.
+    pub(super) counter: &'a Cell<u64>,
 }
 
 impl Context<'_> {
     pub(super) fn next_number(&self) -> u64 {
-        self.numbers.set(self.numbers.get() + 1);
-        self.numbers.get()
+        self.counter.set(self.counter.get() + 1);
+        self.counter.get()
     }
 
     pub(super) fn writer_token(&self) -> String {
@@ -32,25 +32,25 @@
     }
 }
 
-/// What follows from a step of a shard.
+/// What [`Keys`](super::Keys) must do after a shard has handled an event.
 #[derive(Debug)]
 pub(super) enum Effect {
-    /// Make the shard's store call.
+    /// Send the shard's store call.
     Call(StoreOp),
-    /// The intent stands: run the request.
-    Run { arrival: Arrival, stamp: Stamp },
-    /// Answer as before.
+    /// The intent is committed: run the request.
+    Run { arrival: Arrival, intent_id: IntentId },
+    /// Answer with the saved answer.
     Replay { arrival: Arrival, answer: KeptAnswer },
-    /// Answer as before, once the body is read.
-    Fetch { arrival: Arrival, answer: KeptAnswer, object: Name },
-    /// End the request.
+    /// Read the body from `object`, then answer with the saved answer.
+    FetchBody { arrival: Arrival, answer: KeptAnswer, object: Name },
+    /// Refuse the request with a final verdict.
     Refuse { arrival: Arrival, verdict: Verdict },
-    /// The outcome stands in the store.
-    Saved(KeyId),
-    /// Write the body of an outcome to an object of its own first.
-    Upload(KeyId),
-    /// Nothing refers to the object of a body any more.
-    DropBody(Name),
-    /// The stored shard cannot be read.
+    /// The outcome needs no further write: it is committed or superseded.
+    OutcomeSaved(KeyId),
+    /// Write the body of an outcome to an object of its own before the outcome is written.
+    UploadBody(KeyId),
+    /// Delete the object of a body whose record has expired.
+    DeleteBody(Name),
+    /// The stored object of the shard cannot be parsed.
     Unreadable,
 }
--- a/crates/samphiredoor-core/src/keys/messages.rs
+++ b/crates/samphiredoor-core/src/keys/messages.rs
@@ -1,4 +1,4 @@
-//! What goes into the machine of the keys, and what comes out.
+//! Inputs and actions of [`Keys`](super::Keys).
 
 use super::{arrival::Arrival, record::KeptAnswer};
 use crate::{
@@ -9,92 +9,93 @@
     verdict::{MayHaveRunReason, Refusal, Verdict},
 };
 
-/// How a run ended.
+/// Outcome of a run that is saved under the key.
 #[derive(Debug, Clone, PartialEq)]
 pub enum KeyOutcome {
-    /// The whole answer arrived.
+    /// The whole answer arrived; resends get the same answer.
     Answered(KeptAnswer),
-    /// It truly did not run, and may be sent again under the same key.
+    /// The request did not run; a resend with the same key runs it.
     NotRun {
-        /// When to come back, in milliseconds.
+        /// After how many milliseconds the caller should retry.
         retry_after_ms: u64,
-        /// Why.
+        /// Reason of the refusal.
         reason: Refusal,
     },
-    /// It may have run, and is never run again.
+    /// The request may have run; it never runs again under this key.
     MayHaveRun(MayHaveRunReason),
 }
 
-/// What happened.
+/// An event that [`Keys`](super::Keys) handles.
 #[derive(Debug, Clone)]
 pub enum KeysInput {
-    /// A request arrived under a key.
+    /// A request with an idempotency key arrived.
     Arrived(Arrival),
-    /// A request that was told to run ended.
+    /// The run of a request ended, after [`KeysAction::Run`].
     Ended {
-        /// Which request.
+        /// Id of the request.
         request: RequestId,
-        /// How.
+        /// Outcome to be saved.
         outcome: KeyOutcome,
     },
-    /// Nobody waits for the request any more. A run in hand counts as one that may have run.
+    /// No caller waits for the request any more. If it was running, it counts as one that may have run.
     Gone {
-        /// Which request.
+        /// Id of the request.
         request: RequestId,
     },
     /// A store call was answered.
     Stored {
-        /// Which call.
+        /// Id of the call.
         call: CallId,
-        /// Its answer.
+        /// Answer of the store.
         answer: StoreAnswer,
     },
-    /// A process is believed dead; a hint.
+    /// The lease of a process has expired, so its intents have probably no outcome. Only a hint: its intents are
+    /// never taken over.
     Lapsed {
-        /// Name as in [`KeysConfig::holder`](super::config::KeysConfig::holder).
+        /// Name of the incarnation, as made by [`holder_name`](super::holder_name).
         holder: Name,
     },
-    /// Time passed.
+    /// Time has passed; due retries are made.
     Tick,
 }
 
-/// What to do.
+/// What the task that owns [`Keys`](super::Keys) must do.
 #[derive(Debug, Clone, PartialEq)]
 pub enum KeysAction {
-    /// Make a store call.
+    /// Send a call to the store and report its answer with [`KeysInput::Stored`].
     Store {
-        /// Which call.
+        /// Id of the call.
         call: CallId,
-        /// The call.
+        /// Operation to perform.
         op: StoreOp,
     },
-    /// The intent is durable: run the request and report its end.
+    /// The intent is committed: run the request and report its end with [`KeysInput::Ended`].
     Run {
-        /// Which request.
+        /// Id of the request.
         request: RequestId,
     },
-    /// The same request runs in this process; its outcome will be this request's too.
+    /// The same request already runs in this process; this one gets the same outcome.
     Joined {
-        /// Which request.
+        /// Id of the request.
         request: RequestId,
     },
-    /// The request was answered before: answer the same again.
+    /// The request was answered before: send the saved answer.
     Replay {
-        /// Which request.
+        /// Id of the request.
         request: RequestId,
-        /// The answer.
+        /// Saved answer.
         answer: KeptAnswer,
     },
-    /// The request ends without an answer; this is final.
+    /// The request gets no answer; this is final.
     Refuse {
-        /// Which request.
+        /// Id of the request.
         request: RequestId,
-        /// Whether it may have run.
+        /// Whether the request may have run, and why it gets no answer.
         verdict: Verdict,
     },
-    /// A stored object cannot be read; its keys are refused until it can.
+    /// A stored shard cannot be parsed; requests for its keys are refused until it can.
     Unreadable {
-        /// Which object.
+        /// Name of the object.
         object: Name,
     },
 }
--- a/crates/samphiredoor-core/src/keys/mod.rs
+++ b/crates/samphiredoor-core/src/keys/mod.rs
@@ -1,12 +1,13 @@
-//! Requests that run at most once: idempotency keys, their intents and their outcomes.
+//! Idempotency keys: a request that carries one runs at most once, and resends get the saved answer.
 //!
-//! Keys are hashed to shards, each shard is one object of the store. The intent of a request is written by conditional
-//! update before the request is dispatched, its outcome after. Safety rests on that conditional update alone: an intent
-//! is never taken over, whatever is believed of its holder. What makes it fast: all intents and outcomes of a shard
-//! that wait while a write is in flight go into the next one, and a resend to the same process is answered from memory.
+//! Keys are hashed to shards; each shard is one object of the store. The intent to run a request is written by a
+//! conditional update before the request is dispatched, its outcome afterwards. Safety depends on the conditional update
+//! alone: an intent is never taken over, even if its holder seems to be dead. Two things make it fast: all intents and
+//! outcomes of a shard that arrive while a write is in flight are combined into the next one, and a resend to the same
+//! process is answered from memory.
 //!
-//! One task owns [`Keys`]; each arriving request gets exactly one final action, and one that is told to run reports its
-//! end with [`KeysInput::Ended`].
+//! [`Keys`] is a state machine without I/O that one task owns. Each arriving request gets exactly one final action; a
+//! request that is to run ([`KeysAction::Run`]) reports its end with [`KeysInput::Ended`].
 
 mod arrival;
 mod change;
@@ -40,54 +41,58 @@
 use arrival::shard_of;
 use change::Outcome;
 use context::{Context, Effect};
-use record::{Stamp, body_bytes, kept_body};
+use record::{IntentId, decode_body, encode_body};
 use shard::Shard;
 
-/// Largest body that stands in the record itself.
+/// Largest encoded body that is saved in the record itself.
 pub const INLINE_BODY_BYTES: usize = 16 * 1024;
-/// Largest body that is kept at all, in an object of its own.
+/// Largest body that is saved at all; above [`INLINE_BODY_BYTES`] it has an object of its own.
 pub const MAX_BODY_BYTES: usize = 400_000;
 const MAX_OBJECT_BYTES: usize = 900_000;
-const MAX_LAPSED: usize = 10_000;
+const MAX_EXPIRED_HOLDERS: usize = 10_000;
 const BUSY_RETRY_AFTER_MS: u64 = 1_000;
 
+/// A request that runs, and the requests that wait for its outcome.
 #[derive(Debug)]
 struct Run {
     arrival: Arrival,
-    stamp: Stamp,
+    intent_id: IntentId,
     joined: Vec<RequestId>,
 }
 
-/// What a store call is for.
+/// Purpose of a store call in flight.
 #[derive(Debug)]
-enum CallFor {
+enum CallPurpose {
     Shard(u32),
-    Upload { key: KeyId, object: Name },
-    Fetch { arrival: Arrival, answer: KeptAnswer },
-    DropBody,
+    UploadBody { key: KeyId, object: Name },
+    FetchBody { arrival: Arrival, answer: KeptAnswer },
+    DeleteBody,
 }
 
-/// State of all keys in one process.
+/// State machine of the idempotency keys in one process.
 #[derive(Debug)]
 pub struct Keys {
     config: KeysConfig,
     shards: BTreeMap<u32, Shard>,
     runs: BTreeMap<KeyId, Run>,
-    /// Requests that still want a final action, and those that run.
+    /// Requests that have no final action yet, including those that run.
     requests: BTreeMap<RequestId, Arrival>,
-    /// Bytes of the outcomes that wait for their write.
+    /// Size of the answer of each outcome that is not written yet.
     unsaved: BTreeMap<KeyId, usize>,
     unsaved_bytes: usize,
     cached_bytes: usize,
-    calls: BTreeMap<CallId, CallFor>,
+    calls: BTreeMap<CallId, CallPurpose>,
     next_call: u64,
-    lapsed: BTreeSet<Name>,
+    /// Other incarnations whose leases have expired.
+    expired_holders: BTreeSet<Name>,
+    /// Shards that wait for a retry, by monotonic time.
     due: BTreeSet<(u64, u32)>,
-    numbers: Cell<u64>,
+    /// Number of the last write or intent.
+    counter: Cell<u64>,
 }
 
 impl Keys {
-    /// Machine that knows no key.
+    /// Starts with an empty cache; shards are read when they are needed.
     pub fn new(config: KeysConfig) -> Keys {
         Keys {
             config,
@@ -99,46 +104,46 @@
             cached_bytes: 0,
             calls: BTreeMap::new(),
             next_call: 0,
-            lapsed: BTreeSet::new(),
+            expired_holders: BTreeSet::new(),
             due: BTreeSet::new(),
-            numbers: Cell::new(0),
+            counter: Cell::new(0),
         }
     }
 
-    /// Outcomes that wait for their write.
+    /// Number of outcomes that are not written yet.
     pub fn unsaved_len(&self) -> usize {
         self.unsaved.len()
     }
 
-    /// Requests that run, and outcomes that wait for their write.
+    /// Number of requests that run, and of outcomes that are not written yet.
     pub fn open_len(&self) -> usize {
         self.runs.len() + self.unsaved.len()
     }
 
-    /// Takes one event; appends what to do to `out`.
+    /// Handles one event and appends the resulting actions to `out`.
     pub fn handle(&mut self, now: Now, input: KeysInput, out: &mut Vec<KeysAction>) {
         match input {
             KeysInput::Arrived(arrival) => self.arrived(now, arrival, out),
-            KeysInput::Ended { request, outcome } => self.ended(now, request, outcome, out),
-            KeysInput::Gone { request } => self.gone(now, request, out),
-            KeysInput::Stored { call, answer } => self.stored(now, call, answer, out),
-            KeysInput::Lapsed { holder } => self.lapse(holder),
+            KeysInput::Ended { request, outcome } => self.run_ended(now, request, outcome, out),
+            KeysInput::Gone { request } => self.cancelled(now, request, out),
+            KeysInput::Stored { call, answer } => self.store_answered(now, call, answer, out),
+            KeysInput::Lapsed { holder } => self.holder_expired(holder),
             KeysInput::Tick => self.tick(now, out),
         }
     }
 
-    fn lapse(&mut self, holder: Name) {
+    fn holder_expired(&mut self, holder: Name) {
         if holder != self.config.holder {
-            self.lapsed.insert(holder);
+            self.expired_holders.insert(holder);
         }
-        if self.lapsed.len() > MAX_LAPSED {
-            self.lapsed.pop_first();
+        if self.expired_holders.len() > MAX_EXPIRED_HOLDERS {
+            self.expired_holders.pop_first();
         }
     }
 
     fn arrived(&mut self, now: Now, arrival: Arrival, out: &mut Vec<KeysAction>) {
         let request = arrival.request;
-        // Outcomes are never dropped while the store is down; new keys are refused instead.
+        // Unwritten outcomes are never dropped while the store is down; requests with new keys are refused instead.
         let open = self.open_len();
         let full =
             open >= self.config.max_open || self.unsaved_bytes >= self.config.max_unsaved_bytes;
@@ -151,16 +156,16 @@
         }
         self.requests.insert(request, arrival.clone());
         let number = shard_of(&arrival.key, self.config.shards);
-        self.offer(now, number, arrival, false, out);
+        self.decide(now, number, arrival, false, out);
         self.advance(now, number, out);
     }
 
-    fn offer(
+    fn decide(
         &mut self,
         now: Now,
         number: u32,
         arrival: Arrival,
-        fresh: bool,
+        read_since: bool,
         out: &mut Vec<KeysAction>,
     ) {
         if let Some(run) = self.runs.get_mut(&arrival.key) {
@@ -170,16 +175,18 @@
                 out.push(KeysAction::Joined { request });
             } else {
                 let reason = Refusal::KeyReused;
-                self.finish(request, Verdict::NotRun { retry_after_ms: 0, reason }, out);
+                self.refuse(request, Verdict::NotRun { retry_after_ms: 0, reason }, out);
             }
             return;
         }
         let mut effects = Vec::new();
-        self.with_shard(now, number, |shard, cx| shard.offer(arrival, fresh, cx, &mut effects));
-        self.apply(number, effects, out);
+        self.with_shard(now, number, |shard, cx| {
+            shard.decide(arrival, read_since, cx, &mut effects)
+        });
+        self.apply_effects(number, effects, out);
     }
 
-    fn ended(
+    fn run_ended(
         &mut self,
         now: Now,
         request: RequestId,
@@ -187,86 +194,97 @@
         out: &mut Vec<KeysAction>,
     ) {
         let Some(arrival) = self.requests.remove(&request) else { return };
-        let leads = self.runs.get(&arrival.key).is_some_and(|it| it.arrival.request == request);
-        let Some(run) = self.runs.remove(&arrival.key).filter(|_| leads) else { return };
+        let is_runner = self.runs.get(&arrival.key).is_some_and(|it| it.arrival.request == request);
+        let Some(run) = self.runs.remove(&arrival.key).filter(|_| is_runner) else { return };
         for joined in &run.joined {
-            self.tell_joined(*joined, &outcome, out);
+            self.answer_joined(*joined, &outcome, out);
         }
         let number = shard_of(&arrival.key, self.config.shards);
-        let saved = self.outcome_of(&run, outcome);
+        let saved = self.outcome_to_save(&run, outcome);
         let bytes = saved.answer.as_ref().and_then(|it| it.body.as_ref()).map_or(0, |it| it.len());
         self.unsaved_bytes += bytes;
         self.unsaved.insert(Arc::clone(&arrival.key), bytes);
-        let upload = saved.upload;
+        let needs_upload = saved.needs_upload;
         let key = Arc::clone(&arrival.key);
-        self.with_shard(now, number, |shard, _| shard.ended(Arc::clone(&key), saved));
-        if upload {
-            self.upload(number, key, out);
+        self.with_shard(now, number, |shard, _| shard.run_ended(Arc::clone(&key), saved));
+        if needs_upload {
+            self.upload_body(number, key, out);
         }
         self.advance(now, number, out);
     }
 
-    fn tell_joined(&mut self, request: RequestId, outcome: &KeyOutcome, out: &mut Vec<KeysAction>) {
+    fn answer_joined(
+        &mut self,
+        request: RequestId,
+        outcome: &KeyOutcome,
+        out: &mut Vec<KeysAction>,
+    ) {
         match outcome {
             KeyOutcome::Answered(answer) => {
                 self.replay(request, answer.clone(), out);
             }
             KeyOutcome::NotRun { retry_after_ms, reason } => {
                 let (retry_after_ms, reason) = (*retry_after_ms, *reason);
-                self.finish(request, Verdict::NotRun { retry_after_ms, reason }, out);
+                self.refuse(request, Verdict::NotRun { retry_after_ms, reason }, out);
             }
             KeyOutcome::MayHaveRun(reason) => {
-                self.finish(request, Verdict::MayHaveRun { reason: *reason }, out);
+                self.refuse(request, Verdict::MayHaveRun { reason: *reason }, out);
             }
         }
     }
 
-    fn outcome_of(&self, run: &Run, outcome: KeyOutcome) -> Outcome {
-        let mut record = record::intent(&run.arrival, &self.config, run.stamp);
-        let mut upload = false;
+    fn outcome_to_save(&self, run: &Run, outcome: KeyOutcome) -> Outcome {
+        let mut record = record::intent_record(&run.arrival, &self.config, run.intent_id);
+        let mut needs_upload = false;
         let answer = match outcome {
             KeyOutcome::NotRun { .. } => {
                 record.state = KeyState::NotRun;
                 None
             }
-            KeyOutcome::MayHaveRun(doubt) => {
+            KeyOutcome::MayHaveRun(reason) => {
                 record.state = KeyState::MayHaveRun;
-                record.doubt = doubt.label().to_owned();
+                record.doubt = reason.label().to_owned();
                 None
             }
             KeyOutcome::Answered(answer) => {
-                upload = keep_answer(&mut record, &answer);
+                needs_upload = save_answer(&mut record, &answer);
                 Some(answer)
             }
         };
-        Outcome { record, answer, upload }
+        Outcome { record, answer, needs_upload }
     }
 
-    fn gone(&mut self, now: Now, request: RequestId, out: &mut Vec<KeysAction>) {
+    fn cancelled(&mut self, now: Now, request: RequestId, out: &mut Vec<KeysAction>) {
         let Some(arrival) = self.requests.get(&request).cloned() else { return };
         let number = shard_of(&arrival.key, self.config.shards);
         match self.runs.get_mut(&arrival.key) {
             Some(run) if run.arrival.request == request => {
                 let outcome = KeyOutcome::MayHaveRun(MayHaveRunReason::ConnectionLost);
-                return self.ended(now, request, outcome, out);
+                return self.run_ended(now, request, outcome, out);
             }
             Some(run) => run.joined.retain(|it| *it != request),
-            None => self.with_shard(now, number, |shard, _| shard.gone(&arrival)),
+            None => self.with_shard(now, number, |shard, _| shard.cancelled(&arrival)),
         }
         self.requests.remove(&request);
         self.advance(now, number, out);
     }
 
-    fn stored(&mut self, now: Now, call: CallId, answer: StoreAnswer, out: &mut Vec<KeysAction>) {
+    fn store_answered(
+        &mut self,
+        now: Now,
+        call: CallId,
+        answer: StoreAnswer,
+        out: &mut Vec<KeysAction>,
+    ) {
         match self.calls.remove(&call) {
-            Some(CallFor::Shard(number)) => self.shard_answered(now, number, answer, out),
-            Some(CallFor::Upload { key, object }) => {
+            Some(CallPurpose::Shard(number)) => self.shard_answered(now, number, answer, out),
+            Some(CallPurpose::UploadBody { key, object }) => {
                 self.upload_answered(now, key, &object, answer, out);
             }
-            Some(CallFor::Fetch { arrival, answer: kept }) => {
+            Some(CallPurpose::FetchBody { arrival, answer: kept }) => {
                 self.fetch_answered(arrival, kept, answer, out);
             }
-            Some(CallFor::DropBody) | None => {}
+            Some(CallPurpose::DeleteBody) | None => {}
         }
     }
 
@@ -278,14 +296,14 @@
         out: &mut Vec<KeysAction>,
     ) {
         let mut effects = Vec::new();
-        let read =
-            self.with_shard(now, number, |shard, cx| shard.answered(answer, cx, &mut effects));
-        self.apply(number, effects, out);
-        for arrival in read {
-            self.offer(now, number, arrival, true, out);
+        let read_since = self
+            .with_shard(now, number, |shard, cx| shard.store_answered(answer, cx, &mut effects));
+        self.apply_effects(number, effects, out);
+        for arrival in read_since {
+            self.decide(now, number, arrival, true, out);
         }
-        for arrival in self.with_shard(now, number, |shard, _| shard.take_held()) {
-            self.offer(now, number, arrival, false, out);
+        for arrival in self.with_shard(now, number, |shard, _| shard.take_deferred()) {
+            self.decide(now, number, arrival, false, out);
         }
         self.advance(now, number, out);
     }
@@ -293,37 +311,37 @@
     fn advance(&mut self, now: Now, number: u32, out: &mut Vec<KeysAction>) {
         let mut effects = Vec::new();
         self.with_shard(now, number, |shard, cx| shard.advance(cx, &mut effects));
-        self.apply(number, effects, out);
+        self.apply_effects(number, effects, out);
         let Some(shard) = self.shards.get(&number) else { return };
         if let Some(due_ms) = shard.due_ms(now) {
             self.due.insert((due_ms, number));
         }
         if self.cached_bytes > self.config.cache_bytes {
-            self.forget_idle_shards();
+            self.evict_idle_shards();
         }
     }
 
-    fn apply(&mut self, number: u32, effects: Vec<Effect>, out: &mut Vec<KeysAction>) {
+    fn apply_effects(&mut self, number: u32, effects: Vec<Effect>, out: &mut Vec<KeysAction>) {
         for effect in effects {
             match effect {
-                Effect::Call(op) => self.call(CallFor::Shard(number), op, out),
-                Effect::Run { arrival, stamp } => {
+                Effect::Call(op) => self.call(CallPurpose::Shard(number), op, out),
+                Effect::Run { arrival, intent_id } => {
                     let request = arrival.request;
                     let key = Arc::clone(&arrival.key);
-                    self.runs.insert(key, Run { arrival, stamp, joined: Vec::new() });
+                    self.runs.insert(key, Run { arrival, intent_id, joined: Vec::new() });
                     out.push(KeysAction::Run { request });
                 }
                 Effect::Replay { arrival, answer } => self.replay(arrival.request, answer, out),
-                Effect::Fetch { arrival, answer, object } => {
+                Effect::FetchBody { arrival, answer, object } => {
                     let op = StoreOp::Get { key: ObjectKey::new(Kind::Keys, object) };
-                    self.call(CallFor::Fetch { arrival, answer }, op, out);
+                    self.call(CallPurpose::FetchBody { arrival, answer }, op, out);
                 }
-                Effect::Refuse { arrival, verdict } => self.finish(arrival.request, verdict, out),
-                Effect::Saved(key) => self.saved(&key),
-                Effect::Upload(key) => self.upload(number, key, out),
-                Effect::DropBody(object) => {
+                Effect::Refuse { arrival, verdict } => self.refuse(arrival.request, verdict, out),
+                Effect::OutcomeSaved(key) => self.outcome_saved(&key),
+                Effect::UploadBody(key) => self.upload_body(number, key, out),
+                Effect::DeleteBody(object) => {
                     let key = ObjectKey::new(Kind::Keys, object);
-                    self.call(CallFor::DropBody, StoreOp::Delete { key, version: None }, out);
+                    self.call(CallPurpose::DeleteBody, StoreOp::Delete { key, version: None }, out);
                 }
                 Effect::Unreadable => {
                     let object = format!("shard-{number:05}").into();
@@ -333,8 +351,8 @@
         }
     }
 
-    fn finish(&mut self, request: RequestId, verdict: Verdict, out: &mut Vec<KeysAction>) {
-        // A request whose caller went away in the meantime is told nothing.
+    fn refuse(&mut self, request: RequestId, verdict: Verdict, out: &mut Vec<KeysAction>) {
+        // A request that was cancelled in the meantime gets no action.
         if self.requests.remove(&request).is_some() {
             out.push(KeysAction::Refuse { request, verdict });
         }
@@ -346,24 +364,24 @@
         }
     }
 
-    fn saved(&mut self, key: &str) {
+    fn outcome_saved(&mut self, key: &str) {
         let bytes = self.unsaved.remove(key).unwrap_or_default();
         self.unsaved_bytes -= bytes;
     }
 
-    fn upload(&mut self, number: u32, key: KeyId, out: &mut Vec<KeysAction>) {
-        let outcome = self.shards.get(&number).and_then(|it| it.outcome(&key));
-        let Some(outcome) = outcome.filter(|it| it.upload) else { return };
+    fn upload_body(&mut self, number: u32, key: KeyId, out: &mut Vec<KeysAction>) {
+        let outcome = self.shards.get(&number).and_then(|it| it.pending_outcome(&key));
+        let Some(outcome) = outcome.filter(|it| it.needs_upload) else { return };
         let body = outcome.answer.as_ref().and_then(|it| it.body.as_ref());
-        let value: Value = match body.map(|it| serde_json::to_vec(&kept_body(it))) {
+        let value: Value = match body.map(|it| serde_json::to_vec(&encode_body(it))) {
             Some(Ok(value)) => value.into(),
             _ => return,
         };
-        // No two runs share the name: a key that was forgotten and used again must not find an old body.
+        // Each run has a name of its own: a key that has expired and is used again must not get an old body.
         let object: Name = format!("body-{key}-{:x}", outcome.record.since_unix_ms).into();
         let stored_key = ObjectKey::new(Kind::Keys, Arc::clone(&object));
         let op = StoreOp::Create { key: stored_key, labels: Labels::new(), value };
-        self.call(CallFor::Upload { key, object }, op, out);
+        self.call(CallPurpose::UploadBody { key, object }, op, out);
     }
 
     fn upload_answered(
@@ -377,12 +395,12 @@
         let number = shard_of(&key, self.config.shards);
         match answer {
             StoreAnswer::Object(_) | StoreAnswer::Taken => {
-                self.with_shard(now, number, |shard, _| shard.uploaded(&key, object));
+                self.with_shard(now, number, |shard, _| shard.body_uploaded(&key, object));
                 self.advance(now, number, out);
             }
-            StoreAnswer::Unknown => self.upload(number, key, out),
+            StoreAnswer::Unknown => self.upload_body(number, key, out),
             _ => {
-                self.with_shard(now, number, |shard, _| shard.pause(now));
+                self.with_shard(now, number, |shard, _| shard.back_off(now));
                 self.advance(now, number, out);
             }
         }
@@ -398,7 +416,7 @@
         let reason = match answer {
             StoreAnswer::Object(stored) => {
                 let body = serde_json::from_slice::<KeptBody>(&stored.value).ok();
-                if let Some(body) = body.as_ref().and_then(body_bytes) {
+                if let Some(body) = body.as_ref().and_then(decode_body) {
                     let answer = KeptAnswer { body: Some(body), ..kept };
                     return self.replay(arrival.request, answer, out);
                 }
@@ -407,35 +425,35 @@
             StoreAnswer::Absent => MayHaveRunReason::AnswerNotKept,
             _ => MayHaveRunReason::StoreAnswerLost,
         };
-        self.finish(arrival.request, Verdict::MayHaveRun { reason }, out);
+        self.refuse(arrival.request, Verdict::MayHaveRun { reason }, out);
     }
 
     fn tick(&mut self, now: Now, out: &mut Vec<KeysAction>) {
         let later = self.due.split_off(&(now.mono_ms + 1, 0));
         for (_, number) in std::mem::replace(&mut self.due, later) {
-            let waiting = self.shards.get(&number).map(Shard::uploads).unwrap_or_default();
+            let waiting = self.shards.get(&number).map(Shard::pending_uploads).unwrap_or_default();
             for key in waiting {
-                if !self.is_uploading(&key) {
-                    self.upload(number, key, out);
+                if !self.is_uploading_body(&key) {
+                    self.upload_body(number, key, out);
                 }
             }
             self.advance(now, number, out);
         }
     }
 
-    fn is_uploading(&self, key: &str) -> bool {
-        let uploads = |it: &CallFor| matches!(it, CallFor::Upload { key: of, .. } if **of == *key);
-        self.calls.values().any(uploads)
+    fn is_uploading_body(&self, key: &str) -> bool {
+        let uploads_key = |it: &CallPurpose| matches!(it, CallPurpose::UploadBody { key: of, .. } if **of == *key);
+        self.calls.values().any(uploads_key)
     }
 
-    fn call(&mut self, purpose: CallFor, op: StoreOp, out: &mut Vec<KeysAction>) {
+    fn call(&mut self, purpose: CallPurpose, op: StoreOp, out: &mut Vec<KeysAction>) {
         let call = CallId(self.next_call);
         self.next_call += 1;
         self.calls.insert(call, purpose);
         out.push(KeysAction::Store { call, op });
     }
 
-    /// Steps a shard, and keeps the count of cached bytes.
+    /// Calls `step` with a shard, and updates the number of cached bytes.
     fn with_shard<T>(
         &mut self,
         now: Now,
@@ -444,15 +462,19 @@
     ) -> T {
         let shard = self.shards.entry(number).or_insert_with(|| Shard::new(number));
         let before = shard.bytes();
-        let mut cx =
-            Context { config: &self.config, now, lapsed: &self.lapsed, numbers: &self.numbers };
+        let mut cx = Context {
+            config: &self.config,
+            now,
+            expired_holders: &self.expired_holders,
+            counter: &self.counter,
+        };
         let result = step(shard, &mut cx);
         self.cached_bytes = self.cached_bytes + shard.bytes() - before;
         result
     }
 
-    /// Forgets the shards that were not used for longest, down to three quarters of the allowed bytes.
-    fn forget_idle_shards(&mut self) {
+    /// Evicts the least recently used idle shards until the cache takes three quarters of its limit.
+    fn evict_idle_shards(&mut self) {
         let idle = self.shards.iter().filter(|(_, it)| it.is_idle());
         let mut idle: Vec<(u64, u32)> =
             idle.map(|(number, it)| (it.last_used_ms, *number)).collect();
@@ -468,13 +490,13 @@
     }
 }
 
-/// Puts an answer into a record; tells whether its body needs an object of its own.
-fn keep_answer(record: &mut KeyRecord, answer: &KeptAnswer) -> bool {
+/// Puts an answer into a record; returns whether its body needs an object of its own.
+fn save_answer(record: &mut KeyRecord, answer: &KeptAnswer) -> bool {
     record.state = KeyState::Answered;
     record.status = answer.status;
     record.content_type = answer.content_type.to_string();
     let Some(body) = &answer.body else { return false };
-    let kept = kept_body(body);
+    let kept = encode_body(body);
     let bytes = serde_json::to_vec(&kept).map_or(usize::MAX, |it| it.len());
     if bytes <= INLINE_BODY_BYTES {
         record.body = Some(kept);
--- a/crates/samphiredoor-core/src/keys/shard.rs
+++ b/crates/samphiredoor-core/src/keys/shard.rs
@@ -1,8 +1,8 @@
-//! One shard: the keys that one object holds, and the one store call in flight for it.
+//! One shard: the keys that are stored in one object, and the one store call in flight for it.
 //!
-//! All changes that come while a call is in flight go together into the next write. A write is conditional on the
-//! version that was read, so whatever another door wrote in between is never overwritten: the shard is read again and
-//! each change decided anew.
+//! All changes that arrive while a call is in flight are combined into the next write. A write is conditional on the
+//! version that was read, so it never overwrites what another gateway wrote in between: the shard is read again, and
+//! each change is compared with the new records.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -10,9 +10,11 @@
 
 use super::{
     arrival::{Arrival, KeyId},
-    change::{Change, Intent, Outcome, conclude, landed, reconcile, refuse, reused, taken_back},
+    change::{
+        Change, Intent, Outcome, committed, key_reused, reconcile, refuse, respond, withdrawn,
+    },
     context::{Context, Effect},
-    record::{self, KeptAnswer, Stamp, Standing, is_expired, is_orphaned},
+    record::{self, IntentId, KeptAnswer, KeyStatus, is_expired, is_orphaned},
 };
 use crate::{
     Name,
@@ -21,8 +23,8 @@
     verdict::Refusal,
 };
 
-/// Bytes from which a shard takes no new intents. The rest, up to the store's megabyte, is room for the outcomes of
-/// those that stand.
+/// Size of a shard above which new intents are refused. The rest, up to the store's limit of one megabyte, is reserved
+/// for the outcomes of existing intents.
 const FULL_BYTES: usize = 700_000;
 const RETRY_MS: u64 = 500;
 const STORE_RETRY_AFTER_MS: u64 = 1_000;
@@ -38,93 +40,94 @@
 #[derive(Debug)]
 enum InFlight {
     Read { waiting: Vec<Arrival> },
-    Write { changes: BTreeMap<KeyId, Change>, after: Content, dropped: Vec<Name> },
+    Write { changes: BTreeMap<KeyId, Change>, new_content: Content, obsolete_bodies: Vec<Name> },
 }
 
-/// One shard as this process knows it.
+/// One shard with its cached content, unwritten changes and waiting requests.
 #[derive(Debug)]
 pub(super) struct Shard {
     object: ObjectKey,
     content: Option<Content>,
     pending: BTreeMap<KeyId, Change>,
-    held: Vec<Arrival>,
+    deferred: Vec<Arrival>,
     in_flight: Option<InFlight>,
     not_before_ms: u64,
-    /// Monotonic time of the last use.
+    /// Monotonic time of the last request for a key of the shard.
     pub(super) last_used_ms: u64,
 }
 
 impl Shard {
-    /// Shard that was never read.
+    /// Shard that has not been read yet.
     pub(super) fn new(number: u32) -> Shard {
         Shard {
             object: ObjectKey::new(Kind::Keys, format!("shard-{number:05}")),
             content: None,
             pending: BTreeMap::new(),
-            held: Vec::new(),
+            deferred: Vec::new(),
             in_flight: None,
             not_before_ms: 0,
             last_used_ms: 0,
         }
     }
 
-    /// Bytes of the content that is kept in memory.
+    /// Size of the cached content; 0 if there is none.
     pub(super) fn bytes(&self) -> usize {
         self.content.as_ref().map_or(0, |it| it.bytes)
     }
 
-    /// Whether nothing is under way, so that the shard can be forgotten.
+    /// Whether nothing is in progress, so that the shard can be evicted from the cache.
     pub(super) fn is_idle(&self) -> bool {
-        self.pending.is_empty() && self.held.is_empty() && self.in_flight.is_none()
+        self.pending.is_empty() && self.deferred.is_empty() && self.in_flight.is_none()
     }
 
-    /// When the shard wants to be stepped again, if it waits for time to pass.
+    /// Monotonic time of the next [`Shard::advance`], if changes wait for a retry.
     pub(super) fn due_ms(&self, now: Now) -> Option<u64> {
         let waits = self.in_flight.is_none() && !self.pending.is_empty();
         waits.then_some(self.not_before_ms.max(now.mono_ms + 1))
     }
 
-    /// Outcome that waits for the store, if the key has one.
-    pub(super) fn outcome(&self, key: &str) -> Option<&Outcome> {
+    /// Unwritten outcome of a key, unless it is part of the write in flight.
+    pub(super) fn pending_outcome(&self, key: &str) -> Option<&Outcome> {
         match self.pending.get(key) {
             Some(Change::Outcome(outcome)) => Some(outcome),
             _ => None,
         }
     }
 
-    /// Keys whose outcomes wait for the write of their bodies.
-    pub(super) fn uploads(&self) -> Vec<KeyId> {
-        let waits = |it: &Change| matches!(it, Change::Outcome(outcome) if outcome.upload);
+    /// Keys whose outcomes wait until their bodies are uploaded.
+    pub(super) fn pending_uploads(&self) -> Vec<KeyId> {
+        let waits = |it: &Change| matches!(it, Change::Outcome(outcome) if outcome.needs_upload);
         let waiting = self.pending.iter().filter(|(_, change)| waits(change));
         waiting.map(|(key, _)| Arc::clone(key)).collect()
     }
 
-    /// Takes the place of an outcome's body once it is written.
-    pub(super) fn uploaded(&mut self, key: &str, object: &str) {
+    /// Records the object to which an outcome's body was uploaded, so that the outcome itself can be written.
+    pub(super) fn body_uploaded(&mut self, key: &str, object: &str) {
         if let Some(Change::Outcome(outcome)) = self.pending.get_mut(key) {
             outcome.record.body_object = Some(object.to_owned());
-            outcome.upload = false;
+            outcome.needs_upload = false;
         }
     }
 
-    /// Pauses after the store was of no help.
-    pub(super) fn pause(&mut self, now: Now) {
+    /// Delays retries after a failed store call.
+    pub(super) fn back_off(&mut self, now: Now) {
         self.not_before_ms = now.mono_ms + RETRY_MS;
     }
 
-    /// Requests that are held and can be offered again: no call is in flight.
-    pub(super) fn take_held(&mut self) -> Vec<Arrival> {
+    /// Takes the deferred requests, to be decided again, unless a call is in flight.
+    pub(super) fn take_deferred(&mut self) -> Vec<Arrival> {
         match self.in_flight {
-            None => std::mem::take(&mut self.held),
+            None => std::mem::take(&mut self.deferred),
             Some(_) => Vec::new(),
         }
     }
 
-    /// Decides a request that no run of this process answers. `fresh` says that the content was read after it came.
-    pub(super) fn offer(
+    /// Decides a request whose key has no run in this process. `read_since` is whether the content was read after the
+    /// request arrived.
+    pub(super) fn decide(
         &mut self,
         arrival: Arrival,
-        fresh: bool,
+        read_since: bool,
         cx: &Context<'_>,
         effects: &mut Vec<Effect>,
     ) {
@@ -134,42 +137,44 @@
                 Change::Outcome(outcome) => {
                     let record = outcome.record.clone();
                     let answer = outcome.answer.clone();
-                    self.offer_to_outcome(arrival, &record, answer, cx, effects);
+                    self.decide_from_outcome(arrival, &record, answer, cx, effects);
                 }
                 Change::Intent(intent) if intent.arrival.digest != arrival.digest => {
-                    effects.push(reused(arrival));
+                    effects.push(key_reused(arrival));
                 }
-                Change::Intent(intent) if !intent.wanted => self.want(arrival, cx, effects),
-                Change::Intent(_) => self.held.push(arrival),
+                Change::Intent(intent) if !intent.caller_waits => {
+                    self.add_intent(arrival, cx, effects)
+                }
+                Change::Intent(_) => self.deferred.push(arrival),
             };
         }
-        // An outcome on its way to the store is known here, whatever becomes of the write.
+        // The outcome that is being written is final, whether the write succeeds or not.
         if let Some((record, answer)) = self.outcome_in_flight(&arrival.key)
             && !matches!(record.state, KeyState::NotRun)
         {
-            return self.offer_to_outcome(arrival, &record, answer, cx, effects);
+            return self.decide_from_outcome(arrival, &record, answer, cx, effects);
         }
         if self.in_flight.is_some() {
-            self.held.push(arrival);
+            self.deferred.push(arrival);
             return;
         }
         let Some(content) = &self.content else {
-            self.held.push(arrival);
+            self.deferred.push(arrival);
             return;
         };
         let record = content.keys.get(&*arrival.key);
-        let standing = Standing::of(record, &arrival.digest, cx.config, cx.now);
-        if matches!(standing, Standing::Intended(_)) && !fresh {
-            // The outcome may have been written since.
+        let status = KeyStatus::of(record, &arrival.digest, cx.config, cx.now);
+        if matches!(status, KeyStatus::OtherIntent(_)) && !read_since {
+            // The outcome may have been written since the content was read.
             self.content = None;
-            self.held.push(arrival);
+            self.deferred.push(arrival);
             return;
         }
         let orphaned = record.is_some_and(|it| is_orphaned(it, cx.now));
-        match standing {
-            // An own intent without a run in hand never led to a dispatch: every run ends with an outcome first.
-            Standing::Free | Standing::Own => self.want(arrival, cx, effects),
-            other => effects.push(conclude(arrival, other, orphaned, cx)),
+        match status {
+            // An intent of this process without a run was never dispatched: the end of a run always leaves an outcome.
+            KeyStatus::Free | KeyStatus::OwnIntent => self.add_intent(arrival, cx, effects),
+            other => effects.push(respond(arrival, other, orphaned, cx)),
         }
     }
 
@@ -183,7 +188,7 @@
         }
     }
 
-    fn offer_to_outcome(
+    fn decide_from_outcome(
         &mut self,
         arrival: Arrival,
         record: &KeyRecord,
@@ -191,29 +196,29 @@
         cx: &Context<'_>,
         effects: &mut Vec<Effect>,
     ) {
-        match (Standing::of(Some(record), &arrival.digest, cx.config, cx.now), answer) {
-            (Standing::Free | Standing::Own, _) => self.want(arrival, cx, effects),
-            (Standing::OtherRequest, _) => effects.push(reused(arrival)),
+        match (KeyStatus::of(Some(record), &arrival.digest, cx.config, cx.now), answer) {
+            (KeyStatus::Free | KeyStatus::OwnIntent, _) => self.add_intent(arrival, cx, effects),
+            (KeyStatus::OtherRequest, _) => effects.push(key_reused(arrival)),
             (_, Some(answer)) => effects.push(Effect::Replay { arrival, answer }),
-            (other, None) => effects.push(conclude(arrival, other, false, cx)),
+            (other, None) => effects.push(respond(arrival, other, false, cx)),
         }
     }
 
-    fn want(&mut self, arrival: Arrival, cx: &Context<'_>, effects: &mut Vec<Effect>) {
-        let doubtful = self.pending.contains_key(&arrival.key);
-        if doubtful {
-            // A former sending that did not run; this intent takes the place of its outcome.
-            effects.push(Effect::Saved(Arc::clone(&arrival.key)));
+    fn add_intent(&mut self, arrival: Arrival, cx: &Context<'_>, effects: &mut Vec<Effect>) {
+        let may_be_stored = self.pending.contains_key(&arrival.key);
+        if may_be_stored {
+            // An earlier request with this key did not run; this intent replaces its pending change.
+            effects.push(Effect::OutcomeSaved(Arc::clone(&arrival.key)));
         }
         let key = Arc::clone(&arrival.key);
-        let stamp = Stamp { since_unix_ms: cx.now.unix_ms, number: cx.next_number() };
-        let intent = Intent { arrival, stamp, wanted: true, doubtful };
+        let intent_id = IntentId { since_unix_ms: cx.now.unix_ms, number: cx.next_number() };
+        let intent = Intent { arrival, intent_id, caller_waits: true, may_be_stored };
         self.pending.insert(key, Change::Intent(intent));
     }
 
-    /// Nobody waits for a request that was not told to run.
-    pub(super) fn gone(&mut self, arrival: &Arrival) {
-        self.held.retain(|it| it.request != arrival.request);
+    /// Removes a request that does not run yet and for which no caller waits any more.
+    pub(super) fn cancelled(&mut self, arrival: &Arrival) {
+        self.deferred.retain(|it| it.request != arrival.request);
         let in_flight = match &mut self.in_flight {
             Some(InFlight::Write { changes, .. }) => changes.get_mut(&arrival.key),
             Some(InFlight::Read { waiting }) => {
@@ -226,25 +231,25 @@
             if let Change::Intent(intent) = change
                 && intent.arrival.request == arrival.request
             {
-                intent.wanted = false;
+                intent.caller_waits = false;
             }
         }
     }
 
-    /// Takes the outcome of a run.
-    pub(super) fn ended(&mut self, key: KeyId, outcome: Outcome) {
+    /// Adds the outcome of a run to the changes to be written.
+    pub(super) fn run_ended(&mut self, key: KeyId, outcome: Outcome) {
         self.pending.insert(key, Change::Outcome(outcome));
     }
 
-    /// Starts the next store call, if one is wanted and none is in flight.
+    /// Starts the next store call, if one is needed and none is in flight.
     pub(super) fn advance(&mut self, cx: &mut Context<'_>, effects: &mut Vec<Effect>) {
-        self.forget_unwanted();
+        self.drop_cancelled_intents();
         if self.in_flight.is_some() || !self.has_work(cx.now) {
             return;
         }
         match self.content.take() {
             None => {
-                let waiting = std::mem::take(&mut self.held);
+                let waiting = std::mem::take(&mut self.deferred);
                 self.in_flight = Some(InFlight::Read { waiting });
                 effects.push(Effect::Call(StoreOp::Get { key: self.object.clone() }));
             }
@@ -252,99 +257,101 @@
         }
     }
 
-    fn forget_unwanted(&mut self) {
+    fn drop_cancelled_intents(&mut self) {
         self.pending.retain(|_, change| match change {
-            Change::Intent(intent) => intent.wanted || intent.doubtful,
+            Change::Intent(intent) => intent.caller_waits || intent.may_be_stored,
             Change::Outcome(_) => true,
         });
     }
 
     fn has_work(&self, now: Now) -> bool {
-        let caller_waits = |it: &Change| matches!(it, Change::Intent(intent) if intent.wanted);
-        if !self.held.is_empty() || self.pending.values().any(caller_waits) {
+        let caller_waits =
+            |it: &Change| matches!(it, Change::Intent(intent) if intent.caller_waits);
+        if !self.deferred.is_empty() || self.pending.values().any(caller_waits) {
             return true;
         }
-        let writable = |it: &Change| !matches!(it, Change::Outcome(outcome) if outcome.upload);
+        let writable =
+            |it: &Change| !matches!(it, Change::Outcome(outcome) if outcome.needs_upload);
         now.mono_ms >= self.not_before_ms && self.pending.values().any(writable)
     }
 
-    fn write(&mut self, mut after: Content, cx: &mut Context<'_>, effects: &mut Vec<Effect>) {
+    fn write(&mut self, mut new_content: Content, cx: &mut Context<'_>, effects: &mut Vec<Effect>) {
         let mut changes = BTreeMap::new();
-        let dropped = drop_expired(&mut after, cx);
+        let obsolete_bodies = remove_expired(&mut new_content, cx);
         for (key, change) in std::mem::take(&mut self.pending) {
-            if let Some(change) = self.prepare(&key, change, &mut after, cx, effects) {
+            if let Some(change) = self.apply_change(&key, change, &mut new_content, cx, effects) {
                 changes.insert(key, change);
             }
         }
         if changes.is_empty() {
-            self.content = Some(after);
+            self.content = Some(new_content);
             return;
         }
-        let shard = KeyShard { writer: cx.writer_token(), keys: after.keys };
+        let shard = KeyShard { writer: cx.writer_token(), keys: new_content.keys };
         let value: Value = serde_json::to_vec(&shard).unwrap_or_default().into();
-        after.keys = shard.keys;
-        after.bytes = value.len();
+        new_content.keys = shard.keys;
+        new_content.bytes = value.len();
         let (key, labels) = (self.object.clone(), Labels::new());
-        let op = match after.version {
+        let op = match new_content.version {
             Some(version) => StoreOp::Update { key, version, labels, value },
             None => StoreOp::Create { key, labels, value },
         };
-        self.in_flight = Some(InFlight::Write { changes, after, dropped });
+        self.in_flight = Some(InFlight::Write { changes, new_content, obsolete_bodies });
         effects.push(Effect::Call(op));
     }
 
-    /// Puts one change into the content; `None` if it does not go into this write.
-    fn prepare(
+    /// Applies one change to the content to be written; `None` if it is not part of this write.
+    fn apply_change(
         &mut self,
         key: &KeyId,
         change: Change,
-        after: &mut Content,
+        new_content: &mut Content,
         cx: &Context<'_>,
         effects: &mut Vec<Effect>,
     ) -> Option<Change> {
         let (change, record) = match change {
-            Change::Intent(intent) if !intent.wanted => {
-                let outcome = taken_back(&intent, cx.config);
+            Change::Intent(intent) if !intent.caller_waits => {
+                let outcome = withdrawn(&intent, cx.config);
                 let record = outcome.record.clone();
                 (Change::Outcome(outcome), record)
             }
-            Change::Intent(intent) if after.bytes > FULL_BYTES => {
+            Change::Intent(intent) if new_content.bytes > FULL_BYTES => {
                 effects.push(refuse(&intent.arrival, Refusal::KeysFull, FULL_RETRY_AFTER_MS));
-                if intent.doubtful {
+                if intent.may_be_stored {
                     self.pending
-                        .insert(Arc::clone(key), Change::Outcome(taken_back(&intent, cx.config)));
+                        .insert(Arc::clone(key), Change::Outcome(withdrawn(&intent, cx.config)));
                 }
                 return None;
             }
             Change::Intent(intent) => {
-                let record = record::intent(&intent.arrival, cx.config, intent.stamp);
+                let record = record::intent_record(&intent.arrival, cx.config, intent.intent_id);
                 (Change::Intent(intent), record)
             }
-            Change::Outcome(outcome) if outcome.upload => {
+            Change::Outcome(outcome) if outcome.needs_upload => {
                 self.pending.insert(Arc::clone(key), Change::Outcome(outcome));
                 return None;
             }
             Change::Outcome(mut outcome) => {
                 let body = outcome.record.body.as_ref().map_or(0, |it| it.content.len());
-                if body > 0 && after.bytes + body > FULL_BYTES {
+                if body > 0 && new_content.bytes + body > FULL_BYTES {
                     outcome.record.body = None;
-                    outcome.upload = true;
+                    outcome.needs_upload = true;
                     self.pending.insert(Arc::clone(key), Change::Outcome(outcome));
-                    effects.push(Effect::Upload(Arc::clone(key)));
+                    effects.push(Effect::UploadBody(Arc::clone(key)));
                     return None;
                 }
                 let record = outcome.record.clone();
                 (Change::Outcome(outcome), record)
             }
         };
-        after.bytes += record_bytes(&record);
-        after.keys.insert(key.to_string(), record);
+        new_content.bytes += record_bytes(&record);
+        new_content.keys.insert(key.to_string(), record);
         Some(change)
     }
 
-    /// Takes the answer to the call in flight; the held requests are to be offered again. Returns those whose content
-    /// was read after they came.
-    pub(super) fn answered(
+    /// Handles the answer to the call in flight, after which the deferred requests must be decided again. Returns the
+    /// requests that arrived before the content was read.
+    pub(super) fn store_answered(
         &mut self,
         answer: StoreAnswer,
         cx: &Context<'_>,
@@ -352,8 +359,8 @@
     ) -> Vec<Arrival> {
         match self.in_flight.take() {
             Some(InFlight::Read { waiting }) => self.read_answered(waiting, answer, cx, effects),
-            Some(InFlight::Write { changes, after, dropped }) => {
-                self.write_answered(changes, after, dropped, answer, cx, effects);
+            Some(InFlight::Write { changes, new_content, obsolete_bodies }) => {
+                self.write_answered(changes, new_content, obsolete_bodies, answer, cx, effects);
                 Vec::new()
             }
             None => Vec::new(),
@@ -369,11 +376,11 @@
     ) -> Vec<Arrival> {
         let content = match answer {
             StoreAnswer::Absent => Some(Content { version: None, keys: BTreeMap::new(), bytes: 0 }),
-            StoreAnswer::Object(stored) => content_of(&stored, effects),
+            StoreAnswer::Object(stored) => parse_content(&stored, effects),
             _ => None,
         };
         let Some(content) = content else {
-            self.give_up(waiting, cx, effects);
+            self.refuse_waiting(waiting, cx, effects);
             return Vec::new();
         };
         for (key, change) in std::mem::take(&mut self.pending) {
@@ -388,25 +395,25 @@
     fn write_answered(
         &mut self,
         changes: BTreeMap<KeyId, Change>,
-        after: Content,
-        dropped: Vec<Name>,
+        new_content: Content,
+        obsolete_bodies: Vec<Name>,
         answer: StoreAnswer,
         cx: &Context<'_>,
         effects: &mut Vec<Effect>,
     ) {
-        let mark_doubtful = match answer {
+        let may_be_stored = match answer {
             StoreAnswer::Object(stored) => {
                 for (key, change) in changes {
-                    if let Some(change) = landed(key.clone(), change, cx, effects) {
+                    if let Some(change) = committed(key.clone(), change, cx, effects) {
                         self.pending.entry(key).or_insert(change);
                     }
                 }
-                effects.extend(dropped.into_iter().map(Effect::DropBody));
-                self.content = Some(Content { version: Some(stored.version), ..after });
+                effects.extend(obsolete_bodies.into_iter().map(Effect::DeleteBody));
+                self.content = Some(Content { version: Some(stored.version), ..new_content });
                 return;
             }
-            // The write may have taken effect, or may yet: only a read tells, and a later write at the same version
-            // shuts out the late one.
+            // The write may have taken effect, or may still do so. Only a read shows whether it has, and another write
+            // at the same version makes a delayed one fail.
             StoreAnswer::Unknown => true,
             _ => false,
         };
@@ -416,35 +423,40 @@
         );
         for (key, mut change) in changes {
             if let Change::Intent(intent) = &mut change {
-                intent.doubtful |= mark_doubtful;
+                intent.may_be_stored |= may_be_stored;
             }
             self.pending.entry(key).or_insert(change);
         }
         if !retry {
-            let held = std::mem::take(&mut self.held);
-            self.give_up(held, cx, effects);
+            let deferred = std::mem::take(&mut self.deferred);
+            self.refuse_waiting(deferred, cx, effects);
         }
     }
 
-    /// The store is of no help: everyone who waits is refused at once, truly not run.
-    fn give_up(&mut self, waiting: Vec<Arrival>, cx: &Context<'_>, effects: &mut Vec<Effect>) {
-        self.pause(cx.now);
+    /// Refuses all waiting requests at once as not run, because the store is unavailable; other writes are retried later.
+    fn refuse_waiting(
+        &mut self,
+        waiting: Vec<Arrival>,
+        cx: &Context<'_>,
+        effects: &mut Vec<Effect>,
+    ) {
+        self.back_off(cx.now);
         let refused = |it: &Arrival| refuse(it, Refusal::StoreUnavailable, STORE_RETRY_AFTER_MS);
-        effects.extend(waiting.iter().chain(&self.held).map(refused));
-        self.held.clear();
+        effects.extend(waiting.iter().chain(&self.deferred).map(refused));
+        self.deferred.clear();
         for change in self.pending.values_mut() {
             let Change::Intent(intent) = change else { continue };
-            if intent.wanted {
+            if intent.caller_waits {
                 effects.push(refused(&intent.arrival));
             }
-            // Without doubt there is nothing to take back, and the change is forgotten at the next step.
-            intent.wanted = false;
+            // Unless an earlier write may have stored it, there is nothing to withdraw and the intent is dropped below.
+            intent.caller_waits = false;
         }
-        self.forget_unwanted();
+        self.drop_cancelled_intents();
     }
 }
 
-fn content_of(stored: &Stored, effects: &mut Vec<Effect>) -> Option<Content> {
+fn parse_content(stored: &Stored, effects: &mut Vec<Effect>) -> Option<Content> {
     match serde_json::from_slice::<KeyShard>(&stored.value) {
         Ok(shard) => {
             let bytes = stored.value.len();
@@ -457,16 +469,16 @@
     }
 }
 
-fn drop_expired(content: &mut Content, cx: &Context<'_>) -> Vec<Name> {
-    let mut dropped = Vec::new();
+fn remove_expired(content: &mut Content, cx: &Context<'_>) -> Vec<Name> {
+    let mut obsolete_bodies = Vec::new();
     content.keys.retain(|_, record| {
         let expired = is_expired(record, cx.config, cx.now);
         if expired {
-            dropped.extend(record.body_object.as_deref().map(Name::from));
+            obsolete_bodies.extend(record.body_object.as_deref().map(Name::from));
         }
         !expired
     });
-    dropped
+    obsolete_bodies
 }
 
 fn record_bytes(record: &KeyRecord) -> usize {
