--- a/crates/samphiredoor-core/src/quarantine/messages.rs
+++ b/crates/samphiredoor-core/src/quarantine/messages.rs
@@ -1,4 +1,4 @@
-//! What goes into the quarantine, and what comes out.
+//! Inputs and actions of [`Quarantine`](super::Quarantine).
 
 use std::net::SocketAddr;
 
@@ -9,96 +9,96 @@
     store::{StoreAnswer, StoreOp},
 };
 
-/// How an attempt left its target.
+/// How an attempt ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Left {
     /// With a whole answer.
     Answered,
     /// The connection was lost after the request was sent.
     Lost,
-    /// In any other way; it says nothing about the request.
+    /// In any other way, which neither clears the request nor makes it a suspect.
     Otherwise,
 }
 
-/// What happened.
+/// An event that [`Quarantine`](super::Quarantine) handles.
 #[derive(Debug, Clone)]
 pub enum QuarantineInput {
-    /// A request is about to be sent to a target.
+    /// An attempt to run a request at a target asks for admission.
     Enter {
-        /// Which attempt; one at a time for a request.
+        /// Id of the request, which has one attempt at a time.
         attempt: RequestId,
-        /// Hash of the request.
+        /// Hash of the request, the same for each resend.
         fingerprint: u64,
-        /// Where the target listens.
+        /// Address of the target.
         target: SocketAddr,
     },
-    /// An attempt left its target.
+    /// An attempt ended.
     Left {
-        /// Which attempt.
+        /// Id of the attempt's request.
         attempt: RequestId,
-        /// How.
+        /// What its end means for the request.
         how: Left,
     },
-    /// A connection was tried as [`QuarantineAction::Probe`] asked.
+    /// A connection was tried, as requested by [`QuarantineAction::Probe`].
     Probed {
-        /// Where the target listens.
+        /// Address of the target.
         target: SocketAddr,
         /// Whether the connection was refused.
         refused: bool,
     },
-    /// A peer told of a request.
+    /// A peer has reported a change of a fingerprint.
     Told(Suspect),
-    /// An owner lifts the suspicion.
+    /// An owner lifts the quarantine or the suspicion of a request.
     Lift {
         /// Hash of the request.
         fingerprint: u64,
     },
     /// A store call was answered.
     Stored {
-        /// Which call.
+        /// Id of the call.
         call: CallId,
-        /// Its answer.
+        /// Answer of the store.
         answer: StoreAnswer,
     },
-    /// Time passed.
+    /// Time has passed; expired entries are removed and the stored list is read when it is due.
     Tick,
 }
 
-/// What to do.
+/// What the task that owns the [`Quarantine`](super::Quarantine) must do.
 #[derive(Debug, Clone, PartialEq)]
 pub enum QuarantineAction {
-    /// The attempt may be sent.
+    /// The attempt is admitted and may be sent.
     Go {
-        /// Which attempt.
+        /// Id of the attempt's request.
         attempt: RequestId,
     },
-    /// The request is blamed; this is final.
+    /// The request is quarantined and must not be sent; this is final.
     Refuse {
-        /// Which attempt.
+        /// Id of the attempt's request.
         attempt: RequestId,
     },
-    /// Try a connection to a target, and report it.
+    /// Try to connect to a target, and report the result with [`QuarantineInput::Probed`].
     Probe {
-        /// Where the target listens.
+        /// Address of the target.
         target: SocketAddr,
     },
-    /// It is known what the loss of an attempt means; the request may be tried elsewhere.
+    /// It is known whether the target of a lost attempt died; the request may be retried elsewhere.
     Settled {
-        /// Which attempt.
+        /// Id of the attempt's request.
         attempt: RequestId,
     },
-    /// Tell all peers.
+    /// Report a change of a fingerprint to all peers.
     Tell(Suspect),
-    /// A request is blamed from now on.
+    /// A fingerprint has been quarantined, to be logged and counted.
     Blamed {
         /// Hash of the request.
         fingerprint: u64,
     },
-    /// Make a store call.
+    /// Send a call to the store and report its answer with [`QuarantineInput::Stored`].
     Store {
-        /// Which call.
+        /// Id of the call.
         call: CallId,
-        /// The call.
+        /// Operation to perform.
         op: StoreOp,
     },
 }
--- a/crates/samphiredoor-core/src/quarantine/mod.rs
+++ b/crates/samphiredoor-core/src/quarantine/mod.rs
@@ -1,12 +1,14 @@
-//! Requests that crash targets: whom to suspect, and whom to refuse.
+//! Detection of requests that crash targets: which requests are suspected, and which are refused.
 //!
-//! Every request in flight on a target that dies is suspected, by its fingerprint; a whole answer from any target
-//! clears it. A target gets one suspect of this door at a time, so that two of them never share a death. A fingerprint that was in flight at
-//! two deaths is blamed and refused at once, until its time is over or an owner lifts it.
+//! When a target dies, the fingerprint of each request in flight on it becomes a suspect; a whole answer from any target
+//! clears it. A gateway sends each target one suspect at a time, so that a death is never counted against two of them. A
+//! fingerprint that was in flight at two deaths is quarantined: its requests are refused at once until the quarantine
+//! expires or an owner lifts it.
 //!
-//! A target counts as dead when a request on it was lost and a new connection is refused: a host that is cut off
-//! refuses nothing, and no request is to blame for it. Peers are told at once, and the blamed stand in one object of
-//! the store for doors that start later. All of that is bounded in number and age.
+//! A target counts as dead when the connection of a request was lost and a new connection is refused. A host that is
+//! isolated refuses no connection, so its requests are not suspected. Each change is sent to the peers at once; the
+//! quarantined fingerprints are also stored in one object of the store, for gateways that start later. The number and
+//! the age of the entries are bounded.
 
 mod config;
 mod list;
@@ -24,154 +26,164 @@
 pub use suspects::{BLAMED_DEATHS, Suspect};
 
 use crate::{dispatch::RequestId, time::Now};
-use list::BlamedList;
-use suspects::{Change, Entry, Suspects};
+use list::QuarantineList;
+use suspects::{AttemptSeq, Change, Suspects};
 
-/// How long after a target's death its other requests may still be found lost.
-const DEATH_ECHO_MS: u64 = 5_000;
+/// How long after a target's death the loss of other requests on it may still be reported.
+const LATE_LOSS_MS: u64 = 5_000;
 
+/// The last known death of a target.
 #[derive(Debug, Clone, Copy)]
 struct Death {
     at_ms: u64,
-    /// The last attempt that had entered by then.
-    last_entry: Entry,
+    /// The last attempt that had been registered by then.
+    last_seq: AttemptSeq,
 }
 
+/// A registered attempt to run a request at a target.
 #[derive(Debug, Clone, Copy)]
 struct Attempt {
     fingerprint: u64,
     target: SocketAddr,
-    entry: Entry,
+    seq: AttemptSeq,
 }
 
-/// State of the quarantine in one process.
+/// State machine of the quarantine in one process.
 #[derive(Debug)]
 pub struct Quarantine {
     suspects: Suspects,
-    list: BlamedList,
+    list: QuarantineList,
     attempts: BTreeMap<RequestId, Attempt>,
-    /// The one suspect that runs on a target.
-    apart: BTreeMap<SocketAddr, RequestId>,
-    /// Suspects that wait for their target.
+    /// The one attempt of a suspected request that runs on each target.
+    running_suspects: BTreeMap<SocketAddr, RequestId>,
+    /// Attempts of suspected requests that wait until their target has no other one.
     waiting: BTreeMap<SocketAddr, VecDeque<RequestId>>,
-    /// Attempts lost at targets that are being probed.
-    lost: BTreeMap<SocketAddr, Vec<(RequestId, Attempt)>>,
-    /// The last deaths.
+    /// Lost attempts at targets that are being probed.
+    lost_attempts: BTreeMap<SocketAddr, Vec<(RequestId, Attempt)>>,
+    /// Deaths of the last [`LATE_LOSS_MS`].
     deaths: BTreeMap<SocketAddr, Death>,
-    last_entry: Entry,
+    /// Number of the last registered attempt.
+    last_seq: AttemptSeq,
 }
 
 impl Quarantine {
-    /// Quarantine that suspects nobody; it reads the stored list first.
+    /// Starts without suspects; the first [`QuarantineInput::Tick`] reads the stored list.
     pub fn new(config: QuarantineConfig) -> Quarantine {
         Quarantine {
-            list: BlamedList::new(&config),
+            list: QuarantineList::new(&config),
             suspects: Suspects::new(config),
             attempts: BTreeMap::new(),
-            apart: BTreeMap::new(),
+            running_suspects: BTreeMap::new(),
             waiting: BTreeMap::new(),
-            lost: BTreeMap::new(),
+            lost_attempts: BTreeMap::new(),
             deaths: BTreeMap::new(),
-            last_entry: Entry::default(),
+            last_seq: AttemptSeq::default(),
         }
     }
 
-    /// Whether any request is suspected, so that an attempt must wait for its [`QuarantineAction::Go`].
+    /// Whether any fingerprint is remembered. Then an attempt must wait for its [`QuarantineAction::Go`].
     pub fn suspects_any(&self) -> bool {
         !self.suspects.is_empty()
     }
 
-    /// All that is remembered.
+    /// All remembered fingerprints: suspected, quarantined and lifted ones.
     pub fn suspects(&self) -> impl Iterator<Item = Suspect> {
         self.suspects.iter()
     }
 
-    /// Takes one event; appends what to do to `out`.
+    /// Handles one event and appends the resulting actions to `out`.
     pub fn handle(&mut self, now: Now, input: QuarantineInput, out: &mut Vec<QuarantineAction>) {
         match input {
             QuarantineInput::Enter { attempt, fingerprint, target } => {
-                self.last_entry = Entry(self.last_entry.0 + 1);
-                let entry = self.last_entry;
-                self.attempts.insert(attempt, Attempt { fingerprint, target, entry });
-                self.enter(attempt, out);
+                self.last_seq = AttemptSeq(self.last_seq.0 + 1);
+                let seq = self.last_seq;
+                self.attempts.insert(attempt, Attempt { fingerprint, target, seq });
+                self.admit(attempt, out);
             }
-            QuarantineInput::Left { attempt, how } => self.left(now, attempt, how, out),
+            QuarantineInput::Left { attempt, how } => self.attempt_ended(now, attempt, how, out),
             QuarantineInput::Probed { target, refused } => self.probed(now, target, refused, out),
             QuarantineInput::Told(told) => {
-                let change = self.suspects.told(now, told, self.last_entry);
-                self.changed(now, change, false, out);
+                let change = self.suspects.apply_report(now, told, self.last_seq);
+                self.publish_change(now, change, false, out);
             }
             QuarantineInput::Lift { fingerprint } => {
                 let change = self.suspects.lift(now, fingerprint);
-                self.changed(now, change, true, out);
+                self.publish_change(now, change, true, out);
             }
             QuarantineInput::Stored { call, answer } => {
                 let stored = ListInput::Stored { call, answer };
                 self.list.handle(now, stored, &mut self.suspects, out);
-                self.refuse_blamed_waiting(out);
+                self.refuse_quarantined_waiting(out);
             }
             QuarantineInput::Tick => {
-                self.suspects.forget_old(now);
-                self.deaths.retain(|_, it| it.at_ms + DEATH_ECHO_MS > now.mono_ms);
+                self.suspects.remove_expired(now);
+                self.deaths.retain(|_, it| it.at_ms + LATE_LOSS_MS > now.mono_ms);
                 self.list.handle(now, ListInput::Tick, &mut self.suspects, out);
             }
         }
     }
 
-    fn enter(&mut self, attempt: RequestId, out: &mut Vec<QuarantineAction>) {
-        let Some(entered) = self.attempts.get(&attempt) else { return };
-        let deaths = self.suspects.deaths(entered.fingerprint);
+    fn admit(&mut self, attempt: RequestId, out: &mut Vec<QuarantineAction>) {
+        let Some(candidate) = self.attempts.get(&attempt) else { return };
+        let deaths = self.suspects.deaths(candidate.fingerprint);
         if deaths >= BLAMED_DEATHS {
             self.attempts.remove(&attempt);
             out.push(QuarantineAction::Refuse { attempt });
             return;
         }
         if deaths > 0 {
-            // Two suspects on one target would both be blamed for its death, the innocent with the guilty.
-            if self.apart.contains_key(&entered.target) {
-                self.waiting.entry(entered.target).or_default().push_back(attempt);
+            // If two suspects ran on one target, its death would count against both, although one may be harmless.
+            if self.running_suspects.contains_key(&candidate.target) {
+                self.waiting.entry(candidate.target).or_default().push_back(attempt);
                 return;
             }
-            self.apart.insert(entered.target, attempt);
+            self.running_suspects.insert(candidate.target, attempt);
         }
         out.push(QuarantineAction::Go { attempt });
     }
 
-    fn left(&mut self, now: Now, attempt: RequestId, how: Left, out: &mut Vec<QuarantineAction>) {
-        let Some(left) = self.attempts.remove(&attempt) else {
-            // It was refused after it had been sent without waiting; whoever waits for its end must not wait for ever.
+    fn attempt_ended(
+        &mut self,
+        now: Now,
+        attempt: RequestId,
+        how: Left,
+        out: &mut Vec<QuarantineAction>,
+    ) {
+        let Some(ended) = self.attempts.remove(&attempt) else {
+            // The attempt was sent without waiting for its admission, and then refused. The task that waits until its
+            // loss is resolved still needs an answer.
             if how == Left::Lost {
                 out.push(QuarantineAction::Settled { attempt });
             }
             return;
         };
-        if let Some(waiting) = self.waiting.get_mut(&left.target) {
+        if let Some(waiting) = self.waiting.get_mut(&ended.target) {
             waiting.retain(|it| *it != attempt);
         }
         match how {
             Left::Answered => {
-                let change = self.suspects.clear(left.fingerprint);
-                self.changed(now, change, true, out);
-                self.leave_apart(attempt, left.target, out);
+                let change = self.suspects.clear(ended.fingerprint);
+                self.publish_change(now, change, true, out);
+                self.release_target(attempt, ended.target, out);
             }
-            Left::Lost => self.lose(now, attempt, left, out),
-            Left::Otherwise => self.leave_apart(attempt, left.target, out),
+            Left::Lost => self.attempt_lost(now, attempt, ended, out),
+            Left::Otherwise => self.release_target(attempt, ended.target, out),
         }
     }
 
-    fn lose(
+    fn attempt_lost(
         &mut self,
         now: Now,
         attempt: RequestId,
         lost: Attempt,
         out: &mut Vec<QuarantineAction>,
     ) {
-        // The target died while this request was on it, and another request's loss has shown it.
-        if self.deaths.get(&lost.target).is_some_and(|it| lost.entry <= it.last_entry) {
-            self.suspect(now, attempt, lost, out);
+        // The loss of another request has already shown that the target died while this request was on it.
+        if self.deaths.get(&lost.target).is_some_and(|it| lost.seq <= it.last_seq) {
+            self.add_suspicion(now, attempt, lost, out);
             return;
         }
-        let probing = self.lost.entry(lost.target).or_default();
+        let probing = self.lost_attempts.entry(lost.target).or_default();
         probing.push((attempt, lost));
         if probing.len() == 1 {
             out.push(QuarantineAction::Probe { target: lost.target });
@@ -186,73 +198,73 @@
         out: &mut Vec<QuarantineAction>,
     ) {
         if refused {
-            let (at_ms, last_entry) = (now.mono_ms, self.last_entry);
-            self.deaths.insert(target, Death { at_ms, last_entry });
+            let (at_ms, last_seq) = (now.mono_ms, self.last_seq);
+            self.deaths.insert(target, Death { at_ms, last_seq });
         }
-        for (attempt, lost) in self.lost.remove(&target).unwrap_or_default() {
+        for (attempt, lost) in self.lost_attempts.remove(&target).unwrap_or_default() {
             if refused {
-                self.suspect(now, attempt, lost, out);
+                self.add_suspicion(now, attempt, lost, out);
             } else {
                 out.push(QuarantineAction::Settled { attempt });
-                self.leave_apart(attempt, target, out);
+                self.release_target(attempt, target, out);
             }
         }
     }
 
-    fn suspect(
+    fn add_suspicion(
         &mut self,
         now: Now,
         attempt: RequestId,
         lost: Attempt,
         out: &mut Vec<QuarantineAction>,
     ) {
-        let change = self.suspects.died(now, lost.fingerprint, lost.entry, self.last_entry);
-        self.changed(now, change, true, out);
+        let change = self.suspects.record_death(now, lost.fingerprint, lost.seq, self.last_seq);
+        self.publish_change(now, change, true, out);
         out.push(QuarantineAction::Settled { attempt });
-        self.leave_apart(attempt, lost.target, out);
+        self.release_target(attempt, lost.target, out);
     }
 
-    fn leave_apart(
+    fn release_target(
         &mut self,
         attempt: RequestId,
         target: SocketAddr,
         out: &mut Vec<QuarantineAction>,
     ) {
-        if self.apart.get(&target) == Some(&attempt) {
-            self.apart.remove(&target);
+        if self.running_suspects.get(&target) == Some(&attempt) {
+            self.running_suspects.remove(&target);
         }
-        while !self.apart.contains_key(&target) {
+        while !self.running_suspects.contains_key(&target) {
             let next = self.waiting.get_mut(&target).and_then(VecDeque::pop_front);
             let Some(next) = next else {
                 self.waiting.remove(&target);
                 return;
             };
-            self.enter(next, out);
+            self.admit(next, out);
         }
     }
 
-    fn changed(
+    fn publish_change(
         &mut self,
         now: Now,
         change: Option<Change>,
-        tell: bool,
+        is_local: bool,
         out: &mut Vec<QuarantineAction>,
     ) {
         let Some(change) = change else { return };
-        if tell {
+        if is_local {
             out.push(QuarantineAction::Tell(change.suspect));
         }
-        if change.is_blamed {
+        if change.is_quarantined {
             out.push(QuarantineAction::Blamed { fingerprint: change.suspect.fingerprint });
         }
-        // Whoever learned it by himself writes it; peers that were told only refuse.
-        if tell && change.is_kept {
+        // Only the gateway that made the change writes it to the store; its peers just apply the report.
+        if is_local && change.is_listed {
             self.list.handle(now, ListInput::Changed, &mut self.suspects, out);
         }
-        self.refuse_blamed_waiting(out);
+        self.refuse_quarantined_waiting(out);
     }
 
-    fn refuse_blamed_waiting(&mut self, out: &mut Vec<QuarantineAction>) {
+    fn refuse_quarantined_waiting(&mut self, out: &mut Vec<QuarantineAction>) {
         for waiting in self.waiting.values_mut() {
             waiting.retain(|attempt| {
                 let fingerprint = self.attempts.get(attempt).map(|it| it.fingerprint);
--- a/crates/samphiredoor-core/src/quarantine/suspects.rs
+++ b/crates/samphiredoor-core/src/quarantine/suspects.rs
@@ -1,4 +1,4 @@
-//! The fingerprints that are suspected, blamed or lifted.
+//! The fingerprints that are suspected, quarantined or lifted.
 
 use std::collections::BTreeMap;
 
@@ -7,33 +7,33 @@
 use super::config::QuarantineConfig;
 use crate::time::Now;
 
-/// Deaths from which a fingerprint is refused.
+/// Number of deaths from which a fingerprint is quarantined.
 pub const BLAMED_DEATHS: u32 = 2;
 
-/// Number of an attempt's entry. Two events of one millisecond can be told apart by it.
+/// Sequence number of an attempt in this process. It orders attempts and deaths within one millisecond.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) struct Entry(pub(super) u64);
+pub(super) struct AttemptSeq(pub(super) u64);
 
-/// What is known of a fingerprint, as doors tell each other.
+/// State of a fingerprint, as gateways report it to each other.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Suspect {
     /// Hash of the request.
     pub fingerprint: u64,
-    /// Deaths of targets at which it was in flight; 0 once it has finished.
+    /// Number of deaths of targets while it was in flight; 0 once it has got a whole answer or was lifted.
     pub deaths: u32,
-    /// Whether an owner has lifted it.
+    /// Whether an owner has lifted its quarantine.
     pub lifted: bool,
 }
 
-/// What has changed of a fingerprint.
+/// A change of a fingerprint's state.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Change {
-    /// What is known now.
+    /// The new state.
     pub(super) suspect: Suspect,
-    /// Whether it is refused from now on.
-    pub(super) is_blamed: bool,
-    /// Whether the stored list must show it.
-    pub(super) is_kept: bool,
+    /// Whether this change quarantines it.
+    pub(super) is_quarantined: bool,
+    /// Whether it belongs in the stored list.
+    pub(super) is_listed: bool,
 }
 
 #[derive(Debug, Clone, Copy)]
@@ -41,18 +41,18 @@
     deaths: u32,
     lifted: bool,
     since_unix_ms: u64,
-    /// The last attempt that had entered when this process learned of the last death.
-    known_at: Entry,
+    /// The last attempt that had been registered when this process learned of the last death.
+    last_seq_at_death: AttemptSeq,
 }
 
 impl Record {
-    /// Entries that go first when there are too many: those that refuse nothing, then the oldest.
-    fn rank(&self) -> (bool, u64) {
+    /// Order of eviction when there are too many entries: first those that are not quarantined, the oldest first.
+    fn eviction_rank(&self) -> (bool, u64) {
         (self.deaths >= BLAMED_DEATHS, self.since_unix_ms)
     }
 }
 
-/// All that is remembered of fingerprints.
+/// The remembered fingerprints.
 #[derive(Debug)]
 pub(super) struct Suspects {
     config: QuarantineConfig,
@@ -72,31 +72,33 @@
         self.entries.iter().map(|(fingerprint, it)| suspect(*fingerprint, it))
     }
 
-    /// Deaths that stand against a fingerprint.
+    /// Number of deaths counted against a fingerprint.
     pub(super) fn deaths(&self, fingerprint: u64) -> u32 {
         self.entries.get(&fingerprint).map_or(0, |it| it.deaths)
     }
 
-    /// A target died with the request in flight, as `entry`; `last` is the last attempt that has entered.
+    /// Counts the death of a target while attempt `seq` of the request was in flight; `last_seq` is the last registered
+    /// attempt.
     ///
-    /// An attempt that began before the last death was known does not count: the same request is often in flight
-    /// several times, here and at other doors, and one death would look like many.
-    pub(super) fn died(
+    /// An attempt that was registered before the last death was known does not count: the same request is often in
+    /// flight several times, here and at other gateways, and one death would be counted many times.
+    pub(super) fn record_death(
         &mut self,
         now: Now,
         fingerprint: u64,
-        entry: Entry,
-        last: Entry,
+        seq: AttemptSeq,
+        last_seq: AttemptSeq,
     ) -> Option<Change> {
         let known = self.entries.get(&fingerprint);
-        if known.is_some_and(|it| it.deaths > 0 && entry <= it.known_at) {
+        if known.is_some_and(|it| it.deaths > 0 && seq <= it.last_seq_at_death) {
             return None;
         }
         let deaths = self.deaths(fingerprint) + 1;
-        self.set(now, fingerprint, deaths, false, last)
+        self.set(now, fingerprint, deaths, false, last_seq)
     }
 
-    /// The request has finished. One that is blamed stays so: it was let through before the blame was known.
+    /// Clears the suspicion of a request that got a whole answer. A quarantined one stays quarantined: its attempt was
+    /// admitted before the quarantine was known.
     pub(super) fn clear(&mut self, fingerprint: u64) -> Option<Change> {
         let entry = self.entries.get(&fingerprint)?;
         if entry.deaths == 0 || entry.deaths >= BLAMED_DEATHS {
@@ -104,53 +106,59 @@
         }
         self.entries.remove(&fingerprint);
         let suspect = Suspect { fingerprint, deaths: 0, lifted: false };
-        Some(Change { suspect, is_blamed: false, is_kept: false })
+        Some(Change { suspect, is_quarantined: false, is_listed: false })
     }
 
-    /// An owner lifts it. The entry stays, so that late news does not bring the blame back.
+    /// Lifts the quarantine for an owner. The entry is kept, so that a delayed report does not quarantine the request
+    /// again.
     pub(super) fn lift(&mut self, now: Now, fingerprint: u64) -> Option<Change> {
-        self.set(now, fingerprint, 0, true, Entry::default())
+        self.set(now, fingerprint, 0, true, AttemptSeq::default())
     }
 
-    /// A peer told of it.
-    pub(super) fn told(&mut self, now: Now, told: Suspect, last: Entry) -> Option<Change> {
-        let own = self.entries.get(&told.fingerprint).copied();
-        match (told, own) {
-            (Suspect { lifted: true, .. }, _) => self.lift(now, told.fingerprint),
-            (Suspect { deaths: 0, .. }, _) => self.clear(told.fingerprint),
-            // Told by one that has not heard of the lifting yet; deaths after it are told with their number anew.
-            (_, Some(own)) if own.lifted && told.deaths >= BLAMED_DEATHS => None,
-            (_, Some(own)) if own.deaths >= told.deaths => None,
-            _ => self.set(now, told.fingerprint, told.deaths, false, last),
+    /// Applies a peer's report.
+    pub(super) fn apply_report(
+        &mut self,
+        now: Now,
+        report: Suspect,
+        last_seq: AttemptSeq,
+    ) -> Option<Change> {
+        let own = self.entries.get(&report.fingerprint).copied();
+        match (report, own) {
+            (Suspect { lifted: true, .. }, _) => self.lift(now, report.fingerprint),
+            (Suspect { deaths: 0, .. }, _) => self.clear(report.fingerprint),
+            // The peer has not received the lifting yet. Deaths after the lifting are counted and reported from 1 again.
+            (_, Some(own)) if own.lifted && report.deaths >= BLAMED_DEATHS => None,
+            (_, Some(own)) if own.deaths >= report.deaths => None,
+            _ => self.set(now, report.fingerprint, report.deaths, false, last_seq),
         }
     }
 
-    /// Takes a record of the stored list; the later of the two stands.
+    /// Merges a record of the stored list; the later of the two is kept.
     pub(super) fn merge(&mut self, fingerprint: u64, record: &SuspectRecord) {
         let own_ms = self.entries.get(&fingerprint).map_or(0, |it| it.since_unix_ms);
         if record.since_unix_ms > own_ms {
             let deaths = if record.lifted { 0 } else { record.deaths };
             let now = Now::new(0, record.since_unix_ms);
-            self.set(now, fingerprint, deaths, record.lifted, Entry::default());
+            self.set(now, fingerprint, deaths, record.lifted, AttemptSeq::default());
         }
     }
 
-    /// Records for the stored list: the blamed and the lifted.
+    /// Records for the stored list: the quarantined and the lifted fingerprints.
     pub(super) fn records(&self) -> BTreeMap<String, SuspectRecord> {
-        let kept = self.entries.iter().filter(|(_, it)| is_kept(it));
+        let listed = self.entries.iter().filter(|(_, it)| is_listed(it));
         let record = |it: &Record| SuspectRecord {
             deaths: it.deaths,
             lifted: it.lifted,
             since_unix_ms: it.since_unix_ms,
         };
-        kept.map(|(fingerprint, it)| (format!("{fingerprint:016x}"), record(it))).collect()
+        listed.map(|(fingerprint, it)| (format!("{fingerprint:016x}"), record(it))).collect()
     }
 
-    /// Forgets what is too old.
-    pub(super) fn forget_old(&mut self, now: Now) {
+    /// Removes the entries whose time is over.
+    pub(super) fn remove_expired(&mut self, now: Now) {
         let config = &self.config;
         self.entries.retain(|_, it| {
-            let age_ms = if is_kept(it) { config.blamed_ms } else { config.suspect_ms };
+            let age_ms = if is_listed(it) { config.quarantine_ms } else { config.suspect_ms };
             now.unix_ms <= it.since_unix_ms.saturating_add(age_ms)
         });
     }
@@ -161,27 +169,27 @@
         fingerprint: u64,
         deaths: u32,
         lifted: bool,
-        known_at: Entry,
+        last_seq_at_death: AttemptSeq,
     ) -> Option<Change> {
         let since_unix_ms = now.unix_ms;
-        let entry = Record { deaths, lifted, since_unix_ms, known_at };
+        let entry = Record { deaths, lifted, since_unix_ms, last_seq_at_death };
         let before = self.entries.insert(fingerprint, entry);
         if self.entries.len() > self.config.max_suspects {
-            let least = self.entries.iter().min_by_key(|(_, it)| it.rank());
+            let least = self.entries.iter().min_by_key(|(_, it)| it.eviction_rank());
             if let Some(least) = least.map(|(it, _)| *it) {
                 self.entries.remove(&least);
             }
         }
-        let was_blamed = before.is_some_and(|it| it.deaths >= BLAMED_DEATHS);
+        let was_quarantined = before.is_some_and(|it| it.deaths >= BLAMED_DEATHS);
         Some(Change {
             suspect: suspect(fingerprint, &entry),
-            is_blamed: deaths >= BLAMED_DEATHS && !was_blamed,
-            is_kept: is_kept(&entry),
+            is_quarantined: deaths >= BLAMED_DEATHS && !was_quarantined,
+            is_listed: is_listed(&entry),
         })
     }
 }
 
-fn is_kept(entry: &Record) -> bool {
+fn is_listed(entry: &Record) -> bool {
     entry.lifted || entry.deaths >= BLAMED_DEATHS
 }
 
