--- a/crates/samphiredoor-core/examples/keys_store_calls.rs
+++ b/crates/samphiredoor-core/examples/keys_store_calls.rs
@@ -1,8 +1,9 @@
-//! Store calls and bytes of one keyed request, by the number of shards, the rate and the number of doors.
+//! Store calls and bytes per keyed request, by the request rate, the number of gateways and the number of shards.
 //!
-//! Drives the machines of some doors over one store in simulated time: requests come at random moments to random doors,
-//! run for 50 ms, and each store call takes 5 ms. The store starts with remembered keys of former requests. One object
-//! a key is worked out beside it: a create, an update, and a delete when the key is forgotten.
+//! Simulates the keys of several gateways that share one store: requests arrive at random times at random gateways and
+//! run for 50 ms, and each store call takes 5 ms. The store initially holds the keys of earlier requests. For
+//! comparison the last line gives the writes and bytes of a design with one object per key: a create, an update, and a
+//! delete when the key expires.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -26,6 +27,7 @@
 const START_UNIX_MS: u64 = 1_000_000_000;
 const SEED: u64 = 7;
 
+/// Event of the simulation.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 enum Due {
     Arrival(u64),
@@ -43,7 +45,7 @@
 }
 
 struct Bench {
-    doors: Vec<Keys>,
+    gateways: Vec<Keys>,
     objects: BTreeMap<ObjectKey, (u64, Value)>,
     calls: BTreeMap<(usize, u64), StoreOp>,
     due: BTreeSet<(u64, Due)>,
@@ -54,14 +56,14 @@
 }
 
 impl Bench {
-    fn new(doors: usize, shards: u32) -> Bench {
-        let door = |number: usize| {
+    fn new(gateways: usize, shards: u32) -> Bench {
+        let gateway = |number: usize| {
             let holder = holder_name(&format!("door-{number}"), 1);
             let config = KeysConfig { shards, ..KeysConfig::new(holder, 86_400_000) };
             Keys::new(config)
         };
         Bench {
-            doors: (0..doors).map(door).collect(),
+            gateways: (0..gateways).map(gateway).collect(),
             objects: BTreeMap::new(),
             calls: BTreeMap::new(),
             due: BTreeSet::new(),
@@ -72,6 +74,7 @@
         }
     }
 
+    /// Simulates `requests` requests from id `first` on, with exponentially distributed gaps of `gap_ms` on average.
     fn run(&mut self, rng: &mut SmallRng, gap_ms: f64, first: u64, requests: u64, start_ms: u64) {
         let mut at_ms = start_ms as f64;
         for request in first..first + requests {
@@ -82,7 +85,7 @@
             let now = Now::new(at_ms, START_UNIX_MS + at_ms);
             match due {
                 Due::Arrival(request) => {
-                    let door = rng.random_range(0..self.doors.len());
+                    let gateway = rng.random_range(0..self.gateways.len());
                     let arrival = Arrival {
                         request: RequestId(request),
                         key: key_id("bench", &request.to_string()),
@@ -90,10 +93,10 @@
                         deadline_unix_ms: u64::MAX,
                     };
                     self.arrived_ms.insert(request, at_ms);
-                    self.input(now, door, KeysInput::Arrived(arrival));
+                    self.input(now, gateway, KeysInput::Arrived(arrival));
                 }
-                Due::Call(door, call) => self.answer(now, door, call),
-                Due::RunEnd(door, request) => {
+                Due::Call(gateway, call) => self.answer(now, gateway, call),
+                Due::RunEnd(gateway, request) => {
                     let answer = KeptAnswer {
                         status: 200,
                         content_type: "application/json".into(),
@@ -101,34 +104,34 @@
                     };
                     let outcome = KeyOutcome::Answered(answer);
                     let request = RequestId(request);
-                    self.input(now, door, KeysInput::Ended { request, outcome });
+                    self.input(now, gateway, KeysInput::Ended { request, outcome });
                 }
             }
         }
     }
 
-    fn input(&mut self, now: Now, door: usize, input: KeysInput) {
+    fn input(&mut self, now: Now, gateway: usize, input: KeysInput) {
         let mut actions = Vec::new();
-        self.doors[door].handle(now, input, &mut actions);
+        self.gateways[gateway].handle(now, input, &mut actions);
         for action in actions {
             match action {
                 KeysAction::Store { call, op } => {
-                    self.calls.insert((door, call.0), op);
-                    self.due.insert((now.mono_ms + STORE_MS, Due::Call(door, call.0)));
+                    self.calls.insert((gateway, call.0), op);
+                    self.due.insert((now.mono_ms + STORE_MS, Due::Call(gateway, call.0)));
                 }
                 KeysAction::Run { request } => {
                     self.answered += 1;
                     let arrived_ms = self.arrived_ms.remove(&request.0).unwrap_or_default();
                     self.wait_ms += now.mono_ms - arrived_ms;
-                    self.due.insert((now.mono_ms + RUN_MS, Due::RunEnd(door, request.0)));
+                    self.due.insert((now.mono_ms + RUN_MS, Due::RunEnd(gateway, request.0)));
                 }
                 other => println!("unexpected: {other:?}"),
             }
         }
     }
 
-    fn answer(&mut self, now: Now, door: usize, call: u64) {
-        let Some(op) = self.calls.remove(&(door, call)) else { return };
+    fn answer(&mut self, now: Now, gateway: usize, call: u64) {
+        let Some(op) = self.calls.remove(&(gateway, call)) else { return };
         let answer = match op {
             StoreOp::Get { key } => {
                 self.counts.reads += 1;
@@ -144,7 +147,7 @@
             StoreOp::Update { key, version, value, .. } => self.write(key, Some(version.0), value),
             _ => StoreAnswer::Unavailable,
         };
-        self.input(now, door, KeysInput::Stored { call: CallId(call), answer });
+        self.input(now, gateway, KeysInput::Stored { call: CallId(call), answer });
     }
 
     fn write(&mut self, key: ObjectKey, version: Option<u64>, value: Value) -> StoreAnswer {
@@ -176,9 +179,9 @@
     );
     println!("| --- | --- | --- | --- | --- | --- | --- | --- | --- |");
     for rate in [1, 10, 100] {
-        for doors in [1, 8] {
+        for gateways in [1, 8] {
             for shards in [16, 256, 4_096, 65_536] {
-                measure(rate, doors, shards);
+                measure(rate, gateways, shards);
             }
         }
     }
@@ -186,10 +189,10 @@
     println!("one object a key: 3 writes, 0 reads, about {record} B written for a request");
 }
 
-fn measure(rate: u64, doors: usize, shards: u32) {
+fn measure(rate: u64, gateways: usize, shards: u32) {
     let mut rng = SmallRng::seed_from_u64(SEED);
-    let mut bench = Bench::new(doors, shards);
-    // Fast, as only what stands at its end matters.
+    let mut bench = Bench::new(gateways, shards);
+    // A high rate, as only the keys that are stored at the end of this run matter.
     bench.run(&mut rng, 1.0, 0, REMEMBERED, 0);
     bench.counts = Counts::default();
     (bench.answered, bench.wait_ms) = (0, 0);
@@ -199,7 +202,7 @@
     let count = bench.answered.max(1) as f64;
     let Counts { reads, writes, conflicts, written_bytes, read_bytes } = bench.counts;
     println!(
-        "| {rate} | {doors} | {shards} | {:.2} | {:.2} | {:.2} | {:.1} | {:.1} | {:.1} |",
+        "| {rate} | {gateways} | {shards} | {:.2} | {:.2} | {:.2} | {:.1} | {:.1} | {:.1} |",
         writes as f64 / count,
         reads as f64 / count,
         conflicts as f64 / count,
--- a/crates/samphiredoor-core/src/keys/mod.rs
+++ b/crates/samphiredoor-core/src/keys/mod.rs
@@ -1,10 +1,10 @@
 //! Idempotency keys: a request that carries one runs at most once, and resends get the saved answer.
 //!
 //! Keys are hashed to shards; each shard is one object of the store. The intent to run a request is written by a
-//! conditional update before the request is dispatched, its outcome afterwards. Safety depends on the conditional update
-//! alone: an intent is never taken over, even if its holder seems to be dead. Two things make it fast: all intents and
-//! outcomes of a shard that arrive while a write is in flight are combined into the next one, and a resend to the same
-//! process is answered from memory.
+//! conditional update before the request is dispatched, its outcome afterwards. Safety depends on the conditional
+//! update alone: an intent is never taken over, even if its holder seems to be dead. Two things make it fast: all
+//! intents and outcomes of a shard that arrive while a write is in flight are combined into the next one, and a resend
+//! to the same process is answered from memory.
 //!
 //! [`Keys`] is a state machine without I/O that one task owns. Each arriving request gets exactly one final action; a
 //! request that is to run ([`KeysAction::Run`]) reports its end with [`KeysInput::Ended`].
--- a/crates/samphiredoor-core/src/quarantine/mod.rs
+++ b/crates/samphiredoor-core/src/quarantine/mod.rs
@@ -1,9 +1,9 @@
 //! Detection of requests that crash targets: which requests are suspected, and which are refused.
 //!
-//! When a target dies, the fingerprint of each request in flight on it becomes a suspect; a whole answer from any target
-//! clears it. A gateway sends each target one suspect at a time, so that a death is never counted against two of them. A
-//! fingerprint that was in flight at two deaths is quarantined: its requests are refused at once until the quarantine
-//! expires or an owner lifts it.
+//! When a target dies, the fingerprint of each request in flight on it becomes a suspect; a whole answer from any
+//! target clears it. A gateway sends each target one suspect at a time, so that a death is never counted against two of
+//! them. A fingerprint that was in flight at two deaths is quarantined: its requests are refused at once until the
+//! quarantine expires or an owner lifts it.
 //!
 //! A target counts as dead when the connection of a request was lost and a new connection is refused. A host that is
 //! isolated refuses no connection, so its requests are not suspected. Each change is sent to the peers at once; the
--- a/crates/samphiredoor-core/src/quarantine/suspects.rs
+++ b/crates/samphiredoor-core/src/quarantine/suspects.rs
@@ -126,7 +126,8 @@
         match (report, own) {
             (Suspect { lifted: true, .. }, _) => self.lift(now, report.fingerprint),
             (Suspect { deaths: 0, .. }, _) => self.clear(report.fingerprint),
-            // The peer has not received the lifting yet. Deaths after the lifting are counted and reported from 1 again.
+            // The peer has not received the lifting yet. Deaths after the lifting are counted and reported from 1
+            // again.
             (_, Some(own)) if own.lifted && report.deaths >= BLAMED_DEATHS => None,
             (_, Some(own)) if own.deaths >= report.deaths => None,
             _ => self.set(now, report.fingerprint, report.deaths, false, last_seq),
--- a/crates/samphiredoor-core/tests/keys.rs
+++ b/crates/samphiredoor-core/tests/keys.rs
@@ -1,4 +1,5 @@
-//! At most once: several doors with one store, under lost answers, late writes, outages, crashes and resends.
+//! Keyed requests run at most once: several gateways share one store, under lost answers, delayed writes, outages,
+//! crashes and resends.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -19,34 +20,38 @@
     verdict::{MayHaveRunReason, Refusal, Verdict},
 };
 
-const DOORS: usize = 3;
+const GATEWAYS: usize = 3;
 const REMEMBER_MS: u64 = 3_600_000;
 const CASES: u32 = 400;
 
 #[derive(Debug, Clone)]
 enum Step {
-    Send { door: usize, key: u8, other: bool },
-    Answer { which: usize, how: How },
-    LandLate { which: usize },
-    Finish { which: usize, end: End },
-    Gone { which: usize },
-    Crash { door: usize },
-    Lapse { door: usize, of: usize },
+    Send { gateway: usize, key: u8, other: bool },
+    Answer { which: usize, fate: CallFate },
+    ApplyDelayed { which: usize },
+    Finish { which: usize, end: RunEnd },
+    Cancel { which: usize },
+    Crash { gateway: usize },
+    ExpireHolder { gateway: usize, of: usize },
     Wait { ms: u64 },
 }
 
-/// What becomes of a store call.
+/// What happens to a store call.
 #[derive(Debug, Clone, Copy)]
-enum How {
+enum CallFate {
     Answered,
+    /// It takes effect, but its answer is lost.
     AnswerLost,
-    Late,
+    /// Its answer is lost, and it takes effect later or never.
+    Delayed,
+    /// It never takes effect.
     Lost,
     Unavailable,
 }
 
+/// How a run ends.
 #[derive(Debug, Clone, Copy)]
-enum End {
+enum RunEnd {
     Answered,
     LargeAnswer,
     NotRun,
@@ -54,33 +59,34 @@
 }
 
 fn step() -> impl Strategy<Value = Step> {
-    let how = prop_oneof![
-        8 => Just(How::Answered),
-        2 => Just(How::AnswerLost),
-        2 => Just(How::Late),
-        1 => Just(How::Lost),
-        2 => Just(How::Unavailable),
+    let fate = prop_oneof![
+        8 => Just(CallFate::Answered),
+        2 => Just(CallFate::AnswerLost),
+        2 => Just(CallFate::Delayed),
+        1 => Just(CallFate::Lost),
+        2 => Just(CallFate::Unavailable),
     ];
     let end = prop_oneof![
-        4 => Just(End::Answered),
-        1 => Just(End::LargeAnswer),
-        1 => Just(End::NotRun),
-        1 => Just(End::MayHaveRun),
+        4 => Just(RunEnd::Answered),
+        1 => Just(RunEnd::LargeAnswer),
+        1 => Just(RunEnd::NotRun),
+        1 => Just(RunEnd::MayHaveRun),
     ];
     prop_oneof![
-        6 => (0..DOORS, 0..3u8, prop::bool::weighted(0.1))
-            .prop_map(|(door, key, other)| Step::Send { door, key, other }),
-        12 => (0..8usize, how).prop_map(|(which, how)| Step::Answer { which, how }),
-        2 => (0..8usize).prop_map(|which| Step::LandLate { which }),
+        6 => (0..GATEWAYS, 0..3u8, prop::bool::weighted(0.1))
+            .prop_map(|(gateway, key, other)| Step::Send { gateway, key, other }),
+        12 => (0..8usize, fate).prop_map(|(which, fate)| Step::Answer { which, fate }),
+        2 => (0..8usize).prop_map(|which| Step::ApplyDelayed { which }),
         4 => (0..8usize, end).prop_map(|(which, end)| Step::Finish { which, end }),
-        1 => (0..8usize).prop_map(|which| Step::Gone { which }),
-        1 => (0..DOORS).prop_map(|door| Step::Crash { door }),
-        1 => (0..DOORS, 0..DOORS).prop_map(|(door, of)| Step::Lapse { door, of }),
+        1 => (0..8usize).prop_map(|which| Step::Cancel { which }),
+        1 => (0..GATEWAYS).prop_map(|gateway| Step::Crash { gateway }),
+        1 => (0..GATEWAYS, 0..GATEWAYS)
+            .prop_map(|(gateway, of)| Step::ExpireHolder { gateway, of }),
         2 => (1..2_000u64).prop_map(|ms| Step::Wait { ms }),
     ]
 }
 
-/// The store: one version counter, conditional writes.
+/// In-memory store with one version counter and conditional writes.
 #[derive(Default)]
 struct Store {
     objects: BTreeMap<ObjectKey, (Version, Value)>,
@@ -122,26 +128,30 @@
     StoreAnswer::Object(Stored { name, version, labels: BTreeMap::new(), value })
 }
 
-struct Door {
+/// One gateway process with its store calls in flight.
+struct Gateway {
     keys: Keys,
     holder: Name,
     calls: Vec<(CallId, StoreOp)>,
 }
 
-/// What callers sent, what the target ran, and what callers were told.
+/// The simulated gateways, store, callers and target.
 struct World {
     store: Store,
-    doors: Vec<Door>,
-    late: Vec<StoreOp>,
+    gateways: Vec<Gateway>,
+    /// Writes that may still take effect.
+    delayed: Vec<StoreOp>,
     now: Now,
     cache_bytes: usize,
     incarnations: u64,
+    /// Requests, each with the gateway that got it.
     sent: BTreeMap<RequestId, (usize, Arrival)>,
+    /// Requests without a final action.
     open: BTreeSet<RequestId>,
     running: Vec<RequestId>,
-    /// Request that ran, or may yet, by key.
+    /// Request that ran or may still run, by key.
     ran: BTreeMap<Name, RequestId>,
-    /// Digest and answer of the request that was answered, by key.
+    /// Digest and answer of the answered request, by key.
     answers: BTreeMap<Name, (Name, KeptAnswer)>,
 }
 
@@ -150,8 +160,8 @@
         let now = Now::new(0, 1_000_000_000);
         let mut world = World {
             store: Store::default(),
-            doors: Vec::new(),
-            late: Vec::new(),
+            gateways: Vec::new(),
+            delayed: Vec::new(),
             now,
             cache_bytes,
             incarnations: 0,
@@ -161,153 +171,158 @@
             ran: BTreeMap::new(),
             answers: BTreeMap::new(),
         };
-        for door in 0..DOORS {
-            let started = world.start(door);
-            world.doors.push(started);
+        for gateway in 0..GATEWAYS {
+            let started = world.start(gateway);
+            world.gateways.push(started);
         }
         world
     }
 
-    fn start(&mut self, door: usize) -> Door {
+    fn start(&mut self, gateway: usize) -> Gateway {
         self.incarnations += 1;
-        let holder = holder_name(&format!("door-{door}"), self.incarnations);
+        let holder = holder_name(&format!("gateway-{gateway}"), self.incarnations);
         let config = KeysConfig {
             shards: 2,
             cache_bytes: self.cache_bytes,
             ..KeysConfig::new(holder.clone(), REMEMBER_MS)
         };
-        Door { keys: Keys::new(config), holder, calls: Vec::new() }
+        Gateway { keys: Keys::new(config), holder, calls: Vec::new() }
     }
 
     fn step(&mut self, step: &Step) -> Result<(), TestCaseError> {
         match *step {
-            Step::Send { door, key, other } => self.send(door, key, other).map(|_| ()),
-            Step::Answer { which, how } => self.answer(which, how),
-            Step::LandLate { which } => {
-                if !self.late.is_empty() {
-                    let op = self.late.remove(which % self.late.len());
+            Step::Send { gateway, key, other } => self.send(gateway, key, other).map(|_| ()),
+            Step::Answer { which, fate } => self.answer(which, fate),
+            Step::ApplyDelayed { which } => {
+                if !self.delayed.is_empty() {
+                    let op = self.delayed.remove(which % self.delayed.len());
                     self.store.call(&op);
                 }
                 Ok(())
             }
             Step::Finish { which, end } => self.finish(which, end),
-            Step::Gone { which } => match self.open.iter().nth(which).copied() {
+            Step::Cancel { which } => match self.open.iter().nth(which).copied() {
                 Some(request) => {
                     self.open.remove(&request);
                     self.running.retain(|it| *it != request);
-                    let door = self.sent[&request].0;
-                    self.input(door, KeysInput::Gone { request })
+                    let gateway = self.sent[&request].0;
+                    self.input(gateway, KeysInput::Gone { request })
                 }
                 None => Ok(()),
             },
-            Step::Crash { door } => {
-                let started = self.start(door);
-                let old = std::mem::replace(&mut self.doors[door], started);
-                self.late.extend(old.calls.into_iter().map(|(_, op)| op).filter(StoreOp::is_write));
-                let lost = |it: &RequestId| self.sent[it].0 == door;
+            Step::Crash { gateway } => {
+                let started = self.start(gateway);
+                let old = std::mem::replace(&mut self.gateways[gateway], started);
+                self.delayed
+                    .extend(old.calls.into_iter().map(|(_, op)| op).filter(StoreOp::is_write));
+                let lost = |it: &RequestId| self.sent[it].0 == gateway;
                 self.open.retain(|it| !lost(it));
                 self.running.retain(|it| !lost(it));
                 Ok(())
             }
-            Step::Lapse { door, of } => {
-                let holder = self.doors[of].holder.clone();
-                self.input(door, KeysInput::Lapsed { holder })
+            Step::ExpireHolder { gateway, of } => {
+                let holder = self.gateways[of].holder.clone();
+                self.input(gateway, KeysInput::Lapsed { holder })
             }
             Step::Wait { ms } => {
                 self.now.mono_ms += ms;
                 self.now.unix_ms += ms;
-                (0..DOORS).try_for_each(|door| self.input(door, KeysInput::Tick))
+                (0..GATEWAYS).try_for_each(|gateway| self.input(gateway, KeysInput::Tick))
             }
         }
     }
 
-    fn send(&mut self, door: usize, key: u8, other: bool) -> Result<RequestId, TestCaseError> {
+    fn send(&mut self, gateway: usize, key: u8, other: bool) -> Result<RequestId, TestCaseError> {
         let request = RequestId(self.sent.len() as u64);
         let digest: Name = if other { "other" } else { "usual" }.into();
         let key = key_id("tours", &key.to_string());
         let deadline_unix_ms = self.now.unix_ms + 60_000;
         let arrival = Arrival { request, key, digest, deadline_unix_ms };
-        self.sent.insert(request, (door, arrival.clone()));
+        self.sent.insert(request, (gateway, arrival.clone()));
         self.open.insert(request);
-        self.input(door, KeysInput::Arrived(arrival))?;
+        self.input(gateway, KeysInput::Arrived(arrival))?;
         Ok(request)
     }
 
-    fn answer(&mut self, which: usize, how: How) -> Result<(), TestCaseError> {
-        let total: usize = self.doors.iter().map(|it| it.calls.len()).sum();
+    fn answer(&mut self, which: usize, fate: CallFate) -> Result<(), TestCaseError> {
+        let total: usize = self.gateways.iter().map(|it| it.calls.len()).sum();
         if total == 0 {
             return Ok(());
         }
         let mut which = which % total;
-        let holds = |it: &Door| match which < it.calls.len() {
+        let holds = |it: &Gateway| match which < it.calls.len() {
             true => true,
             false => {
                 which -= it.calls.len();
                 false
             }
         };
-        let door = self.doors.iter().position(holds).expect("counted");
-        let (call, op) = self.doors[door].calls.remove(which);
+        let gateway = self.gateways.iter().position(holds).expect("the index is below the total");
+        let (call, op) = self.gateways[gateway].calls.remove(which);
         let lost = if op.is_write() { StoreAnswer::Unknown } else { StoreAnswer::Unavailable };
-        let answer = match how {
-            How::Answered => self.store.call(&op),
-            How::AnswerLost => {
+        let answer = match fate {
+            CallFate::Answered => self.store.call(&op),
+            CallFate::AnswerLost => {
                 self.store.call(&op);
                 lost
             }
-            How::Late => {
-                self.late.push(op);
+            CallFate::Delayed => {
+                self.delayed.push(op);
                 lost
             }
-            How::Lost => lost,
-            How::Unavailable => StoreAnswer::Unavailable,
+            CallFate::Lost => lost,
+            CallFate::Unavailable => StoreAnswer::Unavailable,
         };
-        self.input(door, KeysInput::Stored { call, answer })
+        self.input(gateway, KeysInput::Stored { call, answer })
     }
 
-    fn finish(&mut self, which: usize, end: End) -> Result<(), TestCaseError> {
+    fn finish(&mut self, which: usize, end: RunEnd) -> Result<(), TestCaseError> {
         if self.running.is_empty() {
             return Ok(());
         }
         let request = self.running.remove(which % self.running.len());
         self.open.remove(&request);
-        let (door, arrival) = self.sent[&request].clone();
+        let (gateway, arrival) = self.sent[&request].clone();
         let answer = |bytes: usize| KeptAnswer {
             status: 200,
             content_type: "text/plain".into(),
             body: Some(vec![request.0 as u8; bytes].into()),
         };
         let outcome = match end {
-            End::Answered => KeyOutcome::Answered(answer(10)),
-            End::LargeAnswer => KeyOutcome::Answered(answer(40_000)),
-            End::NotRun => {
+            RunEnd::Answered => KeyOutcome::Answered(answer(10)),
+            RunEnd::LargeAnswer => KeyOutcome::Answered(answer(40_000)),
+            RunEnd::NotRun => {
                 let (retry_after_ms, reason) = (0, Refusal::ConnectFailed);
                 self.ran.remove(&arrival.key);
                 KeyOutcome::NotRun { retry_after_ms, reason }
             }
-            End::MayHaveRun => KeyOutcome::MayHaveRun(MayHaveRunReason::AnswerCut),
+            RunEnd::MayHaveRun => KeyOutcome::MayHaveRun(MayHaveRunReason::AnswerCut),
         };
         if let KeyOutcome::Answered(answer) = &outcome {
             let answered = (arrival.digest.clone(), answer.clone());
             self.answers.insert(arrival.key.clone(), answered);
         }
-        self.input(door, KeysInput::Ended { request, outcome })
+        self.input(gateway, KeysInput::Ended { request, outcome })
     }
 
-    fn input(&mut self, door: usize, input: KeysInput) -> Result<(), TestCaseError> {
+    fn input(&mut self, gateway: usize, input: KeysInput) -> Result<(), TestCaseError> {
         let mut actions = Vec::new();
-        self.doors[door].keys.handle(self.now, input, &mut actions);
-        actions.into_iter().try_for_each(|action| self.act(door, action))
+        self.gateways[gateway].keys.handle(self.now, input, &mut actions);
+        actions.into_iter().try_for_each(|action| self.act(gateway, action))
     }
 
-    fn act(&mut self, door: usize, action: KeysAction) -> Result<(), TestCaseError> {
+    fn act(&mut self, gateway: usize, action: KeysAction) -> Result<(), TestCaseError> {
         match action {
-            KeysAction::Store { call, op } => self.doors[door].calls.push((call, op)),
+            KeysAction::Store { call, op } => self.gateways[gateway].calls.push((call, op)),
             KeysAction::Run { request } => {
                 let arrival = &self.sent[&request].1;
                 let earlier = self.ran.insert(arrival.key.clone(), request);
                 prop_assert_eq!(earlier, None, "{:?} runs a second time", request);
-                prop_assert!(self.open.contains(&request), "{:?} runs unasked", request);
+                prop_assert!(
+                    self.open.contains(&request),
+                    "{:?} runs, but no caller waits for it",
+                    request
+                );
                 self.running.push(request);
             }
             KeysAction::Joined { .. } => {}
@@ -315,11 +330,11 @@
                 let arrival = &self.sent[&request].1;
                 let replayed = (arrival.digest.clone(), answer);
                 prop_assert_eq!(self.answers.get(&arrival.key), Some(&replayed));
-                self.told(request)?;
+                self.record_final_action(request)?;
             }
             KeysAction::Refuse { request, verdict } => {
                 self.check_refusal(request, verdict)?;
-                self.told(request)?;
+                self.record_final_action(request)?;
             }
             KeysAction::Unreadable { object } => prop_assert!(false, "{} is unreadable", object),
         }
@@ -340,40 +355,40 @@
         Ok(())
     }
 
-    fn told(&mut self, request: RequestId) -> Result<(), TestCaseError> {
-        prop_assert!(self.open.remove(&request), "{:?} was told twice", request);
+    fn record_final_action(&mut self, request: RequestId) -> Result<(), TestCaseError> {
+        prop_assert!(self.open.remove(&request), "{:?} got two final actions", request);
         Ok(())
     }
 
-    /// The faults are over: everything ends, every request has its final answer, and answers are replayed anywhere.
+    /// Ends all faults and runs, and checks that each request has its final action and each outcome is written.
     fn settle(&mut self) -> Result<(), TestCaseError> {
         for _ in 0..100 {
-            while self.doors.iter().any(|it| !it.calls.is_empty()) {
-                self.answer(0, How::Answered)?;
+            while self.gateways.iter().any(|it| !it.calls.is_empty()) {
+                self.answer(0, CallFate::Answered)?;
             }
             while !self.running.is_empty() {
-                self.finish(0, End::Answered)?;
+                self.finish(0, RunEnd::Answered)?;
             }
             self.step(&Step::Wait { ms: 100 })?;
         }
-        prop_assert!(self.open.is_empty(), "without a final answer: {:?}", self.open);
-        for door in &self.doors {
-            prop_assert_eq!(door.keys.unsaved_len(), 0);
+        prop_assert!(self.open.is_empty(), "without a final action: {:?}", self.open);
+        for gateway in &self.gateways {
+            prop_assert_eq!(gateway.keys.unsaved_len(), 0);
         }
         Ok(())
     }
 
     fn replay_everywhere(&mut self) -> Result<(), TestCaseError> {
-        // Late writes that were never fenced off may still land now; they must change nothing.
-        for op in std::mem::take(&mut self.late) {
+        // Delayed writes may still take effect now; they must change nothing.
+        for op in std::mem::take(&mut self.delayed) {
             self.store.call(&op);
         }
         let answered: BTreeSet<Name> = self.answers.keys().cloned().collect();
         for key in 0..3u8 {
-            for door in 0..DOORS {
+            for gateway in 0..GATEWAYS {
                 let id = key_id("tours", &key.to_string());
                 let runs = self.ran.get(&id).copied();
-                self.send(door, key, false)?;
+                self.send(gateway, key, false)?;
                 self.settle()?;
                 if answered.contains(&id) {
                     prop_assert_eq!(self.ran.get(&id).copied(), runs);
@@ -397,8 +412,8 @@
     std::env::var("SAMPHIREDOOR_CASES").ok().and_then(|it| it.parse().ok()).unwrap_or(CASES)
 }
 
-/// A booking clerk's confirmation is sent again, to any door, while doors crash and the store loses answers; two
-/// farriers stand at one yard. The cause would be an intent that is taken over, or written over by a late write.
+/// A keyed request is resent to any gateway while gateways crash and the store loses answers, and it runs twice. This
+/// would happen if an intent were taken over, or overwritten by a delayed write.
 #[test]
 fn a_request_runs_at_most_once_whatever_fails() {
     let config = Config { cases: cases(), failure_persistence: None, ..Config::default() };
@@ -413,22 +428,22 @@
     }
 }
 
-/// A sending truly did not run, and the write that says so is still on its way when the clerk sends again to the same
-/// door. The record that stands is the first sending's intent; if it were taken for the second's, the late write would
-/// free the key while the second runs, and a third sending would run as well.
+/// A request did not run, and the write of that outcome is delayed when the caller resends to the same gateway. The
+/// stored record is the first request's intent. If it were taken for the second's, the delayed write would free the key
+/// while the second request runs, and a third one would run as well.
 #[test]
-fn a_late_write_does_not_free_a_key_that_runs() {
+fn a_delayed_write_does_not_free_the_key_of_a_running_request() {
     let steps = [
-        Step::Send { door: 2, key: 2, other: false },
-        Step::Answer { which: 0, how: How::Answered },
-        Step::Answer { which: 0, how: How::Answered },
-        Step::Finish { which: 0, end: End::NotRun },
-        Step::Answer { which: 0, how: How::Late },
-        Step::Send { door: 2, key: 2, other: false },
-        Step::Answer { which: 0, how: How::Answered },
-        Step::Answer { which: 0, how: How::Answered },
-        Step::LandLate { which: 0 },
-        Step::Crash { door: 2 },
+        Step::Send { gateway: 2, key: 2, other: false },
+        Step::Answer { which: 0, fate: CallFate::Answered },
+        Step::Answer { which: 0, fate: CallFate::Answered },
+        Step::Finish { which: 0, end: RunEnd::NotRun },
+        Step::Answer { which: 0, fate: CallFate::Delayed },
+        Step::Send { gateway: 2, key: 2, other: false },
+        Step::Answer { which: 0, fate: CallFate::Answered },
+        Step::Answer { which: 0, fate: CallFate::Answered },
+        Step::ApplyDelayed { which: 0 },
+        Step::Crash { gateway: 2 },
     ];
     check(&steps, 1_000_000).expect("one run");
 }
@@ -448,30 +463,31 @@
     }
 }
 
-/// A clerk sends under a key that is long forgotten; it must run again, and the shard must not grow for ever. The
-/// record goes with the next write of its shard, not before its time and the clocks' margin are over.
+/// A request with an expired key must run again, and the shard must not grow without bound. The record is removed with
+/// the next write of its shard, but not before the retention time and the margin for clock differences are over.
 #[test]
-fn a_key_is_forgotten_after_its_time_and_not_before() {
+fn a_key_expires_after_its_retention_time_and_not_before() {
     let mut single = Single::new();
     single.run_to_answer(0);
     let first = single.world.ran.clone();
     let waited = Step::Wait { ms: REMEMBER_MS };
-    single.world.step(&waited).expect("time passes");
+    single.world.step(&waited).expect("waits");
     single.world.send(1, 0, false).expect("sent");
     single.world.settle().expect("replayed");
     assert_eq!(single.world.ran, first);
-    single.world.step(&Step::Wait { ms: CLOCK_MARGIN_MS + 1 }).expect("time passes");
+    single.world.step(&Step::Wait { ms: CLOCK_MARGIN_MS + 1 }).expect("waits");
     single.world.ran.clear();
     single.run_to_answer(0);
     assert_eq!(single.world.ran.len(), 1);
 }
 
-/// The store is down for long while bookings go on being confirmed; a door that kept every outcome without bound would
-/// run out of memory, and one that dropped them would forget what ran. New keys are refused, truly not run, instead.
+/// The store is down for a long time while keyed requests go on arriving. A gateway that kept all unwritten outcomes
+/// would run out of memory, and one that dropped them would lose what ran. Requests with new keys are refused as not
+/// run instead.
 #[test]
-fn outcomes_wait_for_the_store_within_bounds() {
+fn unsaved_outcomes_are_bounded_while_the_store_is_down() {
     let now = Now::new(0, 1_000_000_000);
-    let holder = holder_name("door-0", 1);
+    let holder = holder_name("gateway-0", 1);
     let config = KeysConfig { max_open: 2, ..KeysConfig::new(holder, REMEMBER_MS) };
     let mut keys = Keys::new(config);
     let mut store = Store::default();
@@ -510,12 +526,14 @@
     assert!(matches!(verdicts.as_slice(), [it] if refused(it)), "{verdicts:?}");
 }
 
-/// A shard's object is damaged. Its keys are refused, nothing is written over it, and other shards go on.
+/// The object of a shard is damaged. Requests for its keys are refused, the object is not overwritten, and other shards
+/// are not affected.
 #[test]
-fn an_unreadable_shard_is_left_as_it_is() {
+fn an_unreadable_shard_is_not_overwritten() {
     let mut store = Store::default();
     let key = key_id("tours", "0");
-    let config = KeysConfig { shards: 1, ..KeysConfig::new(holder_name("door-0", 1), REMEMBER_MS) };
+    let config =
+        KeysConfig { shards: 1, ..KeysConfig::new(holder_name("gateway-0", 1), REMEMBER_MS) };
     let shard = ObjectKey::new(Kind::Keys, "shard-00000");
     let damaged: Value = b"[1]".as_slice().into();
     store.put(&shard, &damaged);
@@ -524,7 +542,9 @@
     let mut actions = Vec::new();
     let arrival = Arrival { request, key, digest: "usual".into(), deadline_unix_ms: u64::MAX };
     keys.handle(now, KeysInput::Arrived(arrival), &mut actions);
-    let Some(KeysAction::Store { call, op }) = actions.pop() else { panic!("no read") };
+    let Some(KeysAction::Store { call, op }) = actions.pop() else {
+        panic!("expected a read of the shard")
+    };
     let answer = store.call(&op);
     keys.handle(now, KeysInput::Stored { call, answer }, &mut actions);
     let unreadable = KeysAction::Unreadable { object: "shard-00000".into() };
@@ -534,13 +554,12 @@
     assert_eq!(store.objects[&shard].1, damaged);
 }
 
-/// A clerk sends a confirmed booking again while the store is down and is told to come back, although the door has the
-/// answer: the resend came while the outcome was on its way to the store, waited for that write, and was refused with
-/// it.
+/// A resend arrived while the outcome was being written, waited for that write, and was refused when the write failed,
+/// although the gateway has the answer.
 #[test]
-fn a_resend_during_the_outcomes_write_gets_the_answer() {
+fn a_resend_while_the_outcome_is_written_gets_the_answer() {
     let now = Now::new(0, 1_000_000_000);
-    let mut keys = Keys::new(KeysConfig::new(holder_name("door-0", 1), REMEMBER_MS));
+    let mut keys = Keys::new(KeysConfig::new(holder_name("gateway-0", 1), REMEMBER_MS));
     let mut store = Store::default();
     let mut actions = Vec::new();
     let arrival = |number| Arrival {
@@ -561,7 +580,9 @@
     };
     let outcome = KeyOutcome::Answered(kept.clone());
     keys.handle(now, KeysInput::Ended { request: RequestId(0), outcome }, &mut actions);
-    let Some(KeysAction::Store { call, .. }) = actions.pop() else { panic!("no write") };
+    let Some(KeysAction::Store { call, .. }) = actions.pop() else {
+        panic!("expected a write of the outcome")
+    };
     keys.handle(now, KeysInput::Arrived(arrival(1)), &mut actions);
     let answer = StoreAnswer::Unavailable;
     keys.handle(now, KeysInput::Stored { call, answer }, &mut actions);
--- a/crates/samphiredoor-core/tests/quarantine.rs
+++ b/crates/samphiredoor-core/tests/quarantine.rs
@@ -1,4 +1,5 @@
-//! A request that crashes each target that runs it, among innocent ones, at doors that tell each other late.
+//! A request that crashes each target that runs it, among harmless requests, at gateways whose reports to each other
+//! are delayed.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -17,24 +18,25 @@
     time::Now,
 };
 
-const DOORS: usize = 2;
-const POISON: u64 = 666;
+const GATEWAYS: usize = 2;
+/// Fingerprint of the crashing request.
+const CRASHING: u64 = 666;
 const CASES: u32 = 400;
 
 #[derive(Debug, Clone)]
 enum Step {
-    /// A request is sent, by a fingerprint; 0 is the poison.
-    Send { door: usize, kind: u64, target: usize },
-    /// A target answers one of its requests; if it holds the poison, it dies instead.
+    /// A request with fingerprint `kind` is sent; 0 stands for the crashing request.
+    Send { gateway: usize, kind: u64, target: usize },
+    /// A target answers one of its requests, or dies if the crashing request is one of them.
     Work { target: usize },
-    /// One message between the doors arrives.
+    /// One report between the gateways arrives.
     Deliver { which: usize },
 }
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
-        4 => (0..DOORS, 0..5u64, 0..4usize)
-            .prop_map(|(door, kind, target)| Step::Send { door, kind, target }),
+        4 => (0..GATEWAYS, 0..5u64, 0..4usize)
+            .prop_map(|(gateway, kind, target)| Step::Send { gateway, kind, target }),
         4 => (0..4usize).prop_map(|target| Step::Work { target }),
         2 => (0..8usize).prop_map(|which| Step::Deliver { which }),
     ]
@@ -42,18 +44,20 @@
 
 #[derive(Debug, Clone, Copy)]
 struct Sent {
-    door: usize,
+    gateway: usize,
     fingerprint: u64,
     target: usize,
 }
 
+/// The simulated gateways and targets.
 struct World {
-    doors: Vec<Quarantine>,
+    gateways: Vec<Quarantine>,
     now: Now,
     sent: BTreeMap<RequestId, Sent>,
     running: Vec<BTreeSet<RequestId>>,
     waiting: BTreeSet<RequestId>,
-    news: Vec<(usize, Suspect)>,
+    /// Reports in flight, each with the gateway that receives it.
+    reports: Vec<(usize, Suspect)>,
     deaths: u32,
     refused: Vec<u64>,
 }
@@ -62,19 +66,19 @@
     SocketAddr::from(([127, 0, 0, 1], 9_000 + target as u16))
 }
 
-fn quarantine(door: usize) -> Quarantine {
-    Quarantine::new(QuarantineConfig::new(format!("door-{door}/1").into()))
+fn quarantine(gateway: usize) -> Quarantine {
+    Quarantine::new(QuarantineConfig::new(format!("gateway-{gateway}/1").into()))
 }
 
 impl World {
     fn new() -> World {
         World {
-            doors: (0..DOORS).map(quarantine).collect(),
+            gateways: (0..GATEWAYS).map(quarantine).collect(),
             now: Now::new(10_000, 1_000_000_000),
             sent: BTreeMap::new(),
             running: vec![BTreeSet::new(); 4],
             waiting: BTreeSet::new(),
-            news: Vec::new(),
+            reports: Vec::new(),
             deaths: 0,
             refused: Vec::new(),
         }
@@ -83,41 +87,41 @@
     fn step(&mut self, step: &Step) -> Result<(), TestCaseError> {
         self.now.mono_ms += u64::from(matches!(step, Step::Deliver { .. }));
         match *step {
-            Step::Send { door, kind, target } => {
-                let fingerprint = if kind == 0 { POISON } else { kind };
+            Step::Send { gateway, kind, target } => {
+                let fingerprint = if kind == 0 { CRASHING } else { kind };
                 let attempt = RequestId(self.sent.len() as u64);
-                self.sent.insert(attempt, Sent { door, fingerprint, target });
+                self.sent.insert(attempt, Sent { gateway, fingerprint, target });
                 self.waiting.insert(attempt);
                 let target = address(target);
-                self.input(door, QuarantineInput::Enter { attempt, fingerprint, target })
+                self.input(gateway, QuarantineInput::Enter { attempt, fingerprint, target })
             }
             Step::Work { target } => self.work(target),
-            Step::Deliver { which } if !self.news.is_empty() => {
-                let (door, told) = self.news.remove(which % self.news.len());
-                self.input(door, QuarantineInput::Told(told))
+            Step::Deliver { which } if !self.reports.is_empty() => {
+                let (gateway, report) = self.reports.remove(which % self.reports.len());
+                self.input(gateway, QuarantineInput::Told(report))
             }
             Step::Deliver { .. } => Ok(()),
         }
     }
 
     fn work(&mut self, target: usize) -> Result<(), TestCaseError> {
-        let poisoned = self.running[target].iter().any(|it| self.sent[it].fingerprint == POISON);
-        if !poisoned {
+        let crashes = self.running[target].iter().any(|it| self.sent[it].fingerprint == CRASHING);
+        if !crashes {
             let Some(attempt) = self.running[target].pop_first() else { return Ok(()) };
-            let door = self.sent[&attempt].door;
-            return self.input(door, QuarantineInput::Left { attempt, how: Left::Answered });
+            let gateway = self.sent[&attempt].gateway;
+            return self.input(gateway, QuarantineInput::Left { attempt, how: Left::Answered });
         }
         self.deaths += 1;
         for attempt in std::mem::take(&mut self.running[target]) {
-            let door = self.sent[&attempt].door;
-            self.input(door, QuarantineInput::Left { attempt, how: Left::Lost })?;
+            let gateway = self.sent[&attempt].gateway;
+            self.input(gateway, QuarantineInput::Left { attempt, how: Left::Lost })?;
         }
         Ok(())
     }
 
-    fn input(&mut self, door: usize, input: QuarantineInput) -> Result<(), TestCaseError> {
+    fn input(&mut self, gateway: usize, input: QuarantineInput) -> Result<(), TestCaseError> {
         let mut actions = Vec::new();
-        self.doors[door].handle(self.now, input, &mut actions);
+        self.gateways[gateway].handle(self.now, input, &mut actions);
         for action in actions {
             match action {
                 QuarantineAction::Go { attempt } => {
@@ -130,10 +134,11 @@
                 }
                 QuarantineAction::Probe { target } => {
                     let probed = QuarantineInput::Probed { target, refused: true };
-                    self.input(door, probed)?;
+                    self.input(gateway, probed)?;
                 }
-                QuarantineAction::Tell(told) => {
-                    self.news.extend((0..DOORS).filter(|it| *it != door).map(|it| (it, told)));
+                QuarantineAction::Tell(report) => {
+                    self.reports
+                        .extend((0..GATEWAYS).filter(|it| *it != gateway).map(|it| (it, report)));
                 }
                 QuarantineAction::Settled { .. }
                 | QuarantineAction::Blamed { .. }
@@ -148,11 +153,11 @@
             for target in 0..4 {
                 self.work(target)?;
             }
-            while !self.news.is_empty() {
+            while !self.reports.is_empty() {
                 self.step(&Step::Deliver { which: 0 })?;
             }
         }
-        prop_assert!(self.waiting.is_empty(), "waits for ever: {:?}", self.waiting);
+        prop_assert!(self.waiting.is_empty(), "never admitted or refused: {:?}", self.waiting);
         Ok(())
     }
 }
@@ -164,10 +169,10 @@
     TestRunner::new_with_rng(config, TestRng::deterministic_rng(RngAlgorithm::ChaCha))
 }
 
-/// A broken order list kills each engine that reads it, and its sender sends it again and again, to both doors. Once
-/// two targets have died one after the other and the doors have heard of it, no further one dies.
+/// A request crashes each target that runs it, and its caller keeps resending it to both gateways. Once two targets
+/// have died one after the other and the gateways have received the reports of it, no other target dies.
 #[test]
-fn after_two_known_deaths_no_target_dies_any_more() {
+fn after_two_known_deaths_no_target_dies() {
     let steps = prop::collection::vec(step(), 1..60);
     let checked = runner().run(&steps, |steps| {
         let mut world = World::new();
@@ -177,12 +182,12 @@
         world.finish_all()?;
         let before = world.deaths;
         for target in 0..8 {
-            world.step(&Step::Send { door: target % DOORS, kind: 0, target: target % 4 })?;
+            world.step(&Step::Send { gateway: target % GATEWAYS, kind: 0, target: target % 4 })?;
             world.finish_all()?;
         }
         let after = world.deaths - before;
         prop_assert!(after <= 2, "{after} more targets died");
-        prop_assert!(world.refused.contains(&POISON));
+        prop_assert!(world.refused.contains(&CRASHING));
         Ok(())
     });
     if let Err(err) = checked {
@@ -190,30 +195,30 @@
     }
 }
 
-/// Orders that stood on the dying engines beside the broken one are innocent. Each finishes when it is tried again at
-/// the same door, and none is refused for good.
+/// Harmless requests are in flight on the targets that die. Each of them finishes when it is retried at the same
+/// gateway, and none is quarantined.
 #[test]
-fn innocent_neighbours_finish_and_are_not_blamed() {
+fn harmless_requests_beside_the_crashing_one_finish_and_are_not_quarantined() {
     let neighbours = prop::collection::vec((1..5u64, 0..4usize), 0..12);
     let checked = runner().run(&neighbours, |neighbours| {
         let mut world = World::new();
         for round in 0..4 {
             for (kind, target) in &neighbours {
                 let target = (target + round) % 4;
-                world.step(&Step::Send { door: 0, kind: *kind, target })?;
+                world.step(&Step::Send { gateway: 0, kind: *kind, target })?;
             }
-            world.step(&Step::Send { door: 0, kind: 0, target: round })?;
+            world.step(&Step::Send { gateway: 0, kind: 0, target: round })?;
             world.work(round)?;
             world.finish_all()?;
             for (kind, target) in &neighbours {
-                world.step(&Step::Send { door: 0, kind: *kind, target: *target })?;
+                world.step(&Step::Send { gateway: 0, kind: *kind, target: *target })?;
                 world.finish_all()?;
             }
         }
-        prop_assert!(world.refused.iter().all(|it| *it == POISON), "{:?}", world.refused);
+        prop_assert!(world.refused.iter().all(|it| *it == CRASHING), "{:?}", world.refused);
         prop_assert_eq!(world.deaths, 2);
-        let left: Vec<u64> = world.doors[0].suspects().map(|it| it.fingerprint).collect();
-        prop_assert_eq!(left, vec![POISON]);
+        let left: Vec<u64> = world.gateways[0].suspects().map(|it| it.fingerprint).collect();
+        prop_assert_eq!(left, vec![CRASHING]);
         Ok(())
     });
     if let Err(err) = checked {
@@ -240,9 +245,9 @@
     out.contains(&QuarantineAction::Refuse { attempt })
 }
 
-/// A connection breaks, and the target goes on: its request is tried elsewhere and nobody is suspected.
+/// A connection is lost, but the target is alive: the request is retried elsewhere and not suspected.
 #[test]
-fn a_lost_connection_to_a_living_target_is_nobodys_fault() {
+fn a_lost_connection_to_a_live_target_raises_no_suspicion() {
     let (mut quarantine, now) = (quarantine(0), Now::new(0, 1_000_000_000));
     let (attempt, target) = (RequestId(1), address(0));
     let mut out = Vec::new();
@@ -253,8 +258,8 @@
     assert!(!quarantine.suspects_any());
 }
 
-/// The broken order and an innocent one have both lost their target, and both are tried again at the next. If they ran
-/// there together, the innocent one would be blamed for the second death as well.
+/// A crashing and a harmless request have both lost their target, and both are retried at the next. If they ran there
+/// together, the second death would count against the harmless one as well, and quarantine it.
 #[test]
 fn a_target_gets_one_suspect_at_a_time() {
     let (mut quarantine, mut now) = (quarantine(0), Now::new(0, 1_000_000_000));
@@ -278,9 +283,9 @@
     assert_eq!(out, [go(4)]);
 }
 
-/// An owner has mended the engine and lifts the blame; late news of a peer must not bring it back.
+/// An owner has repaired the target and lifts the quarantine; a peer's delayed report must not restore it.
 #[test]
-fn an_owner_lifts_the_blame() {
+fn an_owner_lifts_the_quarantine() {
     let (mut quarantine, mut now) = (quarantine(0), Now::new(0, 1_000_000_000));
     kill(&mut quarantine, &mut now, 1, 7);
     kill(&mut quarantine, &mut now, 2, 7);
@@ -292,12 +297,13 @@
     assert!(!is_refused(&mut quarantine, now, 7));
 }
 
-/// Suspicions must neither fill the memory nor last for ever; the blamed are the last to go.
+/// The entries must neither grow without bound nor stay for ever; quarantined ones are evicted last.
 #[test]
 fn suspects_are_bounded_in_number_and_age() {
     let mut now = Now::new(0, 1_000_000_000);
-    let config = QuarantineConfig { max_suspects: 3, ..QuarantineConfig::new("door-0/1".into()) };
-    let blamed_ms = config.blamed_ms;
+    let config =
+        QuarantineConfig { max_suspects: 3, ..QuarantineConfig::new("gateway-0/1".into()) };
+    let quarantine_ms = config.quarantine_ms;
     let mut quarantine = Quarantine::new(config);
     kill(&mut quarantine, &mut now, 1, 7);
     kill(&mut quarantine, &mut now, 2, 7);
@@ -306,40 +312,40 @@
     }
     assert_eq!(quarantine.suspects().count(), 3);
     assert!(is_refused(&mut quarantine, now, 7));
-    now.unix_ms += blamed_ms + 1;
+    now.unix_ms += quarantine_ms + 1;
     quarantine.handle(now, QuarantineInput::Tick, &mut Vec::new());
     assert!(!quarantine.suspects_any());
 }
 
-/// A door starts anew, or was cut off from its peers; it must not offer the targets a request that is known to kill.
+/// A gateway was restarted, or isolated from its peers; it must not send a quarantined request to the targets.
 #[test]
-fn the_blame_reaches_other_doors_through_the_store() {
+fn the_quarantine_reaches_other_gateways_through_the_store() {
     let mut now = Now::new(0, 1_000_000_000);
-    let mut doors = [quarantine(0), quarantine(1)];
+    let mut gateways = [quarantine(0), quarantine(1)];
     let mut stored: Option<(u64, Value)> = None;
-    let mut settle = |door: &mut Quarantine, now: Now| {
+    let mut settle = |gateway: &mut Quarantine, now: Now| {
         let mut out = Vec::new();
-        door.handle(now, QuarantineInput::Tick, &mut out);
+        gateway.handle(now, QuarantineInput::Tick, &mut out);
         while let Some(action) = out.pop() {
             let QuarantineAction::Store { call, op } = action else { continue };
             let answer = call_store(&mut stored, &op);
-            door.handle(now, QuarantineInput::Stored { call, answer }, &mut out);
+            gateway.handle(now, QuarantineInput::Stored { call, answer }, &mut out);
             if out.is_empty() {
-                door.handle(now, QuarantineInput::Tick, &mut out);
+                gateway.handle(now, QuarantineInput::Tick, &mut out);
             }
         }
     };
-    settle(&mut doors[0], now);
-    kill(&mut doors[0], &mut now, 1, 7);
-    kill(&mut doors[0], &mut now, 2, 7);
-    // The calls that the deaths led to were not answered; the list is asked for again only once they are.
+    settle(&mut gateways[0], now);
+    kill(&mut gateways[0], &mut now, 1, 7);
+    kill(&mut gateways[0], &mut now, 2, 7);
+    // `kill` left the call that the deaths caused unanswered; the list is read again only after its answer.
     let lost = QuarantineInput::Stored { call: CallId(1), answer: StoreAnswer::Unavailable };
-    doors[0].handle(now, lost, &mut Vec::new());
+    gateways[0].handle(now, lost, &mut Vec::new());
     now.mono_ms += 100_000;
-    settle(&mut doors[0], now);
-    settle(&mut doors[1], now);
-    assert!(is_refused(&mut doors[1], now, 7));
-    assert!(!is_refused(&mut doors[1], now, 8));
+    settle(&mut gateways[0], now);
+    settle(&mut gateways[1], now);
+    assert!(is_refused(&mut gateways[1], now, 7));
+    assert!(!is_refused(&mut gateways[1], now, 8));
 }
 
 fn call_store(stored: &mut Option<(u64, Value)>, op: &StoreOp) -> StoreAnswer {
