--- a/crates/samphiredoor-core/src/keys/shard.rs
+++ b/crates/samphiredoor-core/src/keys/shard.rs
@@ -433,8 +433,8 @@
         }
     }
 
-    /// Refuses all waiting requests at once as not run, because the store is unavailable; other writes are retried
-    /// later.
+    /// Refuses all waiting requests at once as not run, because a store call failed or the shard is unreadable; other
+    /// writes are retried later.
     fn refuse_waiting(
         &mut self,
         waiting: Vec<Arrival>,
