--- a/crates/samphiredoor-core/tests/keys.rs
+++ b/crates/samphiredoor-core/tests/keys.rs
@@ -412,8 +412,8 @@
     std::env::var("SAMPHIREDOOR_CASES").ok().and_then(|it| it.parse().ok()).unwrap_or(CASES)
 }
 
-/// A keyed request is resent to any gateway while gateways crash and the store loses answers, and it runs twice. This
-/// would happen if an intent were taken over, or overwritten by a delayed write.
+/// A keyed request is resent to any gateway while gateways crash and the store loses answers. It would run twice if an
+/// intent were taken over, or overwritten by a delayed write.
 #[test]
 fn a_request_runs_at_most_once_whatever_fails() {
     let config = Config { cases: cases(), failure_persistence: None, ..Config::default() };
