--- a/crates/samphiredoor-core/examples/keys_store_calls.rs
+++ b/crates/samphiredoor-core/examples/keys_store_calls.rs
@@ -11,7 +11,7 @@
 use samphiredoor_core::{
     dispatch::RequestId,
     keys::{
-        Arrival, KeptAnswer, KeyOutcome, Keys, KeysAction, KeysConfig, KeysInput, holder_name,
+        KeptAnswer, KeyOutcome, KeyedRequest, Keys, KeysAction, KeysConfig, KeysInput, holder_name,
         key_id,
     },
     ledger::CallId,
@@ -86,7 +86,7 @@
             match due {
                 Due::Arrival(request) => {
                     let gateway = rng.random_range(0..self.gateways.len());
-                    let arrival = Arrival {
+                    let arrival = KeyedRequest {
                         request: RequestId(request),
                         key: key_id("bench", &request.to_string()),
                         digest: "0123456789abcdef0123456789abcdef".into(),
@@ -104,7 +104,7 @@
                     };
                     let outcome = KeyOutcome::Answered(answer);
                     let request = RequestId(request);
-                    self.input(now, gateway, KeysInput::Ended { request, outcome });
+                    self.input(now, gateway, KeysInput::RunEnded { request, outcome });
                 }
             }
         }
--- a/crates/samphiredoor-core/src/keys/arrival.rs
+++ b/crates/samphiredoor-core/src/keys/arrival.rs
@@ -9,7 +9,7 @@
 
 /// A request that carries an idempotency key.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Arrival {
+pub struct KeyedRequest {
     /// Id of the request, unique within this process.
     pub request: RequestId,
     /// Hashed idempotency key, as made by [`key_id`].
--- a/crates/samphiredoor-core/src/keys/change.rs
+++ b/crates/samphiredoor-core/src/keys/change.rs
@@ -5,7 +5,7 @@
 use samphiredoor_schema::objects::{KeyRecord, KeyState};
 
 use super::{
-    arrival::{Arrival, KeyId},
+    arrival::{KeyId, KeyedRequest},
     config::KeysConfig,
     context::{Context, Effect},
     record::{self, IntentId, KeptAnswer, KeyStatus, is_orphaned},
@@ -15,7 +15,7 @@
 /// An intent to be written.
 #[derive(Debug)]
 pub(super) struct Intent {
-    pub(super) arrival: Arrival,
+    pub(super) arrival: KeyedRequest,
     pub(super) intent_id: IntentId,
     /// Whether the caller still waits. If not, the intent is withdrawn, should it turn out to be committed.
     pub(super) caller_waits: bool,
@@ -118,7 +118,7 @@
 
 /// Response to a request that is not run, by the status of its key.
 pub(super) fn respond(
-    arrival: Arrival,
+    arrival: KeyedRequest,
     status: KeyStatus,
     orphaned: bool,
     cx: &Context<'_>,
@@ -140,18 +140,18 @@
     }
 }
 
-fn may_have_run(arrival: Arrival, reason: MayHaveRunReason) -> Effect {
+fn may_have_run(arrival: KeyedRequest, reason: MayHaveRunReason) -> Effect {
     Effect::Refuse { arrival, verdict: Verdict::MayHaveRun { reason } }
 }
 
 /// Refuses a request whose key was used for another request.
-pub(super) fn key_reused(arrival: Arrival) -> Effect {
+pub(super) fn key_reused(arrival: KeyedRequest) -> Effect {
     let verdict = Verdict::NotRun { retry_after_ms: 0, reason: Refusal::KeyReused };
     Effect::Refuse { arrival, verdict }
 }
 
 /// Refuses a request that did not run.
-pub(super) fn refuse(arrival: &Arrival, reason: Refusal, retry_after_ms: u64) -> Effect {
+pub(super) fn refuse(arrival: &KeyedRequest, reason: Refusal, retry_after_ms: u64) -> Effect {
     let verdict = Verdict::NotRun { retry_after_ms, reason };
     Effect::Refuse { arrival: arrival.clone(), verdict }
 }
--- a/crates/samphiredoor-core/src/keys/context.rs
+++ b/crates/samphiredoor-core/src/keys/context.rs
@@ -3,7 +3,7 @@
 use std::{cell::Cell, collections::BTreeSet};
 
 use super::{
-    arrival::{Arrival, KeyId},
+    arrival::{KeyId, KeyedRequest},
     config::KeysConfig,
     record::{IntentId, KeptAnswer},
 };
@@ -38,13 +38,13 @@
     /// Send the shard's store call.
     Call(StoreOp),
     /// The intent is committed: run the request.
-    Run { arrival: Arrival, intent_id: IntentId },
+    Run { arrival: KeyedRequest, intent_id: IntentId },
     /// Answer with the saved answer.
-    Replay { arrival: Arrival, answer: KeptAnswer },
+    Replay { arrival: KeyedRequest, answer: KeptAnswer },
     /// Read the body from `object`, then answer with the saved answer.
-    FetchBody { arrival: Arrival, answer: KeptAnswer, object: Name },
+    FetchBody { arrival: KeyedRequest, answer: KeptAnswer, object: Name },
     /// Refuse the request with a final verdict.
-    Refuse { arrival: Arrival, verdict: Verdict },
+    Refuse { arrival: KeyedRequest, verdict: Verdict },
     /// The outcome needs no further write: it is committed or superseded.
     OutcomeSaved(KeyId),
     /// Write the body of an outcome to an object of its own before the outcome is written.
--- a/crates/samphiredoor-core/src/keys/messages.rs
+++ b/crates/samphiredoor-core/src/keys/messages.rs
@@ -1,6 +1,6 @@
 //! Inputs and actions of [`Keys`](super::Keys).
 
-use super::{arrival::Arrival, record::KeptAnswer};
+use super::{arrival::KeyedRequest, record::KeptAnswer};
 use crate::{
     Name,
     dispatch::RequestId,
@@ -29,16 +29,16 @@
 #[derive(Debug, Clone)]
 pub enum KeysInput {
     /// A request with an idempotency key arrived.
-    Arrived(Arrival),
+    Arrived(KeyedRequest),
     /// The run of a request ended, after [`KeysAction::Run`].
-    Ended {
+    RunEnded {
         /// Id of the request.
         request: RequestId,
         /// Outcome to be saved.
         outcome: KeyOutcome,
     },
     /// No caller waits for the request any more. If it was running, it counts as one that may have run.
-    Gone {
+    Cancelled {
         /// Id of the request.
         request: RequestId,
     },
@@ -51,7 +51,7 @@
     },
     /// The lease of a process has expired, so its intents have probably no outcome. Only a hint: its intents are
     /// never taken over.
-    Lapsed {
+    LeaseExpired {
         /// Name of the incarnation, as made by [`holder_name`](super::holder_name).
         holder: Name,
     },
@@ -69,7 +69,7 @@
         /// Operation to perform.
         op: StoreOp,
     },
-    /// The intent is committed: run the request and report its end with [`KeysInput::Ended`].
+    /// The intent is committed: run the request and report its end with [`KeysInput::RunEnded`].
     Run {
         /// Id of the request.
         request: RequestId,
--- a/crates/samphiredoor-core/src/keys/mod.rs
+++ b/crates/samphiredoor-core/src/keys/mod.rs
@@ -7,7 +7,7 @@
 //! to the same process is answered from memory.
 //!
 //! [`Keys`] is a state machine without I/O that one task owns. Each arriving request gets exactly one final action; a
-//! request that is to run ([`KeysAction::Run`]) reports its end with [`KeysInput::Ended`].
+//! request that is to run ([`KeysAction::Run`]) reports its end with [`KeysInput::RunEnded`].
 
 mod arrival;
 mod change;
@@ -25,7 +25,7 @@
 
 use samphiredoor_schema::objects::{KeptBody, KeyRecord, KeyState};
 
-pub use arrival::{Arrival, KeyId, key_id};
+pub use arrival::{KeyId, KeyedRequest, key_id};
 pub use config::{KeysConfig, SHARDS, holder_name};
 pub use messages::{KeyOutcome, KeysAction, KeysInput};
 pub use record::{CLOCK_MARGIN_MS, KeptAnswer};
@@ -55,7 +55,7 @@
 /// A request that runs, and the requests that wait for its outcome.
 #[derive(Debug)]
 struct Run {
-    arrival: Arrival,
+    arrival: KeyedRequest,
     intent_id: IntentId,
     joined: Vec<RequestId>,
 }
@@ -65,7 +65,7 @@
 enum CallPurpose {
     Shard(u32),
     UploadBody { key: KeyId, object: Name },
-    FetchBody { arrival: Arrival, answer: KeptAnswer },
+    FetchBody { arrival: KeyedRequest, answer: KeptAnswer },
     DeleteBody,
 }
 
@@ -76,7 +76,7 @@
     shards: BTreeMap<u32, Shard>,
     runs: BTreeMap<KeyId, Run>,
     /// Requests that have no final action yet, including those that run.
-    requests: BTreeMap<RequestId, Arrival>,
+    requests: BTreeMap<RequestId, KeyedRequest>,
     /// Size of the answer of each outcome that is not written yet.
     unsaved: BTreeMap<KeyId, usize>,
     unsaved_bytes: usize,
@@ -124,10 +124,10 @@
     pub fn handle(&mut self, now: Now, input: KeysInput, out: &mut Vec<KeysAction>) {
         match input {
             KeysInput::Arrived(arrival) => self.arrived(now, arrival, out),
-            KeysInput::Ended { request, outcome } => self.run_ended(now, request, outcome, out),
-            KeysInput::Gone { request } => self.cancelled(now, request, out),
+            KeysInput::RunEnded { request, outcome } => self.run_ended(now, request, outcome, out),
+            KeysInput::Cancelled { request } => self.cancelled(now, request, out),
             KeysInput::Stored { call, answer } => self.store_answered(now, call, answer, out),
-            KeysInput::Lapsed { holder } => self.holder_expired(holder),
+            KeysInput::LeaseExpired { holder } => self.holder_expired(holder),
             KeysInput::Tick => self.tick(now, out),
         }
     }
@@ -141,7 +141,7 @@
         }
     }
 
-    fn arrived(&mut self, now: Now, arrival: Arrival, out: &mut Vec<KeysAction>) {
+    fn arrived(&mut self, now: Now, arrival: KeyedRequest, out: &mut Vec<KeysAction>) {
         let request = arrival.request;
         // Unwritten outcomes are never dropped while the store is down; requests with new keys are refused instead.
         let open = self.open_len();
@@ -164,7 +164,7 @@
         &mut self,
         now: Now,
         number: u32,
-        arrival: Arrival,
+        arrival: KeyedRequest,
         read_since: bool,
         out: &mut Vec<KeysAction>,
     ) {
@@ -408,7 +408,7 @@
 
     fn fetch_answered(
         &mut self,
-        arrival: Arrival,
+        arrival: KeyedRequest,
         kept: KeptAnswer,
         answer: StoreAnswer,
         out: &mut Vec<KeysAction>,
--- a/crates/samphiredoor-core/src/keys/record.rs
+++ b/crates/samphiredoor-core/src/keys/record.rs
@@ -4,7 +4,7 @@
 
 use samphiredoor_schema::objects::{KeptBody, KeyRecord, KeyState};
 
-use super::{arrival::Arrival, config::KeysConfig};
+use super::{arrival::KeyedRequest, config::KeysConfig};
 use crate::{Name, time::Now, verdict::MayHaveRunReason};
 
 /// Difference between the wall clocks of two gateways up to which no key expires too early.
@@ -121,7 +121,7 @@
 
 /// Record of a new intent.
 pub(super) fn intent_record(
-    arrival: &Arrival,
+    arrival: &KeyedRequest,
     config: &KeysConfig,
     intent_id: IntentId,
 ) -> KeyRecord {
--- a/crates/samphiredoor-core/src/keys/shard.rs
+++ b/crates/samphiredoor-core/src/keys/shard.rs
@@ -9,7 +9,7 @@
 use samphiredoor_schema::objects::{KeyRecord, KeyShard, KeyState};
 
 use super::{
-    arrival::{Arrival, KeyId},
+    arrival::{KeyId, KeyedRequest},
     change::{
         Change, Intent, Outcome, committed, key_reused, reconcile, refuse, respond, withdrawn,
     },
@@ -39,7 +39,7 @@
 
 #[derive(Debug)]
 enum InFlight {
-    Read { waiting: Vec<Arrival> },
+    Read { waiting: Vec<KeyedRequest> },
     Write { changes: BTreeMap<KeyId, Change>, new_content: Content, obsolete_bodies: Vec<Name> },
 }
 
@@ -49,7 +49,7 @@
     object: ObjectKey,
     content: Option<Content>,
     pending: BTreeMap<KeyId, Change>,
-    deferred: Vec<Arrival>,
+    deferred: Vec<KeyedRequest>,
     in_flight: Option<InFlight>,
     not_before_ms: u64,
     /// Monotonic time of the last request for a key of the shard.
@@ -115,7 +115,7 @@
     }
 
     /// Takes the deferred requests, to be decided again, unless a call is in flight.
-    pub(super) fn take_deferred(&mut self) -> Vec<Arrival> {
+    pub(super) fn take_deferred(&mut self) -> Vec<KeyedRequest> {
         match self.in_flight {
             None => std::mem::take(&mut self.deferred),
             Some(_) => Vec::new(),
@@ -126,7 +126,7 @@
     /// request arrived.
     pub(super) fn decide(
         &mut self,
-        arrival: Arrival,
+        arrival: KeyedRequest,
         read_since: bool,
         cx: &Context<'_>,
         effects: &mut Vec<Effect>,
@@ -190,7 +190,7 @@
 
     fn decide_from_outcome(
         &mut self,
-        arrival: Arrival,
+        arrival: KeyedRequest,
         record: &KeyRecord,
         answer: Option<KeptAnswer>,
         cx: &Context<'_>,
@@ -204,7 +204,7 @@
         }
     }
 
-    fn add_intent(&mut self, arrival: Arrival, cx: &Context<'_>, effects: &mut Vec<Effect>) {
+    fn add_intent(&mut self, arrival: KeyedRequest, cx: &Context<'_>, effects: &mut Vec<Effect>) {
         let may_be_stored = self.pending.contains_key(&arrival.key);
         if may_be_stored {
             // An earlier request with this key did not run; this intent replaces its pending change.
@@ -217,7 +217,7 @@
     }
 
     /// Removes a request that does not run yet and for which no caller waits any more.
-    pub(super) fn cancelled(&mut self, arrival: &Arrival) {
+    pub(super) fn cancelled(&mut self, arrival: &KeyedRequest) {
         self.deferred.retain(|it| it.request != arrival.request);
         let in_flight = match &mut self.in_flight {
             Some(InFlight::Write { changes, .. }) => changes.get_mut(&arrival.key),
@@ -356,7 +356,7 @@
         answer: StoreAnswer,
         cx: &Context<'_>,
         effects: &mut Vec<Effect>,
-    ) -> Vec<Arrival> {
+    ) -> Vec<KeyedRequest> {
         match self.in_flight.take() {
             Some(InFlight::Read { waiting }) => self.read_answered(waiting, answer, cx, effects),
             Some(InFlight::Write { changes, new_content, obsolete_bodies }) => {
@@ -369,11 +369,11 @@
 
     fn read_answered(
         &mut self,
-        waiting: Vec<Arrival>,
+        waiting: Vec<KeyedRequest>,
         answer: StoreAnswer,
         cx: &Context<'_>,
         effects: &mut Vec<Effect>,
-    ) -> Vec<Arrival> {
+    ) -> Vec<KeyedRequest> {
         let content = match answer {
             StoreAnswer::Absent => Some(Content { version: None, keys: BTreeMap::new(), bytes: 0 }),
             StoreAnswer::Object(stored) => parse_content(&stored, effects),
@@ -437,12 +437,13 @@
     /// writes are retried later.
     fn refuse_waiting(
         &mut self,
-        waiting: Vec<Arrival>,
+        waiting: Vec<KeyedRequest>,
         cx: &Context<'_>,
         effects: &mut Vec<Effect>,
     ) {
         self.back_off(cx.now);
-        let refused = |it: &Arrival| refuse(it, Refusal::StoreUnavailable, STORE_RETRY_AFTER_MS);
+        let refused =
+            |it: &KeyedRequest| refuse(it, Refusal::StoreUnavailable, STORE_RETRY_AFTER_MS);
         effects.extend(waiting.iter().chain(&self.deferred).map(refused));
         self.deferred.clear();
         for change in self.pending.values_mut() {
--- a/crates/samphiredoor-core/src/membership/mod.rs
+++ b/crates/samphiredoor-core/src/membership/mod.rs
@@ -7,9 +7,9 @@
 //!
 //! All of this is a hint. A member reported dead may live: it contradicts the report, and nothing was lost but speed.
 
-mod choice;
 mod gossip;
 mod messages;
+mod rendezvous;
 mod roster;
 
 use std::{
@@ -19,8 +19,8 @@
 
 use samphiredoor_schema::objects::ProcessLease;
 
-pub use choice::preferred;
-pub use messages::{Beat, MembershipAction, MembershipConfig, MembershipInput};
+pub use messages::{Heartbeat, MembershipAction, MembershipConfig, MembershipInput};
+pub use rendezvous::rendezvous_select;
 pub use roster::{Member, MemberState, Roster};
 
 use crate::{Name, lease::LeaseTable, time::Now};
@@ -120,7 +120,9 @@
             MembershipInput::ConnectFailed { peer } => {
                 self.connecting.remove(&peer);
             }
-            MembershipInput::Beat { from, beat } => self.beat_heard(now, &from, beat, out),
+            MembershipInput::Heartbeat { from, heartbeat } => {
+                self.beat_heard(now, &from, heartbeat, out)
+            }
             MembershipInput::Members(members) => self.learn_page(now, members, out),
             MembershipInput::Leases(leases) => self.leases_listed(now, leases, out),
             MembershipInput::ListFailed => {
@@ -128,14 +130,14 @@
                 self.next_list_ms = now.mono_ms + READ_RETRY_MS;
             }
             MembershipInput::Lease { process, lease } => self.lease_read(now, process, *lease, out),
-            MembershipInput::LeaseGone { process } => self.lease_gone(now, &process),
-            MembershipInput::LeaseUnread { process } => {
+            MembershipInput::LeaseDeleted { process } => self.lease_gone(now, &process),
+            MembershipInput::LeaseReadFailed { process } => {
                 if let Some(silent) = self.silent.get_mut(&process) {
                     silent.next_read_ms = now.mono_ms + READ_RETRY_MS;
                 }
             }
-            MembershipInput::Renewed(renewals) => self.renewals = renewals,
-            MembershipInput::Revision(revision) => self.revision = self.revision.max(revision),
+            MembershipInput::LeaseRenewed(renewals) => self.renewals = renewals,
+            MembershipInput::OwnRevision(revision) => self.revision = self.revision.max(revision),
             MembershipInput::Stopping => {
                 let mut own = self.roster.own().clone();
                 own.state = MemberState::Stopping;
@@ -166,8 +168,8 @@
     }
 
     /// Heartbeat as this process would send it now; its gossip counts as sent.
-    pub fn beat(&mut self) -> Beat {
-        Beat {
+    pub fn next_heartbeat(&mut self) -> Heartbeat {
+        Heartbeat {
             incarnation: self.roster.own().incarnation,
             renewals: self.renewals,
             revision: self.revision,
@@ -187,7 +189,7 @@
         if self.take_report(member, out) {
             self.gossip.add(&name, self.roster.len());
             self.choose_links(now, out);
-            out.push(MembershipAction::Changed);
+            out.push(MembershipAction::LiveMembersChanged);
         }
     }
 
@@ -209,7 +211,7 @@
             self.gossip.add(name, self.roster.len());
         }
         self.choose_links(now, out);
-        out.push(MembershipAction::Changed);
+        out.push(MembershipAction::LiveMembersChanged);
     }
 
     // Tells whether the report changed anything.
@@ -225,7 +227,7 @@
             && self.watched.contains(&name)
         {
             // A later start has replaced the lease, so the earlier one can hold it no more.
-            out.push(MembershipAction::Lapsed { process: name, incarnation });
+            out.push(MembershipAction::LeaseExpired { process: name, incarnation });
         }
         true
     }
@@ -272,20 +274,26 @@
         }
     }
 
-    fn beat_heard(&mut self, now: Now, from: &Name, beat: Beat, out: &mut Vec<MembershipAction>) {
-        for member in beat.changes {
+    fn beat_heard(
+        &mut self,
+        now: Now,
+        from: &Name,
+        heartbeat: Heartbeat,
+        out: &mut Vec<MembershipAction>,
+    ) {
+        for member in heartbeat.changes {
             self.learn(now, member, out);
         }
-        self.leases.heard(now, from, beat.incarnation, beat.renewals);
+        self.leases.heard(now, from, heartbeat.incarnation, heartbeat.renewals);
         let digest = self.roster.digest();
-        if beat.revision > self.revision {
-            let revision = beat.revision;
+        if heartbeat.revision > self.revision {
+            let revision = heartbeat.revision;
             out.push(MembershipAction::PeerRevision { from: Arc::clone(from), revision });
         }
         let Some(link) = self.links.get_mut(from) else { return };
         link.heard_ms = now.mono_ms;
         self.silent.remove(from);
-        link.differing = if digest == beat.members_digest { 0 } else { link.differing + 1 };
+        link.differing = if digest == heartbeat.members_digest { 0 } else { link.differing + 1 };
         // Gossip on its way makes digests differ for a while; what lasts longer was lost.
         if link.differing > 2 {
             link.differing = 0;
@@ -322,7 +330,7 @@
         match self.leases.over_at(&process, LAPSE_MARGIN_MS) {
             Some(over_ms) if now.mono_ms >= over_ms => {
                 silent.next_read_ms = now.mono_ms + lease_ms / 2;
-                out.push(MembershipAction::Lapsed { process, incarnation });
+                out.push(MembershipAction::LeaseExpired { process, incarnation });
             }
             Some(over_ms) => silent.next_read_ms = over_ms,
             None => {}
@@ -381,8 +389,8 @@
             }
         }
         for to in to {
-            let beat = self.beat();
-            out.push(MembershipAction::Beat { to, beat });
+            let heartbeat = self.next_heartbeat();
+            out.push(MembershipAction::SendHeartbeat { to, heartbeat });
         }
     }
 
@@ -473,7 +481,7 @@
         let keep_ms = FORGET_LEASES * self.config.lease_ms + LAPSE_MARGIN_MS;
         if self.roster.forget_dead(now, keep_ms) {
             self.choose_links(now, out);
-            out.push(MembershipAction::Changed);
+            out.push(MembershipAction::LiveMembersChanged);
         }
     }
 }
--- a/crates/samphiredoor-core/src/quarantine/messages.rs
+++ b/crates/samphiredoor-core/src/quarantine/messages.rs
@@ -11,20 +11,20 @@
 
 /// How an attempt ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Left {
+pub enum AttemptOutcome {
     /// With a whole answer.
     Answered,
     /// The connection was lost after the request was sent.
-    Lost,
+    ConnectionLost,
     /// In any other way, which neither clears the request nor makes it a suspect.
-    Otherwise,
+    Other,
 }
 
 /// An event that [`Quarantine`](super::Quarantine) handles.
 #[derive(Debug, Clone)]
 pub enum QuarantineInput {
     /// An attempt to run a request at a target asks for admission.
-    Enter {
+    Admit {
         /// Id of the request, which has one attempt at a time.
         attempt: RequestId,
         /// Hash of the request, the same for each resend.
@@ -33,11 +33,11 @@
         target: SocketAddr,
     },
     /// An attempt ended.
-    Left {
+    Ended {
         /// Id of the attempt's request.
         attempt: RequestId,
         /// What its end means for the request.
-        how: Left,
+        outcome: AttemptOutcome,
     },
     /// A connection was tried, as requested by [`QuarantineAction::Probe`].
     Probed {
@@ -47,7 +47,7 @@
         refused: bool,
     },
     /// A peer has reported a change of a fingerprint.
-    Told(Suspect),
+    PeerReport(Suspect),
     /// An owner lifts the quarantine or the suspicion of a request.
     Lift {
         /// Hash of the request.
@@ -68,7 +68,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum QuarantineAction {
     /// The attempt is admitted and may be sent.
-    Go {
+    Dispatch {
         /// Id of the attempt's request.
         attempt: RequestId,
     },
@@ -83,14 +83,14 @@
         target: SocketAddr,
     },
     /// It is known whether the target of a lost attempt died; the request may be retried elsewhere.
-    Settled {
+    LossResolved {
         /// Id of the attempt's request.
         attempt: RequestId,
     },
     /// Report a change of a fingerprint to all peers.
-    Tell(Suspect),
+    NotifyPeers(Suspect),
     /// A fingerprint has been quarantined, to be logged and counted.
-    Blamed {
+    Quarantined {
         /// Hash of the request.
         fingerprint: u64,
     },
--- a/crates/samphiredoor-core/src/quarantine/mod.rs
+++ b/crates/samphiredoor-core/src/quarantine/mod.rs
@@ -22,8 +22,8 @@
 
 pub use config::QuarantineConfig;
 pub use list::ListInput;
-pub use messages::{Left, QuarantineAction, QuarantineInput};
-pub use suspects::{BLAMED_DEATHS, Suspect};
+pub use messages::{AttemptOutcome, QuarantineAction, QuarantineInput};
+pub use suspects::{QUARANTINE_DEATHS, Suspect};
 
 use crate::{dispatch::RequestId, time::Now};
 use list::QuarantineList;
@@ -81,8 +81,8 @@
         }
     }
 
-    /// Whether any fingerprint is remembered. Then an attempt must wait for its [`QuarantineAction::Go`].
-    pub fn suspects_any(&self) -> bool {
+    /// Whether any fingerprint is remembered. Then an attempt must wait for its [`QuarantineAction::Dispatch`].
+    pub fn has_suspects(&self) -> bool {
         !self.suspects.is_empty()
     }
 
@@ -94,15 +94,17 @@
     /// Handles one event and appends the resulting actions to `out`.
     pub fn handle(&mut self, now: Now, input: QuarantineInput, out: &mut Vec<QuarantineAction>) {
         match input {
-            QuarantineInput::Enter { attempt, fingerprint, target } => {
+            QuarantineInput::Admit { attempt, fingerprint, target } => {
                 self.last_seq = AttemptSeq(self.last_seq.0 + 1);
                 let seq = self.last_seq;
                 self.attempts.insert(attempt, Attempt { fingerprint, target, seq });
                 self.admit(attempt, out);
             }
-            QuarantineInput::Left { attempt, how } => self.attempt_ended(now, attempt, how, out),
+            QuarantineInput::Ended { attempt, outcome } => {
+                self.attempt_ended(now, attempt, outcome, out)
+            }
             QuarantineInput::Probed { target, refused } => self.probed(now, target, refused, out),
-            QuarantineInput::Told(told) => {
+            QuarantineInput::PeerReport(told) => {
                 let change = self.suspects.apply_report(now, told, self.last_seq);
                 self.publish_change(now, change, false, out);
             }
@@ -126,7 +128,7 @@
     fn admit(&mut self, attempt: RequestId, out: &mut Vec<QuarantineAction>) {
         let Some(candidate) = self.attempts.get(&attempt) else { return };
         let deaths = self.suspects.deaths(candidate.fingerprint);
-        if deaths >= BLAMED_DEATHS {
+        if deaths >= QUARANTINE_DEATHS {
             self.attempts.remove(&attempt);
             out.push(QuarantineAction::Refuse { attempt });
             return;
@@ -139,35 +141,35 @@
             }
             self.running_suspects.insert(candidate.target, attempt);
         }
-        out.push(QuarantineAction::Go { attempt });
+        out.push(QuarantineAction::Dispatch { attempt });
     }
 
     fn attempt_ended(
         &mut self,
         now: Now,
         attempt: RequestId,
-        how: Left,
+        outcome: AttemptOutcome,
         out: &mut Vec<QuarantineAction>,
     ) {
         let Some(ended) = self.attempts.remove(&attempt) else {
             // The attempt was sent without waiting for its admission, and then refused. The task that waits until its
             // loss is resolved still needs an answer.
-            if how == Left::Lost {
-                out.push(QuarantineAction::Settled { attempt });
+            if outcome == AttemptOutcome::ConnectionLost {
+                out.push(QuarantineAction::LossResolved { attempt });
             }
             return;
         };
         if let Some(waiting) = self.waiting.get_mut(&ended.target) {
             waiting.retain(|it| *it != attempt);
         }
-        match how {
-            Left::Answered => {
+        match outcome {
+            AttemptOutcome::Answered => {
                 let change = self.suspects.clear(ended.fingerprint);
                 self.publish_change(now, change, true, out);
                 self.release_target(attempt, ended.target, out);
             }
-            Left::Lost => self.attempt_lost(now, attempt, ended, out),
-            Left::Otherwise => self.release_target(attempt, ended.target, out),
+            AttemptOutcome::ConnectionLost => self.attempt_lost(now, attempt, ended, out),
+            AttemptOutcome::Other => self.release_target(attempt, ended.target, out),
         }
     }
 
@@ -205,7 +207,7 @@
             if refused {
                 self.add_suspicion(now, attempt, lost, out);
             } else {
-                out.push(QuarantineAction::Settled { attempt });
+                out.push(QuarantineAction::LossResolved { attempt });
                 self.release_target(attempt, target, out);
             }
         }
@@ -220,7 +222,7 @@
     ) {
         let change = self.suspects.record_death(now, lost.fingerprint, lost.seq, self.last_seq);
         self.publish_change(now, change, true, out);
-        out.push(QuarantineAction::Settled { attempt });
+        out.push(QuarantineAction::LossResolved { attempt });
         self.release_target(attempt, lost.target, out);
     }
 
@@ -252,10 +254,10 @@
     ) {
         let Some(change) = change else { return };
         if is_local {
-            out.push(QuarantineAction::Tell(change.suspect));
+            out.push(QuarantineAction::NotifyPeers(change.suspect));
         }
         if change.is_quarantined {
-            out.push(QuarantineAction::Blamed { fingerprint: change.suspect.fingerprint });
+            out.push(QuarantineAction::Quarantined { fingerprint: change.suspect.fingerprint });
         }
         // Only the gateway that made the change writes it to the store; its peers just apply the report.
         if is_local && change.is_listed {
@@ -269,11 +271,11 @@
             waiting.retain(|attempt| {
                 let fingerprint = self.attempts.get(attempt).map(|it| it.fingerprint);
                 let deaths = fingerprint.map_or(0, |it| self.suspects.deaths(it));
-                if deaths >= BLAMED_DEATHS {
+                if deaths >= QUARANTINE_DEATHS {
                     self.attempts.remove(attempt);
                     out.push(QuarantineAction::Refuse { attempt: *attempt });
                 }
-                deaths < BLAMED_DEATHS
+                deaths < QUARANTINE_DEATHS
             });
         }
     }
--- a/crates/samphiredoor-core/src/quarantine/suspects.rs
+++ b/crates/samphiredoor-core/src/quarantine/suspects.rs
@@ -8,7 +8,7 @@
 use crate::time::Now;
 
 /// Number of deaths from which a fingerprint is quarantined.
-pub const BLAMED_DEATHS: u32 = 2;
+pub const QUARANTINE_DEATHS: u32 = 2;
 
 /// Sequence number of an attempt in this process. It orders attempts and deaths within one millisecond.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
@@ -48,7 +48,7 @@
 impl Record {
     /// Order of eviction when there are too many entries: first those that are not quarantined, the oldest first.
     fn eviction_rank(&self) -> (bool, u64) {
-        (self.deaths >= BLAMED_DEATHS, self.since_unix_ms)
+        (self.deaths >= QUARANTINE_DEATHS, self.since_unix_ms)
     }
 }
 
@@ -101,7 +101,7 @@
     /// admitted before the quarantine was known.
     pub(super) fn clear(&mut self, fingerprint: u64) -> Option<Change> {
         let entry = self.entries.get(&fingerprint)?;
-        if entry.deaths == 0 || entry.deaths >= BLAMED_DEATHS {
+        if entry.deaths == 0 || entry.deaths >= QUARANTINE_DEATHS {
             return None;
         }
         self.entries.remove(&fingerprint);
@@ -128,7 +128,7 @@
             (Suspect { deaths: 0, .. }, _) => self.clear(report.fingerprint),
             // The peer has not received the lifting yet. Deaths after the lifting are counted and reported from 1
             // again.
-            (_, Some(own)) if own.lifted && report.deaths >= BLAMED_DEATHS => None,
+            (_, Some(own)) if own.lifted && report.deaths >= QUARANTINE_DEATHS => None,
             (_, Some(own)) if own.deaths >= report.deaths => None,
             _ => self.set(now, report.fingerprint, report.deaths, false, last_seq),
         }
@@ -181,17 +181,17 @@
                 self.entries.remove(&least);
             }
         }
-        let was_quarantined = before.is_some_and(|it| it.deaths >= BLAMED_DEATHS);
+        let was_quarantined = before.is_some_and(|it| it.deaths >= QUARANTINE_DEATHS);
         Some(Change {
             suspect: suspect(fingerprint, &entry),
-            is_quarantined: deaths >= BLAMED_DEATHS && !was_quarantined,
+            is_quarantined: deaths >= QUARANTINE_DEATHS && !was_quarantined,
             is_listed: is_listed(&entry),
         })
     }
 }
 
 fn is_listed(entry: &Record) -> bool {
-    entry.lifted || entry.deaths >= BLAMED_DEATHS
+    entry.lifted || entry.deaths >= QUARANTINE_DEATHS
 }
 
 fn suspect(fingerprint: u64, entry: &Record) -> Suspect {
--- a/crates/samphiredoor-core/tests/keys.rs
+++ b/crates/samphiredoor-core/tests/keys.rs
@@ -11,8 +11,8 @@
     Name,
     dispatch::RequestId,
     keys::{
-        Arrival, CLOCK_MARGIN_MS, KeptAnswer, KeyOutcome, Keys, KeysAction, KeysConfig, KeysInput,
-        holder_name, key_id,
+        CLOCK_MARGIN_MS, KeptAnswer, KeyOutcome, KeyedRequest, Keys, KeysAction, KeysConfig,
+        KeysInput, holder_name, key_id,
     },
     ledger::CallId,
     store::{Kind, ObjectKey, StoreAnswer, StoreOp, Stored, Value, Version},
@@ -145,7 +145,7 @@
     cache_bytes: usize,
     incarnations: u64,
     /// Requests, each with the gateway that got it.
-    sent: BTreeMap<RequestId, (usize, Arrival)>,
+    sent: BTreeMap<RequestId, (usize, KeyedRequest)>,
     /// Requests without a final action.
     open: BTreeSet<RequestId>,
     running: Vec<RequestId>,
@@ -206,7 +206,7 @@
                     self.open.remove(&request);
                     self.running.retain(|it| *it != request);
                     let gateway = self.sent[&request].0;
-                    self.input(gateway, KeysInput::Gone { request })
+                    self.input(gateway, KeysInput::Cancelled { request })
                 }
                 None => Ok(()),
             },
@@ -222,7 +222,7 @@
             }
             Step::ExpireHolder { gateway, of } => {
                 let holder = self.gateways[of].holder.clone();
-                self.input(gateway, KeysInput::Lapsed { holder })
+                self.input(gateway, KeysInput::LeaseExpired { holder })
             }
             Step::Wait { ms } => {
                 self.now.mono_ms += ms;
@@ -237,7 +237,7 @@
         let digest: Name = if other { "other" } else { "usual" }.into();
         let key = key_id("tours", &key.to_string());
         let deadline_unix_ms = self.now.unix_ms + 60_000;
-        let arrival = Arrival { request, key, digest, deadline_unix_ms };
+        let arrival = KeyedRequest { request, key, digest, deadline_unix_ms };
         self.sent.insert(request, (gateway, arrival.clone()));
         self.open.insert(request);
         self.input(gateway, KeysInput::Arrived(arrival))?;
@@ -302,7 +302,7 @@
             let answered = (arrival.digest.clone(), answer.clone());
             self.answers.insert(arrival.key.clone(), answered);
         }
-        self.input(gateway, KeysInput::Ended { request, outcome })
+        self.input(gateway, KeysInput::RunEnded { request, outcome })
     }
 
     fn input(&mut self, gateway: usize, input: KeysInput) -> Result<(), TestCaseError> {
@@ -346,7 +346,7 @@
         if let Verdict::NotRun { reason, .. } = verdict {
             prop_assert_ne!(self.ran.get(&arrival.key), Some(&request), "not run, but it ran");
             if reason == Refusal::KeyReused {
-                let other = |(_, it): &&(usize, Arrival)| {
+                let other = |(_, it): &&(usize, KeyedRequest)| {
                     it.key == arrival.key && it.digest != arrival.digest
                 };
                 prop_assert!(self.sent.values().any(|it| other(&it)), "the key was not reused");
@@ -496,7 +496,8 @@
         let mut calls = Vec::new();
         let request = RequestId(number);
         let key = key_id("tours", &number.to_string());
-        let arrival = Arrival { request, key, digest: "usual".into(), deadline_unix_ms: u64::MAX };
+        let arrival =
+            KeyedRequest { request, key, digest: "usual".into(), deadline_unix_ms: u64::MAX };
         keys.handle(now, KeysInput::Arrived(arrival), &mut calls);
         let mut ran = false;
         while let Some(action) = calls.pop() {
@@ -512,7 +513,7 @@
                 KeysAction::Run { request } => {
                     ran = true;
                     let outcome = KeyOutcome::MayHaveRun(MayHaveRunReason::AnswerCut);
-                    keys.handle(now, KeysInput::Ended { request, outcome }, &mut calls);
+                    keys.handle(now, KeysInput::RunEnded { request, outcome }, &mut calls);
                 }
                 KeysAction::Refuse { verdict, .. } => verdicts.push(verdict),
                 other => panic!("unexpected: {other:?}"),
@@ -540,7 +541,7 @@
     let mut keys = Keys::new(config);
     let (now, request) = (Now::new(0, 1_000_000_000), RequestId(0));
     let mut actions = Vec::new();
-    let arrival = Arrival { request, key, digest: "usual".into(), deadline_unix_ms: u64::MAX };
+    let arrival = KeyedRequest { request, key, digest: "usual".into(), deadline_unix_ms: u64::MAX };
     keys.handle(now, KeysInput::Arrived(arrival), &mut actions);
     let Some(KeysAction::Store { call, op }) = actions.pop() else {
         panic!("expected a read of the shard")
@@ -562,7 +563,7 @@
     let mut keys = Keys::new(KeysConfig::new(holder_name("gateway-0", 1), REMEMBER_MS));
     let mut store = Store::default();
     let mut actions = Vec::new();
-    let arrival = |number| Arrival {
+    let arrival = |number| KeyedRequest {
         request: RequestId(number),
         key: key_id("tours", "0"),
         digest: "usual".into(),
@@ -579,7 +580,7 @@
         body: Some(b"confirmed".as_slice().into()),
     };
     let outcome = KeyOutcome::Answered(kept.clone());
-    keys.handle(now, KeysInput::Ended { request: RequestId(0), outcome }, &mut actions);
+    keys.handle(now, KeysInput::RunEnded { request: RequestId(0), outcome }, &mut actions);
     let Some(KeysAction::Store { call, .. }) = actions.pop() else {
         panic!("expected a write of the outcome")
     };
--- a/crates/samphiredoor-core/tests/quarantine.rs
+++ b/crates/samphiredoor-core/tests/quarantine.rs
@@ -13,7 +13,9 @@
 use samphiredoor_core::{
     dispatch::RequestId,
     ledger::CallId,
-    quarantine::{Left, Quarantine, QuarantineAction, QuarantineConfig, QuarantineInput, Suspect},
+    quarantine::{
+        AttemptOutcome, Quarantine, QuarantineAction, QuarantineConfig, QuarantineInput, Suspect,
+    },
     store::{StoreAnswer, StoreOp, Stored, Value, Version},
     time::Now,
 };
@@ -93,12 +95,12 @@
                 self.sent.insert(attempt, Sent { gateway, fingerprint, target });
                 self.waiting.insert(attempt);
                 let target = address(target);
-                self.input(gateway, QuarantineInput::Enter { attempt, fingerprint, target })
+                self.input(gateway, QuarantineInput::Admit { attempt, fingerprint, target })
             }
             Step::Work { target } => self.work(target),
             Step::Deliver { which } if !self.reports.is_empty() => {
                 let (gateway, report) = self.reports.remove(which % self.reports.len());
-                self.input(gateway, QuarantineInput::Told(report))
+                self.input(gateway, QuarantineInput::PeerReport(report))
             }
             Step::Deliver { .. } => Ok(()),
         }
@@ -109,12 +111,18 @@
         if !crashes {
             let Some(attempt) = self.running[target].pop_first() else { return Ok(()) };
             let gateway = self.sent[&attempt].gateway;
-            return self.input(gateway, QuarantineInput::Left { attempt, how: Left::Answered });
+            return self.input(
+                gateway,
+                QuarantineInput::Ended { attempt, outcome: AttemptOutcome::Answered },
+            );
         }
         self.deaths += 1;
         for attempt in std::mem::take(&mut self.running[target]) {
             let gateway = self.sent[&attempt].gateway;
-            self.input(gateway, QuarantineInput::Left { attempt, how: Left::Lost })?;
+            self.input(
+                gateway,
+                QuarantineInput::Ended { attempt, outcome: AttemptOutcome::ConnectionLost },
+            )?;
         }
         Ok(())
     }
@@ -124,7 +132,7 @@
         self.gateways[gateway].handle(self.now, input, &mut actions);
         for action in actions {
             match action {
-                QuarantineAction::Go { attempt } => {
+                QuarantineAction::Dispatch { attempt } => {
                     prop_assert!(self.waiting.remove(&attempt), "sent twice");
                     self.running[self.sent[&attempt].target].insert(attempt);
                 }
@@ -136,12 +144,12 @@
                     let probed = QuarantineInput::Probed { target, refused: true };
                     self.input(gateway, probed)?;
                 }
-                QuarantineAction::Tell(report) => {
+                QuarantineAction::NotifyPeers(report) => {
                     self.reports
                         .extend((0..GATEWAYS).filter(|it| *it != gateway).map(|it| (it, report)));
                 }
-                QuarantineAction::Settled { .. }
-                | QuarantineAction::Blamed { .. }
+                QuarantineAction::LossResolved { .. }
+                | QuarantineAction::Quarantined { .. }
                 | QuarantineAction::Store { .. } => {}
             }
         }
@@ -230,18 +238,22 @@
     let mut out = Vec::new();
     let (attempt, target) = (RequestId(attempt), address(0));
     now.mono_ms += 10_000;
-    quarantine.handle(*now, QuarantineInput::Enter { attempt, fingerprint, target }, &mut out);
-    assert!(out.contains(&QuarantineAction::Go { attempt }), "{out:?}");
-    quarantine.handle(*now, QuarantineInput::Left { attempt, how: Left::Lost }, &mut out);
+    quarantine.handle(*now, QuarantineInput::Admit { attempt, fingerprint, target }, &mut out);
+    assert!(out.contains(&QuarantineAction::Dispatch { attempt }), "{out:?}");
+    quarantine.handle(
+        *now,
+        QuarantineInput::Ended { attempt, outcome: AttemptOutcome::ConnectionLost },
+        &mut out,
+    );
     quarantine.handle(*now, QuarantineInput::Probed { target, refused: true }, &mut out);
 }
 
 fn is_refused(quarantine: &mut Quarantine, now: Now, fingerprint: u64) -> bool {
     let mut out = Vec::new();
     let (attempt, target) = (RequestId(u64::MAX), address(1));
-    quarantine.handle(now, QuarantineInput::Enter { attempt, fingerprint, target }, &mut out);
-    let how = Left::Otherwise;
-    quarantine.handle(now, QuarantineInput::Left { attempt, how }, &mut Vec::new());
+    quarantine.handle(now, QuarantineInput::Admit { attempt, fingerprint, target }, &mut out);
+    let outcome = AttemptOutcome::Other;
+    quarantine.handle(now, QuarantineInput::Ended { attempt, outcome }, &mut Vec::new());
     out.contains(&QuarantineAction::Refuse { attempt })
 }
 
@@ -251,11 +263,15 @@
     let (mut quarantine, now) = (quarantine(0), Now::new(0, 1_000_000_000));
     let (attempt, target) = (RequestId(1), address(0));
     let mut out = Vec::new();
-    quarantine.handle(now, QuarantineInput::Enter { attempt, fingerprint: 7, target }, &mut out);
-    quarantine.handle(now, QuarantineInput::Left { attempt, how: Left::Lost }, &mut out);
+    quarantine.handle(now, QuarantineInput::Admit { attempt, fingerprint: 7, target }, &mut out);
+    quarantine.handle(
+        now,
+        QuarantineInput::Ended { attempt, outcome: AttemptOutcome::ConnectionLost },
+        &mut out,
+    );
     quarantine.handle(now, QuarantineInput::Probed { target, refused: false }, &mut out);
-    assert!(out.contains(&QuarantineAction::Settled { attempt }), "{out:?}");
-    assert!(!quarantine.suspects_any());
+    assert!(out.contains(&QuarantineAction::LossResolved { attempt }), "{out:?}");
+    assert!(!quarantine.has_suspects());
 }
 
 /// A crashing and a harmless request have both lost their target, and both are retried at the next. If they ran there
@@ -265,12 +281,12 @@
     let (mut quarantine, mut now) = (quarantine(0), Now::new(0, 1_000_000_000));
     kill(&mut quarantine, &mut now, 1, 7);
     kill(&mut quarantine, &mut now, 2, 8);
-    let enter = |number: u64, fingerprint: u64, target: usize| QuarantineInput::Enter {
+    let enter = |number: u64, fingerprint: u64, target: usize| QuarantineInput::Admit {
         attempt: RequestId(number),
         fingerprint,
         target: address(target),
     };
-    let go = |number: u64| QuarantineAction::Go { attempt: RequestId(number) };
+    let go = |number: u64| QuarantineAction::Dispatch { attempt: RequestId(number) };
     let mut out = Vec::new();
     quarantine.handle(now, enter(3, 7, 1), &mut out);
     quarantine.handle(now, enter(4, 8, 1), &mut out);
@@ -278,7 +294,7 @@
     quarantine.handle(now, enter(6, 9, 1), &mut out);
     assert_eq!(out, [go(3), go(5), go(6)]);
     out.clear();
-    let left = QuarantineInput::Left { attempt: RequestId(3), how: Left::Otherwise };
+    let left = QuarantineInput::Ended { attempt: RequestId(3), outcome: AttemptOutcome::Other };
     quarantine.handle(now, left, &mut out);
     assert_eq!(out, [go(4)]);
 }
@@ -293,7 +309,7 @@
     quarantine.handle(now, QuarantineInput::Lift { fingerprint: 7 }, &mut Vec::new());
     assert!(!is_refused(&mut quarantine, now, 7));
     let late = Suspect { fingerprint: 7, deaths: 2, lifted: false };
-    quarantine.handle(now, QuarantineInput::Told(late), &mut Vec::new());
+    quarantine.handle(now, QuarantineInput::PeerReport(late), &mut Vec::new());
     assert!(!is_refused(&mut quarantine, now, 7));
 }
 
@@ -314,7 +330,7 @@
     assert!(is_refused(&mut quarantine, now, 7));
     now.unix_ms += quarantine_ms + 1;
     quarantine.handle(now, QuarantineInput::Tick, &mut Vec::new());
-    assert!(!quarantine.suspects_any());
+    assert!(!quarantine.has_suspects());
 }
 
 /// A gateway was restarted, or isolated from its peers; it must not send a quarantined request to the targets.
--- a/crates/samphiredoor-gateway/src/peers/mod.rs
+++ b/crates/samphiredoor-gateway/src/peers/mod.rs
@@ -1,8 +1,9 @@
-//! Other gateways: how they find each other, and what they tell each other all the time.
+//! Discovery of the other gateways (peers), and the state that gateways exchange.
 //!
-//! Each gateway registers its address in the store and follows the others' entries. Its state goes as datagrams to the
-//! gateways of its cell, and to those whose targets it uses; of all others it hears sums, cell by cell. Everything here is
-//! a hint; a datagram that is lost is made good by the next one.
+//! Each gateway registers its address in the store and watches the entries of the others. It sends its state as UDP
+//! datagrams to the gateways of its cell (see [`samphiredoor_core::placement::Cells`]) and of the cells whose targets
+//! it uses; of all other cells it receives summaries. All of this is advisory: a lost datagram is superseded by the
+//! next one, and the store remains authoritative.
 
 mod cell_statuses;
 mod datagram;
@@ -31,19 +32,19 @@
 pub use summary_sender::SummarySender;
 pub use watch_relay::WatchRelay;
 
-/// How long the store may be silent before others are told that this process does not reach it. They may take its jobs
-/// from then on, so it holds its runs back from then on as well.
+/// How long the store has to be lost before this process reports to its peers that it does not reach it. From then on
+/// they may take over its jobs, so this process holds its own runs back from then on as well.
 pub const STORE_LOST_AFTER: Duration = Duration::from_millis(1_000);
 
-/// This process, as others know it.
+/// Identity, location and address of this process, as its peers see them.
 #[derive(Debug, Clone)]
 pub struct LocalGateway {
-    /// Name.
+    /// Name under which it is registered in the store.
     pub name: Name,
-    /// Which start.
+    /// Number of this start of the process; a restart has a higher one.
     pub incarnation: u64,
-    /// Where it stands.
+    /// Region and availability zone.
     pub location: Location,
-    /// Where it listens for others.
+    /// Address for calls and datagrams of peers.
     pub address: SocketAddr,
 }
--- a/crates/samphiredoor-gateway/src/watch.rs
+++ b/crates/samphiredoor-gateway/src/watch.rs
@@ -404,7 +404,7 @@
         let Some(watch_relay) = self.watch_relay.clone() else { return RelayWatch::Unavailable };
         let Some(address) = watch_relay.relay_address() else { return RelayWatch::Unavailable };
         if self.relay.replace(address) != Some(address) {
-            log::info!(kind = self.kind.path(), peer:% = address; "store: followed through another gateway");
+            log::info!(kind = self.kind.path(), peer:% = address; "store: watched through another gateway");
         }
         let (sent, wait) = (Instant::now(), self.relay_wait);
         let watch = watch_relay.watch(address, self.kind, since, wait);
--- a/crates/samphiredoor/src/members_task.rs
+++ b/crates/samphiredoor/src/members_task.rs
@@ -5,8 +5,8 @@
 use samphiredoor_core::{
     Name,
     hints::{Hint, Origin, SeenHints, origin_name},
-    ledger::sweepers,
-    manifest_log::Holders,
+    ledger::orphan_scanners,
+    manifest_revisions::PeerConfirmation,
     membership::{
         Member, MemberState, Membership, MembershipAction, MembershipConfig, MembershipInput,
     },
@@ -83,9 +83,9 @@
         match message {
             PeerMessage::Up(up) => self.up(up),
             PeerMessage::Down { link, peer } => self.down(link, peer),
-            PeerMessage::Heartbeat { from, beat, reply } => {
-                self.input(MembershipInput::Beat { from, beat });
-                let _ = reply.send(self.membership.beat());
+            PeerMessage::Heartbeat { from, heartbeat, reply } => {
+                self.input(MembershipInput::Heartbeat { from, heartbeat });
+                let _ = reply.send(self.membership.next_heartbeat());
             }
             PeerMessage::PageAsked { after, reply } => {
                 let _ = reply.send(self.membership.page(&after));
@@ -109,7 +109,7 @@
                 self.pending.remove(peer);
             }
             MembershipInput::Leases(_) => self.listed = true,
-            MembershipInput::Revision(revision) => self.in_force(*revision),
+            MembershipInput::OwnRevision(revision) => self.in_force(*revision),
             _ => {}
         }
         let mut actions = Vec::new();
@@ -131,7 +131,9 @@
                     }
                 }
             }
-            MembershipAction::Beat { to, beat } => self.command(&to, LinkCommand::Beat(beat)),
+            MembershipAction::SendHeartbeat { to, heartbeat } => {
+                self.command(&to, LinkCommand::Heartbeat(heartbeat))
+            }
             MembershipAction::PullMembers { from } => {
                 self.command(&from, LinkCommand::PullMembers);
             }
@@ -141,13 +143,13 @@
             MembershipAction::ListLeases => {
                 compio::runtime::spawn(list_leases(Rc::clone(&self.door))).detach();
             }
-            MembershipAction::Lapsed { process, incarnation } => {
+            MembershipAction::LeaseExpired { process, incarnation } => {
                 self.lapsed(&process, incarnation);
             }
             MembershipAction::PeerRevision { from, revision } => {
                 self.pull_manifest(&from, revision);
             }
-            MembershipAction::Changed => self.publish(),
+            MembershipAction::LiveMembersChanged => self.publish(),
         }
     }
 
@@ -242,9 +244,9 @@
         }
     }
 
-    fn hold(&self, record: Arc<[u8]>, reply: flume::Sender<Holders>) {
+    fn hold(&self, record: Arc<[u8]>, reply: flume::Sender<PeerConfirmation>) {
         if self.listed && self.membership.live().count() == 1 {
-            let _ = reply.send(Holders::Sole);
+            let _ = reply.send(PeerConfirmation::NoPeers);
             return;
         }
         let (held, answers) = flume::unbounded();
@@ -254,14 +256,14 @@
         }
         drop(held);
         compio::runtime::spawn(async move {
-            let mut holders = Holders::Unconfirmed;
+            let mut confirmation = PeerConfirmation::Unconfirmed;
             while let Ok(held) = answers.recv_async().await {
                 if held {
-                    holders = Holders::Another;
+                    confirmation = PeerConfirmation::Confirmed;
                     break;
                 }
             }
-            let _ = reply.send(holders);
+            let _ = reply.send(confirmation);
         })
         .detach();
     }
@@ -269,9 +271,9 @@
     // Only those who take its jobs are told, so that the loss of many at once costs little.
     fn lapsed(&mut self, process: &Name, incarnation: u64) {
         log::info!("peers: the lease of {process} has lapsed");
-        for sweeper in sweepers(process, &self.working()) {
+        for scanner in orphan_scanners(process, &self.working()) {
             let process = Name::clone(process);
-            self.tell(sweeper, Hint::Lapsed { process, incarnation });
+            self.tell(scanner, Hint::Lapsed { process, incarnation });
         }
         self.door.jobs.lapsed(Name::clone(process), incarnation);
         self.door.orders.lapsed(Name::clone(process), incarnation);
@@ -296,10 +298,10 @@
     let input = match door.store.call(StoreOp::Get { key }).await {
         StoreAnswer::Object(stored) => match lease(&door, &stored) {
             Some(lease) => MembershipInput::Lease { process, lease: Box::new(lease) },
-            None => MembershipInput::LeaseUnread { process },
+            None => MembershipInput::LeaseReadFailed { process },
         },
-        StoreAnswer::Absent => MembershipInput::LeaseGone { process },
-        _ => MembershipInput::LeaseUnread { process },
+        StoreAnswer::Absent => MembershipInput::LeaseDeleted { process },
+        _ => MembershipInput::LeaseReadFailed { process },
     };
     door.peers.input(input);
 }
