--- a/crates/samphiredoor-core/src/keys/change.rs
+++ b/crates/samphiredoor-core/src/keys/change.rs
@@ -5,9 +5,9 @@
 use samphiredoor_schema::objects::{KeyRecord, KeyState};
 
 use super::{
-    arrival::{KeyId, KeyedRequest},
     config::KeysConfig,
     context::{Context, Effect},
+    keyed_request::{KeyId, KeyedRequest},
     record::{self, IntentId, KeptAnswer, KeyStatus, is_orphaned},
 };
 use crate::verdict::{MayHaveRunReason, Refusal, Verdict};
--- a/crates/samphiredoor-core/src/keys/context.rs
+++ b/crates/samphiredoor-core/src/keys/context.rs
@@ -3,8 +3,8 @@
 use std::{cell::Cell, collections::BTreeSet};
 
 use super::{
-    arrival::{KeyId, KeyedRequest},
     config::KeysConfig,
+    keyed_request::{KeyId, KeyedRequest},
     record::{IntentId, KeptAnswer},
 };
 use crate::{Name, store::StoreOp, time::Now, verdict::Verdict};
--- a/crates/samphiredoor-core/src/keys/messages.rs
+++ b/crates/samphiredoor-core/src/keys/messages.rs
@@ -1,6 +1,6 @@
 //! Inputs and actions of [`Keys`](super::Keys).
 
-use super::{arrival::KeyedRequest, record::KeptAnswer};
+use super::{keyed_request::KeyedRequest, record::KeptAnswer};
 use crate::{
     Name,
     dispatch::RequestId,
--- a/crates/samphiredoor-core/src/keys/mod.rs
+++ b/crates/samphiredoor-core/src/keys/mod.rs
@@ -9,10 +9,10 @@
 //! [`Keys`] is a state machine without I/O that one task owns. Each arriving request gets exactly one final action; a
 //! request that is to run ([`KeysAction::Run`]) reports its end with [`KeysInput::RunEnded`].
 
-mod arrival;
 mod change;
 mod config;
 mod context;
+mod keyed_request;
 mod messages;
 mod record;
 mod shard;
@@ -25,8 +25,8 @@
 
 use samphiredoor_schema::objects::{KeptBody, KeyRecord, KeyState};
 
-pub use arrival::{KeyId, KeyedRequest, key_id};
 pub use config::{KeysConfig, SHARDS, holder_name};
+pub use keyed_request::{KeyId, KeyedRequest, key_id};
 pub use messages::{KeyOutcome, KeysAction, KeysInput};
 pub use record::{CLOCK_MARGIN_MS, KeptAnswer};
 
@@ -38,9 +38,9 @@
     time::Now,
     verdict::{MayHaveRunReason, Refusal, Verdict},
 };
-use arrival::shard_of;
 use change::Outcome;
 use context::{Context, Effect};
+use keyed_request::shard_of;
 use record::{IntentId, decode_body, encode_body};
 use shard::Shard;
 
@@ -127,12 +127,12 @@
             KeysInput::RunEnded { request, outcome } => self.run_ended(now, request, outcome, out),
             KeysInput::Cancelled { request } => self.cancelled(now, request, out),
             KeysInput::Stored { call, answer } => self.store_answered(now, call, answer, out),
-            KeysInput::LeaseExpired { holder } => self.holder_expired(holder),
+            KeysInput::LeaseExpired { holder } => self.lease_expired(holder),
             KeysInput::Tick => self.tick(now, out),
         }
     }
 
-    fn holder_expired(&mut self, holder: Name) {
+    fn lease_expired(&mut self, holder: Name) {
         if holder != self.config.holder {
             self.expired_holders.insert(holder);
         }
--- a/crates/samphiredoor-core/src/keys/record.rs
+++ b/crates/samphiredoor-core/src/keys/record.rs
@@ -4,7 +4,7 @@
 
 use samphiredoor_schema::objects::{KeptBody, KeyRecord, KeyState};
 
-use super::{arrival::KeyedRequest, config::KeysConfig};
+use super::{config::KeysConfig, keyed_request::KeyedRequest};
 use crate::{Name, time::Now, verdict::MayHaveRunReason};
 
 /// Difference between the wall clocks of two gateways up to which no key expires too early.
--- a/crates/samphiredoor-core/src/keys/shard.rs
+++ b/crates/samphiredoor-core/src/keys/shard.rs
@@ -9,11 +9,11 @@
 use samphiredoor_schema::objects::{KeyRecord, KeyShard, KeyState};
 
 use super::{
-    arrival::{KeyId, KeyedRequest},
     change::{
         Change, Intent, Outcome, committed, key_reused, reconcile, refuse, respond, withdrawn,
     },
     context::{Context, Effect},
+    keyed_request::{KeyId, KeyedRequest},
     record::{self, IntentId, KeptAnswer, KeyStatus, is_expired, is_orphaned},
 };
 use crate::{
--- a/crates/samphiredoor-core/src/quarantine/mod.rs
+++ b/crates/samphiredoor-core/src/quarantine/mod.rs
@@ -104,8 +104,8 @@
                 self.attempt_ended(now, attempt, outcome, out)
             }
             QuarantineInput::Probed { target, refused } => self.probed(now, target, refused, out),
-            QuarantineInput::PeerReport(told) => {
-                let change = self.suspects.apply_report(now, told, self.last_seq);
+            QuarantineInput::PeerReport(report) => {
+                let change = self.suspects.apply_report(now, report, self.last_seq);
                 self.publish_change(now, change, false, out);
             }
             QuarantineInput::Lift { fingerprint } => {
--- a/crates/samphiredoor-core/tests/keys.rs
+++ b/crates/samphiredoor-core/tests/keys.rs
@@ -32,7 +32,7 @@
     Finish { which: usize, end: RunEnd },
     Cancel { which: usize },
     Crash { gateway: usize },
-    ExpireHolder { gateway: usize, of: usize },
+    ExpireLease { gateway: usize, of: usize },
     Wait { ms: u64 },
 }
 
@@ -81,7 +81,7 @@
         1 => (0..8usize).prop_map(|which| Step::Cancel { which }),
         1 => (0..GATEWAYS).prop_map(|gateway| Step::Crash { gateway }),
         1 => (0..GATEWAYS, 0..GATEWAYS)
-            .prop_map(|(gateway, of)| Step::ExpireHolder { gateway, of }),
+            .prop_map(|(gateway, of)| Step::ExpireLease { gateway, of }),
         2 => (1..2_000u64).prop_map(|ms| Step::Wait { ms }),
     ]
 }
@@ -220,7 +220,7 @@
                 self.running.retain(|it| !lost(it));
                 Ok(())
             }
-            Step::ExpireHolder { gateway, of } => {
+            Step::ExpireLease { gateway, of } => {
                 let holder = self.gateways[of].holder.clone();
                 self.input(gateway, KeysInput::LeaseExpired { holder })
             }
--- a/crates/samphiredoor-core/tests/quarantine.rs
+++ b/crates/samphiredoor-core/tests/quarantine.rs
@@ -225,8 +225,8 @@
         }
         prop_assert!(world.refused.iter().all(|it| *it == CRASHING), "{:?}", world.refused);
         prop_assert_eq!(world.deaths, 2);
-        let left: Vec<u64> = world.gateways[0].suspects().map(|it| it.fingerprint).collect();
-        prop_assert_eq!(left, vec![CRASHING]);
+        let remembered: Vec<u64> = world.gateways[0].suspects().map(|it| it.fingerprint).collect();
+        prop_assert_eq!(remembered, vec![CRASHING]);
         Ok(())
     });
     if let Err(err) = checked {
@@ -281,22 +281,22 @@
     let (mut quarantine, mut now) = (quarantine(0), Now::new(0, 1_000_000_000));
     kill(&mut quarantine, &mut now, 1, 7);
     kill(&mut quarantine, &mut now, 2, 8);
-    let enter = |number: u64, fingerprint: u64, target: usize| QuarantineInput::Admit {
+    let admit = |number: u64, fingerprint: u64, target: usize| QuarantineInput::Admit {
         attempt: RequestId(number),
         fingerprint,
         target: address(target),
     };
-    let go = |number: u64| QuarantineAction::Dispatch { attempt: RequestId(number) };
+    let dispatch = |number: u64| QuarantineAction::Dispatch { attempt: RequestId(number) };
     let mut out = Vec::new();
-    quarantine.handle(now, enter(3, 7, 1), &mut out);
-    quarantine.handle(now, enter(4, 8, 1), &mut out);
-    quarantine.handle(now, enter(5, 8, 2), &mut out);
-    quarantine.handle(now, enter(6, 9, 1), &mut out);
-    assert_eq!(out, [go(3), go(5), go(6)]);
+    quarantine.handle(now, admit(3, 7, 1), &mut out);
+    quarantine.handle(now, admit(4, 8, 1), &mut out);
+    quarantine.handle(now, admit(5, 8, 2), &mut out);
+    quarantine.handle(now, admit(6, 9, 1), &mut out);
+    assert_eq!(out, [dispatch(3), dispatch(5), dispatch(6)]);
     out.clear();
-    let left = QuarantineInput::Ended { attempt: RequestId(3), outcome: AttemptOutcome::Other };
-    quarantine.handle(now, left, &mut out);
-    assert_eq!(out, [go(4)]);
+    let ended = QuarantineInput::Ended { attempt: RequestId(3), outcome: AttemptOutcome::Other };
+    quarantine.handle(now, ended, &mut out);
+    assert_eq!(out, [dispatch(4)]);
 }
 
 /// An owner has repaired the target and lifts the quarantine; a peer's delayed report must not restore it.
@@ -308,8 +308,8 @@
     assert!(is_refused(&mut quarantine, now, 7));
     quarantine.handle(now, QuarantineInput::Lift { fingerprint: 7 }, &mut Vec::new());
     assert!(!is_refused(&mut quarantine, now, 7));
-    let late = Suspect { fingerprint: 7, deaths: 2, lifted: false };
-    quarantine.handle(now, QuarantineInput::PeerReport(late), &mut Vec::new());
+    let outdated = Suspect { fingerprint: 7, deaths: 2, lifted: false };
+    quarantine.handle(now, QuarantineInput::PeerReport(outdated), &mut Vec::new());
     assert!(!is_refused(&mut quarantine, now, 7));
 }
 
