--- a/crates/samphiredoor/src/answers.rs
+++ b/crates/samphiredoor/src/answers.rs
@@ -1,4 +1,4 @@
-//! Answers of the doors themselves, as opposed to those of targets.
+//! Answers that the gateway itself generates, as opposed to answers forwarded from targets.
 
 use hyper::{Response, StatusCode, header};
 use samphiredoor_core::verdict::{MayHaveRunReason, Refusal, Verdict};
@@ -6,12 +6,12 @@
 use serde::Serialize;
 use serde_json::json;
 
-/// Answer with a JSON body.
-pub fn json_answer<T: Serialize>(status: StatusCode, value: &T) -> Response<Body> {
+/// Response with a JSON body.
+pub fn json_response<T: Serialize>(status: StatusCode, value: &T) -> Response<Body> {
     answers::json(status, serde_json::to_vec(value).unwrap_or_default())
 }
 
-/// Answer to a request that is malformed; `field` names the place.
+/// Answer to a malformed request; `field` names the header, field or line that is wrong.
 pub fn bad_request(field: &str, problem: &str) -> Response<Body> {
     let value = json!({
         "error": {
@@ -21,23 +21,23 @@
             "ran": "not run",
         }
     });
-    json_answer(StatusCode::BAD_REQUEST, &value)
+    json_response(StatusCode::BAD_REQUEST, &value)
 }
 
 /// Answer for a path or object that does not exist.
 pub fn not_found(what: &str) -> Response<Body> {
     let value = json!({ "error": { "type": "not_found", "message": what, "ran": "not run" } });
-    json_answer(StatusCode::NOT_FOUND, &value)
+    json_response(StatusCode::NOT_FOUND, &value)
 }
 
-/// Answer to a request that got none from a target.
+/// Answer to a request that got no answer from a target.
 ///
-/// The verdict goes along in the answer's extensions, for whoever records what came of the request.
-pub fn verdict_answer(verdict: Verdict) -> Response<Body> {
+/// The response's extensions hold the verdict, so that the outcome of a keyed request can be recorded.
+pub fn verdict_response(verdict: Verdict) -> Response<Body> {
     let mut response = match verdict {
         Verdict::NotRun { retry_after_ms, reason } => not_run(retry_after_ms, reason),
         Verdict::MayHaveRun { reason } => may_have_run(reason),
-        Verdict::Done => json_answer(StatusCode::OK, &json!({})),
+        Verdict::Done => json_response(StatusCode::OK, &json!({})),
     };
     response.extensions_mut().insert(verdict);
     response
@@ -57,7 +57,7 @@
         Verdict::MayHaveRun { reason } => json!({
             "error": {
                 "type": reason.label(),
-                "message": doubt_message(reason),
+                "message": may_have_run_message(reason),
                 "ran": "may have run",
             }
         }),
@@ -67,7 +67,7 @@
 
 fn not_run(retry_after_ms: u64, reason: Refusal) -> Response<Body> {
     let verdict = Verdict::NotRun { retry_after_ms, reason };
-    let mut response = json_answer(refusal_status(reason), &verdict_json(verdict));
+    let mut response = json_response(refusal_status(reason), &verdict_json(verdict));
     if retry_after_ms > 0 {
         let seconds = retry_after_ms.div_ceil(1_000);
         if let Ok(value) = header::HeaderValue::from_str(&seconds.to_string()) {
@@ -88,7 +88,7 @@
         | MayHaveRunReason::IntentWithoutOutcome
         | MayHaveRunReason::AnswerNotKept => StatusCode::BAD_GATEWAY,
     };
-    let mut response = json_answer(status, &verdict_json(Verdict::MayHaveRun { reason }));
+    let mut response = json_response(status, &verdict_json(Verdict::MayHaveRun { reason }));
     if matches!(reason, MayHaveRunReason::StillRunning | MayHaveRunReason::StoreAnswerLost) {
         let soon = header::HeaderValue::from_static("1");
         response.headers_mut().insert(header::RETRY_AFTER, soon);
@@ -118,33 +118,37 @@
     match reason {
         Refusal::BadRequest => "the request is malformed",
         Refusal::UnknownService => "no such service is declared; check the model or path",
-        Refusal::NoTarget => "no target of the service takes work now",
-        Refusal::Overloaded => "all targets are busy; come back after the time given",
-        Refusal::WorkspaceLimit => "the workspace is at its own limit",
+        Refusal::NoTarget => "no target of the service accepts requests now",
+        Refusal::Overloaded => "all targets are busy; retry after the given time",
+        Refusal::WorkspaceLimit => "the workspace has reached its limit",
         Refusal::DeadlineTooShort => "the answer would come after the deadline",
-        Refusal::ConnectFailed => "no target could be connected to",
+        Refusal::ConnectFailed => "no target accepted a connection",
         Refusal::StoreUnavailable => {
-            "the object store is not reachable; this sending was not run, an earlier one under the same key may have been"
+            "the object store is unreachable; this request was not run, an earlier one with the same key may have been"
         }
         Refusal::Quarantined => "the request is suspected of crashing targets; ask their owner",
-        Refusal::KeyReused => "the idempotency key stands for another request",
-        Refusal::KeysFull => "there is no room to remember another idempotency key",
-        Refusal::Stopping => "this process is stopping; send again",
+        Refusal::KeyReused => "the idempotency key was used for another request",
+        Refusal::KeysFull => "no more idempotency keys can be stored now",
+        Refusal::Stopping => "this process is stopping; send the request again",
         Refusal::NotReady => "this process has no configuration yet",
     }
 }
 
-fn doubt_message(reason: MayHaveRunReason) -> &'static str {
+fn may_have_run_message(reason: MayHaveRunReason) -> &'static str {
     match reason {
-        MayHaveRunReason::ConnectionLost => "the target was lost before it answered",
-        MayHaveRunReason::AnswerCut => "the target's answer was cut",
+        MayHaveRunReason::ConnectionLost => {
+            "the connection to the target was lost before it answered"
+        }
+        MayHaveRunReason::AnswerCut => "the target's answer was cut off",
         MayHaveRunReason::DeadlinePassed => "the deadline passed before the answer came",
-        MayHaveRunReason::IntentWithoutOutcome => "an earlier run of this request left no outcome",
+        MayHaveRunReason::IntentWithoutOutcome => {
+            "an earlier run of this request has no recorded outcome"
+        }
         MayHaveRunReason::StoreAnswerLost => {
             "the object store did not answer; sending again is safe"
         }
         MayHaveRunReason::StillRunning => "the same request is running; send again for its answer",
-        MayHaveRunReason::AnswerNotKept => "the request ran; its answer was too large to be kept",
+        MayHaveRunReason::AnswerNotKept => "the request ran; its answer was too large to be stored",
         MayHaveRunReason::TargetsDied => "targets died while the request ran; do not send it again",
     }
 }
--- a/crates/samphiredoor/src/job_control.rs
+++ b/crates/samphiredoor/src/job_control.rs
@@ -1,4 +1,4 @@
-//! Cancelling and removing batch jobs, from any door.
+//! Cancels and deletes batch jobs, on any gateway.
 
 use std::rc::Rc;
 
@@ -15,13 +15,13 @@
 use serde_json::json;
 
 use crate::{
-    answers::{json_answer, not_found, verdict_answer},
+    answers::{json_response, not_found, verdict_response},
     door::Door,
     job_reads::{chunk_results, header_json, read_header, unreadable},
-    jobs::store_refusal,
+    jobs::store_unavailable,
 };
 
-/// Cancels a job; the answer says how far it came, or that it had finished before.
+/// Cancels a job. The answer holds its progress, or reports that it had finished before.
 pub async fn cancel(door: &Rc<Door>, job: &str) -> Response<Body> {
     let job: JobId = job.into();
     let mut cancellation = Cancellation::new(job.clone());
@@ -30,29 +30,29 @@
         match step {
             CancelStep::Store(op) => step = cancellation.handle_answer(door.store.call(op).await),
             CancelStep::Cancelled { header } => {
-                log::info!("jobs: {job} is cancelled");
+                log::info!("jobs: {job} cancelled");
                 door.jobs.cancel_hint(job.clone());
                 let owner: Name = header.owner.process.as_str().into();
                 door.peers.tell(owner, Hint::Cancelled(job.clone()));
-                return json_answer(StatusCode::OK, &header_json(&job, &header));
+                return json_response(StatusCode::OK, &header_json(&job, &header));
             }
             CancelStep::Finished { header } => {
                 let mut value = header_json(&job, &header);
                 value["error"] = json!("the job had finished before");
-                return json_answer(StatusCode::CONFLICT, &value);
+                return json_response(StatusCode::CONFLICT, &value);
             }
             CancelStep::Absent => return not_found("no such job"),
             CancelStep::Unreadable => return unreadable(),
-            CancelStep::NotCancelled => return store_refusal(),
+            CancelStep::NotCancelled => return store_unavailable(),
             CancelStep::MayBeCancelled => {
                 let reason = MayHaveRunReason::StoreAnswerLost;
-                return verdict_answer(Verdict::MayHaveRun { reason });
+                return verdict_response(Verdict::MayHaveRun { reason });
             }
         }
     }
 }
 
-/// Removes a job that has ended, with its results.
+/// Deletes a job that has ended, with its results.
 pub async fn remove(door: Rc<Door>, job: &str) -> Response<Body> {
     let job: JobId = job.into();
     let (header, version) = match read_header(&door, &job).await {
@@ -62,9 +62,9 @@
     if !matches!(header.state, JobState::Cancelled | JobState::Finished) {
         let mut value = header_json(&job, &header);
         value["error"] = json!("the job has not ended; cancel it first");
-        return json_answer(StatusCode::CONFLICT, &value);
+        return json_response(StatusCode::CONFLICT, &value);
     }
-    // The names of the bodies stand in the results, so they are read before anything is removed.
+    // The results contain the names of the large bodies, so they are read before anything is deleted.
     let bodies = match body_names(&door, &header).await {
         Ok(bodies) => bodies,
         Err(answer) => return answer,
@@ -73,11 +73,11 @@
     match door.store.call(op).await {
         StoreAnswer::Deleted => {}
         StoreAnswer::Absent => return not_found("no such job"),
-        _ => return store_refusal(),
+        _ => return store_unavailable(),
     }
-    log::info!("jobs: {job} is removed");
-    compio::runtime::spawn(remove_parts(door, header, bodies)).detach();
-    json_answer(StatusCode::OK, &json!({ "id": &*job, "deleted": true }))
+    log::info!("jobs: {job} deleted");
+    compio::runtime::spawn(remove_objects(door, header, bodies)).detach();
+    json_response(StatusCode::OK, &json!({ "id": &*job, "deleted": true }))
 }
 
 async fn body_names(door: &Door, header: &JobHeader) -> Result<Vec<String>, Response<Body>> {
@@ -90,7 +90,7 @@
     Ok(names)
 }
 
-async fn remove_parts(door: Rc<Door>, header: JobHeader, bodies: Vec<String>) {
+async fn remove_objects(door: Rc<Door>, header: JobHeader, bodies: Vec<String>) {
     let bodies = bodies.into_iter().map(|it| ObjectKey::new(Kind::Results, it));
     let chunks = (0..header.chunks)
         .flat_map(|it| [results_key(&header.upload, it), chunk_key(&header.upload, it)]);
--- a/crates/samphiredoor/src/job_reads.rs
+++ b/crates/samphiredoor/src/job_reads.rs
@@ -1,4 +1,4 @@
-//! Status and results of batch jobs, read from the store by any door, also while another one works on the job.
+//! Status and results of batch jobs. Any gateway reads them from the store, also while a peer works on the job.
 
 use std::rc::Rc;
 
@@ -14,18 +14,19 @@
 use serde_json::{Value, json};
 
 use crate::{
-    answers::{bad_request, json_answer, not_found},
+    answers::{bad_request, json_response, not_found},
     door::Door,
-    jobs::store_refusal,
+    jobs::store_unavailable,
 };
 
-/// Prefix of the objects that hold large bodies.
+/// Prefix of the names of objects that hold large result bodies.
 pub const BODY_PREFIX: &str = "body-";
 const RESULT_CHUNKS_PER_PAGE: u32 = 4;
-/// Chunks behind the last checkpoint of a job that another door works on whose results are counted for its status.
-const COUNTED_CHUNKS: u32 = 4;
+/// For the status of a job that a peer works on, the results of at most this many chunks after the header's last
+/// checkpoint are counted.
+const MAX_COUNTED_CHUNKS: u32 = 4;
 
-/// Status of a job. Where another door works on it the counts are "at least".
+/// Status of a job. While a peer works on the job, the counts are lower bounds.
 pub async fn status(door: Rc<Door>, job: &str) -> Response<Body> {
     let job: JobId = job.into();
     let (header, _) = match read_header(&door, &job).await {
@@ -39,7 +40,7 @@
         value["request_counts"]["completed"] = json!(completed);
         value["request_counts"]["failed"] = json!(failed);
     }
-    json_answer(StatusCode::OK, &value)
+    json_response(StatusCode::OK, &value)
 }
 
 async fn counts(door: &Door, job: &JobId, header: &JobHeader) -> (u32, u32) {
@@ -47,7 +48,7 @@
         return (progress.completed, progress.failed);
     }
     let (mut completed, mut failed) = (header.completed, header.failed);
-    let last = header.opened_chunks.min(header.done_chunks.saturating_add(COUNTED_CHUNKS));
+    let last = header.opened_chunks.min(header.done_chunks.saturating_add(MAX_COUNTED_CHUNKS));
     for chunk in header.done_chunks..last {
         let Ok(Some(read)) = chunk_results(door, header, chunk).await else { break };
         let answered = read.results.values().filter(|it| it.status < 300 && it.status >= 200);
@@ -58,9 +59,10 @@
     (completed, failed)
 }
 
-/// One page of results, as JSON lines; readable while the job runs.
+/// One page of results as JSON lines; available while the job runs.
 ///
-/// `x-after-chunk` names where the next page begins; `x-partial` says that more results of this page are to come.
+/// `x-after-chunk` is the `after_chunk` of the next page; `x-partial` means that this page does not have all its
+/// results yet.
 pub async fn results(door: Rc<Door>, job: &str, query: &str) -> Response<Body> {
     let job: JobId = job.into();
     let (header, _) = match read_header(&door, &job).await {
@@ -71,7 +73,7 @@
     let first = match after.map(str::parse::<u32>) {
         None => 0,
         Some(Ok(after)) => after.saturating_add(1),
-        Some(Err(_)) => return bad_request("after_chunk", "is no number"),
+        Some(Err(_)) => return bad_request("after_chunk", "is not a number"),
     };
     let end = header.chunks.min(first.saturating_add(RESULT_CHUNKS_PER_PAGE));
     let mut lines = Vec::new();
@@ -98,19 +100,19 @@
     response
 }
 
-/// Body of one result that was too large to stand among the others.
-pub async fn body(door: Rc<Door>, name: &str) -> Response<Body> {
+/// Body of one result that was too large to be stored with the other results of its chunk.
+pub async fn large_body(door: Rc<Door>, name: &str) -> Response<Body> {
     if !name.starts_with(BODY_PREFIX) {
         return not_found("no such body");
     }
     match door.store.call(StoreOp::Get { key: ObjectKey::new(Kind::Results, name) }).await {
         StoreAnswer::Object(stored) => answers::json(StatusCode::OK, stored.value.to_vec()),
         StoreAnswer::Absent => not_found("no such body"),
-        _ => store_refusal(),
+        _ => store_unavailable(),
     }
 }
 
-/// Results of one chunk, if they stand and can be read.
+/// Results of one chunk; `None` if there are none or they are unreadable.
 pub async fn chunk_results(
     door: &Door,
     header: &JobHeader,
@@ -122,12 +124,12 @@
             Ok(read) => Ok(Some(read)),
             Err(fault) => {
                 door.metrics.unreadable(fault);
-                log::error!("jobs: results {} are refused: {fault}", key.name);
+                log::error!("jobs: results {} are unreadable: {fault}", key.name);
                 Ok(None)
             }
         },
         StoreAnswer::Absent => Ok(None),
-        _ => Err(store_refusal()),
+        _ => Err(store_unavailable()),
     }
 }
 
@@ -152,35 +154,35 @@
     Some(format!("/v1/batches/{job}/bodies/{name}"))
 }
 
-/// Reads a job's header.
+/// Reads the header of a job.
 ///
 /// # Errors
 ///
-/// The answer to the caller: there is none, it cannot be read, or the store is down.
+/// Returns the answer to the caller if there is no such job, its header is unreadable, or the store is unavailable.
 pub async fn read_header(door: &Door, job: &JobId) -> Result<(JobHeader, Version), Response<Body>> {
     match door.store.call(StoreOp::Get { key: header_key(job) }).await {
         StoreAnswer::Object(stored) => match parse_header(&stored.value) {
             Ok(header) => Ok((header, stored.version)),
             Err(fault) => {
                 door.metrics.unreadable(fault);
-                log::error!("jobs: header {job} is refused: {fault}");
+                log::error!("jobs: header {job} is unreadable: {fault}");
                 Err(unreadable())
             }
         },
         StoreAnswer::Absent => Err(not_found("no such job")),
-        _ => Err(store_refusal()),
+        _ => Err(store_unavailable()),
     }
 }
 
-/// Answer where a job's header stands and cannot be read.
+/// Answer for a job whose stored header is unreadable.
 pub fn unreadable() -> Response<Body> {
     let value = json!({
         "error": { "type": "unreadable", "message": "the job's header cannot be read; ask the operators" }
     });
-    json_answer(StatusCode::INTERNAL_SERVER_ERROR, &value)
+    json_response(StatusCode::INTERNAL_SERVER_ERROR, &value)
 }
 
-/// A job as callers see it.
+/// JSON object that describes a job to callers.
 pub fn header_json(job: &JobId, header: &JobHeader) -> Value {
     let status = match header.state {
         JobState::Running => "in_progress",
--- a/crates/samphiredoor/src/keyed.rs
+++ b/crates/samphiredoor/src/keyed.rs
@@ -1,7 +1,8 @@
-//! One online request under an idempotency key: it runs at most once, and a resend gets the first answer.
+//! Handles an online request with an idempotency key: it runs at most once, and a resend gets the first answer.
 //!
-//! The run goes on when its caller goes away, so that the answer is there for the resend. A streamed answer is passed
-//! on as it comes and kept once it is complete; its run ends with its caller, and then counts as one that may have run.
+//! The run continues if its caller disconnects, so that the answer is available for the resend. A streamed answer is
+//! forwarded as it arrives and stored once it is complete; its run ends if the caller disconnects, and is then recorded
+//! as one that may have run.
 
 use std::{sync::Arc, time::Instant};
 
@@ -17,23 +18,23 @@
 use samphiredoor_net::{Body, BoxError, pool::within};
 
 use crate::{
-    answers::{bad_request, verdict_answer},
-    ask::{KEY_HEADER, header_text},
-    keys_task::{KeyDecision, KeyTicket},
-    online::Online,
+    answers::{bad_request, verdict_response},
+    keys_task::{KeyDecision, KeyedRequestHandle},
+    online::OnlineRequest,
+    request_spec::{KEY_HEADER, header_text},
     stream_end::StreamEnd,
     targets::Call,
 };
 
 const MAX_KEY_BYTES: usize = 256;
-/// Header of an answer that was kept from an earlier sending.
+/// Header that marks an answer stored from an earlier send of the same request.
 pub const REPLAYED_HEADER: &str = "x-replayed";
 
-/// The caller's key, if it sent one.
+/// The caller's idempotency key, if it sent one.
 ///
 /// # Errors
 ///
-/// An answer that says what is wrong with the key.
+/// Returns the answer to the caller if the key is invalid.
 pub fn caller_key(headers: &HeaderMap) -> Result<Option<Name>, Response<Body>> {
     if !headers.contains_key(KEY_HEADER) {
         return Ok(None);
@@ -44,28 +45,28 @@
     }
 }
 
-/// Answers a request under a key.
-pub async fn answer(mut online: Online, mut ask: RequestSpec, key: Name) -> Response<Body> {
-    // A run that outlived the memory of its key could meet a second one.
-    let longest = online.door.config.remember_keys / 2;
-    online.deadline = online.deadline.min(Instant::now() + longest);
-    // A keyed request is never sent to a second target after doubt, also where its service may be called again.
-    ask.repeatable = false;
-    let arrival = KeyedRequest {
-        request: ask.request,
-        key: key_id(&ask.workspace, &key),
-        digest: digest(&ask.service, &online.call),
+/// Answers a request with an idempotency key.
+pub async fn answer(mut online: OnlineRequest, mut spec: RequestSpec, key: Name) -> Response<Body> {
+    // A run must end before its key is forgotten; otherwise a resend could start a second one.
+    let max_run = online.door.config.remember_keys / 2;
+    online.deadline = online.deadline.min(Instant::now() + max_run);
+    // A keyed request that may have run is never sent to a second target, even if its service allows repeated calls.
+    spec.repeatable = false;
+    let request = KeyedRequest {
+        request: spec.request,
+        key: key_id(&spec.workspace, &key),
+        digest: digest(&spec.service, &online.call),
         deadline_unix_ms: online.door.clock.now().unix_ms + online.time_left().as_millis() as u64,
     };
-    let mut ticket = online.door.keys.arrive(arrival);
-    let mut joined = false;
+    let mut handle = online.door.keys.submit(request);
+    let mut is_joined = false;
     loop {
-        match within(online.time_left(), ticket.decision()).await {
-            Some(KeyDecision::Run) => return run(online, ask, ticket).await,
-            Some(KeyDecision::Joined) => joined = true,
+        match within(online.time_left(), handle.decision()).await {
+            Some(KeyDecision::Run) => return run(online, spec, handle).await,
+            Some(KeyDecision::Joined) => is_joined = true,
             Some(KeyDecision::Replay(answer)) => return replay(&online, answer),
             Some(KeyDecision::Refused(verdict)) => return online.refused(verdict),
-            None if joined => {
+            None if is_joined => {
                 let reason = MayHaveRunReason::StillRunning;
                 return online.refused(Verdict::MayHaveRun { reason });
             }
@@ -89,27 +90,33 @@
     Arc::from(&hasher.finalize().to_hex()[..32])
 }
 
-/// Runs in a task of its own: the caller may go away, the run and its record go on.
-async fn run(online: Online, ask: RequestSpec, ticket: KeyTicket) -> Response<Body> {
+/// Runs the request in a task of its own, so that the run is completed and recorded even if the caller disconnects.
+async fn run(
+    online: OnlineRequest,
+    spec: RequestSpec,
+    handle: KeyedRequestHandle,
+) -> Response<Body> {
     let (sender, receiver) = oneshot::channel();
     compio::runtime::spawn(async move {
-        let response = record(online.run(ask).await, ticket);
+        let response = record(online.run(spec).await, handle);
         let _ = sender.send(response);
     })
     .detach();
     match receiver.await {
         Ok(response) => response,
-        Err(_) => verdict_answer(Verdict::MayHaveRun { reason: MayHaveRunReason::ConnectionLost }),
+        Err(_) => {
+            verdict_response(Verdict::MayHaveRun { reason: MayHaveRunReason::ConnectionLost })
+        }
     }
 }
 
-fn record(response: Response<Body>, ticket: KeyTicket) -> Response<Body> {
+fn record(response: Response<Body>, handle: KeyedRequestHandle) -> Response<Body> {
     if let Some(verdict) = response.extensions().get::<Verdict>() {
         match *verdict {
             Verdict::NotRun { retry_after_ms, reason } => {
-                ticket.ended(KeyOutcome::NotRun { retry_after_ms, reason });
+                handle.ended(KeyOutcome::NotRun { retry_after_ms, reason });
             }
-            Verdict::MayHaveRun { reason } => ticket.ended(KeyOutcome::MayHaveRun(reason)),
+            Verdict::MayHaveRun { reason } => handle.ended(KeyOutcome::MayHaveRun(reason)),
             Verdict::Done => {}
         }
         return response;
@@ -125,10 +132,10 @@
         Body::Full(content) => {
             let bytes = content.clone().unwrap_or_default();
             kept.body = (bytes.len() <= MAX_BODY_BYTES).then(|| bytes.as_ref().into());
-            ticket.ended(KeyOutcome::Answered(kept));
+            handle.ended(KeyOutcome::Answered(kept));
             Body::Full(content)
         }
-        Body::Stream(_) => record_stream(body, parts.extensions.get().cloned(), kept, ticket),
+        Body::Stream(_) => record_stream(body, parts.extensions.get().cloned(), kept, handle),
     };
     Response::from_parts(parts, body)
 }
@@ -138,11 +145,16 @@
     end: Option<StreamEnd>,
     kept: KeptAnswer,
     bytes: Vec<u8>,
-    ticket: KeyTicket,
+    handle: KeyedRequestHandle,
 }
 
-fn record_stream(body: Body, end: Option<StreamEnd>, kept: KeptAnswer, ticket: KeyTicket) -> Body {
-    let recording = Recording { body, end, kept, bytes: Vec::new(), ticket };
+fn record_stream(
+    body: Body,
+    end: Option<StreamEnd>,
+    kept: KeptAnswer,
+    handle: KeyedRequestHandle,
+) -> Body {
+    let recording = Recording { body, end, kept, bytes: Vec::new(), handle };
     Body::stream(futures_util::stream::unfold(Some(recording), Recording::next))
 }
 
@@ -154,9 +166,9 @@
         match this.body.frame().await {
             Some(Ok(frame)) => {
                 let piece = frame.into_data().unwrap_or_default();
-                // One byte above the bound is enough to know that the answer is too large.
-                let room = (MAX_BODY_BYTES + 1).saturating_sub(this.bytes.len());
-                this.bytes.extend_from_slice(&piece[..piece.len().min(room)]);
+                // One byte above the limit is enough to tell that the answer is too large.
+                let remaining = (MAX_BODY_BYTES + 1).saturating_sub(this.bytes.len());
+                this.bytes.extend_from_slice(&piece[..piece.len().min(remaining)]);
                 Some((Ok(piece), Some(this)))
             }
             Some(Err(err)) => Some((Err(err), None)),
@@ -173,19 +185,19 @@
                 if self.bytes.len() <= MAX_BODY_BYTES {
                     self.kept.body = Some(self.bytes.into());
                 }
-                self.ticket.ended(KeyOutcome::Answered(self.kept));
+                self.handle.ended(KeyOutcome::Answered(self.kept));
             }
             Some(Verdict::MayHaveRun { reason }) => {
-                self.ticket.ended(KeyOutcome::MayHaveRun(reason));
+                self.handle.ended(KeyOutcome::MayHaveRun(reason));
             }
             Some(Verdict::NotRun { .. }) | None => {
-                self.ticket.ended(KeyOutcome::MayHaveRun(MayHaveRunReason::AnswerCut));
+                self.handle.ended(KeyOutcome::MayHaveRun(MayHaveRunReason::AnswerCut));
             }
         }
     }
 }
 
-fn replay(online: &Online, answer: KeptAnswer) -> Response<Body> {
+fn replay(online: &OnlineRequest, answer: KeptAnswer) -> Response<Body> {
     let Some(body) = answer.body else {
         return online.refused(Verdict::MayHaveRun { reason: MayHaveRunReason::AnswerNotKept });
     };
--- a/crates/samphiredoor/src/keys_task.rs
+++ b/crates/samphiredoor/src/keys_task.rs
@@ -1,4 +1,5 @@
-//! The task that owns the idempotency keys, and the handles by which requests speak to it.
+//! Runs the state machine of the idempotency keys in a task of its own; requests send messages to it and receive its
+//! decisions through handles.
 
 use std::{cell::Cell, collections::HashMap, rc::Rc, time::Duration};
 
@@ -17,19 +18,19 @@
 use crate::{metrics::Metrics, store_client::StoreClient};
 
 const TICK: Duration = Duration::from_millis(100);
-const EMPTY_POLL: Duration = Duration::from_millis(20);
+const IDLE_POLL: Duration = Duration::from_millis(20);
 const STOPPING_RETRY_AFTER_MS: u64 = 1_000;
 
-/// What was decided for a request under a key.
+/// Decision on a request with an idempotency key.
 #[derive(Debug, Clone)]
 pub enum KeyDecision {
-    /// Run it and report its end.
+    /// Run the request and report its outcome.
     Run,
-    /// It shares the run in hand; another decision follows.
+    /// A run with the same key is in progress; another decision follows when it ends.
     Joined,
-    /// Answer as before.
+    /// Send the stored answer of an earlier run.
     Replay(KeptAnswer),
-    /// It ends without an answer.
+    /// The request ends without an answer from a target.
     Refused(Verdict),
 }
 
@@ -38,56 +39,56 @@
     Input(KeysInput),
 }
 
-/// Handle to the keys' task.
+/// Handle to the task of the keys.
 #[derive(Clone)]
 pub struct KeysHandle {
     messages: flume::Sender<Message>,
-    open: Rc<Cell<usize>>,
+    open_count: Rc<Cell<usize>>,
 }
 
-/// Inbox of the keys' task, before the task starts.
+/// Inbox that the task reads once it is started.
 pub struct KeysInbox(flume::Receiver<Message>);
 
 impl KeysHandle {
-    /// Handle and inbox.
+    /// Creates a handle and the inbox that it sends to.
     pub fn new() -> (KeysHandle, KeysInbox) {
         let (messages, inbox) = flume::unbounded();
-        (KeysHandle { messages, open: Rc::default() }, KeysInbox(inbox))
+        (KeysHandle { messages, open_count: Rc::default() }, KeysInbox(inbox))
     }
 
-    /// Hands over a request that arrived under a key.
-    pub fn arrive(&self, arrival: KeyedRequest) -> KeyTicket {
+    /// Submits a request that carries a key; its decisions arrive at the returned handle.
+    pub fn submit(&self, keyed: KeyedRequest) -> KeyedRequestHandle {
         let (sender, decisions) = flume::unbounded();
-        let request = arrival.request;
-        let _ = self.messages.send(Message::Arrived(arrival, sender));
-        KeyTicket { request, decisions, messages: self.messages.clone(), open: true }
+        let request = keyed.request;
+        let _ = self.messages.send(Message::Arrived(keyed, sender));
+        KeyedRequestHandle { request, decisions, messages: self.messages.clone(), open: true }
     }
 
-    /// Waits until no keyed request runs and all outcomes are written.
-    pub async fn empty(&self) {
-        while self.open.get() > 0 {
-            compio::time::sleep(EMPTY_POLL).await;
+    /// Waits until no keyed request is running and all outcomes are written to the store.
+    pub async fn wait_until_idle(&self) {
+        while self.open_count.get() > 0 {
+            compio::time::sleep(IDLE_POLL).await;
         }
     }
 
-    /// Says that the lease of a process has lapsed; a hint.
-    pub fn lapsed(&self, process: &str, incarnation: u64) {
+    /// Reports that the lease of a process has expired. This is a hint, correctness does not depend on it.
+    pub fn lease_expired(&self, process: &str, incarnation: u64) {
         let holder = holder_name(process, incarnation);
         let _ = self.messages.send(Message::Input(KeysInput::LeaseExpired { holder }));
     }
 }
 
-/// A request as the keys know it. Dropping it says that nobody waits any more; if it ran, it counts as one that may
-/// have run.
-pub struct KeyTicket {
+/// A submitted request. Dropping the handle reports that nobody waits for the answer any more; if the request was
+/// running, it is recorded as one that may have run.
+pub struct KeyedRequestHandle {
     request: RequestId,
     decisions: flume::Receiver<KeyDecision>,
     messages: flume::Sender<Message>,
     open: bool,
 }
 
-impl KeyTicket {
-    /// Waits for the next decision.
+impl KeyedRequestHandle {
+    /// Waits for the next decision; a refusal if the task has ended.
     pub async fn decision(&mut self) -> KeyDecision {
         let stopping = || {
             let (retry_after_ms, reason) = (STOPPING_RETRY_AFTER_MS, Refusal::Stopping);
@@ -98,7 +99,7 @@
         decision
     }
 
-    /// Says how the run ended.
+    /// Reports the outcome of the run.
     pub fn ended(mut self, outcome: KeyOutcome) {
         self.open = false;
         let input = KeysInput::RunEnded { request: self.request, outcome };
@@ -106,7 +107,7 @@
     }
 }
 
-impl Drop for KeyTicket {
+impl Drop for KeyedRequestHandle {
     fn drop(&mut self) {
         if self.open {
             let input = KeysInput::Cancelled { request: self.request };
@@ -115,21 +116,21 @@
     }
 }
 
-/// What the keys' task uses.
+/// Configuration and handles that the task uses.
 pub struct KeysEnv {
-    /// Bounds, and the name of this process in records.
+    /// Limits, and the name of this process in stored records.
     pub config: KeysConfig,
     /// Clock of the process.
     pub clock: Clock,
-    /// The task's own handle.
+    /// Handle to this task, which receives the store's answers.
     pub handle: KeysHandle,
-    /// The object API.
+    /// Client of the object store.
     pub store: StoreClient,
-    /// Counters.
+    /// Metrics of the process.
     pub metrics: Rc<Metrics>,
 }
 
-/// Runs the keys until the process ends.
+/// Handles messages until the process ends.
 pub async fn run(env: KeysEnv, inbox: KeysInbox) {
     let keys = Keys::new(env.config.clone());
     let mut task = Task { keys, waiting: HashMap::new(), env };
@@ -137,9 +138,9 @@
     let mut inbox = TimedInbox::new(inbox.0, TICK);
     loop {
         let input = match inbox.next().await {
-            InboxEvent::Message(Message::Arrived(arrival, reply)) => {
-                task.waiting.insert(arrival.request, reply);
-                KeysInput::Arrived(arrival)
+            InboxEvent::Message(Message::Arrived(keyed, reply)) => {
+                task.waiting.insert(keyed.request, reply);
+                KeysInput::Arrived(keyed)
             }
             InboxEvent::Message(Message::Input(input)) => input,
             InboxEvent::Closed => return,
@@ -152,7 +153,7 @@
         for action in actions.drain(..) {
             task.act(action);
         }
-        task.env.handle.open.set(task.keys.open_len());
+        task.env.handle.open_count.set(task.keys.open_len());
         task.env.metrics.keys().set_unsaved(task.keys.unsaved_len());
     }
 }
@@ -172,15 +173,15 @@
                     let _ = messages.send(Message::Input(KeysInput::Stored { call, answer }));
                 });
             }
-            KeysAction::Run { request } => self.tell(request, KeyDecision::Run),
-            KeysAction::Joined { request } => self.tell(request, KeyDecision::Joined),
+            KeysAction::Run { request } => self.reply(request, KeyDecision::Run),
+            KeysAction::Joined { request } => self.reply(request, KeyDecision::Joined),
             KeysAction::Replay { request, answer } => {
                 self.env.metrics.keys().replayed();
-                self.tell(request, KeyDecision::Replay(answer));
+                self.reply(request, KeyDecision::Replay(answer));
                 self.waiting.remove(&request);
             }
             KeysAction::Refuse { request, verdict } => {
-                self.tell(request, KeyDecision::Refused(verdict));
+                self.reply(request, KeyDecision::Refused(verdict));
                 self.waiting.remove(&request);
             }
             KeysAction::Unreadable { object } => {
@@ -190,7 +191,7 @@
         }
     }
 
-    fn tell(&self, request: RequestId, decision: KeyDecision) {
+    fn reply(&self, request: RequestId, decision: KeyDecision) {
         if let Some(reply) = self.waiting.get(&request) {
             let _ = reply.send(decision);
         }
--- a/crates/samphiredoor/src/online.rs
+++ b/crates/samphiredoor/src/online.rs
@@ -1,4 +1,4 @@
-//! One online request, from the caller's bytes to the whole answer.
+//! Handles one online request: reads it, dispatches it to targets until one answers, and returns the answer.
 
 use std::{
     net::SocketAddr,
@@ -25,119 +25,126 @@
 };
 
 use crate::{
-    answers::{bad_request, verdict_answer},
-    ask::{DEADLINE_HEADER, header_text, is_engine, make_ask, passed_headers, read_head},
-    dispatch_task::{Placement, Ticket},
+    answers::{bad_request, verdict_response},
+    dispatch_task::{Decision, RequestHandle},
     door::Door,
     keyed,
     metrics::Running,
-    passing::{Passing, next_piece},
-    quarantine_task::Pass,
+    quarantine_task::AdmittedAttempt,
     request_body::RequestBody,
-    stream_end::{DoneMark, StreamEnd},
+    request_spec::{
+        DEADLINE_HEADER, build_request_spec, forwarded_headers, header_text, is_engine,
+        read_completion_params,
+    },
+    stream_end::{DoneDetector, StreamEnd},
+    stream_forwarding::{ForwardedStream, next_piece},
     targets::Call,
 };
 
-const MAX_WHOLE_ANSWER_BYTES: usize = 16 * 1024 * 1024;
-/// Reads, places and answers one online request.
+const MAX_ANSWER_BYTES: usize = 16 * 1024 * 1024;
+
+/// Reads, dispatches and answers one online request.
 pub async fn answer(door: Rc<Door>, request: Request<Incoming>) -> Response<Body> {
     let started = Instant::now();
     let (parts, body) = request.into_parts();
     let body = RequestBody::new(body, door.config.max_body_bytes, door.config.body_timeout);
-    let body = match body.whole().await {
+    let body = match body.read_to_end().await {
         Ok(body) => body,
         Err(err) => return err.answer(),
     };
-    let head = match read_head(&parts.uri, &body) {
-        Ok(head) => head,
+    let params = match read_completion_params(&parts.uri, &body) {
+        Ok(params) => params,
         Err(problem) => return bad_request("model", &problem),
     };
     let key = match keyed::caller_key(&parts.headers) {
         Ok(key) => key,
         Err(answer) => return answer,
     };
-    let (ask, deadline) = match make_ask(&door, &parts.headers, &head, &parts.uri, &body) {
-        Ok(ask) => ask,
-        Err(answer) => return answer,
-    };
+    let (spec, deadline) =
+        match build_request_spec(&door, &parts.headers, &params, &parts.uri, &body) {
+            Ok(spec) => spec,
+            Err(answer) => return answer,
+        };
     let call = Call {
         method: parts.method,
         uri: parts.uri,
-        headers: passed_headers(&parts.headers, &door, ask.request),
+        headers: forwarded_headers(&parts.headers, &door, spec.request),
         body,
     };
     let running = door.metrics.running();
-    let is_engine = is_engine(&door, &ask.service);
-    let online = Online { door, call, is_engine, stream: head.stream, started, deadline, running };
+    let is_engine = is_engine(&door, &spec.service);
+    let online =
+        OnlineRequest { door, call, is_engine, stream: params.stream, started, deadline, running };
     match key {
-        Some(key) => keyed::answer(online, ask, key).await,
-        None => online.run(ask).await,
+        Some(key) => keyed::answer(online, spec, key).await,
+        None => online.run(spec).await,
     }
 }
 
-/// One online request with all that its attempts need.
-pub struct Online {
-    /// The door's tasks.
+/// A parsed online request with everything that its attempts need.
+pub struct OnlineRequest {
+    /// Handles to the tasks of this process.
     pub door: Rc<Door>,
-    /// Call to send.
+    /// Call that each attempt sends to a target.
     pub call: Call,
     is_engine: bool,
     stream: bool,
-    /// When it arrived.
+    /// When the request arrived.
     pub started: Instant,
-    /// When an answer is of no use any more.
+    /// When the caller stops waiting for an answer.
     pub deadline: Instant,
     running: Running,
 }
 
-/// How an attempt ended for the caller.
+/// Result of one attempt, as far as the caller gets something from it.
 enum Outcome {
-    /// With a whole answer.
-    Whole(Response<Body>, AttemptEnd),
-    /// With the beginning of a stream.
-    Begun(Box<response::Parts>, ResponseBody, Bytes),
-    /// Without anything that the caller could get.
-    Nothing(AttemptEnd),
+    /// The complete answer was read.
+    Complete(Response<Body>, AttemptEnd),
+    /// The head and the first piece of a streamed answer were read.
+    StreamStarted(Box<response::Parts>, ResponseBody, Bytes),
+    /// Nothing that could be sent to the caller.
+    NoAnswer(AttemptEnd),
 }
 
-impl Online {
-    /// Places and sends the request until it has an answer or a verdict. An answer of the door itself has its verdict
-    /// in its extensions, a stream its [`StreamEnd`].
-    pub async fn run(mut self, ask: RequestSpec) -> Response<Body> {
-        let mut ticket = self.door.dispatch.ask(ask.clone());
-        let mut doubt = None;
+impl OnlineRequest {
+    /// Dispatches and sends the request until a target answers or a verdict ends it. The extensions of the response
+    /// hold the [`Verdict`] if the gateway itself answers, and a [`StreamEnd`] if the answer is streamed.
+    pub async fn run(mut self, spec: RequestSpec) -> Response<Body> {
+        let mut handle = self.door.dispatch.submit(spec.clone());
+        let mut may_have_run = None;
         loop {
-            let address = match within(self.time_left(), ticket.placement()).await {
-                Some(Placement::Go { address }) => address,
-                Some(Placement::Abort) => continue,
-                Some(Placement::Refused(verdict)) => return self.refused(verdict),
-                None => return self.refused(out_of_time(doubt)),
+            let address = match within(self.time_left(), handle.decision()).await {
+                Some(Decision::Dispatch { address }) => address,
+                Some(Decision::Abort) => continue,
+                Some(Decision::Refused(verdict)) => return self.refused(verdict),
+                None => return self.refused(deadline_verdict(may_have_run)),
             };
-            let entered = self.door.quarantine.enter(ask.request, ask.fingerprint, address);
-            let pass = match within(self.time_left(), entered).await {
-                Some(Some(pass)) => pass,
-                Some(None) => return self.refused(quarantined(doubt)),
-                None => return self.refused(out_of_time(doubt)),
+            let admission = self.door.quarantine.admit(spec.request, spec.fingerprint, address);
+            let admitted = match within(self.time_left(), admission).await {
+                Some(Some(admitted)) => admitted,
+                Some(None) => return self.refused(quarantined_verdict(may_have_run)),
+                None => return self.refused(deadline_verdict(may_have_run)),
             };
             match self.attempt(address).await {
-                Outcome::Whole(response, end) => {
-                    pass.answered();
-                    ticket.ended(end);
-                    self.count(Verdict::Done);
+                Outcome::Complete(response, end) => {
+                    admitted.answered();
+                    handle.ended(end);
+                    self.record_verdict(Verdict::Done);
                     return response;
                 }
-                Outcome::Begun(parts, body, first) => {
-                    return self.pass_on(*parts, body, first, ticket, pass);
+                Outcome::StreamStarted(parts, body, first) => {
+                    return self.forward_stream(*parts, body, first, handle, admitted);
                 }
-                Outcome::Nothing(end) => {
+                Outcome::NoAnswer(end) => {
                     if let AttemptEnd::AnswerLost(reason) = end {
-                        doubt.get_or_insert(reason);
+                        may_have_run.get_or_insert(reason);
                         if reason.is_loss() {
-                            // Before another attempt, so that it is not sent to a second target unsuspected.
-                            pass.lost().await;
+                            // The quarantine must decide first; otherwise a request that crashes targets would be sent
+                            // to a second one before it is suspected.
+                            admitted.connection_lost().await;
                         }
                     }
-                    ticket.ended(end);
+                    handle.ended(end);
                 }
             }
         }
@@ -149,57 +156,57 @@
         let sent = self.door.targets.send(address, &self.call);
         let response = match within(self.time_left(), sent).await {
             Some(Ok(response)) => response,
-            Some(Err(SendError::NotSent(_))) => return Outcome::Nothing(AttemptEnd::NotSent),
+            Some(Err(SendError::NotSent(_))) => return Outcome::NoAnswer(AttemptEnd::NotSent),
             Some(Err(SendError::MayHaveRun(_))) => {
-                return Outcome::Nothing(AttemptEnd::AnswerLost(MayHaveRunReason::ConnectionLost));
+                return Outcome::NoAnswer(AttemptEnd::AnswerLost(MayHaveRunReason::ConnectionLost));
             }
             None => {
-                return Outcome::Nothing(AttemptEnd::AnswerLost(MayHaveRunReason::DeadlinePassed));
+                return Outcome::NoAnswer(AttemptEnd::AnswerLost(MayHaveRunReason::DeadlinePassed));
             }
         };
         let status = response.status();
         if let Some(pushback) = pushback(self.is_engine, &response) {
-            return Outcome::Nothing(pushback);
+            return Outcome::NoAnswer(pushback);
         }
         if self.stream && status.is_success() {
-            return self.begin(response).await;
+            return self.start_stream(response).await;
         }
         let end = if status.is_server_error() { AttemptEnd::Failed } else { AttemptEnd::Completed };
         match self.read_answer(response).await {
-            Ok(response) => Outcome::Whole(response, end),
-            Err(doubt) => Outcome::Nothing(AttemptEnd::AnswerLost(doubt)),
+            Ok(response) => Outcome::Complete(response, end),
+            Err(reason) => Outcome::NoAnswer(AttemptEnd::AnswerLost(reason)),
         }
     }
 
-    /// Waits for a stream's first piece. Until then nothing has reached the caller, so that a request that may run
-    /// twice can still be sent to another target.
-    async fn begin(&self, response: Response<ResponseBody>) -> Outcome {
+    /// Waits for the first piece of a stream. Nothing has reached the caller before that, so a repeatable request can
+    /// still be sent to another target.
+    async fn start_stream(&self, response: Response<ResponseBody>) -> Outcome {
         let (parts, mut body) = response.into_parts();
         match next_piece(&mut body, self.deadline).await {
-            Ok(Some(first)) => Outcome::Begun(Box::new(parts), body, first),
+            Ok(Some(first)) => Outcome::StreamStarted(Box::new(parts), body, first),
             Ok(None) if self.is_engine => {
-                Outcome::Nothing(AttemptEnd::AnswerLost(MayHaveRunReason::AnswerCut))
+                Outcome::NoAnswer(AttemptEnd::AnswerLost(MayHaveRunReason::AnswerCut))
             }
             Ok(None) => {
-                Outcome::Whole(Response::from_parts(parts, Body::empty()), AttemptEnd::Completed)
+                Outcome::Complete(Response::from_parts(parts, Body::empty()), AttemptEnd::Completed)
             }
-            Err(doubt) => Outcome::Nothing(AttemptEnd::AnswerLost(doubt)),
+            Err(reason) => Outcome::NoAnswer(AttemptEnd::AnswerLost(reason)),
         }
     }
 
-    /// Time to the deadline.
+    /// Time that is left until the deadline; zero once it has passed.
     pub fn time_left(&self) -> Duration {
         self.deadline.saturating_duration_since(Instant::now())
     }
 
-    fn count(&self, verdict: Verdict) {
+    fn record_verdict(&self, verdict: Verdict) {
         self.door.metrics.ended(Class::Online, verdict, self.started.elapsed().as_secs_f64());
     }
 
-    /// Counts a verdict and gives the answer that tells it.
+    /// Counts a verdict in the metrics and returns it as an answer to the caller.
     pub fn refused(&self, verdict: Verdict) -> Response<Body> {
-        self.count(verdict);
-        verdict_answer(verdict)
+        self.record_verdict(verdict);
+        verdict_response(verdict)
     }
 
     async fn read_answer(
@@ -207,7 +214,7 @@
         response: Response<ResponseBody>,
     ) -> Result<Response<Body>, MayHaveRunReason> {
         let (mut parts, body) = response.into_parts();
-        let read = read_whole(body, MAX_WHOLE_ANSWER_BYTES);
+        let read = read_whole(body, MAX_ANSWER_BYTES);
         match within(self.time_left(), read).await {
             Some(Ok(body)) => {
                 strip_framing(&mut parts.headers);
@@ -218,51 +225,52 @@
         }
     }
 
-    fn pass_on(
+    fn forward_stream(
         self,
         mut parts: response::Parts,
         body: ResponseBody,
         first: Bytes,
-        ticket: Ticket,
-        pass: Pass,
+        handle: RequestHandle,
+        admitted: AdmittedAttempt,
     ) -> Response<Body> {
         strip_framing(&mut parts.headers);
         let end = StreamEnd::default();
         parts.extensions.insert(end.clone());
-        let passing = Passing {
+        let forwarded = ForwardedStream {
             body,
             first: Some(first),
-            done: self.is_engine.then(DoneMark::default),
+            done_detector: self.is_engine.then(DoneDetector::default),
             end,
-            ticket,
-            pass: Some(pass),
+            handle,
+            admitted: Some(admitted),
             metrics: Rc::clone(&self.door.metrics),
             started: self.started,
             deadline: self.deadline,
             _running: self.running,
         };
-        let pieces = futures_util::stream::unfold(Some(passing), Passing::next);
+        let pieces = futures_util::stream::unfold(Some(forwarded), ForwardedStream::next);
         Response::from_parts(parts, Body::stream(pieces))
     }
 }
 
-/// Verdict when the deadline passes while no target has the request: an earlier attempt may have run.
-fn out_of_time(doubt: Option<MayHaveRunReason>) -> Verdict {
-    match doubt {
+/// Verdict when the deadline passes while no target has the request. An earlier attempt may have run it.
+fn deadline_verdict(may_have_run: Option<MayHaveRunReason>) -> Verdict {
+    match may_have_run {
         Some(reason) => Verdict::MayHaveRun { reason },
         None => Verdict::NotRun { retry_after_ms: 0, reason: Refusal::DeadlineTooShort },
     }
 }
 
-/// Verdict on a request that is blamed for the death of targets; final in either case.
-fn quarantined(doubt: Option<MayHaveRunReason>) -> Verdict {
-    match doubt {
+/// Verdict on a quarantined request, one that is suspected of crashing targets. A retry cannot succeed in either case.
+fn quarantined_verdict(may_have_run: Option<MayHaveRunReason>) -> Verdict {
+    match may_have_run {
         Some(_) => Verdict::MayHaveRun { reason: MayHaveRunReason::TargetsDied },
         None => Verdict::NotRun { retry_after_ms: 0, reason: Refusal::Quarantined },
     }
 }
 
-/// What an engine says by 503 or 429: that it refused the request without running it.
+/// Recognizes a refusal of an engine: 503 and 429 mean that it did not run the request. A plain service's 503 or 429 is
+/// its answer, because only the service can tell whether the request ran.
 pub fn pushback<B>(is_engine: bool, response: &Response<B>) -> Option<AttemptEnd> {
     let refuses = matches!(
         response.status(),
@@ -275,13 +283,14 @@
     })
 }
 
+/// Removes the headers that describe the framing of the connection to the target.
 fn strip_framing(headers: &mut HeaderMap) {
     for name in [header::TRANSFER_ENCODING, header::CONTENT_LENGTH, header::CONNECTION] {
         headers.remove(name);
     }
 }
 
-/// Whether a path is for online requests.
+/// Whether a method and path belong to an online request.
 pub fn is_online(method: &Method, path: &str) -> bool {
     let completion = matches!(path, "/v1/completions" | "/v1/chat/completions");
     (completion && method == Method::POST) || service_in_path(path).is_some()
--- /dev/null
+++ b/crates/samphiredoor/src/stream_forwarding.rs
@@ -0,0 +1,109 @@
+//! Forwards a streamed answer from a target to the caller.
+
+use std::{rc::Rc, time::Instant};
+
+use bytes::Bytes;
+use samphiredoor_core::{
+    dispatch::{AttemptEnd, Class},
+    verdict::{MayHaveRunReason, Verdict},
+};
+use samphiredoor_net::{
+    BoxError,
+    body::{self, PieceError},
+    pool::ResponseBody,
+};
+
+use crate::{
+    answers::verdict_json,
+    dispatch_task::RequestHandle,
+    metrics::{Metrics, Running},
+    quarantine_task::AdmittedAttempt,
+    stream_end::{DoneDetector, StreamEnd},
+};
+
+/// A streamed answer that is being forwarded. It is dropped when the caller disconnects, which closes the connection to
+/// the target.
+pub struct ForwardedStream {
+    /// Body of the answer after `first`.
+    pub body: ResponseBody,
+    /// First piece, which was read before the answer to the caller was started.
+    pub first: Option<Bytes>,
+    /// Detects the last event; only streams of engines have one.
+    pub done_detector: Option<DoneDetector>,
+    /// Set to the verdict when the stream ends.
+    pub end: StreamEnd,
+    /// Reports the end of the attempt to the dispatcher.
+    pub handle: RequestHandle,
+    /// Reports the end of the attempt to the quarantine; `None` once it is reported.
+    pub admitted: Option<AdmittedAttempt>,
+    /// Counts the verdict and the latency.
+    pub metrics: Rc<Metrics>,
+    /// When the request arrived.
+    pub started: Instant,
+    /// When the caller stops waiting for the answer.
+    pub deadline: Instant,
+    /// Counts the request as running until it is dropped.
+    pub _running: Running,
+}
+
+/// Piece of a stream.
+pub type Piece = Result<Bytes, BoxError>;
+
+impl ForwardedStream {
+    /// Next piece for the caller. A truncated answer ends with an error event.
+    pub async fn next(
+        forwarded: Option<ForwardedStream>,
+    ) -> Option<(Piece, Option<ForwardedStream>)> {
+        let mut this = forwarded?;
+        let piece = match this.first.take() {
+            Some(first) => Ok(Some(first)),
+            None => next_piece(&mut this.body, this.deadline).await,
+        };
+        let is_complete = this.done_detector.as_ref().is_none_or(DoneDetector::is_seen);
+        match piece {
+            Ok(Some(piece)) => {
+                if let Some(detector) = &mut this.done_detector {
+                    detector.push(&piece);
+                }
+                Some((Ok(piece), Some(this)))
+            }
+            Ok(None) if is_complete => {
+                if let Some(admitted) = this.admitted.take() {
+                    admitted.answered();
+                }
+                this.handle.ended(AttemptEnd::Completed);
+                this.record_verdict(Verdict::Done);
+                None
+            }
+            truncated => {
+                let reason = truncated.err().unwrap_or(MayHaveRunReason::AnswerCut);
+                if let Some(admitted) = this.admitted.take_if(|_| reason.is_loss()) {
+                    admitted.connection_lost_without_retry();
+                }
+                this.handle.ended(AttemptEnd::AnswerTruncated(reason));
+                let verdict = Verdict::MayHaveRun { reason };
+                this.record_verdict(verdict);
+                // An error event without `[DONE]` after it reports the truncation to the caller.
+                let event = format!("event: error\ndata: {}\n\n", verdict_json(verdict));
+                Some((Ok(event.into()), None))
+            }
+        }
+    }
+
+    fn record_verdict(&self, verdict: Verdict) {
+        self.end.set(verdict);
+        self.metrics.ended(Class::Online, verdict, self.started.elapsed().as_secs_f64());
+    }
+}
+
+/// Next piece of an answer; `None` at the end of the framing, which need not be the end of the answer.
+pub async fn next_piece(
+    answer: &mut ResponseBody,
+    deadline: Instant,
+) -> Result<Option<Bytes>, MayHaveRunReason> {
+    let left = deadline.saturating_duration_since(Instant::now());
+    body::next_piece(answer, left).await.map_err(|err| match err {
+        PieceError::Cut => MayHaveRunReason::AnswerCut,
+        PieceError::TimedOut => MayHaveRunReason::DeadlinePassed,
+    })
+}
