--- a/crates/samphiredoor-core/src/ledger/backoff.rs
+++ b/crates/samphiredoor-core/src/ledger/backoff.rs
@@ -1,8 +1,8 @@
-//! Waits between tries: exponential, with jitter from a seeded generator.
+//! Exponential backoff with jitter from a seeded generator.
 
 use rand::{Rng, rngs::SmallRng};
 
-/// Grows with each failure, and starts again after a success.
+/// Delay before the next retry: doubles with each failure and is reset by a success.
 #[derive(Debug, Clone)]
 pub(super) struct Backoff {
     next_ms: u64,
@@ -16,7 +16,7 @@
         Backoff { next_ms: Backoff::MIN_MS }
     }
 
-    /// Wait after one more failure.
+    /// Returns the delay after another failure, and doubles the next one.
     pub(super) fn wait_ms(&mut self, rng: &mut SmallRng) -> u64 {
         let wait_ms = self.next_ms;
         self.next_ms = (wait_ms * 2).min(Backoff::MAX_MS);
@@ -28,7 +28,7 @@
     }
 }
 
-/// Between half and the whole of `wait_ms`, so that processes do not come back together.
+/// Returns a random delay between half of `wait_ms` and all of it, so that processes don't retry in step.
 pub(super) fn jittered(wait_ms: u64, rng: &mut SmallRng) -> u64 {
     rng.random_range(wait_ms / 2..=wait_ms)
 }
--- a/crates/samphiredoor-core/src/ledger/cancellation.rs
+++ b/crates/samphiredoor-core/src/ledger/cancellation.rs
@@ -1,7 +1,7 @@
-//! Cancelling a job from any process.
+//! Cancellation of a job from any process.
 //!
-//! A conditional update of the header decides, so that a cancel that races with the job's end, or with a second
-//! operator, has one outcome that everybody sees. The owner learns of it from the header.
+//! The cancellation is a conditional update of the job's header, so that one that races with the end of the job or with
+//! another cancellation has a single outcome for all processes. The owner reads it from the header.
 
 use samphiredoor_schema::objects::{JobHeader, JobState};
 
@@ -11,53 +11,53 @@
 };
 use crate::store::{StoreAnswer, StoreOp};
 
-const TRIES: u32 = 6;
+const RETRIES: u32 = 6;
 
-/// What a cancel needs next, or what came of it.
+/// Next store call of a cancellation, or its outcome.
 #[derive(Debug, Clone)]
 pub enum CancelStep {
-    /// Make this store call and report its answer.
+    /// Make this store call and pass its answer to [`Cancellation::answered`].
     Store(StoreOp),
-    /// The job is being cancelled, or was before; `header` says how far it came.
+    /// The job is being cancelled or was already cancelled; `header` holds its progress.
     Cancelled {
-        /// Header as it stands.
+        /// Stored header of the job.
         header: Box<JobHeader>,
     },
-    /// The job had finished before.
+    /// The job finished before it was cancelled.
     Finished {
-        /// Header as it stands.
+        /// Stored header of the job.
         header: Box<JobHeader>,
     },
-    /// There is no such job.
+    /// The job does not exist.
     Absent,
     /// The header cannot be read.
     Unreadable,
-    /// The store was of no help; the job is not cancelled.
+    /// The store failed the call; the job is not cancelled.
     NotCancelled,
-    /// The store was of no help, and it is not known whether the job is cancelled. Asking again is safe.
+    /// The store failed and the job may have been cancelled. A repeated request is safe.
     MayBeCancelled,
 }
 
-/// One cancel of one job.
+/// One request to cancel a job.
 #[derive(Debug)]
 pub struct Cancellation {
     job: JobId,
-    tries_left: u32,
+    retries_left: u32,
     written: bool,
 }
 
 impl Cancellation {
-    /// Cancel of `job`.
+    /// Creates a cancellation of `job`.
     pub fn new(job: JobId) -> Cancellation {
-        Cancellation { job, tries_left: TRIES, written: false }
+        Cancellation { job, retries_left: RETRIES, written: false }
     }
 
-    /// First call.
+    /// Returns the first store call.
     pub fn start(&mut self) -> CancelStep {
         CancelStep::Store(StoreOp::Get { key: header_key(&self.job) })
     }
 
-    /// Takes an answer; says what comes next.
+    /// Handles the answer of the last store call and returns the next step.
     pub fn answered(&mut self, answer: StoreAnswer) -> CancelStep {
         match answer {
             StoreAnswer::Object(stored) => match read_header(&stored.value) {
@@ -78,7 +78,7 @@
                 Ok(header) => CancelStep::Cancelled { header: Box::new(header) },
                 Err(_) => CancelStep::Unreadable,
             },
-            // Somebody else has written, or our write may stand: the header tells.
+            // Another process has written the header, or this write may have taken effect; the header shows which.
             StoreAnswer::Conflict | StoreAnswer::Unknown => self.retry(),
             StoreAnswer::Absent => CancelStep::Absent,
             _ if self.written => self.retry(),
@@ -87,10 +87,10 @@
     }
 
     fn retry(&mut self) -> CancelStep {
-        if self.tries_left == 0 {
+        if self.retries_left == 0 {
             return CancelStep::MayBeCancelled;
         }
-        self.tries_left -= 1;
+        self.retries_left -= 1;
         self.start()
     }
 }
--- a/crates/samphiredoor-core/src/ledger/chunk.rs
+++ b/crates/samphiredoor-core/src/ledger/chunk.rs
@@ -1,4 +1,4 @@
-//! One open chunk of a job: its items, their runs and tries, and its results.
+//! One open chunk of a job: its items, their runs and retries, and their results.
 
 use std::{
     collections::{BTreeMap, BTreeSet, VecDeque},
@@ -9,22 +9,22 @@
 
 use super::{
     backoff::{Backoff, jittered},
-    codec::{Recorded, StoredItem, read_items},
-    commit::{Commit, Urgency},
+    codec::{EncodedResult, StoredItem, read_items},
+    commit::{FlushPolicy, ResultWriter},
     context::Context,
     messages::{ItemEnd, ItemRef, ItemWork, LedgerAction},
     names::{CallId, JobId, chunk_key, results_key},
 };
 use crate::store::{Kind, Labels, ObjectKey, StoreAnswer, StoreOp, Value};
 
-/// Tries after which an item is recorded as failed.
+/// Number of tries after which an item is recorded as failed.
 pub const MAX_TRIES: u32 = 4;
-/// Intents written ahead for items that must not run twice.
+/// Maximum number of intents without a result, for items that must not run twice.
 ///
-/// Each intent without a result ends as `may_have_run` when its owner dies, also if it only waited for a target. So
-/// few are written ahead, although a larger group would take fewer writes.
-const INTENTS_AHEAD: usize = 16;
-const TRY_WAIT_MS: u64 = 500;
+/// When an owner dies, each of its intents without a result is recorded as `may_have_run`, even if the item was only
+/// waiting for a target. The number is therefore small, although larger groups of intents would take fewer writes.
+const MAX_UNRESOLVED_INTENTS: usize = 16;
+const RETRY_WAIT_MS: u64 = 500;
 const NOT_RUN_WAIT_MS: u64 = 100;
 const MAX_NOT_RUN_WAIT_MS: u64 = 5_000;
 const UNREADABLE_RETRY_MS: u64 = 60_000;
@@ -41,10 +41,10 @@
 #[derive(Debug, Default)]
 struct Attempts {
     tries: u32,
-    not_runs: u32,
+    not_run_count: u32,
 }
 
-/// A body that is too large for the chunk's results, on its way to an object of its own.
+/// A result whose body is too large for the chunk's results object and is being written to a separate object.
 #[derive(Debug)]
 struct Spill {
     result: ItemResult,
@@ -55,12 +55,12 @@
     backoff: Backoff,
 }
 
-/// One open chunk.
+/// One chunk of a job whose items are being run.
 #[derive(Debug)]
 pub(super) struct OpenChunk {
     number: u32,
     items: Items,
-    pub(super) commit: Commit,
+    pub(super) results: ResultWriter,
     ready: VecDeque<u32>,
     delayed: BTreeSet<(u64, u32)>,
     running: BTreeSet<u32>,
@@ -74,7 +74,7 @@
         OpenChunk {
             number,
             items: Items::Unloaded,
-            commit: Commit::new(results_key(&header.upload, number), header.owner.epoch),
+            results: ResultWriter::new(results_key(&header.upload, number), header.owner.epoch),
             ready: VecDeque::new(),
             delayed: BTreeSet::new(),
             running: BTreeSet::new(),
@@ -84,106 +84,107 @@
         }
     }
 
-    /// Items handed out and not ended.
+    /// Number of items started and not ended.
     pub(super) fn running(&self) -> usize {
         self.running.len()
     }
 
-    /// Whether an object of the chunk cannot be read, so that it cannot go on; others can.
-    pub(super) fn is_stuck(&self) -> bool {
-        matches!(self.items, Items::Unreadable { .. }) || self.commit.is_unreadable()
+    /// Whether an object of the chunk cannot be read, which blocks this chunk but no others.
+    pub(super) fn is_blocked(&self) -> bool {
+        matches!(self.items, Items::Unreadable { .. }) || self.results.is_unreadable()
     }
 
-    /// Whether all is committed and nothing runs.
-    pub(super) fn is_settled(&self) -> bool {
-        self.running.is_empty() && self.spills.is_empty() && self.commit.is_settled()
+    /// Whether no item is running and all results are committed.
+    pub(super) fn is_flushed(&self) -> bool {
+        self.running.is_empty() && self.spills.is_empty() && self.results.is_flushed()
     }
 
-    /// Goes on with the work; hands out at most `room` items.
-    pub(super) fn work(
+    /// Loads the items, records results and starts at most `free_slots` items.
+    pub(super) fn advance(
         &mut self,
         job: &JobId,
         header: &JobHeader,
-        room: &mut usize,
+        free_slots: &mut usize,
         ctx: &mut Context<'_>,
     ) {
-        if self.commit.is_read() && !self.commit.is_complete() {
+        if self.results.is_loaded() && !self.results.is_complete() {
             self.load(header, ctx);
-            self.decide_foreign_intents(ctx);
-            self.wake_delayed(ctx);
+            self.record_earlier_owner_intents(ctx);
+            self.requeue_due(ctx);
             self.step_spills(ctx);
-            self.hand_out(job, header, room, ctx);
+            self.start_items(job, header, free_slots, ctx);
         }
-        let urgency = if self.is_idle() { Urgency::Flush } else { Urgency::Group };
-        self.commit.step(urgency, ctx);
+        let policy = if self.is_idle() { FlushPolicy::Flush } else { FlushPolicy::Group };
+        self.results.step(policy, ctx);
     }
 
-    /// Commits what has arrived, hands out nothing, and leaves no intent of an item that was not run.
-    pub(super) fn settle(&mut self, ctx: &mut Context<'_>) {
+    /// Commits the results that have arrived, starts no items, and withdraws the intents of items that were not run.
+    pub(super) fn flush(&mut self, ctx: &mut Context<'_>) {
         self.step_spills(ctx);
         if self.running.is_empty() && self.spills.is_empty() {
-            self.commit.withdraw_intents(&self.running);
+            self.results.withdraw_intents(&self.running);
         }
-        self.commit.step(Urgency::Flush, ctx);
+        self.results.step(FlushPolicy::Flush, ctx);
     }
 
-    /// Makes sure that nothing is written after the job's end: commits what has arrived, records what may have run,
-    /// and fences former owners. Tells whether that is done.
+    /// Prevents writes after the job's end: commits the results that have arrived, records items that may have run, and
+    /// fences former owners. Returns whether this is complete.
     pub(super) fn seal(&mut self, header: &JobHeader, ctx: &mut Context<'_>) -> bool {
         if !self.spills.is_empty() {
             self.step_spills(ctx);
-            self.commit.step(Urgency::Flush, ctx);
+            self.results.step(FlushPolicy::Flush, ctx);
             return false;
         }
-        if self.commit.is_read() && !self.commit.unanswered_intents().is_empty() {
+        if self.results.is_loaded() && !self.results.unresolved_intents().is_empty() {
             self.load(header, ctx);
             if !matches!(self.items, Items::Loaded(_) | Items::Unreadable { .. }) {
                 return false;
             }
-            for index in self.commit.unanswered_intents() {
-                self.record_doubt(index, ctx);
+            for index in self.results.unresolved_intents() {
+                self.record_may_have_run(index, ctx);
             }
         }
-        self.commit.step(Urgency::Seal, ctx);
-        self.commit.is_read() && self.commit.is_sealed() || self.commit.is_unreadable()
+        self.results.step(FlushPolicy::Seal, ctx);
+        self.results.is_loaded() && self.results.is_sealed() || self.results.is_unreadable()
     }
 
-    /// Stops all runs; their ends are still awaited.
-    pub(super) fn stop(&mut self, job: &JobId, epoch: u64, ctx: &mut Context<'_>) {
+    /// Requests that all runs stop. Their ends are still processed.
+    pub(super) fn stop_runs(&mut self, job: &JobId, epoch: u64, ctx: &mut Context<'_>) {
         for index in &self.running {
             let item = ItemRef { job: Arc::clone(job), epoch, chunk: self.number, index: *index };
             ctx.out.push(LedgerAction::Stop(item));
         }
     }
 
-    /// Forgets everything that is not on its way to the store: later results are dropped.
-    pub(super) fn drop_runs(&mut self) {
-        self.commit.withdraw_intents(&self.running);
+    /// Discards running and queued items, and withdraws the intents of items that were not started. Results of runs
+    /// that end later are ignored.
+    pub(super) fn discard_runs(&mut self) {
+        self.results.withdraw_intents(&self.running);
         self.running.clear();
         self.ready.clear();
         self.delayed.clear();
     }
 
-    /// Takes the answer to a call; tells whether the call was this chunk's.
-    pub(super) fn stored(
+    /// Handles the answer to a store call. Returns whether the call was issued by this chunk.
+    pub(super) fn store_answered(
         &mut self,
         call: CallId,
         answer: &StoreAnswer,
         ctx: &mut Context<'_>,
     ) -> bool {
         if matches!(self.items, Items::Loading(own) if own == call) {
-            self.loaded(answer, ctx);
+            self.chunk_read(answer, ctx);
             return true;
         }
         let spill = self.spills.iter().find(|(_, it)| it.call == Some(call));
         if let Some(index) = spill.map(|(index, _)| *index) {
-            self.spilled(index, answer, ctx);
+            self.spill_written(index, answer, ctx);
             return true;
         }
-        self.commit.stored(call, answer, ctx)
+        self.results.store_answered(call, answer, ctx)
     }
 
-    /// Takes the end of a run.
+    /// Handles the end of an item's run: records a result or schedules a retry.
     pub(super) fn item_ended(
         &mut self,
         index: u32,
@@ -191,40 +192,40 @@
         repeatable: bool,
         ctx: &mut Context<'_>,
     ) {
-        if !self.running.remove(&index) || self.commit.is_decided(index) {
+        if !self.running.remove(&index) || self.results.has_result(index) {
             return;
         }
         let attempts = self.attempts.entry(index).or_default();
         match end {
             ItemEnd::NotRun { retry_after_ms } => {
-                attempts.not_runs += 1;
-                let grown = NOT_RUN_WAIT_MS << attempts.not_runs.min(6);
-                let wait_ms = grown.min(MAX_NOT_RUN_WAIT_MS).max(retry_after_ms);
+                attempts.not_run_count += 1;
+                let backoff_ms = NOT_RUN_WAIT_MS << attempts.not_run_count.min(6);
+                let wait_ms = backoff_ms.min(MAX_NOT_RUN_WAIT_MS).max(retry_after_ms);
                 self.delay(index, wait_ms, ctx);
             }
             ItemEnd::Answered { status, body } => {
                 attempts.tries += 1;
-                let again = repeatable && attempts.tries < MAX_TRIES;
+                let may_retry = repeatable && attempts.tries < MAX_TRIES;
                 match status {
                     200..=299 => self.record(index, ItemOutcome::Answered, status, body, ctx),
-                    // The service may answer otherwise later; all else of 4xx is final.
-                    408 | 425 | 429 | 500..=599 if again => self.delay_try(index, ctx),
+                    // A retry may succeed for these statuses; every other 4xx is final.
+                    408 | 425 | 429 | 500..=599 if may_retry => self.delay_retry(index, ctx),
                     _ => self.record(index, ItemOutcome::Failed, status, body, ctx),
                 }
             }
             ItemEnd::MayHaveRun => {
                 attempts.tries += 1;
                 match repeatable {
-                    true if attempts.tries < MAX_TRIES => self.delay_try(index, ctx),
-                    true => self.fail(index, "each try was lost before its answer", ctx),
-                    false => self.record_doubt(index, ctx),
+                    true if attempts.tries < MAX_TRIES => self.delay_retry(index, ctx),
+                    true => self.fail(index, "every try ended without a response", ctx),
+                    false => self.record_may_have_run(index, ctx),
                 }
             }
             ItemEnd::Refused { reason } => self.fail(index, &reason, ctx),
         }
     }
 
-    /// Whether no more results are to come soon.
+    /// Whether no more results are expected soon.
     fn is_idle(&self) -> bool {
         self.running.is_empty()
             && self.ready.is_empty()
@@ -242,7 +243,7 @@
         self.items = Items::Loading(ctx.call(StoreOp::Get { key }));
     }
 
-    fn loaded(&mut self, answer: &StoreAnswer, ctx: &mut Context<'_>) {
+    fn chunk_read(&mut self, answer: &StoreAnswer, ctx: &mut Context<'_>) {
         let StoreAnswer::Object(stored) = answer else {
             let at_ms = ctx.now_ms() + self.backoff.wait_ms(ctx.rng);
             self.items = Items::Waiting { at_ms };
@@ -250,10 +251,10 @@
         };
         match read_items(&stored.value) {
             Ok(items) => {
-                self.commit.set_items(items.len() as u32);
+                self.results.set_items(items.len() as u32);
                 self.ready = (0..items.len() as u32).collect();
-                let commit = &self.commit;
-                self.ready.retain(|it| !commit.is_decided(*it));
+                let results = &self.results;
+                self.ready.retain(|it| !results.has_result(*it));
                 self.items = Items::Loaded(items);
             }
             Err(fault) => {
@@ -264,16 +265,16 @@
         }
     }
 
-    fn decide_foreign_intents(&mut self, ctx: &mut Context<'_>) {
+    fn record_earlier_owner_intents(&mut self, ctx: &mut Context<'_>) {
         if !matches!(self.items, Items::Loaded(_)) {
             return;
         }
-        for index in self.commit.foreign_intents() {
-            self.record_doubt(index, ctx);
+        for index in self.results.earlier_owner_intents() {
+            self.record_may_have_run(index, ctx);
         }
     }
 
-    fn wake_delayed(&mut self, ctx: &mut Context<'_>) {
+    fn requeue_due(&mut self, ctx: &mut Context<'_>) {
         while let Some((at_ms, index)) = self.delayed.first().copied() {
             if at_ms > ctx.now_ms() {
                 return;
@@ -283,36 +284,38 @@
         }
     }
 
-    fn hand_out(
+    fn start_items(
         &mut self,
         job: &JobId,
         header: &JobHeader,
-        room: &mut usize,
+        free_slots: &mut usize,
         ctx: &mut Context<'_>,
     ) {
         let Items::Loaded(items) = &self.items else { return };
         if !ctx.may_run {
             return;
         }
-        let mut ahead = if header.repeatable { 0 } else { self.commit.open_intents() };
+        let mut unresolved =
+            if header.repeatable { 0 } else { self.results.unresolved_own_intents() };
         for _ in 0..self.ready.len() {
-            if *room == 0 {
+            if *free_slots == 0 {
                 return;
             }
             let Some(index) = self.ready.pop_front() else { return };
-            if self.commit.is_decided(index) {
+            if self.results.has_result(index) {
                 continue;
             }
-            // A crash between a run and its record would run the item again; the intent that stands first prevents it.
-            if !header.repeatable && !self.commit.is_intended(index) {
-                if ahead < INTENTS_AHEAD && self.commit.intend(index) {
-                    ahead += 1;
+            // After a crash between a run and the commit of its result the item would run again; the intent, which is
+            // stored before the run, prevents this.
+            if !header.repeatable && !self.results.has_own_intent(index) {
+                if unresolved < MAX_UNRESOLVED_INTENTS && self.results.request_intent(index) {
+                    unresolved += 1;
                 }
                 self.ready.push_back(index);
                 continue;
             }
             let Some(item) = items.get(index as usize) else { continue };
-            *room -= 1;
+            *free_slots -= 1;
             self.running.insert(index);
             let epoch = header.owner.epoch;
             let work = ItemWork {
@@ -328,9 +331,9 @@
         }
     }
 
-    fn delay_try(&mut self, index: u32, ctx: &mut Context<'_>) {
+    fn delay_retry(&mut self, index: u32, ctx: &mut Context<'_>) {
         let tries = self.attempts.get(&index).map_or(0, |it| it.tries);
-        self.delay(index, TRY_WAIT_MS << tries.min(MAX_TRIES), ctx);
+        self.delay(index, RETRY_WAIT_MS << tries.min(MAX_TRIES), ctx);
     }
 
     fn delay(&mut self, index: u32, wait_ms: u64, ctx: &mut Context<'_>) {
@@ -343,8 +346,8 @@
         self.record(index, ItemOutcome::Failed, 0, body, ctx);
     }
 
-    fn record_doubt(&mut self, index: u32, ctx: &mut Context<'_>) {
-        let body = serde_json::json!({ "error": "it may have run, and must not run twice" });
+    fn record_may_have_run(&mut self, index: u32, ctx: &mut Context<'_>) {
+        let body = serde_json::json!({ "error": "the item may have run and must not run twice" });
         self.record(index, ItemOutcome::MayHaveRun, 0, body, ctx);
     }
 
@@ -362,9 +365,9 @@
         let custom_id = item.custom_id.clone();
         let mut result =
             ItemResult { custom_id, outcome, status, body: Some(body), body_object: None, tries };
-        let fits = Recorded::new(&result).is_some_and(|it| self.commit.has_room(&it));
-        if fits {
-            self.commit.add(ctx.now_ms(), index, &result);
+        let is_inline = EncodedResult::new(&result).is_some_and(|it| self.results.fits_inline(&it));
+        if is_inline {
+            self.results.add_result(ctx.now_ms(), index, &result);
             return;
         }
         let body = result.body.take().unwrap_or_default();
@@ -401,17 +404,17 @@
         }
     }
 
-    fn spilled(&mut self, index: u32, answer: &StoreAnswer, ctx: &mut Context<'_>) {
+    fn spill_written(&mut self, index: u32, answer: &StoreAnswer, ctx: &mut Context<'_>) {
         match answer {
-            // No other write has this name: whatever stands there is this body.
+            // The name is unique to this write, so an existing object under it holds this body.
             StoreAnswer::Object(_) | StoreAnswer::Taken => {
                 let Some(mut spill) = self.spills.remove(&index) else { return };
                 spill.result.body_object = Some(spill.name);
-                self.commit.add(ctx.now_ms(), index, &spill.result);
+                self.results.add_result(ctx.now_ms(), index, &spill.result);
             }
             StoreAnswer::TooLarge => {
                 self.spills.remove(&index);
-                self.fail(index, "the result is larger than the store holds", ctx);
+                self.fail(index, "the result exceeds the size limit of the store", ctx);
             }
             _ => {
                 let Some(spill) = self.spills.get_mut(&index) else { return };
@@ -421,9 +424,9 @@
         }
     }
 
-    /// Bytes of results that are not written yet.
+    /// Bytes of results that have not been written to the store.
     pub(super) fn pending_bytes(&self) -> usize {
         let spilled: usize = self.spills.values().map(|it| it.body.len()).sum();
-        self.commit.pending_bytes() + spilled
+        self.results.pending_bytes() + spilled
     }
 }
--- a/crates/samphiredoor-core/src/ledger/codec.rs
+++ b/crates/samphiredoor-core/src/ledger/codec.rs
@@ -1,8 +1,9 @@
-//! Reading and writing the ledger's stored objects.
+//! Encoding and decoding of the ledger's stored objects.
 //!
-//! An object that cannot be read (corrupt, above the store's limit, or of a layout this version does not know) is
-//! refused with its fault and never overwritten, so that a later version or an operator can still read it. Bodies are
-//! kept as the text they came in: they are opaque to the ledger, and text takes a fraction of a parsed value's memory.
+//! An object that cannot be read (corrupt, above the store's size limit, or in a format that this version doesn't
+//! support) is rejected with the reason and never overwritten, so that a later version or an operator can still read
+//! it. Bodies are kept as the original JSON text: they are opaque to the ledger, and text takes a fraction of the
+//! memory of a parsed value.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -15,32 +16,32 @@
 
 use crate::store::{Labels, Value};
 
-/// Layout of the stored objects that this version writes.
+/// Format version of the stored objects that this version writes.
 pub const FORMAT: u32 = 1;
-/// Largest object that is read.
+/// Maximum size of an object that is read.
 pub const MAX_OBJECT_BYTES: usize = 1_000_000;
-/// Label of the owner where a job is free to be taken.
+/// Value of the `owner` label of a job without an owner.
 pub const FREE_OWNER: &str = "free";
 
 /// Why a stored object cannot be read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Unreadable {
-    /// It is not what its kind should be.
+    /// The content doesn't match the object's kind.
     Corrupt,
-    /// It is larger than any object that is written.
+    /// The object is larger than any that is written.
     Oversized,
-    /// Its layout is older than this version knows.
+    /// The format is older than this version supports.
     Older,
-    /// Its layout is newer than this version knows.
+    /// The format is newer than this version supports.
     Newer,
 }
 
 impl Unreadable {
-    /// All faults, for counters that stand at zero.
+    /// All reasons, to initialise their counters at zero.
     pub const ALL: [Unreadable; 4] =
         [Unreadable::Corrupt, Unreadable::Oversized, Unreadable::Older, Unreadable::Newer];
 
-    /// Label of the fault in logs and counters.
+    /// Label of the reason in logs and metrics.
     pub fn label(self) -> &'static str {
         match self {
             Unreadable::Corrupt => "corrupt",
@@ -79,44 +80,44 @@
     }
 }
 
-/// Reads a job's header.
+/// Decodes a job's header.
 ///
 /// # Errors
 ///
-/// Why it cannot be read.
+/// The reason that the header cannot be read; counts that contradict each other are corrupt.
 pub fn read_header(value: &[u8]) -> Result<JobHeader, Unreadable> {
     let header: JobHeader = read(value)?;
-    let sane = header.done_chunks <= header.chunks && header.chunks <= header.items;
-    if sane { Ok(header) } else { Err(Unreadable::Corrupt) }
+    let is_consistent = header.done_chunks <= header.chunks && header.chunks <= header.items;
+    if is_consistent { Ok(header) } else { Err(Unreadable::Corrupt) }
 }
 
-/// One chunk's results, for a caller.
+/// Results of one chunk, decoded to be returned to a caller.
 #[derive(Debug)]
 #[derive(Deserialize)]
 pub struct ReadResults {
-    /// Items of the chunk.
+    /// Number of items in the chunk.
     #[serde(default)]
     pub items: u32,
-    /// Results by item.
+    /// Results by the item's index within the chunk.
     #[serde(default)]
     pub results: BTreeMap<u32, ItemResult>,
 }
 
-/// Reads one chunk's results.
+/// Decodes the results of one chunk.
 ///
 /// # Errors
 ///
-/// Why they cannot be read.
+/// The reason that the results cannot be read.
 pub fn read_results(value: &[u8]) -> Result<ReadResults, Unreadable> {
     read(value)
 }
 
-/// Text of a header.
+/// Encodes a header.
 pub(super) fn header_value(header: &JobHeader) -> Value {
     serde_json::to_vec(header).unwrap_or_default().into()
 }
 
-/// Labels by which headers are found.
+/// Labels by which headers are listed.
 pub(super) fn header_labels(header: &JobHeader) -> Labels {
     let owner = match header.owner.process.as_str() {
         "" => FREE_OWNER,
@@ -127,7 +128,7 @@
     pairs.into_iter().map(|(key, value)| (key.to_owned(), value.to_owned())).collect()
 }
 
-/// Label of a job's state.
+/// Value of the `state` label of a header.
 pub(super) fn state_label(state: JobState) -> &'static str {
     match state {
         JobState::Running => "running",
@@ -137,7 +138,7 @@
     }
 }
 
-/// One item of a chunk as its owner keeps it.
+/// One item of a chunk, with its body kept as JSON text.
 #[derive(Debug)]
 #[derive(Deserialize)]
 pub(super) struct StoredItem {
@@ -146,7 +147,7 @@
     pub(super) body: Box<RawValue>,
 }
 
-/// Reads the items of a chunk.
+/// Decodes the items of a chunk.
 pub(super) fn read_items(value: &[u8]) -> Result<Vec<StoredItem>, Unreadable> {
     #[derive(Deserialize)]
     struct Items {
@@ -156,38 +157,39 @@
     Ok(chunk.items)
 }
 
-/// A result as text, with what the ledger needs to know of it.
+/// A result as JSON text, with its outcome.
 #[derive(Debug, Clone)]
-pub(super) struct Recorded {
+pub(super) struct EncodedResult {
     pub(super) outcome: ItemOutcome,
     text: Box<RawValue>,
 }
 
-impl Recorded {
-    /// Text of a result.
-    pub(super) fn new(result: &ItemResult) -> Option<Recorded> {
+impl EncodedResult {
+    /// Encodes a result.
+    pub(super) fn new(result: &ItemResult) -> Option<EncodedResult> {
         let text = serde_json::value::to_raw_value(result).ok()?;
-        Some(Recorded { outcome: result.outcome, text })
+        Some(EncodedResult { outcome: result.outcome, text })
     }
 
-    /// Bytes that it takes in a results object.
+    /// Bytes that the result takes in a results object, including its key.
     pub(super) fn len_bytes(&self) -> usize {
         self.text.get().len() + RESULT_KEY_BYTES
     }
 }
 
+/// Upper bound for a result's key and separators in JSON.
 const RESULT_KEY_BYTES: usize = 16;
 
-/// A chunk's results as they stand.
+/// A decoded results object, with each result kept as JSON text.
 #[derive(Debug)]
 pub(super) struct StoredResults {
     pub(super) epoch: u64,
     pub(super) items: u32,
     pub(super) intents: BTreeSet<u32>,
-    pub(super) results: BTreeMap<u32, Recorded>,
+    pub(super) results: BTreeMap<u32, EncodedResult>,
 }
 
-/// Reads a chunk's results for their owner.
+/// Decodes a results object for the job's owner.
 pub(super) fn read_stored_results(value: &[u8]) -> Result<StoredResults, Unreadable> {
     #[derive(Deserialize)]
     struct Results {
@@ -208,18 +210,18 @@
     for (index, text) in read.results {
         let Outcome { outcome } =
             serde_json::from_str(text.get()).map_err(|_| Unreadable::Corrupt)?;
-        results.insert(index, Recorded { outcome, text });
+        results.insert(index, EncodedResult { outcome, text });
     }
     Ok(StoredResults { epoch: read.epoch, items: read.items, intents: read.intents, results })
 }
 
-/// Text of a results object.
+/// Encodes a results object.
 pub(super) fn results_value<'a>(
     epoch: u64,
     writer: &str,
     items: u32,
     intents: &BTreeSet<u32>,
-    results: impl Iterator<Item = (&'a u32, &'a Recorded)>,
+    results: impl Iterator<Item = (&'a u32, &'a EncodedResult)>,
 ) -> Value {
     #[derive(Serialize)]
     struct Results<'a> {
--- a/crates/samphiredoor-core/src/ledger/commit.rs
+++ b/crates/samphiredoor-core/src/ledger/commit.rs
@@ -1,13 +1,14 @@
-//! Writing results in groups, each result once.
+//! Group commit of a chunk's results, each result exactly once.
 //!
-//! One object holds all results of a chunk. It only changes by conditional update, so whoever else writes (a former
-//! owner that was paused, or a write of our own whose answer was lost), a result that stands is never replaced. After
-//! a lost answer or a conflict the object is read, what already stands is dropped from the pending results, and the
-//! rest is written against the version that was read.
+//! One object holds all results of a chunk. It changes only by conditional update, so that a committed result is never
+//! replaced, even if a former owner resumes after a pause or a write of this owner takes effect after its answer was
+//! lost. After a lost answer or a conflict the object is read, the results that it already holds are removed from the
+//! pending ones, and the rest is written against the version that was read.
 //!
-//! The first write of an owner puts its epoch into the object. From then on a former owner's write conflicts, its read
-//! shows the higher epoch, and it drops the job. For items that must not run twice the object also holds intents: an
-//! intent is written before the item is run, and one that an earlier owner left without a result is never run again.
+//! An owner's first write stores its epoch, the fencing token, in the object. From then on the writes of former owners
+//! conflict; their next read returns the higher epoch, and they drop the job. For items that must not run twice the
+//! object also holds intents: an intent is written before the item is started, and an item with an intent of an earlier
+//! owner but without a result is never started again.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -15,239 +16,241 @@
 
 use super::{
     backoff::Backoff,
-    codec::{Recorded, Unreadable, read_stored_results, results_value},
+    codec::{EncodedResult, Unreadable, read_stored_results, results_value},
     context::Context,
     names::CallId,
 };
 use crate::store::{ObjectKey, StoreAnswer, StoreOp, Stored, Version};
 
-/// Results that are worth a write at once.
-pub(super) const GROUP: usize = 250;
-/// Bytes of results above which a further large one gets an object of its own.
-const INLINE_BYTES: usize = 700_000;
-/// Room kept in the object for each item that is still to come.
-const RESERVED_BYTES: usize = 1_000;
+/// Number of pending results that are written without waiting for more.
+pub(super) const GROUP_RESULTS: usize = 250;
+/// Bytes of results in the object above which a further large one is stored as a separate object.
+const MAX_INLINE_BYTES: usize = 700_000;
+/// Bytes of the object reserved for each item without a result.
+const RESERVED_BYTES_PER_ITEM: usize = 1_000;
 const UNREADABLE_RETRY_MS: u64 = 60_000;
 
 #[derive(Debug)]
 enum State {
-    /// The object was not read yet.
+    /// The object has not been read yet.
     Unread,
     /// Waiting for the answer to a read.
     Reading(CallId),
-    /// Nothing under way.
+    /// No call in flight.
     Idle,
     /// Waiting for the answer to a write.
     Writing(CallId),
-    /// The store failed; try again at this time.
+    /// Retry at `at_ms`, after a failure or a conflict; with `reread` the object is read first.
     Waiting { at_ms: u64, reread: bool },
-    /// A later owner has written; nothing may be done here any more.
+    /// A later owner has written the object, or the job was removed; no more calls are made.
     Fenced,
 }
 
-/// What is written, and when.
+/// Conditions for a write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Urgency {
-    /// When a group is full, or the oldest result is old and the process's pace allows it.
+pub(super) enum FlushPolicy {
+    /// Write when a group is full, or when the oldest pending result has reached `linger_ms` and the process's rate
+    /// limit allows a write.
     Group,
-    /// At once: no more results are to come soon.
+    /// Write without delay, because no more results are expected soon.
     Flush,
-    /// At once, and even without results if a former owner could still write.
+    /// Write without delay, and even without pending results if a former owner could still write.
     Seal,
 }
 
-/// Results of one chunk: those that stand in the store, and those on their way.
+/// Results and intents of one chunk: those committed to the store and those to be written.
 #[derive(Debug)]
-pub(super) struct Commit {
+pub(super) struct ResultWriter {
     key: ObjectKey,
     epoch: u64,
     items: u32,
     state: State,
     version: Option<Version>,
     stored_epoch: u64,
-    was_read: bool,
+    loaded: bool,
     unreadable: Option<Unreadable>,
-    standing: BTreeMap<u32, Recorded>,
-    standing_bytes: usize,
+    committed: BTreeMap<u32, EncodedResult>,
+    committed_bytes: usize,
     intents: BTreeSet<u32>,
     own_intents: BTreeSet<u32>,
-    wanted: BTreeSet<u32>,
-    withdrawn: BTreeSet<u32>,
-    pending: BTreeMap<u32, Recorded>,
+    unwritten_intents: BTreeSet<u32>,
+    withdrawn_intents: BTreeSet<u32>,
+    pending: BTreeMap<u32, EncodedResult>,
     pending_bytes: usize,
-    since_ms: u64,
-    // Version that a write was made against whose answer was lost; it may still take effect.
-    doubtful: Option<Option<Version>>,
+    pending_since_ms: u64,
+    // Version that a write with unknown outcome was based on (`None` for a create); the write may still take effect.
+    unknown_write: Option<Option<Version>>,
     backoff: Backoff,
 }
 
-impl Commit {
-    pub(super) fn new(key: ObjectKey, epoch: u64) -> Commit {
-        Commit {
+impl ResultWriter {
+    pub(super) fn new(key: ObjectKey, epoch: u64) -> ResultWriter {
+        ResultWriter {
             key,
             epoch,
             items: 0,
             state: State::Unread,
             version: None,
             stored_epoch: 0,
-            was_read: false,
+            loaded: false,
             unreadable: None,
-            standing: BTreeMap::new(),
-            standing_bytes: 0,
+            committed: BTreeMap::new(),
+            committed_bytes: 0,
             intents: BTreeSet::new(),
             own_intents: BTreeSet::new(),
-            wanted: BTreeSet::new(),
-            withdrawn: BTreeSet::new(),
+            unwritten_intents: BTreeSet::new(),
+            withdrawn_intents: BTreeSet::new(),
             pending: BTreeMap::new(),
             pending_bytes: 0,
-            since_ms: 0,
-            doubtful: None,
+            pending_since_ms: 0,
+            unknown_write: None,
             backoff: Backoff::new(),
         }
     }
 
-    /// Whether the standing results are known.
-    pub(super) fn is_read(&self) -> bool {
-        self.was_read
+    /// Whether the stored results have been read.
+    pub(super) fn is_loaded(&self) -> bool {
+        self.loaded
     }
 
-    /// Whether a later owner has written.
+    /// Whether a later owner has written the object, or the job was removed.
     pub(super) fn is_fenced(&self) -> bool {
         matches!(self.state, State::Fenced)
     }
 
-    /// Whether the object cannot be read, and so is left alone.
+    /// Whether the object cannot be read, and is therefore not written.
     pub(super) fn is_unreadable(&self) -> bool {
         self.unreadable.is_some()
     }
 
-    /// Says how many items the chunk has.
+    /// Sets the number of items in the chunk.
     pub(super) fn set_items(&mut self, items: u32) {
         self.items = items;
     }
 
-    /// Whether a result stands for each item.
+    /// Whether every item has a committed result.
     pub(super) fn is_complete(&self) -> bool {
-        self.was_read && self.items > 0 && self.standing.len() as u32 == self.items
+        self.loaded && self.items > 0 && self.committed.len() as u32 == self.items
     }
 
-    pub(super) fn is_decided(&self, index: u32) -> bool {
-        self.standing.contains_key(&index) || self.pending.contains_key(&index)
+    /// Whether the item has a committed or pending result.
+    pub(super) fn has_result(&self, index: u32) -> bool {
+        self.committed.contains_key(&index) || self.pending.contains_key(&index)
     }
 
-    /// Whether an intent of this owner stands, so that the item may be run.
-    pub(super) fn is_intended(&self, index: u32) -> bool {
+    /// Whether an intent of this owner is stored, so that the item may be started.
+    pub(super) fn has_own_intent(&self, index: u32) -> bool {
         self.stored_epoch == self.epoch
             && self.own_intents.contains(&index)
             && self.intents.contains(&index)
     }
 
-    /// Intents of this owner that are written or wanted, and have no result.
-    pub(super) fn open_intents(&self) -> usize {
-        let own = self.own_intents.union(&self.wanted);
-        own.filter(|it| !self.is_decided(**it)).count()
+    /// Number of this owner's intents, stored or yet to be written, without a result.
+    pub(super) fn unresolved_own_intents(&self) -> usize {
+        let own = self.own_intents.union(&self.unwritten_intents);
+        own.filter(|it| !self.has_result(**it)).count()
     }
 
-    /// Intents of earlier owners that have no result: the items may have been run.
-    pub(super) fn foreign_intents(&self) -> Vec<u32> {
-        let foreign = self.intents.difference(&self.own_intents);
-        foreign.copied().filter(|it| !self.is_decided(*it)).collect()
+    /// Items with an intent of an earlier owner and without a result: they may have run.
+    pub(super) fn earlier_owner_intents(&self) -> Vec<u32> {
+        let earlier = self.intents.difference(&self.own_intents);
+        earlier.copied().filter(|it| !self.has_result(*it)).collect()
     }
 
-    /// All intents without a result.
-    pub(super) fn unanswered_intents(&self) -> Vec<u32> {
-        let standing = self.intents.difference(&self.withdrawn).copied();
-        standing.filter(|it| !self.is_decided(*it)).collect()
+    /// Items with a stored intent of any owner, not withdrawn, and without a result.
+    pub(super) fn unresolved_intents(&self) -> Vec<u32> {
+        let stored = self.intents.difference(&self.withdrawn_intents).copied();
+        stored.filter(|it| !self.has_result(*it)).collect()
     }
 
-    /// Items completed and failed, as they stand.
+    /// Numbers of completed and failed items among the committed results.
     pub(super) fn counts(&self) -> (u32, u32) {
-        outcome_counts(self.standing.values().map(|it| it.outcome))
+        outcome_counts(self.committed.values().map(|it| it.outcome))
     }
 
-    /// Bytes of results that are not written yet.
+    /// Bytes of pending results.
     pub(super) fn pending_bytes(&self) -> usize {
         self.pending_bytes
     }
 
-    /// Asks for an intent to be written; tells whether it was not asked for before.
-    pub(super) fn intend(&mut self, index: u32) -> bool {
-        !self.own_intents.contains(&index) && self.wanted.insert(index)
+    /// Requests that an intent be written. Returns false if it was requested before.
+    pub(super) fn request_intent(&mut self, index: u32) -> bool {
+        !self.own_intents.contains(&index) && self.unwritten_intents.insert(index)
     }
 
-    /// Takes back the intents of items that this owner has not run and will not run: all but those that are `running`.
+    /// Withdraws the intents of items that this owner has not started and won't start: all except the `running` ones.
     pub(super) fn withdraw_intents(&mut self, running: &BTreeSet<u32>) {
-        self.wanted.clear();
-        let unrun = self.own_intents.difference(running).copied();
-        let unrun: Vec<u32> = unrun.filter(|it| !self.is_decided(*it)).collect();
-        self.withdrawn.extend(unrun);
+        self.unwritten_intents.clear();
+        let not_started = self.own_intents.difference(running).copied();
+        let not_started: Vec<u32> = not_started.filter(|it| !self.has_result(*it)).collect();
+        self.withdrawn_intents.extend(not_started);
     }
 
-    /// Forgets results and intents that are not written.
-    pub(super) fn drop_pending(&mut self) {
+    /// Discards results and intents that have not been written.
+    pub(super) fn discard_pending(&mut self) {
         self.pending.clear();
         self.pending_bytes = 0;
-        self.wanted.clear();
+        self.unwritten_intents.clear();
     }
 
-    /// Whether a result of this size still fits in the chunk's object, beside those to come.
-    pub(super) fn has_room(&self, result: &Recorded) -> bool {
-        let decided = self.standing.len() + self.pending.len() + 1;
-        let reserved = (self.items as usize).saturating_sub(decided) * RESERVED_BYTES;
-        let used = self.standing_bytes + self.pending_bytes + reserved;
-        used + result.len_bytes() <= INLINE_BYTES.max(used + RESERVED_BYTES)
+    /// Whether a result of this size fits in the chunk's object together with the space reserved for missing results.
+    pub(super) fn fits_inline(&self, result: &EncodedResult) -> bool {
+        let with_result = self.committed.len() + self.pending.len() + 1;
+        let reserved = (self.items as usize).saturating_sub(with_result) * RESERVED_BYTES_PER_ITEM;
+        let used = self.committed_bytes + self.pending_bytes + reserved;
+        used + result.len_bytes() <= MAX_INLINE_BYTES.max(used + RESERVED_BYTES_PER_ITEM)
     }
 
-    /// Takes a result; the first one for an item counts.
-    pub(super) fn add(&mut self, now_ms: u64, index: u32, result: &ItemResult) {
-        if self.is_decided(index) {
+    /// Adds a pending result, unless the item already has one.
+    pub(super) fn add_result(&mut self, now_ms: u64, index: u32, result: &ItemResult) {
+        if self.has_result(index) {
             return;
         }
-        let Some(recorded) = Recorded::new(result) else { return };
+        let Some(encoded) = EncodedResult::new(result) else { return };
         if self.pending.is_empty() {
-            self.since_ms = now_ms;
+            self.pending_since_ms = now_ms;
         }
-        self.pending_bytes += recorded.len_bytes();
-        self.pending.insert(index, recorded);
+        self.pending_bytes += encoded.len_bytes();
+        self.pending.insert(index, encoded);
     }
 
-    /// Whether nothing is on its way or in doubt.
-    pub(super) fn is_settled(&self) -> bool {
+    /// Whether nothing is left to write and no write has an unknown outcome.
+    pub(super) fn is_flushed(&self) -> bool {
         self.is_unreadable()
             || (matches!(self.state, State::Idle)
                 && self.pending.is_empty()
-                && self.wanted.is_empty()
-                && self.withdrawn.is_disjoint(&self.intents)
-                && self.doubtful.is_none())
+                && self.unwritten_intents.is_empty()
+                && self.withdrawn_intents.is_disjoint(&self.intents)
+                && self.unknown_write.is_none())
     }
 
-    /// Whether no write of anybody but this owner, and none of its own on its way, can still take effect.
+    /// Whether neither a write of another owner nor one in flight from this owner can still take effect.
     ///
-    /// The first owner has no former owner, so an object that it never wrote needs no fence.
+    /// The first owner has no predecessor, so an object that it never wrote needs no fencing write.
     pub(super) fn is_sealed(&self) -> bool {
-        let no_former_owner = self.epoch == 1 && self.version.is_none();
+        let is_first_owner = self.epoch == 1 && self.version.is_none();
         self.is_unreadable()
-            || (self.is_settled() && (no_former_owner || self.stored_epoch == self.epoch))
+            || (self.is_flushed() && (is_first_owner || self.stored_epoch == self.epoch))
     }
 
-    /// Reads or writes if it is time.
-    pub(super) fn step(&mut self, urgency: Urgency, ctx: &mut Context<'_>) {
+    /// Issues the next read or write if it is due.
+    pub(super) fn step(&mut self, policy: FlushPolicy, ctx: &mut Context<'_>) {
         match self.state {
             State::Unread => self.read(ctx),
             State::Waiting { at_ms, reread } if ctx.now_ms() >= at_ms => match reread {
                 true => self.read(ctx),
                 false => {
                     self.state = State::Idle;
-                    self.write_if_due(urgency, ctx);
+                    self.write_if_due(policy, ctx);
                 }
             },
-            State::Idle => self.write_if_due(urgency, ctx),
+            State::Idle => self.write_if_due(policy, ctx),
             State::Reading(_) | State::Writing(_) | State::Waiting { .. } | State::Fenced => {}
         }
     }
 
-    /// Takes the answer to a call; tells whether the call was this chunk's.
-    pub(super) fn stored(
+    /// Handles the answer to a store call. Returns whether the call was issued by this writer.
+    pub(super) fn store_answered(
         &mut self,
         call: CallId,
         answer: &StoreAnswer,
@@ -266,31 +269,32 @@
         self.state = State::Reading(call);
     }
 
-    fn write_if_due(&mut self, urgency: Urgency, ctx: &mut Context<'_>) {
-        if self.is_due(urgency, ctx) {
+    fn write_if_due(&mut self, policy: FlushPolicy, ctx: &mut Context<'_>) {
+        if self.is_due(policy, ctx) {
             self.write(ctx);
         }
     }
 
-    fn is_due(&self, urgency: Urgency, ctx: &mut Context<'_>) -> bool {
-        let intents_change = !self.wanted.is_empty() || !self.withdrawn.is_disjoint(&self.intents);
-        if intents_change || self.pending.len() >= GROUP {
+    fn is_due(&self, policy: FlushPolicy, ctx: &mut Context<'_>) -> bool {
+        let intents_change = !self.unwritten_intents.is_empty()
+            || !self.withdrawn_intents.is_disjoint(&self.intents);
+        if intents_change || self.pending.len() >= GROUP_RESULTS {
             return true;
         }
-        match urgency {
-            Urgency::Seal => !self.is_sealed(),
-            Urgency::Flush => !self.pending.is_empty() || self.doubtful.is_some(),
-            Urgency::Group if self.pending.is_empty() => false,
-            Urgency::Group => ctx.lingered(self.since_ms),
+        match policy {
+            FlushPolicy::Seal => !self.is_sealed(),
+            FlushPolicy::Flush => !self.pending.is_empty() || self.unknown_write.is_some(),
+            FlushPolicy::Group if self.pending.is_empty() => false,
+            FlushPolicy::Group => ctx.may_write_partial_group(self.pending_since_ms),
         }
     }
 
     fn write(&mut self, ctx: &mut Context<'_>) {
         let mut intents = self.intents.clone();
-        intents.extend(&self.wanted);
-        intents.retain(|it| !self.withdrawn.contains(it));
-        self.own_intents.append(&mut self.wanted);
-        let results = self.standing.iter().chain(&self.pending);
+        intents.extend(&self.unwritten_intents);
+        intents.retain(|it| !self.withdrawn_intents.contains(it));
+        self.own_intents.append(&mut self.unwritten_intents);
+        let results = self.committed.iter().chain(&self.pending);
         let value = results_value(self.epoch, &ctx.config.writer, self.items, &intents, results);
         let key = self.key.clone();
         let labels = Default::default();
@@ -303,98 +307,99 @@
 
     fn read_answered(&mut self, answer: &StoreAnswer, ctx: &mut Context<'_>) {
         match answer {
-            StoreAnswer::Object(stored) => self.take(stored, ctx),
-            // Results only vanish when their job is removed.
+            StoreAnswer::Object(stored) => self.apply_stored(stored, ctx),
+            // Results are deleted only when their job is removed.
             StoreAnswer::Absent if self.version.is_some() => self.state = State::Fenced,
             StoreAnswer::Absent => {
-                self.was_read = true;
+                self.loaded = true;
                 self.state = State::Idle;
                 self.backoff.reset();
-                self.want_lost_intents();
+                self.requeue_lost_intents();
             }
-            _ => self.wait(true, ctx),
+            _ => self.back_off(true, ctx),
         }
     }
 
     fn write_answered(&mut self, answer: &StoreAnswer, ctx: &mut Context<'_>) {
         match answer {
-            StoreAnswer::Object(stored) => self.take(stored, ctx),
-            // The write may stand, or may still take effect: only a read can tell.
+            StoreAnswer::Object(stored) => self.apply_stored(stored, ctx),
+            // The write may have taken effect, or may do so later; only a read shows which.
             StoreAnswer::Unknown => {
-                self.doubtful = Some(self.version);
+                self.unknown_write = Some(self.version);
                 self.state = State::Waiting { at_ms: ctx.now_ms(), reread: true };
             }
-            // Another writer was first. The read shows whose results stand, and whether a later owner's epoch does.
+            // Another write was first. The read returns the committed results and the current epoch.
             StoreAnswer::Conflict | StoreAnswer::Taken | StoreAnswer::Absent => {
                 self.state = State::Waiting { at_ms: ctx.now_ms(), reread: true };
             }
             _ => {
-                self.want_lost_intents();
-                self.wait(false, ctx);
+                self.requeue_lost_intents();
+                self.back_off(false, ctx);
             }
         }
     }
 
-    fn take(&mut self, stored: &Stored, ctx: &mut Context<'_>) {
+    fn apply_stored(&mut self, stored: &Stored, ctx: &mut Context<'_>) {
         let content = match read_stored_results(&stored.value) {
             Ok(content) => content,
-            // Its version is not taken, so that no update of ours can succeed against it.
-            Err(fault) => return self.refuse(fault, ctx),
+            // The version is not recorded, so that no update of this object can succeed.
+            Err(fault) => return self.mark_unreadable(fault, ctx),
         };
         self.unreadable = None;
         if content.epoch > self.epoch {
             self.state = State::Fenced;
             return;
         }
-        // A write against another version than the one that stands can take effect no more.
-        if self.doubtful != Some(Some(stored.version)) {
-            self.doubtful = None;
+        // A write based on any other version than the stored one can no longer take effect.
+        if self.unknown_write != Some(Some(stored.version)) {
+            self.unknown_write = None;
         }
         if content.epoch < self.epoch {
-            // A former owner wrote these; where we meant the same item, its run and not ours has the intent.
+            // A former owner wrote this object. Where both owners have an intent for an item, the stored one belongs to
+            // the former owner's run.
             self.own_intents.retain(|it| !content.intents.contains(it));
-            self.wanted.retain(|it| !content.intents.contains(it));
+            self.unwritten_intents.retain(|it| !content.intents.contains(it));
         } else {
-            // A write of ours that was believed lost has taken effect.
-            let standing = self.wanted.iter().filter(|it| content.intents.contains(it));
-            self.own_intents.extend(standing.copied().collect::<Vec<_>>());
-            self.wanted.retain(|it| !content.intents.contains(it));
+            // A write of this owner with unknown outcome has taken effect.
+            let stored = self.unwritten_intents.iter().filter(|it| content.intents.contains(it));
+            self.own_intents.extend(stored.copied().collect::<Vec<_>>());
+            self.unwritten_intents.retain(|it| !content.intents.contains(it));
         }
         self.version = Some(stored.version);
         self.stored_epoch = content.epoch;
         self.items = self.items.max(content.items);
         self.intents = content.intents;
-        self.standing_bytes = content.results.values().map(Recorded::len_bytes).sum();
-        self.standing = content.results;
-        self.pending.retain(|index, _| !self.standing.contains_key(index));
-        self.pending_bytes = self.pending.values().map(Recorded::len_bytes).sum();
-        self.was_read = true;
+        self.committed_bytes = content.results.values().map(EncodedResult::len_bytes).sum();
+        self.committed = content.results;
+        self.pending.retain(|index, _| !self.committed.contains_key(index));
+        self.pending_bytes = self.pending.values().map(EncodedResult::len_bytes).sum();
+        self.loaded = true;
         self.state = State::Idle;
         self.backoff.reset();
-        self.want_lost_intents();
+        self.requeue_lost_intents();
     }
 
-    /// Intents that were sent and do not stand are to be written again.
-    fn want_lost_intents(&mut self) {
-        let lost: Vec<u32> = self.own_intents.difference(&self.intents).copied().collect();
-        for index in lost {
+    /// Queues intents that were sent but aren't stored to be written again.
+    fn requeue_lost_intents(&mut self) {
+        let missing: Vec<u32> = self.own_intents.difference(&self.intents).copied().collect();
+        for index in missing {
             self.own_intents.remove(&index);
-            if !self.withdrawn.contains(&index) {
-                self.wanted.insert(index);
+            if !self.withdrawn_intents.contains(&index) {
+                self.unwritten_intents.insert(index);
             }
         }
     }
 
-    fn refuse(&mut self, fault: Unreadable, ctx: &mut Context<'_>) {
+    fn mark_unreadable(&mut self, fault: Unreadable, ctx: &mut Context<'_>) {
         if self.unreadable.replace(fault).is_none() {
             ctx.note_unreadable(self.key.clone(), fault);
         }
-        self.drop_pending();
+        self.discard_pending();
         let at_ms = ctx.now_ms() + UNREADABLE_RETRY_MS;
         self.state = State::Waiting { at_ms, reread: true };
     }
 
-    fn wait(&mut self, reread: bool, ctx: &mut Context<'_>) {
+    fn back_off(&mut self, reread: bool, ctx: &mut Context<'_>) {
         let at_ms = ctx.now_ms() + self.backoff.wait_ms(ctx.rng);
         self.state = State::Waiting { at_ms, reread };
     }
--- a/crates/samphiredoor-core/src/ledger/config.rs
+++ b/crates/samphiredoor-core/src/ledger/config.rs
@@ -1,44 +1,44 @@
-//! Settings of the ledger.
+//! Identity and intervals of a process's ledger.
 
 use crate::Name;
 
-/// Who the ledger works for, and at which pace.
+/// Identity of the process, and the intervals and limits of its ledger.
 #[derive(Debug, Clone)]
 pub struct LedgerConfig {
     /// Name of the process.
     pub process: Name,
-    /// Start of the process.
+    /// Incarnation of the process; higher after each start.
     pub incarnation: u64,
-    /// Token of its writes; differs between any two starts of any process.
+    /// Token stored with its writes, unique to each incarnation of each process.
     pub writer: Name,
-    /// Seed of all jitter.
+    /// Seed of the random jitter.
     pub seed: u64,
-    /// Hand-outs stop this long before the own lease ends.
+    /// No items are started within this time before the process's own lease ends.
     pub lease_margin_ms: u64,
-    /// Time for the preferred process to take a job before the next one tries.
-    pub spread_ms: u64,
-    /// Time between two looks for the jobs of a process whose lease has lapsed.
+    /// Delay between the takeover attempts of successive candidates for the same job.
+    pub takeover_stagger_ms: u64,
+    /// Interval between scans for the jobs of a process whose lease has expired.
     pub sweep_ms: u64,
-    /// Time between two looks for free jobs.
+    /// Interval between scans for jobs without an owner.
     pub free_list_ms: u64,
-    /// Time between two looks for cancelled jobs of this process.
-    pub cancel_list_ms: u64,
-    /// Time between two looks for jobs of this process that it does not know of.
-    pub own_list_ms: u64,
-    /// Age at which results that fill no group are worth a write.
+    /// Interval between scans for cancelled jobs of this process.
+    pub cancel_scan_ms: u64,
+    /// Interval between scans for jobs that name this process as owner but are missing from its ledger.
+    pub own_scan_ms: u64,
+    /// Age of the oldest pending result at which an incomplete group may be written.
     pub linger_ms: u64,
-    /// Mean time between two such writes of the process under sustained load.
-    pub commit_ms: u64,
-    /// Most items handed out at once.
+    /// Mean interval between writes of incomplete groups by this process under sustained load.
+    pub linger_write_interval_ms: u64,
+    /// Maximum number of items running at once.
     pub max_running: usize,
-    /// Most items of one job handed out at once.
+    /// Maximum number of items of one job running at once.
     pub max_running_per_job: usize,
-    /// Bytes of results on their way to the store above which nothing is handed out.
+    /// No items are started while this many bytes of results wait to be written to the store.
     pub max_pending_bytes: usize,
 }
 
 impl LedgerConfig {
-    /// Settings with the usual pace.
+    /// Creates a configuration with the default intervals and limits.
     pub fn new(process: Name, incarnation: u64, writer: Name) -> LedgerConfig {
         LedgerConfig {
             process,
@@ -46,13 +46,13 @@
             writer,
             seed: incarnation,
             lease_margin_ms: 1_000,
-            spread_ms: 2_000,
+            takeover_stagger_ms: 2_000,
             sweep_ms: 10_000,
             free_list_ms: 10_000,
-            cancel_list_ms: 3_000,
-            own_list_ms: 60_000,
+            cancel_scan_ms: 3_000,
+            own_scan_ms: 60_000,
             linger_ms: 500,
-            commit_ms: 10_000,
+            linger_write_interval_ms: 10_000,
             max_running: 4_096,
             max_running_per_job: 256,
             max_pending_bytes: 16 * 1024 * 1024,
--- a/crates/samphiredoor-core/src/ledger/context.rs
+++ b/crates/samphiredoor-core/src/ledger/context.rs
@@ -1,4 +1,4 @@
-//! What the parts of the ledger share while they take one event.
+//! State that the parts of the ledger share while they handle one event.
 
 use rand::rngs::SmallRng;
 
@@ -13,51 +13,57 @@
     time::Now,
 };
 
-const MAX_TOKENS: u64 = 8;
+const MAX_BURST_WRITES: u64 = 8;
 
-/// Pace of writes that fill no group.
+/// Token bucket that limits the writes of incomplete groups of results.
 ///
-/// A burst of small jobs commits at once; under sustained load one write in `commit_ms` is left for them, so that
-/// the writes of a process do not grow with its jobs.
+/// A burst of small jobs may make up to [`MAX_BURST_WRITES`] such writes at once. Under sustained load there is one
+/// write per `linger_write_interval_ms`, so that the write rate of a process doesn't grow with its number of jobs.
 #[derive(Debug)]
-pub(super) struct LingerPace {
-    commit_ms: u64,
-    // Tokens times commit_ms, so that the refill is exact.
+pub(super) struct LingerLimiter {
+    linger_write_interval_ms: u64,
+    // Tokens times linger_write_interval_ms, so that the refill is exact.
     credit_ms: u64,
     at_ms: u64,
 }
 
-impl LingerPace {
-    pub(super) fn new(commit_ms: u64) -> LingerPace {
-        LingerPace { commit_ms, credit_ms: MAX_TOKENS * commit_ms, at_ms: 0 }
+impl LingerLimiter {
+    pub(super) fn new(linger_write_interval_ms: u64) -> LingerLimiter {
+        LingerLimiter {
+            linger_write_interval_ms,
+            credit_ms: MAX_BURST_WRITES * linger_write_interval_ms,
+            at_ms: 0,
+        }
     }
 
-    fn take(&mut self, now_ms: u64) -> bool {
+    fn try_take(&mut self, now_ms: u64) -> bool {
         let gained = now_ms.saturating_sub(self.at_ms);
         self.at_ms = now_ms;
-        self.credit_ms = (self.credit_ms + gained).min(MAX_TOKENS * self.commit_ms);
-        if self.credit_ms < self.commit_ms {
+        self.credit_ms =
+            (self.credit_ms + gained).min(MAX_BURST_WRITES * self.linger_write_interval_ms);
+        if self.credit_ms < self.linger_write_interval_ms {
             return false;
         }
-        self.credit_ms -= self.commit_ms;
+        self.credit_ms -= self.linger_write_interval_ms;
         true
     }
 }
 
-/// One event's view of the ledger.
+/// Shared state of the ledger during one event, and the actions that result from it.
 pub(super) struct Context<'a> {
     pub(super) now: Now,
     pub(super) config: &'a LedgerConfig,
     pub(super) rng: &'a mut SmallRng,
-    /// Whether the own lease is held with its margin.
+    /// Whether this process's lease is held for at least the margin.
     pub(super) lease_held: bool,
-    /// Whether items may be handed out: the lease is held, no planned stop has begun, the store keeps up.
+    /// Whether items may be started: the lease is held, no graceful shutdown has begun, and the bytes of pending
+    /// results are below their limit.
     pub(super) may_run: bool,
-    /// Items that may still be handed out by the process.
-    pub(super) room: usize,
-    /// Most items of one job at once.
-    pub(super) job_room: usize,
-    pub(super) pace: &'a mut LingerPace,
+    /// Number of further items that the process may start.
+    pub(super) free_slots: usize,
+    /// Maximum number of items of one job running at once.
+    pub(super) free_job_slots: usize,
+    pub(super) linger_limiter: &'a mut LingerLimiter,
     pub(super) next_call: &'a mut u64,
     pub(super) new_calls: Vec<CallId>,
     pub(super) out: &'a mut Vec<LedgerAction>,
@@ -68,7 +74,7 @@
         self.now.mono_ms
     }
 
-    /// Numbers a store call and makes it.
+    /// Issues a store call and returns its identifier.
     pub(super) fn call(&mut self, op: StoreOp) -> CallId {
         let call = CallId(*self.next_call);
         *self.next_call += 1;
@@ -77,10 +83,11 @@
         call
     }
 
-    /// Whether results that wait since `since_ms` may be written although they fill no group.
-    pub(super) fn lingered(&mut self, since_ms: u64) -> bool {
+    /// Whether results that have been pending since `since_ms` may be written as an incomplete group; uses a token if
+    /// so.
+    pub(super) fn may_write_partial_group(&mut self, since_ms: u64) -> bool {
         let old = self.now_ms().saturating_sub(since_ms) >= self.config.linger_ms;
-        old && self.pace.take(self.now.mono_ms)
+        old && self.linger_limiter.try_take(self.now.mono_ms)
     }
 
     pub(super) fn note_unreadable(&mut self, key: ObjectKey, fault: Unreadable) {
--- a/crates/samphiredoor-core/src/ledger/messages.rs
+++ b/crates/samphiredoor-core/src/ledger/messages.rs
@@ -1,4 +1,4 @@
-//! What goes into the ledger and what comes out.
+//! Inputs and actions of the ledger.
 
 use std::sync::Arc;
 
@@ -13,33 +13,33 @@
     store::{ObjectKey, StoreAnswer, StoreOp, Version},
 };
 
-/// One item of a job, as one owner runs it.
+/// One item of a job, as run by one owner.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ItemRef {
-    /// Job.
+    /// Job that the item belongs to.
     pub job: JobId,
-    /// Fencing number of the taking under which it runs.
+    /// Fencing token of the owner that runs it.
     pub epoch: u64,
-    /// Chunk within the job.
+    /// Index of the chunk within the job.
     pub chunk: u32,
-    /// Item within the chunk.
+    /// Index of the item within the chunk.
     pub index: u32,
 }
 
-/// An item that wants to be run.
+/// An item to be run.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ItemWork {
-    /// Which item.
+    /// Identity of the item.
     pub item: ItemRef,
-    /// Service asked for.
+    /// Service that the item requests.
     pub service: Name,
     /// Workspace of the job.
     pub workspace: Name,
-    /// Path of the call.
+    /// Path of the request.
     pub url: String,
-    /// Body of the call, as JSON text.
+    /// Body of the request, as JSON text.
     pub body: Arc<str>,
-    /// Whether it may run more than once.
+    /// Whether the item may run more than once.
     pub repeatable: bool,
     /// Wall-clock time at which the job is due.
     pub due_unix_ms: Option<u64>,
@@ -48,135 +48,136 @@
 /// How a run of an item ended.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ItemEnd {
-    /// A whole answer arrived.
+    /// A complete response arrived.
     Answered {
         /// HTTP status.
         status: u16,
-        /// Body.
+        /// Body of the response.
         body: serde_json::Value,
     },
-    /// It did not run, or was cut for online requests and may run twice; not counted as a try.
+    /// The item did not run, or is repeatable and was preempted by online requests. Doesn't count as a try.
     NotRun {
-        /// When to try again.
+        /// Shortest delay before the item is started again.
         retry_after_ms: u64,
     },
-    /// It may have run, and left no answer.
+    /// The item may have run, but no response arrived.
     MayHaveRun,
-    /// It did not run, and never will: the request or its service is refused for good.
+    /// The item did not run and is not retried: the request or its service is refused permanently.
     Refused {
-        /// Why.
+        /// Reason for the refusal, recorded as the item's error.
         reason: String,
     },
 }
 
-/// What happened.
+/// Event for the ledger.
 #[derive(Debug, Clone)]
 pub enum LedgerInput {
-    /// This process owns the job from now on.
+    /// This process has accepted the job and is its owner.
     Owned {
-        /// Which job.
+        /// Identifier of the job.
         job: JobId,
-        /// Header as stored.
+        /// Header as stored at acceptance.
         header: Box<JobHeader>,
         /// Version of the header.
         version: Version,
     },
-    /// A store call was answered.
+    /// A store call has completed.
     Stored {
-        /// Which call.
+        /// Identifier of the call.
         call: CallId,
-        /// Its answer.
+        /// Answer of the store.
         answer: StoreAnswer,
     },
-    /// The run of an item ended. Each [`LedgerAction::Run`] is answered by one, also after a stop.
+    /// The run of an item ended. Each [`LedgerAction::Run`] leads to exactly one, also after a [`LedgerAction::Stop`].
     ItemEnded {
-        /// Which item.
+        /// Identity of the item.
         item: ItemRef,
-        /// How.
+        /// Outcome of the run.
         end: ItemEnd,
     },
-    /// The process's own lease is held until this monotonic time; 0 if it is lost.
+    /// This process's lease was renewed or lost.
     Lease {
-        /// End of the lease.
+        /// Monotonic time until which the lease is held; 0 if it is lost.
         valid_until_ms: u64,
     },
-    /// The lease of another process has lapsed. A hint: it may come again and again, and be wrong.
+    /// The lease of another process has expired. A hint: it may be repeated, and may be wrong.
     Lapsed {
-        /// Which process.
+        /// Name of the process.
         process: Name,
-        /// Which start of it.
+        /// Its incarnation.
         incarnation: u64,
     },
-    /// The processes whose leases are held, this one among them. A hint.
+    /// Processes that hold a valid lease, including this one. A hint.
     Live {
-        /// Their names.
+        /// Names of the processes.
         processes: Vec<Name>,
     },
-    /// A job that this process may own is cancelled. A hint.
+    /// A job that this process may own was cancelled. A hint.
     CancelHint {
-        /// Which job.
+        /// Identifier of the job.
         job: JobId,
     },
-    /// Another process has handed the job over. A hint.
+    /// Another process has released the job for takeover. A hint.
     Offered {
-        /// Which job.
+        /// Identifier of the job.
         job: JobId,
     },
-    /// A planned stop has begun: all jobs are to be handed over.
+    /// A graceful shutdown has begun: all jobs are to be handed over.
     Stopping,
-    /// Time passed.
+    /// Periodic event that drives timeouts, retries and scans.
     Tick,
 }
 
-/// What to do.
+/// Action that the ledger requests from its task.
 #[derive(Debug, Clone, PartialEq)]
 pub enum LedgerAction {
     /// Make a store call.
     Store {
-        /// Which call.
+        /// Identifier of the call.
         call: CallId,
-        /// The call.
+        /// Operation to execute.
         op: StoreOp,
     },
-    /// Run an item when a target has room, and report how it ended.
+    /// Run an item as soon as a target has a free slot, and report its end.
     Run(Box<ItemWork>),
-    /// Stop the run of an item, if it goes on. A run that must not be repeated and may have begun is left to end.
+    /// Stop the run of an item if it is still in progress. A run that may have started and isn't repeatable is left to
+    /// end.
     Stop(ItemRef),
-    /// The job is free to be taken by another process; tell them.
+    /// The job was released; notify the other processes that they can take it over.
     HandedOver(JobId),
-    /// Something to log and count.
+    /// Log and count an event.
     Note(Note),
 }
 
-/// Something to log and count.
+/// Event to log and count.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Note {
-    /// A job was taken from a process that no longer works on it.
+    /// This process took over a job without a live owner.
     Taken {
-        /// Which job.
+        /// Identifier of the job.
         job: JobId,
-        /// Fencing number of the taking.
+        /// Fencing token of the new ownership.
         epoch: u64,
     },
-    /// A job was dropped: another process has taken it, or it was removed.
+    /// This process stopped work on a job because another process took it over or the job was removed.
     Dropped {
-        /// Which job.
+        /// Identifier of the job.
         job: JobId,
     },
-    /// A job has ended.
+    /// A job was finished or cancelled.
     Closed {
-        /// Which job.
+        /// Identifier of the job.
         job: JobId,
-        /// How.
+        /// Final state.
         state: JobState,
     },
-    /// The own lease is over; nothing is handed out until it is held again.
+    /// This process's lease has expired; no items are started until it is renewed.
     LeaseOver,
-    /// A stored object cannot be read and is left alone.
+    /// A stored object cannot be read; it is left unchanged.
     Unreadable {
-        /// Which object.
+        /// Key of the object.
         key: ObjectKey,
-        /// Why.
+        /// Reason that it cannot be read.
         fault: Unreadable,
     },
 }
@@ -184,10 +185,10 @@
 /// Progress of a job that this process owns.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Progress {
-    /// Items with an answer.
+    /// Items with a successful response.
     pub completed: u32,
-    /// Items that ended as failures.
+    /// Items that failed or may have run.
     pub failed: u32,
-    /// Items handed out and not ended.
+    /// Items started and not ended.
     pub running: u32,
 }
--- a/crates/samphiredoor-core/src/ledger/mod.rs
+++ b/crates/samphiredoor-core/src/ledger/mod.rs
@@ -1,9 +1,9 @@
-//! Batch jobs: accepted once, each item completed once, results readable.
+//! Batch jobs: each job is accepted once and each of its items gets exactly one stored result.
 //!
-//! A job is a header, immutable chunks of items, and one results object per chunk. Creating the header is the moment
-//! of acceptance. An item is complete when, and only when, its result stands in its chunk's results object, which only
-//! changes by conditional update and never loses or replaces a result. That is the safety; owners, leases and commits
-//! in groups only keep the work from being done twice.
+//! A job consists of a header, immutable chunks of items, and one results object per chunk. Creating the header accepts
+//! the job. An item is complete if and only if its result is committed to its chunk's results object, which changes
+//! only by conditional update and never loses or replaces a result. Correctness rests on these conditional updates
+//! alone; owners, leases and group commits only avoid duplicate work.
 
 mod backoff;
 mod cancellation;
@@ -37,49 +37,50 @@
     store::{StoreAnswer, Version},
     time::Now,
 };
-use context::{Context, LingerPace};
+use context::{Context, LingerLimiter};
 use run::{Event, JobRun, Load};
 pub use takeover::sweepers;
-use takeover::{Found, Takeover};
+use takeover::{Finding, Takeover};
 
 #[derive(Debug)]
-enum Caller {
+enum CallOrigin {
     Job(JobId),
     Takeover,
 }
 
-/// What all parts of the ledger share, beside their own states.
+/// State shared by all jobs and the takeover of orphaned jobs.
 #[derive(Debug)]
 struct Shared {
     config: LedgerConfig,
-    calls: BTreeMap<CallId, Caller>,
+    calls: BTreeMap<CallId, CallOrigin>,
     next_call: u64,
     rng: SmallRng,
-    pace: LingerPace,
+    linger_limiter: LingerLimiter,
     lease_held: bool,
     stopping: bool,
     load: Load,
 }
 
-/// Jobs that this process owns, and the search for those that nobody works on.
+/// State machine of the jobs that this process owns, and of its scans for jobs without a live owner.
 #[derive(Debug)]
 pub struct Ledger {
     shared: Shared,
     runs: BTreeMap<JobId, JobRun>,
     takeover: Takeover,
     valid_until_ms: u64,
-    // Job that a tick begins with, so that none is always first.
-    first: Option<JobId>,
+    // Job that the last tick started with; rotated, so that no job always comes first.
+    first_job: Option<JobId>,
 }
 
 impl Ledger {
-    /// Ledger without jobs. It hands out and takes nothing before its first [`LedgerInput::Lease`].
+    /// Creates a ledger without jobs. It starts no items and takes over no jobs before its first
+    /// [`LedgerInput::Lease`].
     pub fn new(config: LedgerConfig) -> Ledger {
         let shared = Shared {
             calls: BTreeMap::new(),
             next_call: 0,
             rng: SmallRng::seed_from_u64(config.seed),
-            pace: LingerPace::new(config.commit_ms),
+            linger_limiter: LingerLimiter::new(config.linger_write_interval_ms),
             lease_held: false,
             stopping: false,
             load: Load::default(),
@@ -89,12 +90,12 @@
             runs: BTreeMap::new(),
             takeover: Takeover::new(Arc::clone(&shared.config.process), shared.config.incarnation),
             valid_until_ms: 0,
-            first: None,
+            first_job: None,
             shared,
         }
     }
 
-    /// Takes one event; appends what to do to `out`.
+    /// Handles one event and appends the resulting actions to `out`.
     pub fn handle(&mut self, now: Now, input: LedgerInput, out: &mut Vec<LedgerAction>) {
         if let LedgerInput::Lease { valid_until_ms } = input {
             self.valid_until_ms = valid_until_ms;
@@ -102,9 +103,9 @@
         self.check_lease(now, out);
         match input {
             LedgerInput::Owned { job, header, version } => {
-                self.owned(now, job, *header, version, out);
+                self.add_owned(now, job, *header, version, out);
             }
-            LedgerInput::Stored { call, answer } => self.stored(now, call, answer, out),
+            LedgerInput::Stored { call, answer } => self.store_answered(now, call, answer, out),
             LedgerInput::ItemEnded { item, end } => {
                 let job = Arc::clone(&item.job);
                 if self.runs.get(&job).is_some_and(|it| it.epoch() == item.epoch) {
@@ -113,30 +114,32 @@
             }
             LedgerInput::Lease { .. } | LedgerInput::Tick => self.tick(now, out),
             LedgerInput::Lapsed { process, incarnation } => {
-                self.with_takeover(now, out, |it, _, ctx| it.lapsed(process, incarnation, ctx));
+                self.with_takeover(now, out, |it, _, ctx| {
+                    it.lease_expired(process, incarnation, ctx)
+                });
             }
-            LedgerInput::Live { processes } => self.takeover.live(processes),
-            LedgerInput::CancelHint { job } => self.recheck(now, &job, out),
+            LedgerInput::Live { processes } => self.takeover.set_live(processes),
+            LedgerInput::CancelHint { job } => self.request_header_read(now, &job, out),
             LedgerInput::Offered { job } => {
                 if !self.runs.contains_key(&job) {
-                    self.with_takeover(now, out, |it, _, ctx| it.offered(job, ctx));
+                    self.with_takeover(now, out, |it, _, ctx| it.job_offered(job, ctx));
                 }
             }
-            LedgerInput::Stopping => self.stop(now, out),
+            LedgerInput::Stopping => self.hand_over_all(now, out),
         }
     }
 
-    /// Progress of a job, if this process owns it.
+    /// Returns the progress of a job, or `None` if this process doesn't own it.
     pub fn progress(&self, job: &str) -> Option<Progress> {
         self.runs.get(job).map(JobRun::progress)
     }
 
-    /// Jobs that this process works on.
+    /// Jobs that this process owns and has not finished.
     pub fn jobs(&self) -> impl Iterator<Item = &JobId> {
         self.runs.keys()
     }
 
-    /// Notices the end of the own lease by the own clock, also after the process was paused.
+    /// Detects by the local clock that this process's lease has expired, also after the process was paused.
     fn check_lease(&mut self, now: Now, out: &mut Vec<LedgerAction>) {
         let held = now.mono_ms + self.shared.config.lease_margin_ms < self.valid_until_ms;
         let was_held = std::mem::replace(&mut self.shared.lease_held, held);
@@ -148,7 +151,7 @@
         }
     }
 
-    fn owned(
+    fn add_owned(
         &mut self,
         now: Now,
         job: JobId,
@@ -158,12 +161,12 @@
     ) {
         let epoch = header.owner.epoch;
         let known = self.runs.get(&job).is_some_and(|it| it.epoch() >= epoch);
-        if !known && !self.takeover.is_taking(&job) {
-            self.start(now, job, header, version, out);
+        if !known && !self.takeover.is_taking_over(&job) {
+            self.start_job(now, job, header, version, out);
         }
     }
 
-    fn start(
+    fn start_job(
         &mut self,
         now: Now,
         job: JobId,
@@ -179,56 +182,63 @@
         self.step(now, &job, None, out);
     }
 
-    fn stop(&mut self, now: Now, out: &mut Vec<LedgerAction>) {
+    fn hand_over_all(&mut self, now: Now, out: &mut Vec<LedgerAction>) {
         self.shared.stopping = true;
         for job in self.job_ids() {
             self.with_run(now, &job, out, JobRun::hand_over);
         }
     }
 
-    fn recheck(&mut self, now: Now, job: &JobId, out: &mut Vec<LedgerAction>) {
+    fn request_header_read(&mut self, now: Now, job: &JobId, out: &mut Vec<LedgerAction>) {
         if let Some(run) = self.runs.get_mut(job) {
-            run.recheck();
+            run.request_header_read();
             self.step(now, job, None, out);
         }
     }
 
     fn tick(&mut self, now: Now, out: &mut Vec<LedgerAction>) {
         let mut jobs = self.job_ids();
-        let first = self.first.as_ref();
-        let start = jobs.iter().position(|it| Some(it) > first).unwrap_or(0);
+        let first_job = self.first_job.as_ref();
+        let start = jobs.iter().position(|it| Some(it) > first_job).unwrap_or(0);
         jobs.rotate_left(start);
-        self.first = jobs.first().cloned();
+        self.first_job = jobs.first().cloned();
         for job in jobs {
             self.step(now, &job, None, out);
         }
         self.with_takeover(now, out, Takeover::step);
     }
 
-    fn stored(&mut self, now: Now, call: CallId, answer: StoreAnswer, out: &mut Vec<LedgerAction>) {
+    fn store_answered(
+        &mut self,
+        now: Now,
+        call: CallId,
+        answer: StoreAnswer,
+        out: &mut Vec<LedgerAction>,
+    ) {
         match self.shared.calls.remove(&call) {
-            Some(Caller::Job(job)) => {
+            Some(CallOrigin::Job(job)) => {
                 self.step(now, &job, Some(Event::Stored(call, answer)), out);
             }
-            Some(Caller::Takeover) => {
-                let found = self
-                    .with_takeover(now, out, |it, runs, ctx| it.stored(call, answer, runs, ctx));
-                for found in found {
-                    self.found(now, found, out);
+            Some(CallOrigin::Takeover) => {
+                let finding = self.with_takeover(now, out, |it, runs, ctx| {
+                    it.store_answered(call, answer, runs, ctx)
+                });
+                for finding in finding {
+                    self.handle_finding(now, finding, out);
                 }
             }
             None => {}
         }
     }
 
-    fn found(&mut self, now: Now, found: Found, out: &mut Vec<LedgerAction>) {
-        match found {
-            Found::Taken { job, header, version } => {
+    fn handle_finding(&mut self, now: Now, finding: Finding, out: &mut Vec<LedgerAction>) {
+        match finding {
+            Finding::TakenOver { job, header, version } => {
                 let epoch = header.owner.epoch;
                 out.push(LedgerAction::Note(Note::Taken { job: Arc::clone(&job), epoch }));
-                self.start(now, job, *header, version, out);
+                self.start_job(now, job, *header, version, out);
             }
-            Found::Cancelled { job } => self.recheck(now, &job, out),
+            Finding::Cancelled { job } => self.request_header_read(now, &job, out),
         }
     }
 
@@ -253,10 +263,10 @@
         let mut ctx = self.shared.context(now, jobs, out);
         act(run, &mut ctx);
         let calls = ctx.new_calls;
-        let after = if run.ended() { Load::default() } else { run.load() };
+        let after = if run.has_ended() { Load::default() } else { run.load() };
         self.shared.load.change(before, after);
-        self.shared.remember(&calls, || Caller::Job(Arc::clone(job)));
-        if run.ended() {
+        self.shared.track_calls(&calls, || CallOrigin::Job(Arc::clone(job)));
+        if run.has_ended() {
             self.runs.remove(job);
         }
     }
@@ -270,7 +280,7 @@
         let mut ctx = self.shared.context(now, 1, out);
         let result = act(&mut self.takeover, &self.runs, &mut ctx);
         let calls = ctx.new_calls;
-        self.shared.remember(&calls, || Caller::Takeover);
+        self.shared.track_calls(&calls, || CallOrigin::Takeover);
         result
     }
 }
@@ -282,26 +292,26 @@
         jobs: usize,
         out: &'a mut Vec<LedgerAction>,
     ) -> Context<'a> {
-        let keeps_up = self.load.pending_bytes < self.config.max_pending_bytes;
+        let store_keeps_up = self.load.pending_bytes < self.config.max_pending_bytes;
         let fair_share = (self.config.max_running / jobs).max(1);
         Context {
             now,
             config: &self.config,
             rng: &mut self.rng,
             lease_held: self.lease_held,
-            may_run: self.lease_held && !self.stopping && keeps_up,
-            room: self.config.max_running.saturating_sub(self.load.running),
-            job_room: fair_share.min(self.config.max_running_per_job),
-            pace: &mut self.pace,
+            may_run: self.lease_held && !self.stopping && store_keeps_up,
+            free_slots: self.config.max_running.saturating_sub(self.load.running),
+            free_job_slots: fair_share.min(self.config.max_running_per_job),
+            linger_limiter: &mut self.linger_limiter,
             next_call: &mut self.next_call,
             new_calls: Vec::new(),
             out,
         }
     }
 
-    fn remember(&mut self, calls: &[CallId], caller: impl Fn() -> Caller) {
+    fn track_calls(&mut self, calls: &[CallId], origin: impl Fn() -> CallOrigin) {
         for call in calls {
-            self.calls.insert(*call, caller());
+            self.calls.insert(*call, origin());
         }
     }
 }
--- a/crates/samphiredoor-core/src/ledger/names.rs
+++ b/crates/samphiredoor-core/src/ledger/names.rs
@@ -1,4 +1,4 @@
-//! Identities of jobs and calls, and the names of a job's objects.
+//! Identifiers of jobs and store calls, and the keys of a job's stored objects.
 
 use std::sync::Arc;
 
@@ -7,14 +7,14 @@
     store::{Kind, ObjectKey},
 };
 
-/// Identity of a job: the name of its header.
+/// Identifier of a job: the name of its header object.
 pub type JobId = Name;
 
-/// Identity of a store call within one state machine.
+/// Identifier of a store call, unique within one state machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct CallId(pub u64);
 
-/// Name of a job: the same for every resend under the same workspace and key.
+/// Derives a job's identifier. Every submission with the same workspace and key has the same one.
 pub fn job_id(workspace: &str, key: &str) -> JobId {
     let mut hasher = blake3::Hasher::new();
     hasher.update(workspace.as_bytes());
@@ -24,17 +24,18 @@
     format!("job-{}", &digest[..24]).into()
 }
 
-/// Key of a job's header.
+/// Object key of a job's header.
 pub fn header_key(job: &JobId) -> ObjectKey {
     ObjectKey::new(Kind::Job, Arc::clone(job))
 }
 
-/// Key of a chunk.
+/// Object key of a chunk of items.
 pub fn chunk_key(upload: &str, chunk: u32) -> ObjectKey {
     ObjectKey::new(Kind::Chunk, format!("{upload}-{chunk:05}"))
 }
 
-/// Key of a chunk's results. Named after the upload: a removed job's results are never those of a later job.
+/// Object key of a chunk's results. It contains the upload's name, so that a later job with the same identifier never
+/// reads the results of a removed one.
 pub fn results_key(upload: &str, chunk: u32) -> ObjectKey {
     ObjectKey::new(Kind::Results, format!("{upload}-{chunk:05}"))
 }
--- a/crates/samphiredoor-core/src/ledger/run.rs
+++ b/crates/samphiredoor-core/src/ledger/run.rs
@@ -1,10 +1,12 @@
-//! The work on one job by its owner.
+//! Execution of one job by its owner.
 //!
-//! A few chunks are open at a time, so that memory does not grow with the job. Each open chunk hands out its undecided
-//! items, takes their ends, and commits results in groups. When all chunks are complete the header is closed.
+//! A few chunks are open at a time, so that memory use doesn't grow with the size of the job. Each open chunk starts
+//! its items without a result, handles the ends of their runs, and commits results in groups. When all chunks are
+//! complete the header is set to its final state.
 //!
-//! The header names the chunks that may have results (`opened_chunks`); it is moved on before further ones are opened.
-//! So whoever ends a cancelled job knows which results objects a former owner could still write, and fences those.
+//! The header's `opened_chunks` is the number of chunks that may have results; it is raised before further chunks are
+//! opened. An owner that ends a cancelled job therefore fences every results object that a former owner could still
+//! write.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -20,10 +22,11 @@
 };
 use crate::store::{StoreAnswer, StoreOp, Version};
 
-/// Chunks that may be opened before the header is written again.
-pub(super) const OPENED_STEP: u32 = 32;
-const OPEN_CHUNKS: usize = 2;
-const SEALED_AT_ONCE: usize = 4;
+/// Number of chunks by which `opened_chunks` is raised in one write of the header.
+pub(super) const OPENED_CHUNKS_STEP: u32 = 32;
+const MAX_OPEN_CHUNKS: usize = 2;
+const MAX_SEALING_CHUNKS: usize = 4;
+/// Number of chunks left below `opened_chunks` at which it is raised.
 const CHECKPOINT_AHEAD: u32 = 4;
 const UNREADABLE_RETRY_MS: u64 = 60_000;
 
@@ -43,13 +46,13 @@
     Waiting { at_ms: u64 },
 }
 
-/// What happened to a job.
+/// Event for one job.
 pub(super) enum Event {
     Stored(CallId, StoreAnswer),
     Ended(ItemRef, ItemEnd),
 }
 
-/// Load of one job on the process, as last seen.
+/// Share of the process's limits that a job uses, or all jobs together.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct Load {
     pub(super) running: usize,
@@ -63,22 +66,22 @@
     }
 }
 
-/// One job at work.
+/// A job that this process owns and executes.
 #[derive(Debug)]
 pub(super) struct JobRun {
     job: JobId,
     header: JobHeader,
     version: Version,
     phase: Phase,
-    // The header may have moved on; it is read before anything else is handed out.
-    recheck: bool,
+    // The stored header may have changed; it is read before further items are started.
+    header_stale: bool,
     header_call: HeaderCall,
     backoff: Backoff,
     open: BTreeMap<u32, OpenChunk>,
     next_chunk: u32,
     done_chunks: u32,
-    // Chunks done above the first that is not.
-    done: BTreeMap<u32, (u32, u32)>,
+    // Numbers of completed and failed items in finished chunks after the first unfinished one.
+    done_out_of_order: BTreeMap<u32, (u32, u32)>,
     completed: u32,
     failed: u32,
 }
@@ -94,20 +97,20 @@
             job,
             version,
             phase,
-            recheck: false,
+            header_stale: false,
             header_call: HeaderCall::Idle,
             backoff: Backoff::new(),
             open: BTreeMap::new(),
             next_chunk: header.done_chunks,
             done_chunks: header.done_chunks,
-            done: BTreeMap::new(),
+            done_out_of_order: BTreeMap::new(),
             completed: header.completed,
             failed: header.failed,
             header,
         }
     }
 
-    pub(super) fn ended(&self) -> bool {
+    pub(super) fn has_ended(&self) -> bool {
         self.phase == Phase::Ended
     }
 
@@ -115,7 +118,7 @@
         self.header.owner.epoch
     }
 
-    /// What the job takes of the process's bounds.
+    /// The job's running items and pending bytes, which count towards the limits of the process.
     pub(super) fn load(&self) -> Load {
         let pending_bytes = self.open.values().map(OpenChunk::pending_bytes).sum();
         Load { running: self.running(), pending_bytes }
@@ -129,25 +132,25 @@
         let (completed, failed) = self.counts();
         let mut progress = Progress { completed, failed, running: self.running() as u32 };
         for chunk in self.open.values() {
-            let (completed, failed) = chunk.commit.counts();
+            let (completed, failed) = chunk.results.counts();
             progress.completed += completed;
             progress.failed += failed;
         }
         progress
     }
 
-    /// The header may have moved on: it is read again before more is handed out.
-    pub(super) fn recheck(&mut self) {
-        self.recheck = true;
+    /// Marks the header as possibly changed; it is read before further items are started.
+    pub(super) fn request_header_read(&mut self) {
+        self.header_stale = true;
     }
 
-    /// Stops all runs because the lease is over; goes on after the header was read again.
+    /// Stops all runs because the lease has expired. Work continues after the header has been read again.
     pub(super) fn pause(&mut self, ctx: &mut Context<'_>) {
         self.stop_runs(ctx);
-        self.recheck = true;
+        self.header_stale = true;
     }
 
-    /// Begins to hand the job over. A cancelled job is closed instead.
+    /// Starts to hand the job over. A job that is being cancelled is finished here instead.
     pub(super) fn hand_over(&mut self, ctx: &mut Context<'_>) {
         if self.phase == Phase::Working {
             self.phase = Phase::HandingOver;
@@ -155,7 +158,7 @@
         }
     }
 
-    /// Ends the work at once, as somebody else has the job.
+    /// Stops work on the job without writing, because another process owns it or it was removed.
     pub(super) fn drop_job(&mut self, ctx: &mut Context<'_>) {
         self.stop_runs(ctx);
         self.phase = Phase::Ended;
@@ -164,7 +167,7 @@
 
     pub(super) fn step(&mut self, event: Option<Event>, ctx: &mut Context<'_>) {
         match event {
-            Some(Event::Stored(call, answer)) => self.stored(call, &answer, ctx),
+            Some(Event::Stored(call, answer)) => self.store_answered(call, &answer, ctx),
             Some(Event::Ended(item, end)) => {
                 let repeatable = self.header.repeatable;
                 if let Some(chunk) = self.open.get_mut(&item.chunk) {
@@ -173,28 +176,28 @@
             }
             None => {}
         }
-        if self.open.values().any(|it| it.commit.is_fenced()) {
+        if self.open.values().any(|it| it.results.is_fenced()) {
             self.drop_job(ctx);
         }
-        if self.recheck && (ctx.lease_held || self.phase != Phase::Working) {
+        if self.header_stale && (ctx.lease_held || self.phase != Phase::Working) {
             self.read_header(ctx);
         }
         match self.phase {
-            Phase::Working => self.work(ctx),
+            Phase::Working => self.advance(ctx),
             Phase::Cancelling => self.cancel(ctx),
-            Phase::HandingOver => self.settle(ctx),
+            Phase::HandingOver => self.flush(ctx),
             Phase::Ended => {}
         }
     }
 
-    fn work(&mut self, ctx: &mut Context<'_>) {
-        self.open_chunks(OPEN_CHUNKS, self.header.chunks);
-        let job_room = if self.recheck { 0 } else { ctx.job_room };
-        let mut room = job_room.saturating_sub(self.running()).min(ctx.room);
+    fn advance(&mut self, ctx: &mut Context<'_>) {
+        self.open_chunks(MAX_OPEN_CHUNKS, self.header.chunks);
+        let free_job_slots = if self.header_stale { 0 } else { ctx.free_job_slots };
+        let mut free_slots = free_job_slots.saturating_sub(self.running()).min(ctx.free_slots);
         let mut complete = Vec::new();
         for (number, chunk) in &mut self.open {
-            chunk.work(&self.job, &self.header, &mut room, ctx);
-            if chunk.commit.is_complete() {
+            chunk.advance(&self.job, &self.header, &mut free_slots, ctx);
+            if chunk.results.is_complete() {
                 complete.push(*number);
             }
         }
@@ -205,18 +208,19 @@
         if self.open.is_empty() && self.next_chunk == self.header.chunks {
             self.write_header(ctx, |header| header.state = JobState::Finished);
         } else if opened < self.header.chunks && self.next_chunk + CHECKPOINT_AHEAD >= opened {
-            let opened = opened.saturating_add(OPENED_STEP).min(self.header.chunks);
+            let opened = opened.saturating_add(OPENED_CHUNKS_STEP).min(self.header.chunks);
             self.write_header(ctx, |header| header.opened_chunks = opened);
         }
     }
 
     fn cancel(&mut self, ctx: &mut Context<'_>) {
-        // The first owner knows which chunks it has opened; a later one fences all that a former one may have.
+        // The first owner opened exactly the chunks before `next_chunk`; a later owner fences all those that a former
+        // one may have opened.
         let last = match self.epoch() {
             1 => self.next_chunk,
             _ => self.header.opened_chunks,
         };
-        self.open_chunks(SEALED_AT_ONCE, last);
+        self.open_chunks(MAX_SEALING_CHUNKS, last);
         let mut sealed = Vec::new();
         for (number, chunk) in &mut self.open {
             if chunk.seal(&self.header, ctx) {
@@ -231,33 +235,33 @@
         }
     }
 
-    fn settle(&mut self, ctx: &mut Context<'_>) {
+    fn flush(&mut self, ctx: &mut Context<'_>) {
         for chunk in self.open.values_mut() {
-            chunk.settle(ctx);
+            chunk.flush(ctx);
         }
-        if self.open.values().all(OpenChunk::is_settled) {
+        if self.open.values().all(OpenChunk::is_flushed) {
             self.write_header(ctx, |header| header.owner.process.clear());
         }
     }
 
-    fn open_chunks(&mut self, at_once: usize, last: u32) {
+    fn open_chunks(&mut self, max_open: usize, last: u32) {
         let last = last.min(self.header.opened_chunks);
-        let mut going = self.open.values().filter(|it| !it.is_stuck()).count();
-        while going < at_once && self.next_chunk < last {
+        let mut active = self.open.values().filter(|it| !it.is_blocked()).count();
+        while active < max_open && self.next_chunk < last {
             let number = self.next_chunk;
             self.next_chunk += 1;
             self.open.insert(number, OpenChunk::new(&self.header, number));
-            going += 1;
+            active += 1;
         }
     }
 
     fn chunk_done(&mut self, number: u32) {
         let Some(chunk) = self.open.remove(&number) else { return };
-        self.done.insert(number, chunk.commit.counts());
+        self.done_out_of_order.insert(number, chunk.results.counts());
         if self.phase != Phase::Working {
             return;
         }
-        while let Some((completed, failed)) = self.done.remove(&self.done_chunks) {
+        while let Some((completed, failed)) = self.done_out_of_order.remove(&self.done_chunks) {
             self.completed += completed;
             self.failed += failed;
             self.done_chunks += 1;
@@ -265,21 +269,21 @@
     }
 
     fn counts(&self) -> (u32, u32) {
-        let above = self.done.values();
-        above.fold((self.completed, self.failed), |sum, it| (sum.0 + it.0, sum.1 + it.1))
+        let out_of_order = self.done_out_of_order.values();
+        out_of_order.fold((self.completed, self.failed), |sum, it| (sum.0 + it.0, sum.1 + it.1))
     }
 
     fn stop_runs(&mut self, ctx: &mut Context<'_>) {
         let epoch = self.epoch();
         for chunk in self.open.values_mut() {
-            chunk.stop(&self.job, epoch, ctx);
+            chunk.stop_runs(&self.job, epoch, ctx);
         }
     }
 
-    fn begin_cancelling(&mut self, ctx: &mut Context<'_>) {
+    fn start_cancelling(&mut self, ctx: &mut Context<'_>) {
         self.stop_runs(ctx);
         for chunk in self.open.values_mut() {
-            chunk.drop_runs();
+            chunk.discard_runs();
         }
         self.phase = Phase::Cancelling;
     }
@@ -296,7 +300,7 @@
 
     fn write_header(&mut self, ctx: &mut Context<'_>, change: impl FnOnce(&mut JobHeader)) {
         match self.header_call {
-            _ if self.recheck => return,
+            _ if self.header_stale => return,
             HeaderCall::Idle => {}
             HeaderCall::Waiting { at_ms } if ctx.now_ms() >= at_ms => {}
             _ => return,
@@ -318,7 +322,7 @@
         self.header_call = HeaderCall::Writing { call: ctx.call(op), header };
     }
 
-    fn stored(&mut self, call: CallId, answer: &StoreAnswer, ctx: &mut Context<'_>) {
+    fn store_answered(&mut self, call: CallId, answer: &StoreAnswer, ctx: &mut Context<'_>) {
         match &self.header_call {
             HeaderCall::Writing { call: own, .. } if *own == call => {
                 return self.header_written(answer, ctx);
@@ -327,7 +331,7 @@
             _ => {}
         }
         for chunk in self.open.values_mut() {
-            if chunk.stored(call, answer, ctx) {
+            if chunk.store_answered(call, answer, ctx) {
                 return;
             }
         }
@@ -341,13 +345,14 @@
                 self.backoff.reset();
                 self.version = stored.version;
                 self.header = *header;
-                self.take_state(ctx);
+                self.apply_header_state(ctx);
             }
-            // The write may stand, or another's does (a cancel, a later owner): only a read can tell.
+            // The write may have taken effect, or another writer was first (a cancellation, a later owner); only a read
+            // shows which.
             StoreAnswer::Unknown | StoreAnswer::Conflict | StoreAnswer::Absent => {
-                self.recheck = true;
+                self.header_stale = true;
             }
-            _ => self.wait(ctx),
+            _ => self.back_off(ctx),
         }
     }
 
@@ -356,16 +361,16 @@
         let stored = match answer {
             StoreAnswer::Object(stored) => stored,
             StoreAnswer::Absent => return self.drop_job(ctx),
-            _ => return self.wait(ctx),
+            _ => return self.back_off(ctx),
         };
         match read_header(&stored.value) {
-            Ok(header) if !self.is_same_taking(&header) => self.drop_job(ctx),
+            Ok(header) if !self.is_still_owner(&header) => self.drop_job(ctx),
             Ok(header) => {
                 self.backoff.reset();
-                self.recheck = false;
+                self.header_stale = false;
                 self.version = stored.version;
                 self.header = header;
-                self.take_state(ctx);
+                self.apply_header_state(ctx);
             }
             Err(fault) => {
                 ctx.note_unreadable(header_key(&self.job), fault);
@@ -375,20 +380,21 @@
         }
     }
 
-    /// Whether nobody has taken the job since, and it is not another job under the name of a removed one.
-    fn is_same_taking(&self, header: &JobHeader) -> bool {
+    /// Whether no other process has taken the job over, and the header isn't that of a new job under the name of a
+    /// removed one.
+    fn is_still_owner(&self, header: &JobHeader) -> bool {
         header.owner.epoch == self.epoch() && header.upload == self.header.upload
     }
 
-    /// Acts on the state that the header now has in the store.
-    fn take_state(&mut self, ctx: &mut Context<'_>) {
+    /// Acts on the state of the stored header.
+    fn apply_header_state(&mut self, ctx: &mut Context<'_>) {
         match self.header.state {
             JobState::Cancelled | JobState::Finished => {
                 self.phase = Phase::Ended;
                 let (job, state) = (Arc::clone(&self.job), self.header.state);
                 ctx.out.push(LedgerAction::Note(Note::Closed { job, state }));
             }
-            JobState::Cancelling if self.phase != Phase::Cancelling => self.begin_cancelling(ctx),
+            JobState::Cancelling if self.phase != Phase::Cancelling => self.start_cancelling(ctx),
             JobState::Running if self.header.owner.process.is_empty() => {
                 self.phase = Phase::Ended;
                 ctx.out.push(LedgerAction::HandedOver(Arc::clone(&self.job)));
@@ -397,7 +403,7 @@
         }
     }
 
-    fn wait(&mut self, ctx: &mut Context<'_>) {
+    fn back_off(&mut self, ctx: &mut Context<'_>) {
         let at_ms = ctx.now_ms() + self.backoff.wait_ms(ctx.rng);
         self.header_call = HeaderCall::Waiting { at_ms };
     }
--- a/crates/samphiredoor-core/src/ledger/submission.rs
+++ b/crates/samphiredoor-core/src/ledger/submission.rs
@@ -1,11 +1,11 @@
-//! From the bytes of a submission to an accepted job.
+//! Parsing and acceptance of a submitted job.
 //!
-//! [`Submission`] reads JSON lines as they arrive and cuts them into chunks, so that a large list is never whole in
-//! memory and never holds up the task for long. A submission with one bad line is refused whole, before acceptance:
-//! the caller can mend the line and send again under the same key, and nothing was run.
+//! [`Submission`] parses JSON lines as they arrive and splits them into chunks, so that a large job is never held in
+//! memory as a whole and never blocks the task for long. A submission with an invalid line is rejected as a whole
+//! before acceptance, when no item has run; the caller can fix the line and send the job again under the same key.
 //!
-//! [`Acceptance`] writes the chunks under names of this upload alone, and then creates the header. Two doors that get
-//! the same job at the same time write different chunks, and the create of the header lets one win.
+//! [`Acceptance`] writes the chunks under names unique to the upload, and then creates the header. Two processes that
+//! receive the same job at the same time write different chunks; only one of them can create the header.
 
 use std::{collections::HashSet, fmt, sync::Arc};
 
@@ -16,7 +16,7 @@
 use super::{
     codec::{FORMAT, header_labels, header_value, read_header},
     names::{JobId, chunk_key, header_key, job_id},
-    run::OPENED_STEP,
+    run::OPENED_CHUNKS_STEP,
 };
 use crate::{
     Name,
@@ -24,21 +24,21 @@
     time::Now,
 };
 
-/// Most items of a chunk.
+/// Maximum number of items in a chunk.
 pub const CHUNK_ITEMS: usize = 250;
-/// Most bytes of a chunk's lines.
+/// Maximum total size of the lines of a chunk, in bytes.
 pub const CHUNK_BYTES: usize = 400_000;
-/// Most bytes of one line.
+/// Maximum size of one line, in bytes.
 pub const LINE_BYTES: usize = 256_000;
-/// Most items of a job.
+/// Maximum number of items in a job.
 pub const JOB_ITEMS: u32 = 500_000;
 
-/// A line that cannot be an item.
+/// A line of a submission that is not a valid item.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BadLine {
-    /// Number of the line, from 1.
+    /// Line number, from 1.
     pub line: u32,
-    /// What is wrong, with a hint.
+    /// Description of the problem, where possible with a way to fix it.
     pub problem: String,
 }
 
@@ -63,7 +63,7 @@
     model: Option<String>,
 }
 
-/// A submission as it is read.
+/// Incremental parser of a submission.
 #[derive(Debug)]
 pub struct Submission {
     partial: Vec<u8>,
@@ -85,7 +85,7 @@
 }
 
 impl Submission {
-    /// Nothing read yet.
+    /// Creates an empty submission.
     pub fn new() -> Submission {
         Submission {
             partial: Vec::new(),
@@ -101,17 +101,17 @@
         }
     }
 
-    /// Cuts chunks of at most this many items.
+    /// Limits chunks to this many items, at most [`CHUNK_ITEMS`].
     pub fn with_chunk_items(mut self, chunk_items: usize) -> Submission {
         self.chunk_items = chunk_items.clamp(1, CHUNK_ITEMS);
         self
     }
 
-    /// Reads more bytes; returns the chunks that became full, with their numbers.
+    /// Parses more bytes and returns the chunks that are now complete, with their indexes.
     ///
     /// # Errors
     ///
-    /// The first line that cannot be an item.
+    /// The first line that is not a valid item.
     pub fn push(&mut self, bytes: &[u8]) -> Result<Vec<(u32, Chunk)>, BadLine> {
         let mut full = Vec::new();
         self.partial.extend_from_slice(bytes);
@@ -123,45 +123,47 @@
         }
         if rest.len() > LINE_BYTES {
             self.line += 1;
-            return Err(self.bad(format!("is longer than {LINE_BYTES} bytes")));
+            return Err(self.bad_line(format!("is longer than {LINE_BYTES} bytes")));
         }
         self.partial = rest.to_vec();
         Ok(full)
     }
 
-    /// Ends the reading; returns the last chunks.
+    /// Parses the last line and returns the remaining chunks.
     ///
     /// # Errors
     ///
-    /// The last line cannot be an item, or there is no item at all.
+    /// The last line is not a valid item, or the submission has no items.
     pub fn finish(&mut self) -> Result<Vec<(u32, Chunk)>, BadLine> {
         let last = std::mem::take(&mut self.partial);
         let mut chunks = Vec::from_iter(self.read_line(&last)?);
         if self.items == 0 {
             self.line = 1;
-            return Err(self.bad("there is no item; send one JSON object a line".to_owned()));
+            return Err(self.bad_line(
+                "the submission has no items; send one JSON object per line".to_owned(),
+            ));
         }
-        // The last line may have cut the chunk before it and begun one of its own.
-        chunks.extend(self.cut_chunk());
+        // The last line may have completed the previous chunk and started a new one.
+        chunks.extend(self.take_chunk());
         Ok(chunks)
     }
 
-    /// Chunks cut so far.
+    /// Number of chunks returned so far.
     pub fn chunks(&self) -> u32 {
         self.chunks
     }
 
-    /// Service of the items; empty before the first.
+    /// Service that the items request; empty before the first item.
     pub fn service(&self) -> &str {
         self.service.as_deref().unwrap_or_default()
     }
 
-    /// Digest of the lines read so far, to tell a resent job from another one.
+    /// Digest of the lines parsed so far, which distinguishes a resent job from a different one under the same key.
     pub fn digest(&self) -> String {
         self.digest.finalize().to_hex().to_string()
     }
 
-    /// Items read so far.
+    /// Number of items parsed so far.
     pub fn items(&self) -> u32 {
         self.items
     }
@@ -173,60 +175,65 @@
             return Ok(None);
         }
         if line.len() > LINE_BYTES {
-            return Err(self.bad(format!("is longer than {LINE_BYTES} bytes")));
+            return Err(self.bad_line(format!("is longer than {LINE_BYTES} bytes")));
         }
         let item = self.item(line)?;
         self.digest.update(line);
         self.digest.update(b"\n");
-        let cut = match self.chunk_bytes + line.len() > CHUNK_BYTES {
-            true => self.cut_chunk(),
+        let completed = match self.chunk_bytes + line.len() > CHUNK_BYTES {
+            true => self.take_chunk(),
             false => None,
         };
         self.chunk_bytes += line.len();
         self.chunk.push(item);
         self.items += 1;
         if self.items > JOB_ITEMS {
-            return Err(self.bad(format!("is above {JOB_ITEMS} items; split the job")));
+            return Err(self.bad_line(format!("the job has more than {JOB_ITEMS} items; split it")));
         }
-        if self.chunk.len() == self.chunk_items { Ok(self.cut_chunk()) } else { Ok(cut) }
+        if self.chunk.len() == self.chunk_items { Ok(self.take_chunk()) } else { Ok(completed) }
     }
 
     fn item(&mut self, line: &[u8]) -> Result<Item, BadLine> {
         let parsed = serde_json::from_slice::<Line<'_>>(line)
-            .map_err(|err| self.bad(format!("is no item: {err}")))?;
+            .map_err(|err| self.bad_line(format!("is not a valid item: {err}")))?;
         if parsed.custom_id.is_empty() || parsed.custom_id.len() > 256 {
-            return Err(self.bad("custom_id: use 1 to 256 bytes".to_owned()));
+            return Err(self.bad_line("custom_id: must have 1 to 256 bytes".to_owned()));
         }
         if !self.ids.insert(rapidhash::v3::rapidhash_v3(parsed.custom_id.as_bytes())) {
-            return Err(self.bad(format!("custom_id: `{}` stands twice", parsed.custom_id)));
+            return Err(self.bad_line(format!(
+                "custom_id: `{}` is already used by an earlier line",
+                parsed.custom_id
+            )));
         }
         self.check_service(&parsed)?;
         let body = serde_json::from_str(parsed.body.get())
-            .map_err(|err| self.bad(format!("body: {err}")))?;
+            .map_err(|err| self.bad_line(format!("body: {err}")))?;
         Ok(Item { custom_id: parsed.custom_id, url: parsed.url, body })
     }
 
     fn check_service(&mut self, line: &Line<'_>) -> Result<(), BadLine> {
-        let named = match service_in_path(&line.url) {
+        let requested = match service_in_path(&line.url) {
             Some(service) => Some(service.to_owned()),
             None => serde_json::from_str::<Model>(line.body.get()).ok().and_then(|it| it.model),
         };
-        let Some(named) = named else {
-            return Err(self.bad("body.model: name the service".to_owned()));
+        let Some(requested) = requested else {
+            return Err(
+                self.bad_line("body.model: is missing; it must name the service".to_owned())
+            );
         };
         match &self.service {
             None => {
-                self.service = Some(named);
+                self.service = Some(requested);
                 Ok(())
             }
-            Some(service) if *service == named => Ok(()),
-            Some(service) => {
-                Err(self.bad(format!("asks for `{named}`, earlier lines for `{service}`")))
-            }
+            Some(service) if *service == requested => Ok(()),
+            Some(service) => Err(self.bad_line(format!(
+                "requests service `{requested}`, but earlier lines request `{service}`"
+            ))),
         }
     }
 
-    fn cut_chunk(&mut self) -> Option<(u32, Chunk)> {
+    fn take_chunk(&mut self) -> Option<(u32, Chunk)> {
         if self.chunk.is_empty() {
             return None;
         }
@@ -238,82 +245,82 @@
         Some((number, Chunk { format: FORMAT, first_item, items }))
     }
 
-    fn bad(&self, problem: String) -> BadLine {
+    fn bad_line(&self, problem: String) -> BadLine {
         BadLine { line: self.line, problem }
     }
 }
 
-/// Service named in a path `/services/NAME/...`, if it is one.
+/// Returns the service named in a path `/services/NAME/...`, or `None` for any other path.
 pub fn service_in_path(path: &str) -> Option<&str> {
     let rest = path.strip_prefix("/services/")?;
     rest.split('/').next().filter(|it| !it.is_empty())
 }
 
-/// Who submits, and on whose behalf.
+/// Identity and properties of a job to be accepted.
 #[derive(Debug, Clone)]
 pub struct Accepting {
-    /// Workspace.
+    /// Workspace of the caller.
     pub workspace: Name,
-    /// The caller's key for the job.
+    /// Idempotency key of the job, chosen by the caller.
     pub key: Name,
-    /// Prefix of chunk names; no other upload has it.
+    /// Prefix of the chunks' names, unique to this upload.
     pub upload: Name,
-    /// Process that accepts, and owns the job from then on.
+    /// Process that accepts the job and is its first owner.
     pub process: Name,
-    /// Start of that process.
+    /// Incarnation of that process.
     pub incarnation: u64,
-    /// When the results are due.
+    /// Wall-clock time at which the results are due.
     pub due_unix_ms: Option<u64>,
-    /// Whether items may be run more than once.
+    /// Whether items may run more than once.
     pub repeatable: bool,
 }
 
-/// What the acceptance needs next.
+/// Next store call of an acceptance, or its outcome.
 #[derive(Debug, Clone)]
 pub enum SubmissionStep {
-    /// Make this store call and report its answer.
+    /// Make this store call and pass its answer to [`Acceptance::answered`].
     Store(StoreOp),
-    /// The job is accepted; durable from now on.
+    /// The job is accepted and durable.
     Accepted {
-        /// Which job.
+        /// Identifier of the job.
         job: JobId,
-        /// Its header.
+        /// Stored header of the job.
         header: Box<JobHeader>,
         /// Version of the header.
         version: Version,
-        /// Whether it had been accepted before, by this or another process.
+        /// Whether the job had been accepted from another upload, by this or another process.
         resent: bool,
     },
-    /// The key stands for a job with other content.
+    /// The key belongs to a job with different content.
     Conflicting {
-        /// The job that stands.
+        /// Identifier of the existing job.
         job: JobId,
     },
-    /// The store was of no help; the job is not accepted.
+    /// The store failed the call; the job is not accepted.
     NotAccepted,
-    /// The store was of no help, and it is not known whether the job is accepted. Sending it again is safe.
+    /// The store failed or the header cannot be read; the job may have been accepted. Sending it again is safe.
     MayBeAccepted,
 }
 
-/// Acceptance of one job: the create of its header.
+/// Acceptance of one job by the creation of its header.
 #[derive(Debug)]
 pub struct Acceptance {
     job: JobId,
     header: JobHeader,
-    tries_left: u32,
+    retries_left: u32,
     sent: bool,
 }
 
-const HEADER_TRIES: u32 = 3;
+const HEADER_RETRIES: u32 = 3;
 
 impl Acceptance {
-    /// Store call that writes one chunk.
+    /// Returns the store call that writes one chunk.
     pub fn chunk_op(upload: &str, number: u32, chunk: &Chunk) -> StoreOp {
         let value: Value = serde_json::to_vec(chunk).unwrap_or_default().into();
         StoreOp::Create { key: chunk_key(upload, number), labels: Labels::new(), value }
     }
 
-    /// Acceptance of a whole submission whose chunks are written; the first step creates the header.
+    /// Creates the acceptance of a finished submission whose chunks have all been written.
     pub fn new(now: Now, accepting: &Accepting, submission: &Submission) -> Acceptance {
         let header = JobHeader {
             format: FORMAT,
@@ -334,15 +341,15 @@
                 epoch: 1,
             },
             done_chunks: 0,
-            opened_chunks: submission.chunks.min(OPENED_STEP),
+            opened_chunks: submission.chunks.min(OPENED_CHUNKS_STEP),
             completed: 0,
             failed: 0,
         };
         let job = job_id(&accepting.workspace, &accepting.key);
-        Acceptance { job, header, tries_left: HEADER_TRIES, sent: false }
+        Acceptance { job, header, retries_left: HEADER_RETRIES, sent: false }
     }
 
-    /// First call.
+    /// Returns the first store call, which creates the header.
     pub fn start(&mut self) -> SubmissionStep {
         self.sent = true;
         let value = header_value(&self.header);
@@ -350,7 +357,7 @@
         SubmissionStep::Store(StoreOp::Create { key: header_key(&self.job), labels, value })
     }
 
-    /// Takes an answer; says what comes next.
+    /// Handles the answer of the last store call and returns the next step.
     pub fn answered(&mut self, answer: StoreAnswer) -> SubmissionStep {
         match answer {
             StoreAnswer::Object(stored) => match read_header(&stored.value) {
@@ -373,23 +380,23 @@
     }
 
     fn read(&mut self) -> SubmissionStep {
-        if self.tries_left == 0 {
+        if self.retries_left == 0 {
             return SubmissionStep::MayBeAccepted;
         }
-        self.tries_left -= 1;
+        self.retries_left -= 1;
         SubmissionStep::Store(StoreOp::Get { key: header_key(&self.job) })
     }
 
     fn retry_create(&mut self) -> SubmissionStep {
-        if self.tries_left == 0 {
+        if self.retries_left == 0 {
             return SubmissionStep::MayBeAccepted;
         }
-        self.tries_left -= 1;
+        self.retries_left -= 1;
         self.start()
     }
 
     fn give_up(&self) -> SubmissionStep {
-        match self.tries_left == HEADER_TRIES {
+        match self.retries_left == HEADER_RETRIES {
             true => SubmissionStep::NotAccepted,
             false => SubmissionStep::MayBeAccepted,
         }
--- a/crates/samphiredoor-core/tests/ledger/world.rs
+++ b/crates/samphiredoor-core/tests/ledger/world.rs
@@ -543,11 +543,11 @@
         let writer = format!("{name}-{incarnation}").into();
         let config = LedgerConfig {
             lease_margin_ms: MARGIN_MS,
-            spread_ms: 200,
+            takeover_stagger_ms: 200,
             sweep_ms: 500,
             free_list_ms: 500,
-            cancel_list_ms: 500,
-            own_list_ms: 1_000,
+            cancel_scan_ms: 500,
+            own_scan_ms: 1_000,
             ..LedgerConfig::new(name, incarnation, writer)
         };
         let slot = &mut self.processes[process];
