--- a/crates/samphiredoor-core/examples/ledger_slope.rs
+++ b/crates/samphiredoor-core/examples/ledger_slope.rs
@@ -1,8 +1,8 @@
-//! Time and memory of the ledger by jobs and by items: `cargo run --release --example ledger_slope`.
+//! Benchmark of the ledger's time and memory by number of jobs and items: `cargo run --release --example ledger_slope`.
 //!
-//! The store and the targets answer at once and in memory; their time is part of the figures. Held memory is the
-//! process's resident memory above the stored objects, read at the end of the hand-outs, when all that is bounded is
-//! in use.
+//! The store and the targets are in memory and answer immediately; their time is included. `held_kb` is the process's
+//! resident memory less the stored objects. It is read after all jobs are submitted and as many items as allowed are
+//! running, when all bounded memory is in use.
 
 use std::{collections::HashMap, sync::Arc, time::Instant};
 
@@ -19,14 +19,14 @@
 const TICK_MS: u64 = 100;
 
 #[derive(Default)]
-struct Store {
+struct MemoryStore {
     objects: HashMap<ObjectKey, Stored>,
     version: u64,
     calls: u64,
     writes: u64,
 }
 
-impl Store {
+impl MemoryStore {
     fn apply(&mut self, op: StoreOp) -> StoreAnswer {
         self.calls += 1;
         match op {
@@ -51,7 +51,7 @@
 }
 
 struct Bench {
-    store: Store,
+    store: MemoryStore,
     ledger: Ledger,
     now_ms: u64,
     actions: Vec<LedgerAction>,
@@ -62,18 +62,18 @@
 impl Bench {
     fn new() -> Bench {
         let mut bench = Bench {
-            store: Store::default(),
+            store: MemoryStore::default(),
             ledger: Ledger::new(LedgerConfig::new("door-0".into(), 1, "door-0-1".into())),
             now_ms: 1_000,
             actions: Vec::new(),
             running: Vec::new(),
             events: 0,
         };
-        bench.input(LedgerInput::Lease { valid_until_ms: u64::MAX });
+        bench.handle(LedgerInput::Lease { valid_until_ms: u64::MAX });
         bench
     }
 
-    fn input(&mut self, input: LedgerInput) {
+    fn handle(&mut self, input: LedgerInput) {
         self.events += 1;
         self.ledger.handle(Now::new(self.now_ms, 0), input, &mut self.actions);
         while !self.actions.is_empty() {
@@ -121,7 +121,7 @@
             step = acceptance.answered(self.store.apply(op));
         }
         if let SubmissionStep::Accepted { job, header, version, .. } = step {
-            self.input(LedgerInput::Owned { job, header, version });
+            self.handle(LedgerInput::Owned { job, header, version });
         }
     }
 
@@ -130,10 +130,10 @@
             for item in std::mem::take(&mut self.running) {
                 let body = serde_json::json!({ "text": "y".repeat(BODY_BYTES) });
                 let end = ItemEnd::Answered { status: 200, body };
-                self.input(LedgerInput::ItemEnded { item, end });
+                self.handle(LedgerInput::ItemEnded { item, end });
             }
             self.now_ms += TICK_MS;
-            self.input(LedgerInput::Tick);
+            self.handle(LedgerInput::Tick);
         }
     }
 }
@@ -155,20 +155,20 @@
     let stored_kb =
         bench.store.objects.values().map(|it| it.value.len() as u64).sum::<u64>() / 1_024;
     let held_kb = resident_kb().saturating_sub(before_kb + stored_kb);
-    let handed_out = bench.running.len();
+    let running_items = bench.running.len();
     let writes = bench.store.writes;
     let tick = Instant::now();
     bench.now_ms += TICK_MS;
-    bench.input(LedgerInput::Tick);
+    bench.handle(LedgerInput::Tick);
     let tick_us = tick.elapsed().as_micros();
     let started = Instant::now();
     bench.finish();
-    let worked_us = started.elapsed().as_micros();
+    let processed_us = started.elapsed().as_micros();
     let total = (jobs * items) as f64;
     println!(
         "{jobs:>6} {items:>8} {:>12.1} {:>12.1} {tick_us:>9} {handed_out:>8} {held_kb:>9} {:>14.0}",
         accepted_us as f64 / total,
-        worked_us as f64 / total,
+        processed_us as f64 / total,
         total / (bench.store.writes - writes) as f64,
     );
 }
--- a/crates/samphiredoor-core/tests/ledger/promises.rs
+++ b/crates/samphiredoor-core/tests/ledger/invariants.rs
@@ -1,4 +1,4 @@
-//! What must hold of the store and of the target's record after each step.
+//! Checks of the stored objects and of the started items after each step.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,27 +14,27 @@
 type Results = BTreeMap<u32, Value>;
 
 #[derive(Debug, Default)]
-pub struct Promises {
+pub struct Invariants {
     headers: BTreeMap<JobId, JobHeader>,
     results: BTreeMap<ObjectKey, Results>,
     epochs: BTreeMap<ObjectKey, u64>,
     uploads: BTreeMap<String, JobId>,
-    /// Runs of items that must not run twice: those that may have begun.
+    /// Number of runs that may have started, for each item that must not run twice.
     runs: BTreeMap<(JobId, u32, u32), u32>,
     accepted: BTreeMap<JobId, String>,
-    taken: BTreeSet<(JobId, u64)>,
+    taken_over: BTreeSet<(JobId, u64)>,
 }
 
-impl Promises {
+impl Invariants {
     pub fn accepted(&mut self, store: &ModelStore, job: &JobId, digest: &str) {
         self.accepted.insert(job.clone(), digest.to_owned());
-        let header = stored_header(store, job).expect("an accepted job stands");
+        let header = stored_header(store, job).expect("an accepted job has a header");
         assert_eq!(header.digest, digest, "{job} was accepted with other content");
     }
 
-    pub fn taken(&mut self, job: &JobId, epoch: u64) {
-        let first = self.taken.insert((job.clone(), epoch));
-        assert!(first, "two processes have taken {job} with epoch {epoch}");
+    pub fn taken_over(&mut self, job: &JobId, epoch: u64) {
+        let first = self.taken_over.insert((job.clone(), epoch));
+        assert!(first, "two processes have taken over {job} with epoch {epoch}");
     }
 
     pub fn all_ended(&self) -> bool {
@@ -47,7 +47,7 @@
         accepted.filter(|it| matches!(it.state, JobState::Running | JobState::Cancelling)).collect()
     }
 
-    pub fn started(&mut self, item: &ItemRef, repeatable: bool) {
+    pub fn run_started(&mut self, item: &ItemRef, repeatable: bool) {
         if !repeatable {
             let runs = self.runs.entry((item.job.clone(), item.chunk, item.index)).or_default();
             *runs += 1;
@@ -55,7 +55,7 @@
         }
     }
 
-    pub fn not_run(&mut self, item: &ItemRef, repeatable: bool) {
+    pub fn run_did_not_happen(&mut self, item: &ItemRef, repeatable: bool) {
         if !repeatable {
             let runs = self.runs.entry((item.job.clone(), item.chunk, item.index)).or_default();
             *runs -= 1;
@@ -74,11 +74,14 @@
 
     fn check_header(&mut self, store: &ModelStore, key: &ObjectKey) {
         let job = key.name.clone();
-        let header = stored_header(store, &job).expect("a header never vanishes");
+        let header = stored_header(store, &job).expect("a header is never deleted");
         if let Some(before) = self.headers.get(&job) {
             assert_eq!(before.digest, header.digest, "{job} became another job");
-            assert!(before.owner.epoch <= header.owner.epoch, "the epoch of {job} went back");
-            assert!(may_follow(before.state, header.state), "{job} went back to {header:?}");
+            assert!(before.owner.epoch <= header.owner.epoch, "the epoch of {job} decreased");
+            assert!(
+                is_valid_transition(before.state, header.state),
+                "{job} made an invalid transition to {header:?}"
+            );
         }
         if matches!(header.state, JobState::Finished | JobState::Cancelled) {
             self.check_counts(store, &job, &header);
@@ -91,17 +94,20 @@
         let all = (0..header.chunks).map(|it| stored_results(store, &header.upload, it).len());
         let all: usize = all.sum();
         let counted = (header.completed + header.failed) as usize;
-        assert_eq!(counted, all, "{job} ended with other counts than results: {header:?}");
+        assert_eq!(
+            counted, all,
+            "{job} ended with counts that differ from its results: {header:?}"
+        );
         if header.state == JobState::Finished {
-            assert_eq!(all, header.items as usize, "{job} finished without some results");
+            assert_eq!(all, header.items as usize, "{job} finished with missing results");
         }
     }
 
     fn check_results(&mut self, store: &ModelStore, key: &ObjectKey) {
-        let stored = store.get(key).expect("results never vanish");
+        let stored = store.get(key).expect("results are never deleted");
         let epoch = parse_epoch(&stored.value);
         let epoch_before = self.epochs.insert(key.clone(), epoch).unwrap_or_default();
-        assert!(epoch_before <= epoch, "the epoch of {key:?} went back");
+        assert!(epoch_before <= epoch, "the epoch of {key:?} decreased");
         let results = parse_results(&stored.value);
         let before = self.results.entry(key.clone()).or_default();
         for (index, result) in before.iter() {
@@ -116,7 +122,7 @@
     }
 }
 
-fn may_follow(before: JobState, after: JobState) -> bool {
+fn is_valid_transition(before: JobState, after: JobState) -> bool {
     match before {
         JobState::Running => true,
         JobState::Cancelling => matches!(after, JobState::Cancelling | JobState::Cancelled),
@@ -129,7 +135,7 @@
 }
 
 fn stored_results(store: &ModelStore, upload: &str, chunk: u32) -> Results {
-    // What was damaged on purpose counts for nothing.
+    // Results that a test has corrupted are not counted.
     let readable =
         store.get(&results_key(upload, chunk)).filter(|it| read_results(&it.value).is_ok());
     readable.map(|it| parse_results(&it.value)).unwrap_or_default()
--- a/crates/samphiredoor-core/tests/ledger/world.rs
+++ b/crates/samphiredoor-core/tests/ledger/simulation.rs
@@ -1,4 +1,4 @@
-//! Processes, a store and a target, driven step by step.
+//! Simulation of processes, a store and a target, driven step by step.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -15,39 +15,39 @@
 use samphiredoor_schema::objects::{JobHeader, JobState};
 
 use crate::{
-    promises::{Promises, stored_header},
+    invariants::{Invariants, stored_header},
     store::ModelStore,
 };
 
 pub const PROCESSES: usize = 3;
 const LEASE_MS: u64 = 3_000;
 const MARGIN_MS: u64 = 300;
-const HEALING_ROUNDS: u32 = 4_000;
+const RECOVERY_ROUNDS: u32 = 4_000;
 
-/// What becomes of a store call.
+/// Outcome of a store call.
 #[derive(Debug, Clone, Copy)]
-pub enum Fate {
-    /// It takes effect and is answered.
+pub enum CallOutcome {
+    /// The call takes effect and is answered.
     Answered,
-    /// It takes effect and its answer is lost.
+    /// The call takes effect, but its answer is lost.
     AnswerLost,
-    /// It is refused without effect.
+    /// The call is refused without effect.
     Refused,
-    /// Its answer is lost, and it may take effect later.
+    /// The answer is lost, and the call may take effect later.
     Late,
 }
 
-/// How a run ends.
+/// End of an item's run.
 #[derive(Debug, Clone, Copy)]
 pub enum RunEnd {
     Answered(u16),
-    /// A whole answer with so many bytes.
+    /// A complete response with a body of this many bytes.
     Large(usize),
     NotRun,
     MayHaveRun,
 }
 
-/// One thing that happens.
+/// One event of the simulation.
 #[derive(Debug, Clone)]
 pub enum Step {
     Submit {
@@ -56,18 +56,18 @@
         content: u8,
         repeatable: bool,
     },
-    Call {
+    CompleteCall {
         which: usize,
-        fate: Fate,
+        outcome: CallOutcome,
     },
     LateWrite {
         which: usize,
     },
-    RunEnds {
+    EndRun {
         which: usize,
         end: RunEnd,
     },
-    Pass {
+    AdvanceClock {
         ms: u64,
     },
     Renew {
@@ -76,7 +76,7 @@
     Pause {
         process: usize,
     },
-    Wake {
+    Resume {
         process: usize,
     },
     Kill {
@@ -85,7 +85,7 @@
     Start {
         process: usize,
     },
-    Lapsed {
+    LeaseExpired {
         observer: usize,
         process: usize,
     },
@@ -104,15 +104,15 @@
     Stop {
         process: usize,
     },
-    /// One process works undisturbed while the calls and runs of the others hang.
-    GoOn {
+    /// One process makes progress while the calls and runs of the others remain pending.
+    RunUndisturbed {
         process: usize,
         rounds: u8,
     },
 }
 
 #[derive(Debug)]
-enum Caller {
+enum CallOrigin {
     Ledger(CallId),
     Acceptance(Box<Acceptance>, String),
     Cancellation(Cancellation, JobId),
@@ -122,7 +122,7 @@
 struct PendingCall {
     process: usize,
     incarnation: u64,
-    caller: Caller,
+    origin: CallOrigin,
     op: StoreOp,
 }
 
@@ -145,41 +145,41 @@
     inbox: VecDeque<LedgerInput>,
 }
 
-pub struct World {
+pub struct Simulation {
     now_ms: u64,
     pub store: ModelStore,
     processes: Vec<Process>,
     calls: Vec<PendingCall>,
-    late: Vec<StoreOp>,
+    late_writes: Vec<StoreOp>,
     running: Vec<Running>,
-    pub promises: Promises,
+    pub invariants: Invariants,
     next_incarnation: u64,
     uploads: u64,
-    pub ran: u64,
+    pub runs_started: u64,
     pub handed_over: u32,
-    /// Objects that were refused as unreadable.
+    /// Objects that a ledger rejected as unreadable.
     pub unreadable: Vec<(ObjectKey, Unreadable)>,
 }
 
-impl World {
-    pub fn new() -> World {
-        let mut world = World {
+impl Simulation {
+    pub fn new() -> Simulation {
+        let mut simulation = Simulation {
             now_ms: 1_000,
             store: ModelStore::default(),
             processes: Vec::new(),
             calls: Vec::new(),
-            late: Vec::new(),
+            late_writes: Vec::new(),
             running: Vec::new(),
-            promises: Promises::default(),
+            invariants: Invariants::default(),
             next_incarnation: 1,
             uploads: 0,
-            ran: 0,
+            runs_started: 0,
             handed_over: 0,
             unreadable: Vec::new(),
         };
         for number in 0..PROCESSES {
             let name = format!("door-{number}").into();
-            world.processes.push(Process {
+            simulation.processes.push(Process {
                 name,
                 incarnation: 0,
                 ledger: None,
@@ -188,44 +188,44 @@
                 valid_until_ms: 0,
                 inbox: VecDeque::new(),
             });
-            world.start(number);
+            simulation.start(number);
         }
-        world
+        simulation
     }
 
-    pub fn take(&mut self, step: &Step) {
+    pub fn apply_step(&mut self, step: &Step) {
         match step.clone() {
             Step::Submit { process, key, content, repeatable } => {
                 self.submit(process, key, content, repeatable);
             }
-            Step::Call { which, fate } => {
+            Step::CompleteCall { which, outcome } => {
                 if !self.calls.is_empty() {
                     let call = self.calls.remove(which % self.calls.len());
-                    self.call(call, fate);
+                    self.complete_call(call, outcome);
                 }
             }
             Step::LateWrite { which } => {
-                if !self.late.is_empty() {
-                    let op = self.late.remove(which % self.late.len());
+                if !self.late_writes.is_empty() {
+                    let op = self.late_writes.remove(which % self.late_writes.len());
                     self.apply(&op);
                 }
             }
-            Step::RunEnds { which, end } => {
+            Step::EndRun { which, end } => {
                 if !self.running.is_empty() {
                     let run = self.running.remove(which % self.running.len());
-                    self.run_ends(run, end);
+                    self.end_run(run, end);
                 }
             }
-            Step::Pass { ms } => self.pass(ms),
+            Step::AdvanceClock { ms } => self.advance_clock(ms),
             Step::Renew { process } => self.renew(process),
             Step::Pause { process } => {
                 let process = &mut self.processes[process];
                 process.paused = process.ledger.is_some();
             }
-            Step::Wake { process } => self.wake(process),
+            Step::Resume { process } => self.resume(process),
             Step::Kill { process } => self.kill(process),
             Step::Start { process } => self.start(process),
-            Step::Lapsed { observer, process } => self.lapsed(observer, process),
+            Step::LeaseExpired { observer, process } => self.lease_expired(observer, process),
             Step::Offered { process, key } => {
                 self.input(process, LedgerInput::Offered { job: job(key) });
             }
@@ -237,72 +237,79 @@
                 self.processes[process].stopping = true;
                 self.input(process, LedgerInput::Stopping);
             }
-            Step::GoOn { process, rounds } => (0..rounds).for_each(|_| self.go_on(process)),
+            Step::RunUndisturbed { process, rounds } => {
+                (0..rounds).for_each(|_| self.advance(process))
+            }
         }
     }
 
-    /// Everything is well again: all accepted jobs must end. With `restart` one fresh process is left to do it, else
-    /// all go on with what they know.
-    pub fn heal(&mut self, restart: bool) {
+    /// Ends all failures; all accepted jobs must then end. With `restart` a single restarted process does the work,
+    /// otherwise all processes continue with their state.
+    pub fn recover(&mut self, restart: bool) {
         for process in 0..PROCESSES {
             if restart || self.processes[process].stopping {
                 self.kill(process);
             }
-            self.wake(process);
+            self.resume(process);
             if process == 0 || !restart {
                 self.start(process);
             }
         }
-        for op in std::mem::take(&mut self.late) {
+        for op in std::mem::take(&mut self.late_writes) {
             self.apply(&op);
         }
-        for _ in 0..HEALING_ROUNDS {
-            if self.promises.all_ended() {
+        for _ in 0..RECOVERY_ROUNDS {
+            if self.invariants.all_ended() {
                 return;
             }
             for process in 0..PROCESSES {
                 if self.processes[process].ledger.is_none() {
-                    self.lapsed(0, process);
+                    self.lease_expired(0, process);
                 }
-                self.go_on(process);
+                self.advance(process);
             }
         }
-        panic!("jobs never ended: {:#?}", self.promises.open_jobs());
+        panic!("jobs did not end: {:#?}", self.invariants.open_jobs());
     }
 
-    /// The process renews its lease, all its calls are answered, all its runs end well, and some time passes.
-    pub fn go_on(&mut self, process: usize) {
-        self.go_on_holding(process, |_| false);
+    /// Renews the lease of a process, answers all its calls, completes all its runs and advances the clock.
+    pub fn advance(&mut self, process: usize) {
+        self.advance_holding(process, |_| false);
     }
 
-    /// As [`World::go_on`], but some calls hang; tells whether any does.
-    pub fn go_on_holding(&mut self, process: usize, hold: fn(&StoreOp) -> bool) -> bool {
+    /// As [`Simulation::advance`], but leaves the calls for which `hold` is true pending. Returns whether there are any.
+    pub fn advance_holding(&mut self, process: usize, hold: fn(&StoreOp) -> bool) -> bool {
         self.renew(process);
         let is_own = |it: &mut PendingCall| it.process == process && !hold(&it.op);
         let calls: Vec<PendingCall> = self.calls.extract_if(.., is_own).collect();
         for call in calls {
-            self.call(call, Fate::Answered);
+            self.complete_call(call, CallOutcome::Answered);
         }
         self.end_runs(process, RunEnd::Answered(200));
-        self.pass(100);
+        self.advance_clock(100);
         self.calls.iter().any(|it| it.process == process && hold(&it.op))
     }
 
-    /// Ends some calls of a process.
-    pub fn release(&mut self, process: usize, which: fn(&StoreOp) -> bool, fate: Fate) {
+    /// Completes some of the pending calls of a process with the same outcome.
+    pub fn complete_calls(
+        &mut self,
+        process: usize,
+        which: fn(&StoreOp) -> bool,
+        outcome: CallOutcome,
+    ) {
         let is_own = |it: &mut PendingCall| it.process == process && which(&it.op);
         let calls: Vec<PendingCall> = self.calls.extract_if(.., is_own).collect();
         for call in calls {
-            self.call(call, fate);
+            self.complete_call(call, outcome);
         }
     }
 
-    /// Answers calls, and lets runs hang.
+    /// Answers the calls of a process and leaves its runs pending.
     pub fn answer_calls(&mut self, process: usize, rounds: u32) {
         for _ in 0..rounds {
             self.renew(process);
-            self.release(process, |_| true, Fate::Answered);
-            self.pass(100);
+            self.complete_calls(process, |_| true, CallOutcome::Answered);
+            self.advance_clock(100);
         }
     }
 
@@ -311,11 +318,11 @@
         let is_own = |it: &mut Running| it.process == process;
         let running: Vec<Running> = self.running.extract_if(.., is_own).collect();
         for run in running {
-            self.run_ends(run, end);
+            self.end_run(run, end);
         }
     }
 
-    /// Items that hang, by job.
+    /// Number of running items by job.
     pub fn running_by_job(&self) -> BTreeMap<JobId, usize> {
         let mut running = BTreeMap::new();
         for run in &self.running {
@@ -324,31 +331,32 @@
         running
     }
 
-    /// Whether more than so many runs hang.
+    /// Whether more than this many items are running.
     pub fn has_running_more_than(&self, runs: usize) -> bool {
         self.running.len() > runs
     }
 
-    /// Whether runs of a process hang.
+    /// Whether items of a process are running.
     pub fn has_running(&self, process: usize) -> bool {
         self.running.iter().any(|it| it.process == process)
     }
 
-    /// Header of the job of a key.
+    /// Stored header of the job with this key.
     pub fn header(&self, key: u8) -> JobHeader {
-        stored_header(&self.store, &job(key)).expect("the job stands")
+        stored_header(&self.store, &job(key)).expect("the job has a header")
     }
 
     pub fn submit(&mut self, process: usize, key: u8, content: u8, repeatable: bool) {
         if self.processes[process].ledger.is_none() || self.processes[process].paused {
             return;
         }
-        // One content has many chunks, so that the header has to name more of them while the job runs.
+        // Content 0 has more chunks than the header covers at first, so that `opened_chunks` is raised while the job
+        // runs.
         let (items, chunk_items) = if content == 0 { (36, 1) } else { (4 + u32::from(content), 2) };
         self.submit_items(process, key, content, (items, chunk_items), repeatable);
     }
 
-    /// Submits a job of so many items in chunks of so many.
+    /// Submits a job of `items` items in chunks of `chunk_items`.
     pub fn submit_items(
         &mut self,
         process: usize,
@@ -380,10 +388,10 @@
         let mut acceptance = Acceptance::new(self.now(), &accepting, &submission);
         let step = acceptance.start();
         let digest = submission.digest();
-        self.accepting(process, Box::new(acceptance), digest, step);
+        self.handle_submission_step(process, Box::new(acceptance), digest, step);
     }
 
-    fn accepting(
+    fn handle_submission_step(
         &mut self,
         process: usize,
         acceptance: Box<Acceptance>,
@@ -392,17 +400,18 @@
     ) {
         match step {
             SubmissionStep::Store(op) => {
-                self.add_call(process, Caller::Acceptance(acceptance, digest), op);
+                self.add_call(process, CallOrigin::Acceptance(acceptance, digest), op);
             }
             SubmissionStep::Accepted { job, header, version, resent } => {
-                self.promises.accepted(&self.store, &job, &digest);
+                self.invariants.accepted(&self.store, &job, &digest);
                 if !resent {
                     self.input(process, LedgerInput::Owned { job, header, version });
                 }
             }
             SubmissionStep::Conflicting { job } => {
-                let header = stored_header(&self.store, &job).expect("what conflicts stands");
-                assert_ne!(header.digest, digest, "the same content cannot conflict");
+                let header =
+                    stored_header(&self.store, &job).expect("the conflicting job has a header");
+                assert_ne!(header.digest, digest, "a job conflicts with the same content");
             }
             SubmissionStep::NotAccepted | SubmissionStep::MayBeAccepted => {}
         }
@@ -414,42 +423,51 @@
         }
         let mut cancellation = Cancellation::new(job(key));
         let step = cancellation.start();
-        self.cancelling(process, cancellation, job(key), step);
+        self.handle_cancel_step(process, cancellation, job(key), step);
     }
 
-    fn cancelling(&mut self, process: usize, it: Cancellation, job: JobId, step: CancelStep) {
+    fn handle_cancel_step(
+        &mut self,
+        process: usize,
+        it: Cancellation,
+        job: JobId,
+        step: CancelStep,
+    ) {
         match step {
-            CancelStep::Store(op) => self.add_call(process, Caller::Cancellation(it, job), op),
+            CancelStep::Store(op) => self.add_call(process, CallOrigin::Cancellation(it, job), op),
             CancelStep::Cancelled { .. } => {
-                let header = stored_header(&self.store, &job).expect("a cancelled job stands");
+                let header =
+                    stored_header(&self.store, &job).expect("a cancelled job has a header");
                 let state = header.state;
                 assert!(matches!(state, JobState::Cancelling | JobState::Cancelled), "{state:?}");
             }
             CancelStep::Finished { .. } => {
-                let header = stored_header(&self.store, &job).expect("a finished job stands");
+                let header = stored_header(&self.store, &job).expect("a finished job has a header");
                 assert_eq!(header.state, JobState::Finished);
             }
             _ => {}
         }
     }
 
-    fn add_call(&mut self, process: usize, caller: Caller, op: StoreOp) {
+    fn add_call(&mut self, process: usize, origin: CallOrigin, op: StoreOp) {
         let incarnation = self.processes[process].incarnation;
-        self.calls.push(PendingCall { process, incarnation, caller, op });
+        self.calls.push(PendingCall { process, incarnation, origin, op });
     }
 
-    fn call(&mut self, call: PendingCall, fate: Fate) {
-        let answer = match fate {
-            Fate::Answered => self.apply(&call.op),
-            Fate::Refused => StoreAnswer::Unavailable,
-            // A read whose answer is lost had no effect.
-            Fate::AnswerLost | Fate::Late if !call.op.is_write() => StoreAnswer::Unavailable,
-            Fate::AnswerLost => {
+    fn complete_call(&mut self, call: PendingCall, outcome: CallOutcome) {
+        let answer = match outcome {
+            CallOutcome::Answered => self.apply(&call.op),
+            CallOutcome::Refused => StoreAnswer::Unavailable,
+            // A read has no effect, also if its answer is lost.
+            CallOutcome::AnswerLost | CallOutcome::Late if !call.op.is_write() => {
+                StoreAnswer::Unavailable
+            }
+            CallOutcome::AnswerLost => {
                 self.apply(&call.op);
                 StoreAnswer::Unknown
             }
-            Fate::Late => {
-                self.late.push(call.op);
+            CallOutcome::Late => {
+                self.late_writes.push(call.op);
                 StoreAnswer::Unknown
             }
         };
@@ -457,41 +475,43 @@
         if process.ledger.is_none() || process.incarnation != call.incarnation {
             return;
         }
-        match call.caller {
-            Caller::Ledger(id) => {
+        match call.origin {
+            CallOrigin::Ledger(id) => {
                 self.input(call.process, LedgerInput::Stored { call: id, answer });
             }
-            Caller::Acceptance(mut acceptance, digest) => {
+            CallOrigin::Acceptance(mut acceptance, digest) => {
                 let step = acceptance.answered(answer);
-                self.accepting(call.process, acceptance, digest, step);
+                self.handle_submission_step(call.process, acceptance, digest, step);
             }
-            Caller::Cancellation(mut cancellation, job) => {
+            CallOrigin::Cancellation(mut cancellation, job) => {
                 let step = cancellation.answered(answer);
-                self.cancelling(call.process, cancellation, job, step);
+                self.handle_cancel_step(call.process, cancellation, job, step);
             }
         }
     }
 
-    /// Makes a store call, and checks what it left.
+    /// Applies a store call and checks the invariants.
     fn apply(&mut self, op: &StoreOp) -> StoreAnswer {
         let answer = self.store.apply(op);
-        self.promises.check(&mut self.store);
+        self.invariants.check(&mut self.store);
         answer
     }
 
-    fn run_ends(&mut self, run: Running, end: RunEnd) {
+    fn end_run(&mut self, run: Running, end: RunEnd) {
         let end = match end {
-            RunEnd::Answered(status) => ItemEnd::Answered { status, body: self.ran.into() },
+            RunEnd::Answered(status) => {
+                ItemEnd::Answered { status, body: self.runs_started.into() }
+            }
             RunEnd::Large(bytes) => {
                 ItemEnd::Answered { status: 200, body: "x".repeat(bytes).into() }
             }
             RunEnd::MayHaveRun => ItemEnd::MayHaveRun,
             RunEnd::NotRun => {
-                // A lost process says nothing any more; what it had handed out may have run.
+                // A dead process reports nothing more; items that it had started may have run.
                 if self.processes[run.process].incarnation == run.incarnation
                     && self.processes[run.process].ledger.is_some()
                 {
-                    self.promises.not_run(&run.item, run.repeatable);
+                    self.invariants.run_did_not_happen(&run.item, run.repeatable);
                 }
                 ItemEnd::NotRun { retry_after_ms: 0 }
             }
@@ -501,7 +521,7 @@
         }
     }
 
-    fn pass(&mut self, ms: u64) {
+    fn advance_clock(&mut self, ms: u64) {
         self.now_ms += ms;
         for process in 0..PROCESSES {
             if !self.processes[process].paused {
@@ -519,7 +539,7 @@
         self.input(process, LedgerInput::Lease { valid_until_ms });
     }
 
-    fn wake(&mut self, process: usize) {
+    fn resume(&mut self, process: usize) {
         self.processes[process].paused = false;
         for input in std::mem::take(&mut self.processes[process].inbox) {
             self.input(process, input);
@@ -560,9 +580,9 @@
         self.renew(process);
     }
 
-    fn lapsed(&mut self, observer: usize, process: usize) {
-        let lapsed = &self.processes[process];
-        let (process, incarnation) = (lapsed.name.clone(), lapsed.incarnation);
+    fn lease_expired(&mut self, observer: usize, process: usize) {
+        let expired = &self.processes[process];
+        let (process, incarnation) = (expired.name.clone(), expired.incarnation);
         self.input(observer, LedgerInput::Lapsed { process, incarnation });
     }
 
@@ -577,23 +597,27 @@
         let mut actions = Vec::new();
         ledger.handle(now, input, &mut actions);
         for action in actions {
-            self.act(process, action);
+            self.execute(process, action);
         }
     }
 
-    fn act(&mut self, process: usize, action: LedgerAction) {
+    fn execute(&mut self, process: usize, action: LedgerAction) {
         match action {
-            LedgerAction::Store { call, op } => self.add_call(process, Caller::Ledger(call), op),
+            LedgerAction::Store { call, op } => {
+                self.add_call(process, CallOrigin::Ledger(call), op)
+            }
             LedgerAction::Run(work) => {
                 let slot = &self.processes[process];
                 let held = self.now_ms + MARGIN_MS < slot.valid_until_ms;
-                assert!(held, "{} handed out an item without its lease", slot.name);
-                self.ran += 1;
-                self.promises.started(&work.item, work.repeatable);
+                assert!(held, "{} started an item without its lease", slot.name);
+                self.runs_started += 1;
+                self.invariants.run_started(&work.item, work.repeatable);
                 let (incarnation, repeatable) = (slot.incarnation, work.repeatable);
                 self.running.push(Running { process, incarnation, item: work.item, repeatable });
             }
-            LedgerAction::Note(Note::Taken { job, epoch }) => self.promises.taken(&job, epoch),
+            LedgerAction::Note(Note::Taken { job, epoch }) => {
+                self.invariants.taken_over(&job, epoch)
+            }
             LedgerAction::Note(Note::Unreadable { key, fault }) => {
                 self.unreadable.push((key, fault));
             }
--- a/crates/samphiredoor-core/tests/ledger/store.rs
+++ b/crates/samphiredoor-core/tests/ledger/store.rs
@@ -1,4 +1,4 @@
-//! The object store in small: versions, conditional updates, and writes that take effect late.
+//! In-memory model of the object store, with versions and conditional updates.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -8,11 +8,11 @@
 pub struct ModelStore {
     objects: BTreeMap<ObjectKey, Stored>,
     version: u64,
-    /// Objects written since they were last looked at.
+    /// Objects written since the last check of the invariants.
     pub changed: Vec<ObjectKey>,
-    /// Writes that took effect.
+    /// Number of writes that took effect.
     pub writes: u64,
-    /// All calls.
+    /// Number of calls.
     pub calls: u64,
 }
 
@@ -21,8 +21,8 @@
         self.objects.get(key)
     }
 
-    /// Puts text in place of an object's value, as a broken or a later writer would.
-    pub fn damage(&mut self, key: &ObjectKey, text: &str) {
+    /// Replaces an object's value with `text`, as a faulty writer or one of another version would.
+    pub fn replace_value(&mut self, key: &ObjectKey, text: &str) {
         let value: Value = text.as_bytes().into();
         self.put(key, &Labels::new(), &value);
         self.changed.clear();
@@ -55,18 +55,19 @@
                 }
             },
             StoreOp::List { kind, labels, after, limit, .. } => {
-                let fits = |it: &Stored| labels.iter().all(|(k, v)| it.labels.get(k) == Some(v));
-                let later = |it: &Stored| after.as_ref().is_none_or(|after| it.name > *after);
+                let has_labels =
+                    |it: &Stored| labels.iter().all(|(k, v)| it.labels.get(k) == Some(v));
+                let is_after = |it: &Stored| after.as_ref().is_none_or(|after| it.name > *after);
                 let of_kind = self.objects.iter().filter(|(key, _)| key.kind == *kind);
                 let mut items: Vec<Stored> = of_kind
                     .map(|(_, it)| it)
-                    .filter(|it| fits(it) && later(it))
+                    .filter(|it| has_labels(it) && is_after(it))
                     .take(limit + 1)
                     .cloned()
                     .collect();
-                let more = items.len() > *limit;
+                let has_more = items.len() > *limit;
                 items.truncate(*limit);
-                let next = items.last().filter(|_| more).map(|it| Arc::clone(&it.name));
+                let next = items.last().filter(|_| has_more).map(|it| Arc::clone(&it.name));
                 StoreAnswer::Page { items, next, version: Version(self.version) }
             }
         }
