--- a/crates/samphiredoor-core/examples/ledger_slope.rs
+++ b/crates/samphiredoor-core/examples/ledger_slope.rs
@@ -166,7 +166,7 @@
     let processed_us = started.elapsed().as_micros();
     let total = (jobs * items) as f64;
     println!(
-        "{jobs:>6} {items:>8} {:>12.1} {:>12.1} {tick_us:>9} {handed_out:>8} {held_kb:>9} {:>14.0}",
+        "{jobs:>6} {items:>8} {:>12.1} {:>12.1} {tick_us:>9} {running_items:>8} {held_kb:>9} {:>14.0}",
         accepted_us as f64 / total,
         processed_us as f64 / total,
         total / (bench.store.writes - writes) as f64,
