--- a/crates/samphiredoor-core/src/ledger/chunk.rs
+++ b/crates/samphiredoor-core/src/ledger/chunk.rs
@@ -24,18 +24,27 @@
 /// When an owner dies, each of its intents without a result is recorded as `may_have_run`, even if the item was only
 /// waiting for a target. The number is therefore small, although larger groups of intents would take fewer writes.
 const MAX_UNRESOLVED_INTENTS: usize = 16;
+/// Base of the exponential backoff after a failed try.
 const RETRY_WAIT_MS: u64 = 500;
+/// Base of the exponential backoff after a run that ended as not run.
 const NOT_RUN_WAIT_MS: u64 = 100;
 const MAX_NOT_RUN_WAIT_MS: u64 = 5_000;
+/// Delay before an unreadable chunk is read again.
 const UNREADABLE_RETRY_MS: u64 = 60_000;
 
+/// Items of the chunk, which are read from the store before any of them is started.
 #[derive(Debug)]
 enum Items {
     Unloaded,
     Loading(CallId),
-    Waiting { at_ms: u64 },
+    /// The read failed and is retried at this time.
+    Waiting {
+        at_ms: u64,
+    },
     Loaded(Vec<StoredItem>),
-    Unreadable { at_ms: u64 },
+    Unreadable {
+        at_ms: u64,
+    },
 }
 
 #[derive(Debug, Default)]
@@ -62,6 +71,7 @@
     items: Items,
     pub(super) results: ResultWriter,
     ready: VecDeque<u32>,
+    // Items in backoff, by the time at which they become ready.
     delayed: BTreeSet<(u64, u32)>,
     running: BTreeSet<u32>,
     attempts: BTreeMap<u32, Attempts>,
--- a/crates/samphiredoor-core/src/ledger/commit.rs
+++ b/crates/samphiredoor-core/src/ledger/commit.rs
@@ -28,6 +28,7 @@
 const MAX_INLINE_BYTES: usize = 700_000;
 /// Bytes of the object reserved for each item without a result.
 const RESERVED_BYTES_PER_ITEM: usize = 1_000;
+/// Delay before an unreadable object is read again.
 const UNREADABLE_RETRY_MS: u64 = 60_000;
 
 #[derive(Debug)]
@@ -71,7 +72,9 @@
     unreadable: Option<Unreadable>,
     committed: BTreeMap<u32, EncodedResult>,
     committed_bytes: usize,
+    // Intents of all owners in the stored object.
     intents: BTreeSet<u32>,
+    // Intents that this owner has sent, whether or not they are stored.
     own_intents: BTreeSet<u32>,
     unwritten_intents: BTreeSet<u32>,
     withdrawn_intents: BTreeSet<u32>,
@@ -194,6 +197,7 @@
     }
 
     /// Whether a result of this size fits in the chunk's object together with the space reserved for missing results.
+    /// One of at most [`RESERVED_BYTES_PER_ITEM`] always fits.
     pub(super) fn fits_inline(&self, result: &EncodedResult) -> bool {
         let with_result = self.committed.len() + self.pending.len() + 1;
         let reserved = (self.items as usize).saturating_sub(with_result) * RESERVED_BYTES_PER_ITEM;
@@ -228,9 +232,9 @@
     ///
     /// The first owner has no predecessor, so an object that it never wrote needs no fencing write.
     pub(super) fn is_sealed(&self) -> bool {
-        let is_first_owner = self.epoch == 1 && self.version.is_none();
+        let needs_no_fence = self.epoch == 1 && self.version.is_none();
         self.is_unreadable()
-            || (self.is_flushed() && (is_first_owner || self.stored_epoch == self.epoch))
+            || (self.is_flushed() && (needs_no_fence || self.stored_epoch == self.epoch))
     }
 
     /// Issues the next read or write if it is due.
--- a/crates/samphiredoor-core/src/ledger/mod.rs
+++ b/crates/samphiredoor-core/src/ledger/mod.rs
@@ -42,6 +42,7 @@
 pub use takeover::sweepers;
 use takeover::{Finding, Takeover};
 
+/// Part of the ledger that issued a store call and handles its answer.
 #[derive(Debug)]
 enum CallOrigin {
     Job(JobId),
--- a/crates/samphiredoor-core/src/ledger/run.rs
+++ b/crates/samphiredoor-core/src/ledger/run.rs
@@ -25,9 +25,11 @@
 /// Number of chunks by which `opened_chunks` is raised in one write of the header.
 pub(super) const OPENED_CHUNKS_STEP: u32 = 32;
 const MAX_OPEN_CHUNKS: usize = 2;
+/// Maximum number of chunks sealed at once when a job is cancelled.
 const MAX_SEALING_CHUNKS: usize = 4;
 /// Number of chunks left below `opened_chunks` at which it is raised.
 const CHECKPOINT_AHEAD: u32 = 4;
+/// Delay before an unreadable header is read again.
 const UNREADABLE_RETRY_MS: u64 = 60_000;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -38,12 +40,19 @@
     Ended,
 }
 
+/// Store call for the header; at most one is in flight.
 #[derive(Debug)]
 enum HeaderCall {
     Idle,
-    Writing { call: CallId, header: Box<JobHeader> },
+    Writing {
+        call: CallId,
+        header: Box<JobHeader>,
+    },
     Reading(CallId),
-    Waiting { at_ms: u64 },
+    /// The last call failed; the next one is made at this time.
+    Waiting {
+        at_ms: u64,
+    },
 }
 
 /// Event for one job.
--- a/crates/samphiredoor-core/src/ledger/takeover.rs
+++ b/crates/samphiredoor-core/src/ledger/takeover.rs
@@ -32,6 +32,7 @@
 const MAX_CANDIDATES: usize = 1_000;
 /// An expired process is forgotten this long after the last hint. Hints may arrive only once per half a lease.
 const FORGET_EXPIRED_MS: u64 = 120_000;
+/// Number of empty lists after which the interval between scans is no longer doubled.
 const MAX_EMPTY_DOUBLINGS: u32 = 6;
 /// Number of consecutive empty lists after which the lease of an expired process is removed.
 const EMPTY_LISTS_BEFORE_REMOVAL: u32 = 6;
