--- a/crates/samphiredoor-core/src/ledger/cancellation.rs
+++ b/crates/samphiredoor-core/src/ledger/cancellation.rs
@@ -16,7 +16,7 @@
 /// Next store call of a cancellation, or its outcome.
 #[derive(Debug, Clone)]
 pub enum CancelStep {
-    /// Make this store call and pass its answer to [`Cancellation::answered`].
+    /// Make this store call and pass its answer to [`Cancellation::handle_answer`].
     Store(StoreOp),
     /// The job is being cancelled or was already cancelled; `header` holds its progress.
     Cancelled {
@@ -58,7 +58,7 @@
     }
 
     /// Handles the answer of the last store call and returns the next step.
-    pub fn answered(&mut self, answer: StoreAnswer) -> CancelStep {
+    pub fn handle_answer(&mut self, answer: StoreAnswer) -> CancelStep {
         match answer {
             StoreAnswer::Object(stored) => match read_header(&stored.value) {
                 Ok(header) if header.state == JobState::Running => {
--- a/crates/samphiredoor-core/src/ledger/config.rs
+++ b/crates/samphiredoor-core/src/ledger/config.rs
@@ -18,9 +18,9 @@
     /// Delay between the takeover attempts of successive candidates for the same job.
     pub takeover_stagger_ms: u64,
     /// Interval between scans for the jobs of a process whose lease has expired.
-    pub sweep_ms: u64,
+    pub orphan_scan_ms: u64,
     /// Interval between scans for jobs without an owner.
-    pub free_list_ms: u64,
+    pub free_scan_ms: u64,
     /// Interval between scans for cancelled jobs of this process.
     pub cancel_scan_ms: u64,
     /// Interval between scans for jobs that name this process as owner but are missing from its ledger.
@@ -47,8 +47,8 @@
             seed: incarnation,
             lease_margin_ms: 1_000,
             takeover_stagger_ms: 2_000,
-            sweep_ms: 10_000,
-            free_list_ms: 10_000,
+            orphan_scan_ms: 10_000,
+            free_scan_ms: 10_000,
             cancel_scan_ms: 3_000,
             own_scan_ms: 60_000,
             linger_ms: 500,
--- a/crates/samphiredoor-core/src/ledger/messages.rs
+++ b/crates/samphiredoor-core/src/ledger/messages.rs
@@ -101,7 +101,7 @@
         valid_until_ms: u64,
     },
     /// The lease of another process has expired. A hint: it may be repeated, and may be wrong.
-    Lapsed {
+    LeaseExpired {
         /// Name of the process.
         process: Name,
         /// Its incarnation.
@@ -153,7 +153,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Note {
     /// This process took over a job without a live owner.
-    Taken {
+    TakenOver {
         /// Identifier of the job.
         job: JobId,
         /// Fencing token of the new ownership.
@@ -172,7 +172,7 @@
         state: JobState,
     },
     /// This process's lease has expired; no items are started until it is renewed.
-    LeaseOver,
+    LeaseExpired,
     /// A stored object cannot be read; it is left unchanged.
     Unreadable {
         /// Key of the object.
--- a/crates/samphiredoor-core/src/ledger/submission.rs
+++ b/crates/samphiredoor-core/src/ledger/submission.rs
@@ -258,7 +258,7 @@
 
 /// Identity and properties of a job to be accepted.
 #[derive(Debug, Clone)]
-pub struct Accepting {
+pub struct AcceptanceParams {
     /// Workspace of the caller.
     pub workspace: Name,
     /// Idempotency key of the job, chosen by the caller.
@@ -278,7 +278,7 @@
 /// Next store call of an acceptance, or its outcome.
 #[derive(Debug, Clone)]
 pub enum SubmissionStep {
-    /// Make this store call and pass its answer to [`Acceptance::answered`].
+    /// Make this store call and pass its answer to [`Acceptance::handle_answer`].
     Store(StoreOp),
     /// The job is accepted and durable.
     Accepted {
@@ -321,7 +321,7 @@
     }
 
     /// Creates the acceptance of a finished submission whose chunks have all been written.
-    pub fn new(now: Now, accepting: &Accepting, submission: &Submission) -> Acceptance {
+    pub fn new(now: Now, accepting: &AcceptanceParams, submission: &Submission) -> Acceptance {
         let header = JobHeader {
             format: FORMAT,
             workspace: accepting.workspace.to_string(),
@@ -358,7 +358,7 @@
     }
 
     /// Handles the answer of the last store call and returns the next step.
-    pub fn answered(&mut self, answer: StoreAnswer) -> SubmissionStep {
+    pub fn handle_answer(&mut self, answer: StoreAnswer) -> SubmissionStep {
         match answer {
             StoreAnswer::Object(stored) => match read_header(&stored.value) {
                 Ok(header) => self.found(header, stored.version),
--- a/crates/samphiredoor-core/src/ledger/takeover.rs
+++ b/crates/samphiredoor-core/src/ledger/takeover.rs
@@ -41,7 +41,7 @@
 const ADOPT_WAIT_MS: u64 = 5_000;
 
 /// Returns the processes among `live` that scan first for the jobs of the expired process `expired`, in rank order.
-pub fn sweepers(expired: &str, live: &[Name]) -> Vec<Name> {
+pub fn orphan_scanners(expired: &str, live: &[Name]) -> Vec<Name> {
     let others = live.iter().filter(|it| ***it != *expired);
     let mut order: Vec<(u64, &Name)> = others.map(|it| (weight(expired, it), it)).collect();
     order.sort_by(|a, b| b.cmp(a));
@@ -228,7 +228,7 @@
             self.listings.push_back(listing);
         }
         if now_ms >= self.next_free_ms {
-            self.next_free_ms = now_ms + ctx.config.free_list_ms;
+            self.next_free_ms = now_ms + ctx.config.free_scan_ms;
             if self.rank(FREE_OWNER, &self.live) < ORPHAN_SCANNERS {
                 queue_listings(&mut self.listings, &Source::Free);
             }
@@ -239,7 +239,7 @@
     /// interval grows while nothing is found, so that a process that never returns costs almost nothing.
     fn plan_orphan_scans(&mut self, ctx: &mut Context<'_>) {
         let now_ms = ctx.now_ms();
-        let sweep_ms = ctx.config.sweep_ms;
+        let orphan_scan_ms = ctx.config.orphan_scan_ms;
         self.orphan_scans.retain(|_, it| now_ms < it.last_hint_ms + FORGET_EXPIRED_MS);
         let due = self.orphan_scans.iter().filter(|(_, it)| now_ms >= it.next_ms);
         let due: Vec<Name> = due.map(|(process, _)| Arc::clone(process)).collect();
@@ -248,7 +248,7 @@
             let Some(scan) = self.orphan_scans.get_mut(&process) else { continue };
             let round = 1 + (rank / ORPHAN_SCANNERS) as u64;
             let doublings = scan.empty_lists.min(MAX_EMPTY_DOUBLINGS);
-            scan.next_ms = now_ms + ((round * sweep_ms) << doublings);
+            scan.next_ms = now_ms + ((round * orphan_scan_ms) << doublings);
             let incarnation = scan.incarnation;
             if rank == 0 && scan.empty_lists >= EMPTY_LISTS_BEFORE_REMOVAL {
                 let key = ObjectKey::new(Kind::Process, Arc::clone(&process));
--- a/crates/samphiredoor-core/tests/ledger/simulation.rs
+++ b/crates/samphiredoor-core/tests/ledger/simulation.rs
@@ -5,9 +5,9 @@
 use samphiredoor_core::{
     Name,
     ledger::{
-        Acceptance, Accepting, CallId, CancelStep, Cancellation, ItemEnd, ItemRef, JobId, Ledger,
-        LedgerAction, LedgerConfig, LedgerInput, Note, Submission, SubmissionStep, Unreadable,
-        job_id,
+        Acceptance, AcceptanceParams, CallId, CancelStep, Cancellation, ItemEnd, ItemRef, JobId,
+        Ledger, LedgerAction, LedgerConfig, LedgerInput, Note, Submission, SubmissionStep,
+        Unreadable, job_id,
     },
     store::{ObjectKey, StoreAnswer, StoreOp},
     time::Now,
@@ -373,7 +373,7 @@
         let mut chunks = submission.push(lines.join("\n").as_bytes()).expect("lines are items");
         chunks.extend(submission.finish().expect("the last line is an item"));
         self.uploads += 1;
-        let accepting = Accepting {
+        let accepting = AcceptanceParams {
             workspace: "desk".into(),
             key: format!("key-{key}").into(),
             upload: format!("up{}", self.uploads).into(),
@@ -480,11 +480,11 @@
                 self.input(call.process, LedgerInput::Stored { call: id, answer });
             }
             CallOrigin::Acceptance(mut acceptance, digest) => {
-                let step = acceptance.answered(answer);
+                let step = acceptance.handle_answer(answer);
                 self.handle_submission_step(call.process, acceptance, digest, step);
             }
             CallOrigin::Cancellation(mut cancellation, job) => {
-                let step = cancellation.answered(answer);
+                let step = cancellation.handle_answer(answer);
                 self.handle_cancel_step(call.process, cancellation, job, step);
             }
         }
@@ -564,8 +564,8 @@
         let config = LedgerConfig {
             lease_margin_ms: MARGIN_MS,
             takeover_stagger_ms: 200,
-            sweep_ms: 500,
-            free_list_ms: 500,
+            orphan_scan_ms: 500,
+            free_scan_ms: 500,
             cancel_scan_ms: 500,
             own_scan_ms: 1_000,
             ..LedgerConfig::new(name, incarnation, writer)
@@ -583,7 +583,7 @@
     fn lease_expired(&mut self, observer: usize, process: usize) {
         let expired = &self.processes[process];
         let (process, incarnation) = (expired.name.clone(), expired.incarnation);
-        self.input(observer, LedgerInput::Lapsed { process, incarnation });
+        self.input(observer, LedgerInput::LeaseExpired { process, incarnation });
     }
 
     fn input(&mut self, process: usize, input: LedgerInput) {
@@ -615,7 +615,7 @@
                 let (incarnation, repeatable) = (slot.incarnation, work.repeatable);
                 self.running.push(Running { process, incarnation, item: work.item, repeatable });
             }
-            LedgerAction::Note(Note::Taken { job, epoch }) => {
+            LedgerAction::Note(Note::TakenOver { job, epoch }) => {
                 self.invariants.taken_over(&job, epoch)
             }
             LedgerAction::Note(Note::Unreadable { key, fault }) => {
--- a/crates/samphiredoor/tests/it/platform/jobs.rs
+++ b/crates/samphiredoor/tests/it/platform/jobs.rs
@@ -132,7 +132,7 @@
     // With three gateways, the two that remain still receive heartbeats from half of the others, so they do not count
     // as isolated.
     platform.start_gateway();
-    platform.wait_logged(2, "peers: heard");
+    platform.wait_logged(2, "peers: peer is live");
     assert_eq!(platform.submit(0, "job-1", &ITEMS).status, 202);
     wait_until("outputs are saved", || !platform.store.names("jobsegments").is_empty());
     platform.gateway(0).kill();
@@ -174,7 +174,7 @@
     assert_eq!(platform.submit_many(0, "job-1", 200).status, 202);
     wait_until("the cancellation is acknowledged", || platform.cancel(1, "job-1").status == 200);
     platform.set_way_fault(0, StoreFault::None);
-    platform.wait_logged(1, "peers: heard peer=gateway-0");
+    platform.wait_logged(1, "peers: peer is live peer=gateway-0");
     std::thread::sleep(Duration::from_secs(6));
     let runs = target.runs().len();
     std::thread::sleep(Duration::from_secs(4));
@@ -188,7 +188,7 @@
 fn reads_after_a_takeover_from_a_restarted_owner_make_no_store_calls() {
     let (mut platform, _target) = two_gateways(Duration::from_millis(1_800));
     platform.start_gateway();
-    platform.wait_logged(2, "peers: heard");
+    platform.wait_logged(2, "peers: peer is live");
     assert_eq!(platform.submit_many(0, "job-1", 16).status, 202);
     platform.gateway(0).kill();
     platform.restart_gateway(0);
@@ -246,8 +246,8 @@
 #[test]
 fn ownership_checks_are_limited_while_the_store_is_unavailable() {
     let (platform, _target) = two_gateways(Duration::from_secs(2));
-    platform.wait_logged(0, "peers: heard");
-    platform.wait_logged(1, "peers: heard");
+    platform.wait_logged(0, "peers: peer is live");
+    platform.wait_logged(1, "peers: peer is live");
     assert_eq!(platform.submit(0, "job-1", &ITEMS).status, 202);
     platform.set_way_fault(0, StoreFault::Busy);
     platform.wait_logged(0, "runs stopped, the store answers other gateways but not this one");
@@ -274,8 +274,8 @@
     // With `routes_within_ms` and `targets_within_ms` this long, the gateway does not notice the outage by its watches.
     platform.within_ms = 600_000;
     platform.start_gateway();
-    platform.wait_logged(0, "peers: heard");
-    platform.wait_logged(1, "peers: heard");
+    platform.wait_logged(0, "peers: peer is live");
+    platform.wait_logged(1, "peers: peer is live");
     assert_eq!(platform.submit(0, "job-1", &ITEMS).status, 202);
     wait_until("all items run", || target.runs().len() == ITEMS.len());
     platform.store.set_fault(StoreFault::Silent);
@@ -328,7 +328,7 @@
 
 fn accepted_through_another_gateway(fault: StoreFault) {
     let (platform, target) = two_gateways(FAST);
-    platform.wait_logged(0, "peers: heard");
+    platform.wait_logged(0, "peers: peer is live");
     platform.set_way_fault(0, fault);
     assert_eq!(platform.submit(0, "job-1", &ITEMS).status, 202);
     let results = platform.all_results(1, "job-1", ITEMS.len());
@@ -368,7 +368,7 @@
 fn a_job_cancelled_before_it_starts_is_not_run() {
     let (platform, target) = two_gateways(FAST);
     target.fail_next(100_000, TargetFault::Full);
-    platform.wait_logged(1, "peers: heard");
+    platform.wait_logged(1, "peers: peer is live");
     platform.store.set_fault(StoreFault::PartsHeld);
     std::thread::scope(|scope| {
         let submission = scope.spawn(|| platform.submit(0, "job-1", &ITEMS).status);
