--- a/crates/samphiredoor-core/examples/ledger_slope.rs
+++ b/crates/samphiredoor-core/examples/ledger_slope.rs
@@ -95,7 +95,7 @@
     fn submit(&mut self, number: usize, items: usize) {
         let body = "x".repeat(BODY_BYTES);
         let mut submission = Submission::new();
-        let accepting = AcceptanceParams {
+        let params = AcceptanceParams {
             workspace: "desk".into(),
             key: format!("key-{number}").into(),
             upload: format!("up-{number}").into(),
@@ -113,9 +113,9 @@
         }
         chunks.extend(submission.finish().expect("an item"));
         for (number, chunk) in chunks {
-            self.store.apply(Acceptance::chunk_op(&accepting.upload, number, &chunk));
+            self.store.apply(Acceptance::chunk_op(&params.upload, number, &chunk));
         }
-        let mut acceptance = Acceptance::new(Now::new(self.now_ms, 0), &accepting, &submission);
+        let mut acceptance = Acceptance::new(Now::new(self.now_ms, 0), &params, &submission);
         let mut step = acceptance.start();
         while let SubmissionStep::Store(op) = step {
             step = acceptance.handle_answer(self.store.apply(op));
--- a/crates/samphiredoor-core/src/ledger/submission.rs
+++ b/crates/samphiredoor-core/src/ledger/submission.rs
@@ -321,23 +321,23 @@
     }
 
     /// Creates the acceptance of a finished submission whose chunks have all been written.
-    pub fn new(now: Now, accepting: &AcceptanceParams, submission: &Submission) -> Acceptance {
+    pub fn new(now: Now, params: &AcceptanceParams, submission: &Submission) -> Acceptance {
         let header = JobHeader {
             format: FORMAT,
-            workspace: accepting.workspace.to_string(),
-            key: accepting.key.to_string(),
+            workspace: params.workspace.to_string(),
+            key: params.key.to_string(),
             service: submission.service.clone().unwrap_or_default(),
             digest: submission.digest(),
-            upload: accepting.upload.to_string(),
+            upload: params.upload.to_string(),
             items: submission.items,
             chunks: submission.chunks,
-            repeatable: accepting.repeatable,
-            due_unix_ms: accepting.due_unix_ms,
+            repeatable: params.repeatable,
+            due_unix_ms: params.due_unix_ms,
             accepted_unix_ms: now.unix_ms,
             state: JobState::Running,
             owner: JobOwner {
-                process: accepting.process.to_string(),
-                incarnation: accepting.incarnation,
+                process: params.process.to_string(),
+                incarnation: params.incarnation,
                 epoch: 1,
             },
             done_chunks: 0,
@@ -345,7 +345,7 @@
             completed: 0,
             failed: 0,
         };
-        let job = job_id(&accepting.workspace, &accepting.key);
+        let job = job_id(&params.workspace, &params.key);
         Acceptance { job, header, retries_left: HEADER_RETRIES, sent: false }
     }
 
--- a/crates/samphiredoor-core/tests/ledger/simulation.rs
+++ b/crates/samphiredoor-core/tests/ledger/simulation.rs
@@ -373,7 +373,7 @@
         let mut chunks = submission.push(lines.join("\n").as_bytes()).expect("lines are items");
         chunks.extend(submission.finish().expect("the last line is an item"));
         self.uploads += 1;
-        let accepting = AcceptanceParams {
+        let params = AcceptanceParams {
             workspace: "desk".into(),
             key: format!("key-{key}").into(),
             upload: format!("up{}", self.uploads).into(),
@@ -383,9 +383,9 @@
             repeatable,
         };
         for (number, chunk) in chunks {
-            self.apply(&Acceptance::chunk_op(&accepting.upload, number, &chunk));
+            self.apply(&Acceptance::chunk_op(&params.upload, number, &chunk));
         }
-        let mut acceptance = Acceptance::new(self.now(), &accepting, &submission);
+        let mut acceptance = Acceptance::new(self.now(), &params, &submission);
         let step = acceptance.start();
         let digest = submission.digest();
         self.handle_submission_step(process, Box::new(acceptance), digest, step);
