--- a/crates/samphiredoor-standin/src/emulate/bound.rs
+++ b/crates/samphiredoor-standin/src/emulate/bound.rs
@@ -13,7 +13,7 @@
 use samphiredoor_core::dispatch::Class;
 
 use super::{
-    prices::{Market, Way, Work},
+    prices::{Completion, DualProblem, Work},
     scenario::{FaultKind, Scenario, Targets},
     traffic::{Request, micros},
 };
@@ -24,22 +24,23 @@
 /// Most worth that requests can earn.
 pub fn bound(scenario: &Scenario, requests: &[Request]) -> f64 {
     let supply_ms = supply_ms(scenario);
-    let ways = requests.iter().map(|it| ways(scenario, supply_ms.len(), it)).collect();
-    let owed: f64 = requests.iter().map(|it| it.worth).sum();
-    Market::new(supply_ms, ways).least_bound().min(owed)
+    let completions =
+        requests.iter().map(|it| completions(scenario, supply_ms.len(), it)).collect();
+    let total_worth: f64 = requests.iter().map(|it| it.worth).sum();
+    DualProblem::new(supply_ms, completions).lowest_bound().min(total_worth)
 }
 
 /// Engine time in each bucket until the end.
 fn supply_ms(scenario: &Scenario) -> Vec<f64> {
-    let end_us = micros(scenario.whole_s());
+    let end_us = micros(scenario.total_s());
     let mut supply_ms = vec![0.0; end_us.div_ceil(BUCKET_US) as usize];
     for target in 0..scenario.targets.count {
         let mut up_from_us = 0;
         for (down_us, back_us) in outages(scenario, target) {
-            add(&mut supply_ms, up_from_us, down_us.min(end_us));
+            add_uptime_ms(&mut supply_ms, up_from_us, down_us.min(end_us));
             up_from_us = up_from_us.max(back_us);
         }
-        add(&mut supply_ms, up_from_us, end_us);
+        add_uptime_ms(&mut supply_ms, up_from_us, end_us);
     }
     supply_ms
 }
@@ -58,7 +59,7 @@
     outages
 }
 
-fn add(supply_ms: &mut [f64], from_us: u64, until_us: u64) {
+fn add_uptime_ms(supply_ms: &mut [f64], from_us: u64, until_us: u64) {
     let mut at_us = from_us;
     while at_us < until_us {
         let bucket = at_us / BUCKET_US;
@@ -69,15 +70,15 @@
 }
 
 fn longest_step_us(targets: &Targets) -> u64 {
-    let reading_ms = f64::from(targets.chunk_tokens) / targets.prompt_tokens_per_ms;
+    let prefill_ms = f64::from(targets.chunk_tokens) / targets.prompt_tokens_per_ms;
     let requests_ms = targets.step_per_request_ms * f64::from(targets.slots);
-    ((targets.step_ms + requests_ms + reading_ms) * 1_000.0).ceil() as u64
+    ((targets.step_ms + requests_ms + prefill_ms) * 1_000.0).ceil() as u64
 }
 
 /// Ways in which a request can end, with the least work that each takes.
-fn ways(scenario: &Scenario, buckets: usize, request: &Request) -> [Option<Way>; 2] {
+fn completions(scenario: &Scenario, buckets: usize, request: &Request) -> [Option<Completion>; 2] {
     let targets = &scenario.targets;
-    let reading_ms = f64::from(request.own_tokens) / targets.prompt_tokens_per_ms;
+    let prefill_ms = f64::from(request.own_tokens) / targets.prompt_tokens_per_ms;
     let token_ms = targets.step_ms / f64::from(targets.slots) + targets.step_per_request_ms;
     let later_tokens_ms = f64::from(request.output_tokens - 1) * token_ms;
     let work = |until_us: u64, engine_ms: f64| Work {
@@ -87,30 +88,30 @@
     };
     let alone_step_ms = targets.step_ms + targets.step_per_request_ms;
     let after = |steps: u32| {
-        let least_ms = reading_ms + f64::from(steps) * alone_step_ms;
+        let least_ms = prefill_ms + f64::from(steps) * alone_step_ms;
         request.arrives_us + (least_ms * 1_000.0) as u64
     };
     let (first_us, last_us) = (after(1), after(request.output_tokens));
     if last_us > request.deadline_us {
         return [None, None];
     }
-    let late = Way {
+    let late = Completion {
         worth: request.worth_late,
-        first: work(request.deadline_us, reading_ms + token_ms),
+        first: work(request.deadline_us, prefill_ms + token_ms),
         rest: work(request.deadline_us, later_tokens_ms),
     };
     let rest_us = u64::from(request.output_tokens - 1) * longest_step_us(targets);
-    let (counts_us, rest_until_us) = match request.class {
-        Class::Online => (first_us, request.deadline_us.min(request.aim_us + rest_us)),
-        Class::Batch => (last_us, request.aim_us),
+    let (scored_us, rest_until_us) = match request.class {
+        Class::Online => (first_us, request.deadline_us.min(request.objective_us + rest_us)),
+        Class::Batch => (last_us, request.objective_us),
     };
-    let in_aim = (counts_us <= request.aim_us).then(|| Way {
+    let on_time = (scored_us <= request.objective_us).then(|| Completion {
         worth: request.worth,
-        first: work(request.aim_us, reading_ms + token_ms),
+        first: work(request.objective_us, prefill_ms + token_ms),
         rest: work(rest_until_us, later_tokens_ms),
     });
-    match in_aim {
-        Some(in_aim) => [Some(in_aim), Some(late)],
+    match on_time {
+        Some(on_time) => [Some(on_time), Some(late)],
         None => [Some(late), None],
     }
 }
--- a/crates/samphiredoor-standin/src/emulate/command.rs
+++ b/crates/samphiredoor-standin/src/emulate/command.rs
@@ -43,14 +43,14 @@
     /// Plays, prints the table, and writes the files that were asked for.
     pub fn run(&self) -> anyhow::Result<()> {
         let variants = Variants::read(&self.file, &self.without, &self.vary)?;
-        let played = variants::play(&variants, &self.seeds, self.threads);
-        print!("{}", report::table(&variants, &played));
-        println!("\n{}", report::speed(&variants, &played));
+        let results = variants::run_all(&variants, &self.seeds, self.threads);
+        print!("{}", report::table(&variants, &results));
+        println!("\n{}", report::speed(&variants, &results));
         if let Some(file) = &self.csv {
-            write(file, &report::csv(&variants, &played))?;
+            write(file, &report::csv(&variants, &results))?;
         }
         if let Some(file) = &self.plot {
-            write(file, &plot::svg(&variants, &played)?)?;
+            write(file, &plot::svg(&variants, &results)?)?;
         }
         Ok(())
     }
--- a/crates/samphiredoor-standin/src/emulate/engine.rs
+++ b/crates/samphiredoor-standin/src/emulate/engine.rs
@@ -14,28 +14,36 @@
     /// Which attempt of which request.
     pub attempt: u64,
     /// Shared beginning of its prompt; 0 for none.
-    pub beginning: u64,
+    pub prefix: u64,
     /// Tokens of that beginning.
     pub shared_tokens: u32,
     /// Tokens to read beside it: the rest of the prompt, and what was put out before.
     pub own_tokens: u32,
     /// Tokens that it has put out, those of attempts before among them.
-    pub made: u32,
+    pub generated: u32,
     /// Tokens after which it ends.
     pub output_tokens: u32,
-    unread: u32,
+    prefill_left: u32,
 }
 
 impl Sequence {
     /// A request that has just arrived.
     pub fn new(
         attempt: u64,
-        (beginning, shared_tokens): (u64, u32),
+        (prefix, shared_tokens): (u64, u32),
         own_tokens: u32,
-        (made, output_tokens): (u32, u32),
+        (generated, output_tokens): (u32, u32),
     ) -> Sequence {
-        let unread = 0;
-        Sequence { attempt, beginning, shared_tokens, own_tokens, made, output_tokens, unread }
+        let prefill_left = 0;
+        Sequence {
+            attempt,
+            prefix,
+            shared_tokens,
+            own_tokens,
+            generated,
+            output_tokens,
+            prefill_left,
+        }
     }
 }
 
@@ -43,9 +51,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Progress {
     /// It put out the first token of this attempt.
-    Begun,
+    FirstToken,
     /// It put out its last token.
-    Ended,
+    Finished,
 }
 
 /// State of a target's process.
@@ -55,9 +63,9 @@
     running: Vec<Sequence>,
     queue: VecDeque<Sequence>,
     /// Beginnings that are kept, the latest used last.
-    kept: Vec<u64>,
+    cached_prefixes: Vec<u64>,
     /// Requests that have put out a token in this attempt.
-    begun: Vec<u64>,
+    started: Vec<u64>,
     /// Whether a step is under way.
     pub stepping: bool,
 }
@@ -69,16 +77,16 @@
             config,
             running: Vec::new(),
             queue: VecDeque::new(),
-            kept: Vec::new(),
-            begun: Vec::new(),
+            cached_prefixes: Vec::new(),
+            started: Vec::new(),
             stepping: false,
         }
     }
 
     /// Takes a request; `false` if it is refused.
     pub fn offer(&mut self, sequence: Sequence) -> bool {
-        let room = self.config.slots + self.config.queue;
-        let takes = self.running.len() + self.queue.len() < room as usize;
+        let capacity = self.config.slots + self.config.queue;
+        let takes = self.running.len() + self.queue.len() < capacity as usize;
         if takes {
             self.queue.push_back(sequence);
         }
@@ -87,17 +95,17 @@
 
     /// Drops a request, and tells what it has put out.
     pub fn drop_attempt(&mut self, attempt: u64) -> Option<u32> {
-        let made = self.made(attempt);
+        let generated = self.generated(attempt);
         self.running.retain(|it| it.attempt != attempt);
         self.queue.retain(|it| it.attempt != attempt);
-        self.begun.retain(|it| *it != attempt);
-        made
+        self.started.retain(|it| *it != attempt);
+        generated
     }
 
     /// Tokens that a request has put out.
-    pub fn made(&self, attempt: u64) -> Option<u32> {
+    pub fn generated(&self, attempt: u64) -> Option<u32> {
         let mut all = self.running.iter().chain(&self.queue);
-        all.find(|it| it.attempt == attempt).map(|it| it.made)
+        all.find(|it| it.attempt == attempt).map(|it| it.generated)
     }
 
     /// Requests that run, and that wait.
@@ -117,11 +125,11 @@
         if !self.stepping {
             return None;
         }
-        let read = self.read_prompts();
+        let prefilled_tokens = self.prefill();
         let Targets { step_ms, step_per_request_ms, prompt_tokens_per_ms, .. } = self.config;
         let running = self.running.len() as f64;
-        let reading_ms = f64::from(read) / prompt_tokens_per_ms;
-        let whole_ms = step_ms + step_per_request_ms * running + reading_ms;
+        let prefill_ms = f64::from(prefilled_tokens) / prompt_tokens_per_ms;
+        let whole_ms = step_ms + step_per_request_ms * running + prefill_ms;
         Some((whole_ms * 1_000.0).ceil() as u64)
     }
 
@@ -129,23 +137,23 @@
     pub fn end_step(&mut self) -> Vec<(u64, Progress)> {
         self.stepping = false;
         let mut progress = Vec::new();
-        let mut read = Vec::new();
-        for sequence in self.running.iter_mut().filter(|it| it.unread == 0) {
-            sequence.made += 1;
-            if !self.begun.contains(&sequence.attempt) {
-                self.begun.push(sequence.attempt);
-                read.push(sequence.beginning);
-                progress.push((sequence.attempt, Progress::Begun));
+        let mut prefilled_prefixes = Vec::new();
+        for sequence in self.running.iter_mut().filter(|it| it.prefill_left == 0) {
+            sequence.generated += 1;
+            if !self.started.contains(&sequence.attempt) {
+                self.started.push(sequence.attempt);
+                prefilled_prefixes.push(sequence.prefix);
+                progress.push((sequence.attempt, Progress::FirstToken));
             }
-            if sequence.made >= sequence.output_tokens {
-                progress.push((sequence.attempt, Progress::Ended));
+            if sequence.generated >= sequence.output_tokens {
+                progress.push((sequence.attempt, Progress::Finished));
             }
         }
-        self.running.retain(|it| it.made < it.output_tokens);
+        self.running.retain(|it| it.generated < it.output_tokens);
         let running = &self.running;
-        self.begun.retain(|it| running.iter().any(|running| running.attempt == *it));
-        for beginning in read {
-            self.keep(beginning);
+        self.started.retain(|it| running.iter().any(|running| running.attempt == *it));
+        for prefix in prefilled_prefixes {
+            self.cache_prefix(prefix);
         }
         progress
     }
@@ -153,30 +161,30 @@
     fn admit(&mut self) {
         while self.running.len() < self.config.slots as usize {
             let Some(mut sequence) = self.queue.pop_front() else { return };
-            let is_kept = sequence.beginning == 0 || self.kept.contains(&sequence.beginning);
-            sequence.unread = sequence.own_tokens;
-            sequence.unread += if is_kept { 0 } else { sequence.shared_tokens };
+            let is_cached = sequence.prefix == 0 || self.cached_prefixes.contains(&sequence.prefix);
+            sequence.prefill_left = sequence.own_tokens;
+            sequence.prefill_left += if is_cached { 0 } else { sequence.shared_tokens };
             self.running.push(sequence);
         }
     }
 
-    fn read_prompts(&mut self) -> u32 {
+    fn prefill(&mut self) -> u32 {
         let mut left = self.config.chunk_tokens;
         for sequence in &mut self.running {
-            let part = sequence.unread.min(left);
-            sequence.unread -= part;
+            let part = sequence.prefill_left.min(left);
+            sequence.prefill_left -= part;
             left -= part;
         }
         self.config.chunk_tokens - left
     }
 
-    fn keep(&mut self, beginning: u64) {
-        if beginning == 0 {
+    fn cache_prefix(&mut self, prefix: u64) {
+        if prefix == 0 {
             return;
         }
-        self.kept.retain(|it| *it != beginning);
-        self.kept.push(beginning);
-        let more = self.kept.len().saturating_sub(self.config.kept_beginnings);
-        self.kept.drain(..more);
+        self.cached_prefixes.retain(|it| *it != prefix);
+        self.cached_prefixes.push(prefix);
+        let more = self.cached_prefixes.len().saturating_sub(self.config.kept_beginnings);
+        self.cached_prefixes.drain(..more);
     }
 }
--- a/crates/samphiredoor-standin/src/emulate/events.rs
+++ b/crates/samphiredoor-standin/src/emulate/events.rs
@@ -6,19 +6,19 @@
 #[derive(Debug)]
 pub struct Events<E> {
     events: BTreeMap<(u64, u64), E>,
-    said: u64,
+    next_number: u64,
 }
 
 impl<E> Events<E> {
     /// No events.
     pub fn new() -> Events<E> {
-        Events { events: BTreeMap::new(), said: 0 }
+        Events { events: BTreeMap::new(), next_number: 0 }
     }
 
     /// Adds an event.
     pub fn push(&mut self, at_us: u64, event: E) {
-        self.events.insert((at_us, self.said), event);
-        self.said += 1;
+        self.events.insert((at_us, self.next_number), event);
+        self.next_number += 1;
     }
 
     /// Takes the next event, with its time.
--- a/crates/samphiredoor-standin/src/emulate/mechanism.rs
+++ b/crates/samphiredoor-standin/src/emulate/mechanism.rs
@@ -11,27 +11,27 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mechanism {
     /// Items leave their places for online requests.
-    Recalls,
+    Preemption,
     /// Targets that are near come first.
     NearestFirst,
     /// Targets that may have the prompt's beginning are preferred.
     Affinity,
     /// Others are told at once where a request waits for their items.
-    UrgentWord,
+    UrgentUpdates,
     /// Online requests wait for a place before they are refused.
     Queue,
     /// A target that refused counts as full for a moment.
     FullAfterRefusal,
     /// Targets that failed are left alone for a while.
-    Pauses,
+    Backoff,
     /// What a target says of its own load counts.
     ReportedLoad,
     /// Gateways tell each other how many items wait, and share the places by it.
-    Shares,
+    SharedSlots,
     /// The output of unfinished items is kept.
-    KeptOutput,
+    SavedOutput,
     /// Items leave a place of each target free for online requests.
-    FreePlace,
+    ReservedSlot,
     /// Online requests wait at targets beyond their places.
     WaitingAtTarget,
 }
@@ -39,34 +39,34 @@
 impl Mechanism {
     /// All mechanisms.
     pub const ALL: [Mechanism; 12] = [
-        Mechanism::Recalls,
+        Mechanism::Preemption,
         Mechanism::NearestFirst,
         Mechanism::Affinity,
-        Mechanism::UrgentWord,
+        Mechanism::UrgentUpdates,
         Mechanism::Queue,
         Mechanism::FullAfterRefusal,
-        Mechanism::Pauses,
+        Mechanism::Backoff,
         Mechanism::ReportedLoad,
-        Mechanism::Shares,
-        Mechanism::KeptOutput,
-        Mechanism::FreePlace,
+        Mechanism::SharedSlots,
+        Mechanism::SavedOutput,
+        Mechanism::ReservedSlot,
         Mechanism::WaitingAtTarget,
     ];
 
     /// Name on the command line.
     pub fn name(self) -> &'static str {
         match self {
-            Mechanism::Recalls => "recalls",
+            Mechanism::Preemption => "recalls",
             Mechanism::NearestFirst => "nearest-first",
             Mechanism::Affinity => "affinity",
-            Mechanism::UrgentWord => "urgent-word",
+            Mechanism::UrgentUpdates => "urgent-word",
             Mechanism::Queue => "queue",
             Mechanism::FullAfterRefusal => "full-after-refusal",
-            Mechanism::Pauses => "pauses",
+            Mechanism::Backoff => "pauses",
             Mechanism::ReportedLoad => "reported-load",
-            Mechanism::Shares => "shares",
-            Mechanism::KeptOutput => "kept-output",
-            Mechanism::FreePlace => "free-place",
+            Mechanism::SharedSlots => "shares",
+            Mechanism::SavedOutput => "kept-output",
+            Mechanism::ReservedSlot => "free-place",
             Mechanism::WaitingAtTarget => "waiting-at-target",
         }
     }
--- a/crates/samphiredoor-standin/src/emulate/mod.rs
+++ b/crates/samphiredoor-standin/src/emulate/mod.rs
@@ -12,6 +12,6 @@
 mod prices;
 pub mod report;
 pub mod scenario;
+pub mod simulation;
 pub mod traffic;
 pub mod variants;
-pub mod world;
--- a/crates/samphiredoor-standin/src/emulate/network.rs
+++ b/crates/samphiredoor-standin/src/emulate/network.rs
@@ -11,7 +11,7 @@
     config: scenario::Network,
     rng: SmallRng,
     /// What a fault adds to the way of each message.
-    pub late_ms: f64,
+    pub extra_delay_ms: f64,
     /// Part of the messages that is lost, by a fault.
     pub lost_part: f64,
 }
@@ -19,26 +19,26 @@
 impl Network {
     /// Ways without faults.
     pub fn new(config: scenario::Network, seed: u64) -> Network {
-        Network { config, rng: SmallRng::seed_from_u64(seed), late_ms: 0.0, lost_part: 0.0 }
+        Network { config, rng: SmallRng::seed_from_u64(seed), extra_delay_ms: 0.0, lost_part: 0.0 }
     }
 
     /// One way on a connection.
-    pub fn way_us(&self, from: &Location, to: &Location) -> u64 {
-        (self.way_ms(from, to) * 1_000.0) as u64
+    pub fn latency_us(&self, from: &Location, to: &Location) -> u64 {
+        (self.latency_ms(from, to) * 1_000.0) as u64
     }
 
     /// One way of a message; `None` if it is lost.
-    pub fn message_us(&mut self, from: &Location, to: &Location) -> Option<u64> {
+    pub fn message_latency_us(&mut self, from: &Location, to: &Location) -> Option<u64> {
         let lost_part = self.config.lost_part.max(self.lost_part);
         if lost_part > 0.0 && self.rng.random_bool(lost_part) {
             return None;
         }
         let jitter_ms = self.rng.random::<f64>() * self.config.jitter_ms;
-        let whole_ms = self.way_ms(from, to) + jitter_ms + self.late_ms;
-        Some((whole_ms * 1_000.0) as u64)
+        let total_ms = self.latency_ms(from, to) + jitter_ms + self.extra_delay_ms;
+        Some((total_ms * 1_000.0) as u64)
     }
 
-    fn way_ms(&self, from: &Location, to: &Location) -> f64 {
+    fn latency_ms(&self, from: &Location, to: &Location) -> f64 {
         match Distance::between(from, to) {
             Distance::Cell | Distance::Zone => self.config.zone_ms,
             Distance::Region => self.config.region_ms,
--- a/crates/samphiredoor-standin/src/emulate/outcome.rs
+++ b/crates/samphiredoor-standin/src/emulate/outcome.rs
@@ -8,7 +8,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum End {
     /// Answered within its aim.
-    InAim,
+    OnTime,
     /// Answered later.
     Late,
     /// Refused, and its caller did not come back in time.
@@ -16,16 +16,16 @@
     /// Lost with its gateway or its target.
     Lost,
     /// Not answered by its deadline.
-    Left,
+    TimedOut,
 }
 
 /// Ends of the requests of one class.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Ends {
+pub struct EndCounts {
     /// All requests.
-    pub all: u64,
+    pub total: u64,
     /// Answered within the aim.
-    pub in_aim: u64,
+    pub on_time: u64,
     /// Answered later.
     pub late: u64,
     /// Refused.
@@ -33,24 +33,24 @@
     /// Lost with a gateway or a target.
     pub lost: u64,
     /// Not answered by the deadline.
-    pub left: u64,
+    pub timed_out: u64,
 }
 
-impl Ends {
+impl EndCounts {
     fn count(&mut self, end: End) {
-        self.all += 1;
+        self.total += 1;
         match end {
-            End::InAim => self.in_aim += 1,
+            End::OnTime => self.on_time += 1,
             End::Late => self.late += 1,
             End::Refused => self.refused += 1,
             End::Lost => self.lost += 1,
-            End::Left => self.left += 1,
+            End::TimedOut => self.timed_out += 1,
         }
     }
 
     /// So many of all of them, in percent.
     pub fn percent(&self, count: u64) -> f64 {
-        100.0 * count as f64 / self.all.max(1) as f64
+        100.0 * count as f64 / self.total.max(1) as f64
     }
 }
 
@@ -58,11 +58,11 @@
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Outcome {
     /// Online requests.
-    pub online: Ends,
+    pub online: EndCounts,
     /// Items of jobs.
-    pub items: Ends,
+    pub items: EndCounts,
     /// Worth of all requests, if each were answered in its aim.
-    pub owed: f64,
+    pub total_worth: f64,
     /// Worth of what was answered.
     pub earned: f64,
     /// Requests sent to targets.
@@ -70,7 +70,7 @@
     /// Sends that targets refused.
     pub rejected: u64,
     /// Runs of items that were cut for online requests.
-    pub cut: u64,
+    pub preempted: u64,
     /// Messages between gateways.
     pub messages: u64,
     /// Messages for each gateway and second.
@@ -86,17 +86,17 @@
             Class::Online => self.online.count(end),
             Class::Batch => self.items.count(end),
         }
-        self.owed += request.worth;
+        self.total_worth += request.worth;
         self.earned += match end {
-            End::InAim => request.worth,
+            End::OnTime => request.worth,
             End::Late => request.worth_late,
-            End::Refused | End::Lost | End::Left => 0.0,
+            End::Refused | End::Lost | End::TimedOut => 0.0,
         };
     }
 
     /// Part of the worth owed that was earned.
     pub fn worth(&self) -> f64 {
-        if self.owed > 0.0 { self.earned / self.owed } else { 1.0 }
+        if self.total_worth > 0.0 { self.earned / self.total_worth } else { 1.0 }
     }
 
     /// Sends that targets refused, in percent of all.
@@ -105,7 +105,7 @@
     }
 
     /// Runs cut for each item.
-    pub fn cut_per_item(&self) -> f64 {
-        self.cut as f64 / self.items.all.max(1) as f64
+    pub fn preempted_per_item(&self) -> f64 {
+        self.preempted as f64 / self.items.total.max(1) as f64
     }
 }
--- a/crates/samphiredoor-standin/src/emulate/plot.rs
+++ b/crates/samphiredoor-standin/src/emulate/plot.rs
@@ -5,34 +5,34 @@
 
 use super::{
     report::{Mean, worth},
-    variants::{Played, Variants},
+    variants::{RunResult, Variants},
 };
 
 const HEIGHT: u32 = 420;
 const WIDTH_EACH: u32 = 200;
 const MARGINS: u32 = 120;
 /// Part of a variant's width over which its dots are spread.
-const DOTS: f64 = 0.5;
+const DOT_SPREAD: f64 = 0.5;
 /// Half of the width of the mark for a mean.
-const MARK: f64 = 0.3;
+const MARK_HALF_WIDTH: f64 = 0.3;
 
 /// Picture of all variants, as SVG.
-pub fn svg(variants: &Variants, played: &[Played]) -> anyhow::Result<String> {
+pub fn svg(variants: &Variants, results: &[RunResult]) -> anyhow::Result<String> {
     let mut svg = String::new();
-    draw(&mut svg, variants, played).map_err(|err| anyhow!("the plot cannot be drawn: {err}"))?;
+    draw(&mut svg, variants, results).map_err(|err| anyhow!("the plot cannot be drawn: {err}"))?;
     Ok(svg)
 }
 
 fn draw(
     svg: &mut String,
     variants: &Variants,
-    played: &[Played],
+    results: &[RunResult],
 ) -> Result<(), Box<dyn std::error::Error>> {
     let count = variants.variants.len();
     let size = (MARGINS + WIDTH_EACH * count as u32, HEIGHT);
     let area = SVGBackend::with_string(svg, size).into_drawing_area();
     area.fill(&WHITE)?;
-    let least = played.iter().map(|it| it.outcome.worth()).fold(1.0, f64::min);
+    let least = results.iter().map(|it| it.outcome.worth()).fold(1.0, f64::min);
     let mut chart = ChartBuilder::on(&area)
         .margin(12)
         .x_label_area_size(44)
@@ -52,23 +52,23 @@
         .y_desc("worth")
         .draw()?;
     for number in 0..count {
-        let plays: Vec<&Played> = played.iter().filter(|it| it.variant == number).collect();
+        let runs: Vec<&RunResult> = results.iter().filter(|it| it.variant == number).collect();
         let middle = number as f64;
-        let dots = plays.iter().enumerate().map(|(index, it)| {
-            let part = (index as f64 + 0.5) / plays.len() as f64 - 0.5;
-            Circle::new((middle + part * DOTS, it.outcome.worth()), 2, BLUE.mix(0.5).filled())
+        let dots = runs.iter().enumerate().map(|(index, it)| {
+            let part = (index as f64 + 0.5) / runs.len() as f64 - 0.5;
+            Circle::new((middle + part * DOT_SPREAD, it.outcome.worth()), 2, BLUE.mix(0.5).filled())
         });
         chart.draw_series(dots)?;
-        let (own, _) = worth(played, number);
-        let lines = [own.mean - own.half, own.mean, own.mean + own.half];
-        chart.draw_series(lines.map(|at| mark(middle, at, BLACK)))?;
-        let bounds: Vec<f64> = plays.iter().map(|it| it.bound / it.outcome.owed).collect();
-        chart.draw_series([mark(middle, Mean::of(&bounds).mean, RED)])?;
+        let (own, _) = worth(results, number);
+        let lines = [own.mean - own.half_width, own.mean, own.mean + own.half_width];
+        chart.draw_series(lines.map(|at| horizontal_mark(middle, at, BLACK)))?;
+        let bounds: Vec<f64> = runs.iter().map(|it| it.bound / it.outcome.total_worth).collect();
+        chart.draw_series([horizontal_mark(middle, Mean::of(&bounds).mean, RED)])?;
     }
     area.present()?;
     Ok(())
 }
 
-fn mark(middle: f64, at: f64, color: RGBColor) -> PathElement<(f64, f64)> {
-    PathElement::new(vec![(middle - MARK, at), (middle + MARK, at)], color)
+fn horizontal_mark(middle: f64, at: f64, color: RGBColor) -> PathElement<(f64, f64)> {
+    PathElement::new(vec![(middle - MARK_HALF_WIDTH, at), (middle + MARK_HALF_WIDTH, at)], color)
 }
--- a/crates/samphiredoor-standin/src/emulate/scenario.rs
+++ b/crates/samphiredoor-standin/src/emulate/scenario.rs
@@ -8,7 +8,7 @@
 use super::check::check;
 
 /// Least and most of something that is drawn evenly.
-pub type Span = [u32; 2];
+pub type CountRange = [u32; 2];
 
 /// A fleet, its load and its faults.
 #[derive(Debug, Clone)]
@@ -156,9 +156,9 @@
     #[serde(default = "one")]
     pub beginnings: u32,
     /// Tokens of the rest of the prompt.
-    pub prompt_tokens: Span,
+    pub prompt_tokens: CountRange,
     /// Tokens of the answer.
-    pub output_tokens: Span,
+    pub output_tokens: CountRange,
     /// Time to the first token within which an answer has its full worth.
     pub aim_ms: u64,
     /// Time after which the caller leaves.
@@ -180,7 +180,7 @@
     /// Arrivals at all gateways together.
     pub jobs_per_s: f64,
     /// Items of a job.
-    pub items: Span,
+    pub items: CountRange,
     /// Tokens of the beginning that prompts share.
     #[serde(default)]
     pub shared_tokens: u32,
@@ -188,9 +188,9 @@
     #[serde(default = "one")]
     pub beginnings: u32,
     /// Tokens of the rest of a prompt.
-    pub prompt_tokens: Span,
+    pub prompt_tokens: CountRange,
     /// Tokens of an output.
-    pub output_tokens: Span,
+    pub output_tokens: CountRange,
     /// Time within which an item has its full worth.
     pub due_s: f64,
     /// Time after which an item is given up.
@@ -260,19 +260,19 @@
 
 impl Scenario {
     /// Reads a file, with some values put in place of its own.
-    pub fn read(file: &Path, changes: &[(String, toml::Value)]) -> anyhow::Result<Scenario> {
+    pub fn read(file: &Path, overrides: &[(String, toml::Value)]) -> anyhow::Result<Scenario> {
         let text = std::fs::read_to_string(file).with_context(|| file.display().to_string())?;
-        Scenario::parse(&text, changes).with_context(|| file.display().to_string())
+        Scenario::parse(&text, overrides).with_context(|| file.display().to_string())
     }
 
     /// Reads a text, with some values put in place of its own.
-    pub fn parse(text: &str, changes: &[(String, toml::Value)]) -> anyhow::Result<Scenario> {
-        let scenario: Scenario = if changes.is_empty() {
+    pub fn parse(text: &str, overrides: &[(String, toml::Value)]) -> anyhow::Result<Scenario> {
+        let scenario: Scenario = if overrides.is_empty() {
             toml::from_str(text)?
         } else {
             let mut value: toml::Value = toml::from_str(text)?;
-            for (key, new) in changes {
-                set(&mut value, key, new.clone())?;
+            for (key, new) in overrides {
+                set_value(&mut value, key, new.clone())?;
             }
             value.try_into()?
         };
@@ -281,13 +281,13 @@
     }
 
     /// Time until the end of everything.
-    pub fn whole_s(&self) -> f64 {
+    pub fn total_s(&self) -> f64 {
         self.duration_s + self.finish_s
     }
 }
 
 /// Puts a value in place of another one, or of a default, by its key with dots; parts of lists go by number.
-fn set(root: &mut toml::Value, key: &str, new: toml::Value) -> anyhow::Result<()> {
+fn set_value(root: &mut toml::Value, key: &str, new: toml::Value) -> anyhow::Result<()> {
     let mut at = root;
     let (path, last) = key.rsplit_once('.').unwrap_or(("", key));
     for part in path.split('.').filter(|it| !it.is_empty()) {
--- a/crates/samphiredoor-standin/src/emulate/world/faults.rs
+++ b/crates/samphiredoor-standin/src/emulate/simulation/faults.rs
@@ -2,11 +2,11 @@
 
 use samphiredoor_core::placement::Input;
 
-use super::{Event, World};
+use super::{Event, Simulation};
 use crate::emulate::scenario::FaultKind;
 
-impl World<'_> {
-    pub(super) fn fault(&mut self, number: usize, begins: bool) {
+impl Simulation<'_> {
+    pub(super) fn handle_fault(&mut self, number: usize, begins: bool) {
         let scenario = self.scenario;
         match &scenario.faults[number].what {
             FaultKind::TargetsDown(them) => {
@@ -27,14 +27,16 @@
                     }
                 }
             }
-            FaultKind::MessagesLateMs(ms) => self.network.late_ms = if begins { *ms } else { 0.0 },
+            FaultKind::MessagesLateMs(ms) => {
+                self.network.extra_delay_ms = if begins { *ms } else { 0.0 }
+            }
             FaultKind::MessagesLostPart(part) => {
                 self.network.lost_part = if begins { *part } else { 0.0 };
             }
         }
     }
 
-    pub(super) fn discovery(&mut self) {
+    pub(super) fn update_targets(&mut self) {
         for gateway in 0..self.gateways.len() {
             if self.gateways[gateway].is_up() {
                 let entries = self.entries(gateway);
@@ -45,9 +47,9 @@
 
     fn stop_gateway(&mut self, gateway: usize) {
         self.gateways[gateway].stop();
-        for request in 0..self.runs.len() {
-            if self.runs[request].gateway == gateway {
-                self.orphaned(request);
+        for request in 0..self.states.len() {
+            if self.states[request].gateway == gateway {
+                self.handle_gateway_death(request);
             }
         }
     }
--- a/crates/samphiredoor-standin/src/emulate/world/gateways.rs
+++ b/crates/samphiredoor-standin/src/emulate/simulation/gateways.rs
@@ -10,10 +10,10 @@
 };
 
 use super::{
-    Event, World,
+    Event, Simulation,
+    peer_messages::{IDLE_INTERVAL_MS, PeerGroup, SEND_INTERVAL_MS, SentToCell, peer_groups},
     targets::Target,
-    telling::{Audience, IDLE_MS, TELL_PAUSE_MS, ToldCell, audiences},
-    zone,
+    zone_of,
 };
 use crate::emulate::{mechanism::Mechanism, scenario::Scenario};
 
@@ -24,15 +24,15 @@
     pub location: Location,
     pub placement: Placement,
     /// Faults that keep it down.
-    down: u32,
-    start: u64,
-    ticked_ms: u64,
-    pub told_ms: u64,
-    pub told: Rc<GatewayState>,
-    pub audiences: [Audience; 3],
-    pub told_cells: BTreeMap<CellId, ToldCell>,
+    active_outages: u32,
+    incarnation: u64,
+    last_tick_ms: u64,
+    pub sent_ms: u64,
+    pub sent_state: Rc<GatewayState>,
+    pub peer_groups: [PeerGroup; 3],
+    pub sent_to_cells: BTreeMap<CellId, SentToCell>,
     /// What the gateways of its cell told it last and when, its own word among them.
-    pub heard: BTreeMap<Name, (u64, Rc<GatewayState>)>,
+    pub received: BTreeMap<Name, (u64, Rc<GatewayState>)>,
 }
 
 fn name_of(number: usize) -> Name {
@@ -50,7 +50,7 @@
         let count = scenario.gateways.count;
         let gateways: Vec<Gateway> = (0..count)
             .map(|number| {
-                Gateway::new(name_of(number), zone(&scenario.gateways.zones, number, count))
+                Gateway::new(name_of(number), zone_of(&scenario.gateways.zones, number, count))
             })
             .collect();
         let locations =
@@ -65,53 +65,54 @@
             placement: Placement::new(Name::clone(&name), location.clone(), 0),
             name,
             location,
-            down: 0,
-            start: 0,
-            ticked_ms: 0,
-            told_ms: 0,
-            told: Rc::default(),
-            audiences: audiences(),
-            told_cells: BTreeMap::new(),
-            heard: BTreeMap::new(),
+            active_outages: 0,
+            incarnation: 0,
+            last_tick_ms: 0,
+            sent_ms: 0,
+            sent_state: Rc::default(),
+            peer_groups: peer_groups(),
+            sent_to_cells: BTreeMap::new(),
+            received: BTreeMap::new(),
         }
     }
 
     /// Whether it runs.
     pub fn is_up(&self) -> bool {
-        self.down == 0
+        self.active_outages == 0
     }
 
     /// Kills it.
     pub fn stop(&mut self) {
-        self.down += 1;
-        self.start += 1;
+        self.active_outages += 1;
+        self.incarnation += 1;
     }
 }
 
-impl World<'_> {
+impl Simulation<'_> {
     pub(super) fn start_gateway(&mut self, number: usize) {
         let seed = self.rng.random();
         let margins = self.margins();
         let gateway = &mut self.gateways[number];
         let (name, location) = (Name::clone(&gateway.name), gateway.location.clone());
-        let before = std::mem::replace(gateway, Gateway::new(Name::clone(&name), location.clone()));
-        gateway.down = before.down;
-        gateway.start = before.start;
+        let previous =
+            std::mem::replace(gateway, Gateway::new(Name::clone(&name), location.clone()));
+        gateway.active_outages = previous.active_outages;
+        gateway.incarnation = previous.incarnation;
         let placement = Placement::new(Name::clone(&name), location, seed);
         gateway.placement = placement.with_margins(margins);
-        let start = gateway.start;
+        let incarnation = gateway.incarnation;
         let entries = self.entries(number);
         self.input(number, Input::Targets(entries));
         if let Some(cell) = self.cells.cell_of_gateway(&name) {
             let own = self.cells.targets(cell).collect();
             self.input(number, Input::CellTargets(own));
         }
-        let phase_us = (number as u64 * 1_013) % (TELL_PAUSE_MS * 1_000);
-        self.events.push(self.now_us + phase_us, Event::Tick { gateway: number, start });
+        let phase_us = (number as u64 * 1_013) % (SEND_INTERVAL_MS * 1_000);
+        self.events.push(self.now_us + phase_us, Event::Tick { gateway: number, incarnation });
     }
 
     pub(super) fn restart_gateway(&mut self, number: usize) {
-        self.gateways[number].down -= 1;
+        self.gateways[number].active_outages -= 1;
         if self.gateways[number].is_up() {
             self.start_gateway(number);
         }
@@ -119,10 +120,10 @@
 
     fn margins(&self) -> Margins {
         let mut margins = Margins::default();
-        if !self.has(Mechanism::FreePlace) {
+        if !self.is_enabled(Mechanism::ReservedSlot) {
             margins.free_for_online = 0;
         }
-        if !self.has(Mechanism::WaitingAtTarget) {
+        if !self.is_enabled(Mechanism::WaitingAtTarget) {
             margins.waiting_at_target = 0;
         }
         margins
@@ -132,7 +133,7 @@
     pub(super) fn entries(&self, number: usize) -> Vec<TargetEntry> {
         let slots = self.scenario.targets.slots;
         let up = self.targets.iter().filter(|it| it.is_up());
-        up.map(|it| match self.has(Mechanism::NearestFirst) {
+        up.map(|it| match self.is_enabled(Mechanism::NearestFirst) {
             true => it.entry(slots, &it.location),
             false => it.entry(slots, &self.gateways[number].location),
         })
@@ -148,24 +149,25 @@
         let now_ms = self.now_ms();
         self.gateways[number].placement.handle(now_ms, input, &mut out);
         for action in out {
-            self.act(number, action);
+            self.apply_action(number, action);
         }
-        self.tell(number);
+        self.send_updates(number);
     }
 
-    pub(super) fn tick(&mut self, number: usize, start: u64) {
+    pub(super) fn tick(&mut self, number: usize, incarnation: u64) {
         let now_ms = self.now_ms();
         let gateway = &mut self.gateways[number];
-        if gateway.start != start || !gateway.is_up() {
+        if gateway.incarnation != incarnation || !gateway.is_up() {
             return;
         }
         let (online, _) = gateway.placement.waiting();
-        if online > 0 || now_ms >= gateway.ticked_ms + IDLE_MS {
-            gateway.ticked_ms = now_ms;
+        if online > 0 || now_ms >= gateway.last_tick_ms + IDLE_INTERVAL_MS {
+            gateway.last_tick_ms = now_ms;
             self.input(number, Input::Tick);
         } else {
-            self.tell(number);
+            self.send_updates(number);
         }
-        self.events.push(self.after_ms(TELL_PAUSE_MS), Event::Tick { gateway: number, start });
+        self.events
+            .push(self.after_ms(SEND_INTERVAL_MS), Event::Tick { gateway: number, incarnation });
     }
 }
--- a/crates/samphiredoor-standin/src/emulate/world/mod.rs
+++ b/crates/samphiredoor-standin/src/emulate/simulation/mod.rs
@@ -2,9 +2,9 @@
 
 mod faults;
 mod gateways;
+mod peer_messages;
 mod requests;
 mod targets;
-mod telling;
 
 use std::rc::Rc;
 
@@ -24,7 +24,7 @@
     traffic::{Request, micros},
 };
 use gateways::Gateway;
-use requests::{Attempt, Run};
+use requests::{Attempt, RequestState};
 use targets::Target;
 
 /// All that is drawn in a run differs from what traffic is drawn from.
@@ -38,25 +38,25 @@
 #[derive(Debug)]
 enum Event {
     /// A caller's request, or the item of a job, reaches a gateway.
-    Arrives(usize),
+    Arrival(usize),
     /// A gateway asks its placement for a target.
-    Asks { request: usize, turn: u32 },
+    RequestSlot { request: usize, generation: u32 },
     /// A request reaches a target.
-    AtTarget { attempt: Attempt, target: usize },
+    TargetArrival { attempt: Attempt, target: usize },
     /// A cut reaches a target.
-    CutAtTarget { attempt: Attempt, target: usize },
+    CancelAtTarget { attempt: Attempt, target: usize },
     /// A target ends a step.
-    Step { target: usize, start: u64 },
+    Step { target: usize, incarnation: u64 },
     /// A gateway sees the first token of an attempt.
-    Begun { attempt: Attempt, load: (u32, u32) },
+    FirstToken { attempt: Attempt, load: (u32, u32) },
     /// A gateway sees an attempt end.
     Ended { attempt: Attempt, end: AttemptEnd },
     /// A request is of no use any more.
     Deadline(usize),
     /// A gateway looks after what waits.
-    Tick { gateway: usize, start: u64 },
+    Tick { gateway: usize, incarnation: u64 },
     /// A message of a gateway or a cell reaches a gateway, which may pass it on in its cell.
-    Message { to: usize, from: Name, state: Rc<GatewayState>, passes_on: bool },
+    Message { to: usize, from: Name, state: Rc<GatewayState>, forwards: bool },
     /// Cells tell each other sums.
     Summaries { is_far: bool },
     /// A fault begins or ends.
@@ -64,11 +64,11 @@
     /// Gateways learn which targets there are.
     Discovery,
     /// The output of unfinished items is kept.
-    KeepOutput,
+    SaveOutputs,
 }
 
 /// A fleet in simulated time.
-pub struct World<'a> {
+pub struct Simulation<'a> {
     scenario: &'a Scenario,
     without: &'a [Mechanism],
     requests: &'a [Request],
@@ -79,24 +79,24 @@
     cells: Cells,
     gateways: Vec<Gateway>,
     targets: Vec<Target>,
-    runs: Vec<Run>,
+    states: Vec<RequestState>,
     open: usize,
     outcome: Outcome,
 }
 
-impl<'a> World<'a> {
+impl<'a> Simulation<'a> {
     /// A fleet that has just started, and the requests that will reach it.
     pub fn new(
         scenario: &'a Scenario,
         without: &'a [Mechanism],
         requests: &'a [Request],
         seed: u64,
-    ) -> World<'a> {
+    ) -> Simulation<'a> {
         let mut rng = SmallRng::seed_from_u64(seed ^ RUN_SEED);
         let network = Network::new(scenario.network.clone(), rng.random());
         let targets = Target::all(&scenario.targets);
         let (gateways, cells) = Gateway::all(scenario, &targets);
-        let mut world = World {
+        let mut simulation = Simulation {
             scenario,
             without,
             requests,
@@ -107,36 +107,36 @@
             cells,
             gateways,
             targets,
-            runs: requests.iter().map(Run::new).collect(),
+            states: requests.iter().map(RequestState::new).collect(),
             open: requests.len(),
             outcome: Outcome::default(),
         };
-        world.begin();
-        world
+        simulation.schedule_initial_events();
+        simulation
     }
 
     /// Plays until all requests are over or the time is up.
     pub fn run(mut self) -> Outcome {
-        let end_us = START_US + micros(self.scenario.whole_s());
+        let end_us = START_US + micros(self.scenario.total_s());
         while let Some((at_us, event)) = self.events.pop()
             && at_us <= end_us
             && self.open > 0
         {
             self.now_us = at_us;
             self.outcome.events += 1;
-            self.happen(event);
+            self.handle(event);
         }
         for request in 0..self.requests.len() {
-            self.over(request, End::Left);
+            self.finish(request, End::TimedOut);
         }
         let gateway_s = self.gateways.len() as f64 * (self.now_us - START_US) as f64 / 1e6;
         self.outcome.messages_per_gateway_s = self.outcome.messages as f64 / gateway_s.max(1e-9);
         self.outcome
     }
 
-    fn begin(&mut self) {
+    fn schedule_initial_events(&mut self) {
         for (number, request) in self.requests.iter().enumerate() {
-            self.events.push(START_US + request.arrives_us, Event::Arrives(number));
+            self.events.push(START_US + request.arrives_us, Event::Arrival(number));
             self.events.push(START_US + request.deadline_us, Event::Deadline(number));
         }
         for (number, fault) in self.scenario.faults.iter().enumerate() {
@@ -152,38 +152,38 @@
             self.events.push(START_US, Event::Summaries { is_far: false });
             self.events.push(START_US, Event::Summaries { is_far: true });
         }
-        if self.keeps_output() {
-            self.events.push(START_US, Event::KeepOutput);
+        if self.saves_output() {
+            self.events.push(START_US, Event::SaveOutputs);
         }
     }
 
-    fn happen(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         match event {
-            Event::Arrives(request) => self.arrives(request),
-            Event::Asks { request, turn } => self.asks(request, turn),
-            Event::AtTarget { attempt, target } => self.at_target(attempt, target),
-            Event::CutAtTarget { attempt, target } => self.cut_at_target(attempt, target),
-            Event::Step { target, start } => self.step(target, start),
-            Event::Begun { attempt, load } => self.begun(attempt, load),
-            Event::Ended { attempt, end } => self.ended(attempt, end),
-            Event::Deadline(request) => self.deadline(request),
-            Event::Tick { gateway, start } => self.tick(gateway, start),
-            Event::Message { to, from, state, passes_on } => {
-                self.message(to, from, state, passes_on);
+            Event::Arrival(request) => self.handle_arrival(request),
+            Event::RequestSlot { request, generation } => self.request_slot(request, generation),
+            Event::TargetArrival { attempt, target } => self.arrive_at_target(attempt, target),
+            Event::CancelAtTarget { attempt, target } => self.cancel_at_target(attempt, target),
+            Event::Step { target, incarnation } => self.step(target, incarnation),
+            Event::FirstToken { attempt, load } => self.handle_first_token(attempt, load),
+            Event::Ended { attempt, end } => self.handle_attempt_end(attempt, end),
+            Event::Deadline(request) => self.handle_deadline(request),
+            Event::Tick { gateway, incarnation } => self.tick(gateway, incarnation),
+            Event::Message { to, from, state, forwards } => {
+                self.receive_message(to, from, state, forwards);
             }
-            Event::Summaries { is_far } => self.summaries(is_far),
-            Event::Fault { number, begins } => self.fault(number, begins),
-            Event::Discovery => self.discovery(),
-            Event::KeepOutput => self.keep_output(),
+            Event::Summaries { is_far } => self.send_summaries(is_far),
+            Event::Fault { number, begins } => self.handle_fault(number, begins),
+            Event::Discovery => self.update_targets(),
+            Event::SaveOutputs => self.save_outputs(),
         }
     }
 
-    fn has(&self, mechanism: Mechanism) -> bool {
+    fn is_enabled(&self, mechanism: Mechanism) -> bool {
         !self.without.contains(&mechanism)
     }
 
-    fn keeps_output(&self) -> bool {
-        self.scenario.jobs.keep_output_ms > 0 && self.has(Mechanism::KeptOutput)
+    fn saves_output(&self) -> bool {
+        self.scenario.jobs.keep_output_ms > 0 && self.is_enabled(Mechanism::SavedOutput)
     }
 
     fn now_ms(&self) -> u64 {
@@ -199,11 +199,11 @@
         self.now_us - START_US
     }
 
-    fn way_us(&self, gateway: usize, target: usize) -> u64 {
-        self.network.way_us(&self.gateways[gateway].location, &self.targets[target].location)
+    fn latency_us(&self, gateway: usize, target: usize) -> u64 {
+        self.network.latency_us(&self.gateways[gateway].location, &self.targets[target].location)
     }
 
-    fn live_gateway(&mut self) -> Option<usize> {
+    fn random_live_gateway(&mut self) -> Option<usize> {
         let live: Vec<usize> =
             (0..self.gateways.len()).filter(|it| self.gateways[*it].is_up()).collect();
         if live.is_empty() {
@@ -214,8 +214,8 @@
 }
 
 /// Zone of one of so many, if they are spread evenly over the zones.
-fn zone(zones: &[String], number: usize, count: usize) -> Location {
-    let zone = &zones[number * zones.len() / count];
-    let (region, zone) = zone.split_once('/').unwrap_or((zone, zone));
-    Location { region: region.into(), availability_zone: zone.into() }
+fn zone_of(zones: &[String], number: usize, count: usize) -> Location {
+    let zone_of = &zones[number * zones.len() / count];
+    let (region, zone_of) = zone_of.split_once('/').unwrap_or((zone_of, zone_of));
+    Location { region: region.into(), availability_zone: zone_of.into() }
 }
--- a/crates/samphiredoor-standin/src/emulate/world/targets.rs
+++ b/crates/samphiredoor-standin/src/emulate/simulation/targets.rs
@@ -7,9 +7,9 @@
 };
 
 use super::{
-    Event, SERVICE, World,
+    Event, SERVICE, Simulation,
     requests::{Attempt, Stage},
-    zone,
+    zone_of,
 };
 use crate::emulate::{
     engine::{Engine, Progress, Sequence},
@@ -23,9 +23,9 @@
     pub location: Location,
     pub engine: Engine,
     /// Faults that keep it down.
-    down: u32,
+    active_outages: u32,
     /// Number of its start.
-    pub start: u64,
+    pub incarnation: u64,
 }
 
 impl Target {
@@ -33,17 +33,17 @@
     pub fn all(config: &scenario::Targets) -> Vec<Target> {
         let target = |number| Target {
             name: name_of(number),
-            location: zone(&config.zones, number, config.count),
+            location: zone_of(&config.zones, number, config.count),
             engine: Engine::new(config.clone()),
-            down: 0,
-            start: 0,
+            active_outages: 0,
+            incarnation: 0,
         };
         (0..config.count).map(target).collect()
     }
 
     /// Whether it runs.
     pub fn is_up(&self) -> bool {
-        self.down == 0
+        self.active_outages == 0
     }
 
     /// As discovery tells it to a gateway at a place.
@@ -55,7 +55,7 @@
             location: location.clone(),
             slots,
             state: TargetState::Ready,
-            started_unix_ms: self.start,
+            started_unix_ms: self.incarnation,
         }
     }
 }
@@ -69,94 +69,94 @@
     name.strip_prefix("target-")?.parse().ok()
 }
 
-impl World<'_> {
-    pub(super) fn at_target(&mut self, attempt: Attempt, target: usize) {
+impl Simulation<'_> {
+    pub(super) fn arrive_at_target(&mut self, attempt: Attempt, target: usize) {
         let request = attempt.request();
-        let run = &self.runs[request];
-        let gateway = run.gateway;
+        let state = &self.states[request];
+        let gateway = state.gateway;
         if !self.targets[target].is_up() {
-            self.answer(gateway, target, attempt, AttemptEnd::Unreachable);
+            self.send_end(gateway, target, attempt, AttemptEnd::Unreachable);
             return;
         }
         // It was cut on its way.
-        if run.attempt != attempt || run.stage != Stage::Sent(target) {
+        if state.attempt != attempt || state.stage != Stage::Sent(target) {
             return;
         }
-        let asked = &self.requests[request];
+        let details = &self.requests[request];
         let sequence = Sequence::new(
             attempt.0,
-            (asked.beginning, asked.shared_tokens),
-            asked.own_tokens + run.made,
-            (run.made, asked.output_tokens),
+            (details.prefix, details.shared_tokens),
+            details.own_tokens + state.generated,
+            (state.generated, details.output_tokens),
         );
         if !self.targets[target].engine.offer(sequence) {
-            self.answer(gateway, target, attempt, AttemptEnd::Refused);
+            self.send_end(gateway, target, attempt, AttemptEnd::Refused);
             return;
         }
-        self.work(target);
+        self.start_step(target);
     }
 
-    pub(super) fn cut_at_target(&mut self, attempt: Attempt, target: usize) {
+    pub(super) fn cancel_at_target(&mut self, attempt: Attempt, target: usize) {
         self.targets[target].engine.drop_attempt(attempt.0);
     }
 
-    fn answer(&mut self, gateway: usize, target: usize, attempt: Attempt, end: AttemptEnd) {
-        let at_us = self.now_us + self.way_us(gateway, target);
+    fn send_end(&mut self, gateway: usize, target: usize, attempt: Attempt, end: AttemptEnd) {
+        let at_us = self.now_us + self.latency_us(gateway, target);
         self.events.push(at_us, Event::Ended { attempt, end });
     }
 
-    fn work(&mut self, target: usize) {
-        let Target { engine, start, .. } = &mut self.targets[target];
+    fn start_step(&mut self, target: usize) {
+        let Target { engine, incarnation, .. } = &mut self.targets[target];
         if engine.stepping {
             return;
         }
         if let Some(step_us) = engine.begin_step() {
-            let start = *start;
-            self.events.push(self.now_us + step_us, Event::Step { target, start });
+            let incarnation = *incarnation;
+            self.events.push(self.now_us + step_us, Event::Step { target, incarnation });
         }
     }
 
-    pub(super) fn step(&mut self, target: usize, start: u64) {
-        if self.targets[target].start != start || !self.targets[target].is_up() {
+    pub(super) fn step(&mut self, target: usize, incarnation: u64) {
+        if self.targets[target].incarnation != incarnation || !self.targets[target].is_up() {
             return;
         }
         let load = self.targets[target].engine.load();
         for (attempt, progress) in self.targets[target].engine.end_step() {
             let attempt = Attempt(attempt);
-            let gateway = self.runs[attempt.request()].gateway;
-            let at_us = self.now_us + self.way_us(gateway, target);
+            let gateway = self.states[attempt.request()].gateway;
+            let at_us = self.now_us + self.latency_us(gateway, target);
             let event = match progress {
-                Progress::Begun => Event::Begun { attempt, load },
-                Progress::Ended => Event::Ended { attempt, end: AttemptEnd::Answered },
+                Progress::FirstToken => Event::FirstToken { attempt, load },
+                Progress::Finished => Event::Ended { attempt, end: AttemptEnd::Answered },
             };
             self.events.push(at_us, event);
         }
-        self.work(target);
+        self.start_step(target);
     }
 
     pub(super) fn stop_target(&mut self, target: usize) {
         let attempts: Vec<u64> = self.targets[target].engine.attempts().collect();
         for attempt in attempts {
-            let made = self.targets[target].engine.made(attempt).unwrap_or(0);
+            let generated = self.targets[target].engine.generated(attempt).unwrap_or(0);
             let attempt = Attempt(attempt);
             let request = attempt.request();
-            let run = &mut self.runs[request];
-            if run.attempt != attempt || run.stage != Stage::Sent(target) {
+            let state = &mut self.states[request];
+            if state.attempt != attempt || state.stage != Stage::Sent(target) {
                 continue;
             }
             if self.requests[request].class == Class::Batch {
-                run.made = made.min(self.requests[request].output_tokens - 1);
-                run.was_cut(self.now_us);
+                state.generated = generated.min(self.requests[request].output_tokens - 1);
+                state.record_partial_run(self.now_us);
             }
-            let gateway = run.gateway;
-            self.answer(gateway, target, attempt, AttemptEnd::Lost);
+            let gateway = state.gateway;
+            self.send_end(gateway, target, attempt, AttemptEnd::Lost);
         }
-        self.targets[target].down += 1;
+        self.targets[target].active_outages += 1;
         self.targets[target].engine = Engine::new(self.scenario.targets.clone());
     }
 
     pub(super) fn start_target(&mut self, target: usize) {
-        self.targets[target].down -= 1;
-        self.targets[target].start += 1;
+        self.targets[target].active_outages -= 1;
+        self.targets[target].incarnation += 1;
     }
 }
--- a/crates/samphiredoor-standin/src/emulate/traffic.rs
+++ b/crates/samphiredoor-standin/src/emulate/traffic.rs
@@ -3,7 +3,7 @@
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use samphiredoor_core::dispatch::Class;
 
-use super::scenario::{Batch, Bursts, Online, Scenario, Span};
+use super::scenario::{Batch, Bursts, CountRange, Online, Scenario};
 
 /// An online request or an item of a job.
 #[derive(Debug, Clone)]
@@ -15,15 +15,15 @@
     /// Which gateway it reaches first.
     pub gateway: usize,
     /// Until when it has its full worth: an online request by its first token, an item by its last.
-    pub aim_us: u64,
+    pub objective_us: u64,
     /// Until when it is of any use, by its last token.
     pub deadline_us: u64,
     /// Time from its arrival to its aim.
-    pub aim_after_ms: u64,
+    pub objective_after_ms: u64,
     /// Urgency; 0 is the highest.
     pub priority: u32,
     /// Shared beginning of its prompt; 0 for none.
-    pub beginning: u64,
+    pub prefix: u64,
     /// Tokens of that beginning.
     pub shared_tokens: u32,
     /// Tokens of the rest of its prompt.
@@ -37,35 +37,37 @@
 }
 
 /// All requests of a run, in order of their arrival.
-pub fn draw(scenario: &Scenario, seed: u64) -> Vec<Request> {
-    let mut draw = Draw { rng: SmallRng::seed_from_u64(seed), scenario, requests: Vec::new() };
-    let phase = draw.rng.random::<f64>() * scenario.bursts.every_s;
+pub fn generate(scenario: &Scenario, seed: u64) -> Vec<Request> {
+    let mut generator =
+        Generator { rng: SmallRng::seed_from_u64(seed), scenario, requests: Vec::new() };
+    let phase = generator.rng.random::<f64>() * scenario.bursts.every_s;
     for (number, online) in scenario.online.iter().enumerate() {
-        draw.online(number, online, phase);
+        generator.online_kind(number, online, phase);
     }
     for (number, batch) in scenario.batch.iter().enumerate() {
-        draw.batch(scenario.online.len() + number, batch);
+        generator.batch_kind(scenario.online.len() + number, batch);
     }
-    draw.requests.sort_by_key(|it| it.arrives_us);
-    draw.requests
+    generator.requests.sort_by_key(|it| it.arrives_us);
+    generator.requests
 }
 
-struct Draw<'a> {
+struct Generator<'a> {
     rng: SmallRng,
     scenario: &'a Scenario,
     requests: Vec<Request>,
 }
 
-impl Draw<'_> {
+impl Generator<'_> {
     // Thinning: drawn at the highest rate, kept with the part that the rate of the moment has of it.
-    fn online(&mut self, kind: usize, online: &Online, phase_s: f64) {
+    fn online_kind(&mut self, kind: usize, online: &Online, phase_s: f64) {
         let bursts = &self.scenario.bursts;
         let highest = bursts.factor.max(1.0);
         let mut at_s = 0.0;
         while self.next_arrival(&mut at_s, online.rate_per_s * highest) {
-            let kept = self.rng.random::<f64>() * highest < factor(bursts, phase_s, at_s);
+            let is_accepted =
+                self.rng.random::<f64>() * highest < burst_factor(bursts, phase_s, at_s);
             let request = self.online_request(kind, online, at_s);
-            if kept {
+            if is_accepted {
                 self.requests.push(request);
             }
         }
@@ -77,20 +79,20 @@
             class: Class::Online,
             arrives_us,
             gateway: self.rng.random_range(0..self.scenario.gateways.count),
-            aim_us: arrives_us + online.aim_ms * 1_000,
+            objective_us: arrives_us + online.aim_ms * 1_000,
             deadline_us: arrives_us + online.deadline_ms * 1_000,
-            aim_after_ms: online.aim_ms,
+            objective_after_ms: online.aim_ms,
             priority: online.priority,
-            beginning: self.beginning(kind, online.shared_tokens, online.beginnings),
+            prefix: self.prefix(kind, online.shared_tokens, online.beginnings),
             shared_tokens: online.shared_tokens,
-            own_tokens: self.span(online.prompt_tokens),
-            output_tokens: self.span(online.output_tokens),
+            own_tokens: self.count_in(online.prompt_tokens),
+            output_tokens: self.count_in(online.output_tokens),
             worth: online.worth,
             worth_late: online.worth_late,
         }
     }
 
-    fn batch(&mut self, kind: usize, batch: &Batch) {
+    fn batch_kind(&mut self, kind: usize, batch: &Batch) {
         let mut at_s = 0.0;
         while self.next_arrival(&mut at_s, batch.jobs_per_s) {
             self.job(kind, batch, at_s);
@@ -103,20 +105,20 @@
     fn job(&mut self, kind: usize, batch: &Batch, at_s: f64) {
         let arrives_us = micros(at_s);
         let gateway = self.rng.random_range(0..self.scenario.gateways.count);
-        let beginning = self.beginning(kind, batch.shared_tokens, batch.beginnings);
-        for _ in 0..self.span(batch.items) {
+        let prefix = self.prefix(kind, batch.shared_tokens, batch.beginnings);
+        for _ in 0..self.count_in(batch.items) {
             let item = Request {
                 class: Class::Batch,
                 arrives_us,
                 gateway,
-                aim_us: arrives_us + micros(batch.due_s),
+                objective_us: arrives_us + micros(batch.due_s),
                 deadline_us: arrives_us + micros(batch.give_up_s),
-                aim_after_ms: micros(batch.due_s) / 1_000,
+                objective_after_ms: micros(batch.due_s) / 1_000,
                 priority: 0,
-                beginning,
+                prefix,
                 shared_tokens: batch.shared_tokens,
-                own_tokens: self.span(batch.prompt_tokens),
-                output_tokens: self.span(batch.output_tokens),
+                own_tokens: self.count_in(batch.prompt_tokens),
+                output_tokens: self.count_in(batch.output_tokens),
                 worth: batch.worth,
                 worth_late: batch.worth_late,
             };
@@ -132,17 +134,17 @@
         *at_s < self.scenario.duration_s
     }
 
-    fn beginning(&mut self, kind: usize, shared_tokens: u32, beginnings: u32) -> u64 {
+    fn prefix(&mut self, kind: usize, shared_tokens: u32, beginnings: u32) -> u64 {
         let number = u64::from(self.rng.random_range(0..beginnings));
         if shared_tokens == 0 { 0 } else { ((kind as u64 + 1) << 32) + number }
     }
 
-    fn span(&mut self, [least, most]: Span) -> u32 {
+    fn count_in(&mut self, [least, most]: CountRange) -> u32 {
         self.rng.random_range(least..=most)
     }
 }
 
-fn factor(bursts: &Bursts, phase_s: f64, at_s: f64) -> f64 {
+fn burst_factor(bursts: &Bursts, phase_s: f64, at_s: f64) -> f64 {
     let bursting = bursts.every_s > 0.0 && (at_s + phase_s) % bursts.every_s < bursts.lasts_s;
     if bursting { bursts.factor } else { 1.0 }
 }
--- a/crates/samphiredoor-standin/src/emulate/variants.rs
+++ b/crates/samphiredoor-standin/src/emulate/variants.rs
@@ -17,8 +17,8 @@
     mechanism::{Mechanism, Without},
     outcome::Outcome,
     scenario::Scenario,
+    simulation::Simulation,
     traffic,
-    world::World,
 };
 
 /// Seeds from one up to, and without, another.
@@ -101,7 +101,7 @@
 
 /// A variant played with a seed.
 #[derive(Debug, Clone)]
-pub struct Played {
+pub struct RunResult {
     /// Number of the variant.
     pub variant: usize,
     /// Seed.
@@ -111,10 +111,10 @@
     /// Most worth that any scheduler could have earned.
     pub bound: f64,
     /// Processor time that the play took, without that of the bound.
-    pub took_s: f64,
+    pub cpu_s: f64,
 }
 
-impl Played {
+impl RunResult {
     /// Part of the bound that was earned.
     pub fn of_bound(&self) -> f64 {
         if self.bound > 0.0 { self.outcome.earned / self.bound } else { 1.0 }
@@ -122,9 +122,9 @@
 }
 
 /// Plays all variants with all seeds; in order of variants, then seeds.
-pub fn play(variants: &Variants, seeds: &Seeds, threads: usize) -> Vec<Played> {
+pub fn run_all(variants: &Variants, seeds: &Seeds, threads: usize) -> Vec<RunResult> {
     let next = AtomicU64::new(seeds.0.start);
-    let played = Mutex::new(Vec::new());
+    let results = Mutex::new(Vec::new());
     std::thread::scope(|scope| {
         for _ in 0..threads.max(1) {
             scope.spawn(|| {
@@ -133,36 +133,36 @@
                     if !seeds.0.contains(&seed) {
                         return;
                     }
-                    let all = play_seed(variants, seed);
-                    played.lock().unwrap_or_else(PoisonError::into_inner).extend(all);
+                    let all = run_seed(variants, seed);
+                    results.lock().unwrap_or_else(PoisonError::into_inner).extend(all);
                 }
             });
         }
     });
-    let mut played = played.into_inner().unwrap_or_else(PoisonError::into_inner);
-    played.sort_by_key(|it| (it.variant, it.seed));
-    played
+    let mut results = results.into_inner().unwrap_or_else(PoisonError::into_inner);
+    results.sort_by_key(|it| (it.variant, it.seed));
+    results
 }
 
-fn play_seed(variants: &Variants, seed: u64) -> Vec<Played> {
-    let mut played = Vec::new();
+fn run_seed(variants: &Variants, seed: u64) -> Vec<RunResult> {
+    let mut results = Vec::new();
     for (number, scenario) in variants.scenarios.iter().enumerate() {
-        let requests = traffic::draw(scenario, seed);
+        let requests = traffic::generate(scenario, seed);
         let bound = bound(scenario, &requests);
         let of_scenario = variants.variants.iter().enumerate();
         for (variant, it) in of_scenario.filter(|(_, it)| it.scenario == number) {
-            let began_s = processor_s();
-            let outcome = World::new(scenario, &it.without, &requests, seed).run();
-            let took_s = processor_s() - began_s;
-            played.push(Played { variant, seed, outcome, bound, took_s });
+            let started_s = thread_cpu_s();
+            let outcome = Simulation::new(scenario, &it.without, &requests, seed).run();
+            let cpu_s = thread_cpu_s() - started_s;
+            results.push(RunResult { variant, seed, outcome, bound, cpu_s });
         }
     }
-    played
+    results
 }
 
 /// Processor time of this thread; 0 where the system does not tell it.
-fn processor_s() -> f64 {
-    let told = std::fs::read_to_string("/proc/thread-self/schedstat").unwrap_or_default();
-    let told_ns = told.split(' ').next().and_then(|it| it.parse::<u64>().ok());
-    told_ns.unwrap_or(0) as f64 / 1e9
+fn thread_cpu_s() -> f64 {
+    let statistics = std::fs::read_to_string("/proc/thread-self/schedstat").unwrap_or_default();
+    let cpu_ns = statistics.split(' ').next().and_then(|it| it.parse::<u64>().ok());
+    cpu_ns.unwrap_or(0) as f64 / 1e9
 }
--- a/crates/samphiredoor-standin/tests/emulate/bound.rs
+++ b/crates/samphiredoor-standin/tests/emulate/bound.rs
@@ -9,8 +9,8 @@
     bound::bound,
     mechanism::Mechanism,
     scenario::{Fault, FaultKind, Scenario},
+    simulation::Simulation,
     traffic::{self, Request},
-    world::World,
 };
 
 const EIGHT: &str = include_str!("../../../../examples/emulate/eight_before_twelve.toml");
@@ -18,7 +18,7 @@
 /// What sums of floating numbers may differ by.
 const ROUNDING: f64 = 1e-6;
 
-fn small() -> impl Strategy<Value = (Scenario, u64)> {
+fn small_fleet() -> impl Strategy<Value = (Scenario, u64)> {
     let fleet = (1usize..4, 1usize..4, 1u32..5, 0u32..6);
     let engine = (1.0..8.0f64, 0.0..3.0f64, 5.0..80.0f64, 16u32..600);
     let online = (0.0..60.0f64, 0u32..200, 20u64..600, 1.0..3.0f64);
@@ -62,15 +62,15 @@
     let config = Config { cases: CASES, failure_persistence: None, ..Config::default() };
     let rng = TestRng::deterministic_rng(RngAlgorithm::ChaCha);
     let check = |(scenario, seed): (Scenario, u64)| {
-        let requests = traffic::draw(&scenario, seed);
+        let requests = traffic::generate(&scenario, seed);
         let most = bound(&scenario, &requests);
-        for without in [&[][..], &[Mechanism::Recalls], &[Mechanism::Queue]] {
-            let outcome = World::new(&scenario, without, &requests, seed).run();
+        for without in [&[][..], &[Mechanism::Preemption], &[Mechanism::Queue]] {
+            let outcome = Simulation::new(&scenario, without, &requests, seed).run();
             prop_assert!(outcome.earned <= most + ROUNDING, "{} above {most}", outcome.earned);
         }
         Ok(())
     };
-    TestRunner::new_with_rng(config, rng).run(&small(), check).unwrap();
+    TestRunner::new_with_rng(config, rng).run(&small_fleet(), check).unwrap();
 }
 
 /// One target of four slots, whose full step of 8 ms puts out four tokens.
@@ -92,11 +92,11 @@
         class: Class::Batch,
         arrives_us: 0,
         gateway: 0,
-        aim_us: 10_000_000,
+        objective_us: 10_000_000,
         deadline_us: 10_000_000,
-        aim_after_ms: 10_000,
+        objective_after_ms: 10_000,
         priority: 0,
-        beginning: 0,
+        prefix: 0,
         shared_tokens: 0,
         own_tokens: 0,
         output_tokens: 200,
@@ -149,7 +149,7 @@
     let mut requests = items(count, 1.0);
     for request in &mut requests {
         request.class = Class::Online;
-        request.aim_us = 50_000;
+        request.objective_us = 50_000;
     }
     requests
 }
@@ -170,7 +170,7 @@
 fn an_item_that_is_done_late_is_worth_less_in_the_bound() {
     let mut requests = items(20, 1.0);
     for request in &mut requests {
-        request.aim_us = 4_000_000;
+        request.objective_us = 4_000_000;
         request.worth_late = 0.5;
     }
     assert_near(bound(&one_target(), &requests), 15.0);
@@ -179,7 +179,7 @@
 #[test]
 fn the_bound_keeps_to_the_times_of_requests() {
     let mut requests = items(30, 1.0);
-    requests.iter_mut().for_each(|it| it.aim_us = 4_000_000);
+    requests.iter_mut().for_each(|it| it.objective_us = 4_000_000);
     requests.iter_mut().for_each(|it| it.deadline_us = 4_000_000);
     assert_near(bound(&one_target(), &requests), 10.0);
 }
--- a/crates/samphiredoor-standin/tests/emulate/engine.rs
+++ b/crates/samphiredoor-standin/tests/emulate/engine.rs
@@ -41,13 +41,13 @@
     let mut engine = Engine::new(targets());
     engine.offer(request(1, 0, 9));
     engine.offer(request(2, 250, 9));
-    let reading_us = [10_000, 10_000, 5_000];
-    for (step, reading_us) in reading_us.into_iter().enumerate() {
-        let whole_us = STEP_US + 2 * STEP_PER_REQUEST_US + reading_us;
+    let prefill_us = [10_000, 10_000, 5_000];
+    for (step, prefill_us) in prefill_us.into_iter().enumerate() {
+        let whole_us = STEP_US + 2 * STEP_PER_REQUEST_US + prefill_us;
         assert_eq!(engine.begin_step(), Some(whole_us));
-        let begins = engine.end_step().contains(&(2, Progress::Begun));
-        assert_eq!(begins, step == 2);
-        assert_eq!(engine.made(1), Some(step as u32 + 1));
+        let starts = engine.end_step().contains(&(2, Progress::FirstToken));
+        assert_eq!(starts, step == 2);
+        assert_eq!(engine.generated(1), Some(step as u32 + 1));
     }
 }
 
@@ -57,10 +57,10 @@
     assert!((1..=3).all(|it| engine.offer(request(it, 0, 1))));
     assert!(!engine.offer(request(4, 0, 1)));
     engine.begin_step();
-    let ended = [(1, Progress::Begun), (1, Progress::Ended), (2, Progress::Begun)];
-    assert_eq!(engine.end_step()[..3], ended);
+    let progress = [(1, Progress::FirstToken), (1, Progress::Finished), (2, Progress::FirstToken)];
+    assert_eq!(engine.end_step()[..3], progress);
     engine.begin_step();
-    assert_eq!(engine.end_step(), [(3, Progress::Begun), (3, Progress::Ended)]);
+    assert_eq!(engine.end_step(), [(3, Progress::FirstToken), (3, Progress::Finished)]);
     assert_eq!(engine.begin_step(), None);
 }
 
@@ -68,8 +68,8 @@
 fn a_beginning_is_read_again_only_once_another_has_taken_its_room() {
     let mut engine = Engine::new(targets());
     let mut reads = Vec::new();
-    for (attempt, beginning) in [(1, 7), (2, 7), (3, 8), (4, 7)] {
-        engine.offer(Sequence::new(attempt, (beginning, 50), 0, (0, 1)));
+    for (attempt, prefix) in [(1, 7), (2, 7), (3, 8), (4, 7)] {
+        engine.offer(Sequence::new(attempt, (prefix, 50), 0, (0, 1)));
         reads.push(engine.begin_step().unwrap() > STEP_US + STEP_PER_REQUEST_US);
         engine.end_step();
     }
@@ -84,5 +84,5 @@
     engine.end_step();
     assert_eq!(engine.drop_attempt(1), Some(1));
     engine.begin_step();
-    assert!(engine.end_step().contains(&(3, Progress::Begun)));
+    assert!(engine.end_step().contains(&(3, Progress::FirstToken)));
 }
--- a/crates/samphiredoor-standin/tests/emulate/main.rs
+++ b/crates/samphiredoor-standin/tests/emulate/main.rs
@@ -3,4 +3,4 @@
 mod bound;
 mod engine;
 mod scenario;
-mod world;
+mod simulation;
--- a/crates/samphiredoor-standin/tests/emulate/scenario.rs
+++ b/crates/samphiredoor-standin/tests/emulate/scenario.rs
@@ -59,7 +59,7 @@
     let without: [Without; 2] = ["queue", "queue+recalls"].map(|it| it.parse().unwrap());
     let variants = Variants::read(&file("eight_before_twelve.toml"), &without, &[vary]).unwrap();
     let labels: Vec<&str> = variants.variants.iter().map(|it| &*it.label).collect();
-    assert_eq!(variants.variants[2].without, [Mechanism::Queue, Mechanism::Recalls]);
+    assert_eq!(variants.variants[2].without, [Mechanism::Queue, Mechanism::Preemption]);
     let expected = [
         "as it is",
         "without queue",
--- a/crates/samphiredoor-standin/tests/emulate/world.rs
+++ b/crates/samphiredoor-standin/tests/emulate/simulation.rs
@@ -2,10 +2,10 @@
 
 use samphiredoor_standin::emulate::{
     mechanism::Mechanism,
-    outcome::{Ends, Outcome},
+    outcome::{EndCounts, Outcome},
     scenario::Scenario,
+    simulation::Simulation,
     traffic,
-    world::World,
 };
 
 const EIGHT: &str = include_str!("../../../../examples/emulate/eight_before_twelve.toml");
@@ -23,25 +23,27 @@
     scenario(EIGHT, "set = { duration_s = 12.0 }")
 }
 
-fn play(scenario: &Scenario, without: &[Mechanism], seed: u64) -> Outcome {
-    let requests = traffic::draw(scenario, seed);
-    let outcome = World::new(scenario, without, &requests, seed).run();
-    assert_eq!(outcome.online.all + outcome.items.all, requests.len() as u64);
-    for Ends { all, in_aim, late, refused, lost, left } in [outcome.online, outcome.items] {
-        assert_eq!(all, in_aim + late + refused + lost + left);
+fn simulate(scenario: &Scenario, without: &[Mechanism], seed: u64) -> Outcome {
+    let requests = traffic::generate(scenario, seed);
+    let outcome = Simulation::new(scenario, without, &requests, seed).run();
+    assert_eq!(outcome.online.total + outcome.items.total, requests.len() as u64);
+    for EndCounts { total, on_time, late, refused, lost, timed_out } in
+        [outcome.online, outcome.items]
+    {
+        assert_eq!(total, on_time + late + refused + lost + timed_out);
     }
     outcome
 }
 
 fn worth(scenario: &Scenario, without: &[Mechanism]) -> f64 {
-    SEEDS.map(|it| play(scenario, without, it).worth()).iter().sum::<f64>() / SEEDS.len() as f64
+    SEEDS.map(|it| simulate(scenario, without, it).worth()).iter().sum::<f64>() / SEEDS.len() as f64
 }
 
 #[test]
 fn the_same_seed_gives_the_same_outcome() {
     for text in [EIGHT, SIXTY] {
         let scenario = scenario(text, "set = { duration_s = 5.0 }");
-        let seen = [7, 7, 8].map(|it| format!("{:?}", play(&scenario, &[], it)));
+        let seen = [7, 7, 8].map(|it| format!("{:?}", simulate(&scenario, &[], it)));
         assert_eq!(seen[0], seen[1]);
         assert_ne!(seen[0], seen[2]);
     }
@@ -51,9 +53,9 @@
 fn nothing_is_refused_or_late_where_places_abound() {
     let changes = "set = { duration_s = 8.0, faults = [], 'online.0.rate_per_s' = 20.0, \
                    'batch.0.rush_jobs' = 0, 'batch.0.jobs_per_s' = 0.2 }";
-    let outcome = play(&scenario(EIGHT, changes), &[], 5);
-    assert_eq!(outcome.online.in_aim, outcome.online.all);
-    assert_eq!(outcome.items.in_aim, outcome.items.all);
+    let outcome = simulate(&scenario(EIGHT, changes), &[], 5);
+    assert_eq!(outcome.online.on_time, outcome.online.total);
+    assert_eq!(outcome.items.on_time, outcome.items.total);
     assert_eq!(outcome.rejected, 0);
 }
 
@@ -66,9 +68,9 @@
                  {{ at_s = 1.0, lasts_s = 3.0, what = {{ {} }} }}] }}",
                 $what,
             );
-            let Outcome { items, .. } = play(&scenario(EIGHT, &changes), &[], 5);
-            assert!(items.all > 60);
-            assert_eq!(items.in_aim + items.late, items.all);
+            let Outcome { items, .. } = simulate(&scenario(EIGHT, &changes), &[], 5);
+            assert!(items.total > 60);
+            assert_eq!(items.on_time + items.late, items.total);
         }
     )*};
 }
@@ -87,10 +89,10 @@
                  {{ at_s = 2.0, lasts_s = 2.0, what = {{ {} }} }}] }}",
                 $what,
             );
-            let Outcome { online, .. } = play(&scenario(EIGHT, &changes), &[], 5);
-            assert!(online.lost > 0 && online.lost < online.all / 20, "{online:?}");
-            assert_eq!(online.left, 0);
-            assert!(online.in_aim > online.all * 8 / 10, "{online:?}");
+            let Outcome { online, .. } = simulate(&scenario(EIGHT, &changes), &[], 5);
+            assert!(online.lost > 0 && online.lost < online.total / 20, "{online:?}");
+            assert_eq!(online.timed_out, 0);
+            assert!(online.on_time > online.total * 8 / 10, "{online:?}");
         }
     )*};
 }
@@ -103,17 +105,17 @@
 #[test]
 fn a_fleet_without_recalls_earns_less() {
     let scenario = busy();
-    let (with, without) = (worth(&scenario, &[]), worth(&scenario, &[Mechanism::Recalls]));
+    let (with, without) = (worth(&scenario, &[]), worth(&scenario, &[Mechanism::Preemption]));
     assert!(with > without + 0.05, "{with} with, {without} without");
 }
 
 #[test]
 fn a_fleet_that_keeps_no_place_free_cuts_more_items() {
     let scenario = busy();
-    let cut = |without: &[Mechanism]| {
-        SEEDS.map(|it| play(&scenario, without, it).cut).iter().sum::<u64>()
+    let preempted = |without: &[Mechanism]| {
+        SEEDS.map(|it| simulate(&scenario, without, it).preempted).iter().sum::<u64>()
     };
-    let (with, without) = (cut(&[]), cut(&[Mechanism::FreePlace]));
+    let (with, without) = (preempted(&[]), preempted(&[Mechanism::ReservedSlot]));
     assert!(2 * without > 3 * with, "{with} with, {without} without");
 }
 
@@ -121,7 +123,7 @@
 fn a_fleet_that_lets_nobody_wait_at_targets_refuses_more() {
     let scenario = busy();
     let refused = |without: &[Mechanism]| {
-        SEEDS.map(|it| play(&scenario, without, it).online.refused).iter().sum::<u64>()
+        SEEDS.map(|it| simulate(&scenario, without, it).online.refused).iter().sum::<u64>()
     };
     let (with, without) = (refused(&[]), refused(&[Mechanism::WaitingAtTarget]));
     assert!(without > with, "{with} with, {without} without");
@@ -139,7 +141,7 @@
 #[test]
 fn cells_tell_each_other_less_than_every_gateway_would() {
     let scenario = scenario(SIXTY, "set = { duration_s = 5.0 }");
-    let outcome = play(&scenario, &[], 5);
+    let outcome = simulate(&scenario, &[], 5);
     let gateways = scenario.gateways.count as f64;
     assert!(outcome.messages_per_gateway_s > 1.0);
     assert!(outcome.messages_per_gateway_s < 10.0 * gateways);
