--- a/crates/samphiredoor-standin/src/emulate/bound.rs
+++ b/crates/samphiredoor-standin/src/emulate/bound.rs
@@ -1,14 +1,16 @@
-//! What no scheduler can exceed, even one that knows all arrivals and outages beforehand.
+//! Upper bound on the worth that any scheduler can earn, even one that knows all arrivals and outages in advance.
 //!
-//! The fleet is taken for one store of engine time that can be divided at will. A token of an output costs a target at least
-//! its part of a step that is full, and a prompt at least the time to read what it does not share. All of it has to be
-//! done between a request's arrival and its aim or deadline, at targets that are up. What has begun to answer a caller is
-//! not paused, so that an answer that begins in its aim ends within so many of the longest steps. Everything else that
-//! costs time or room is left out: ways, queues, steps that are not full, the order within a target, work done twice.
+//! The fleet is relaxed to one pool of engine time that can be divided arbitrarily. An output token costs a target at
+//! least its share of a step with all slots in use, and a prompt at least the time to prefill the part after its shared
+//! prefix. All of this has to be done between a request's arrival and its objective or deadline, at targets that are
+//! up. An answer is not paused once it has started, so one that starts within its objective ends after at most one
+//! longest step per further token. Everything else that costs time or capacity is left out: network latency, queues,
+//! partly filled steps, the order within a target, repeated work.
 //!
-//! The most worth under these limits is bounded by prices: give engine time at each moment a price. No schedule earns more
-//! than all engine time is worth at its prices, and beside it, for each request, what its worth exceeds the cheapest way
-//! to buy its work. That holds for any prices, so the search for good ones need not be trusted.
+//! The maximum under these constraints is bounded by duality: engine time gets a price at each moment. No schedule
+//! earns more than the price of all engine time plus, for each request, the amount by which its worth exceeds the
+//! lowest price of its work. This holds for any prices, so the bound is valid even if the search for good prices
+//! performs badly.
 
 use samphiredoor_core::dispatch::Class;
 
@@ -18,10 +20,10 @@
     traffic::{Request, micros},
 };
 
-/// Length of time that has one price.
+/// Length of a bucket, the unit of time that has one price.
 const BUCKET_US: u64 = 100_000;
 
-/// Most worth that requests can earn.
+/// Upper bound on the worth that the requests can earn.
 pub fn bound(scenario: &Scenario, requests: &[Request]) -> f64 {
     let supply_ms = supply_ms(scenario);
     let completions =
@@ -30,7 +32,7 @@
     DualProblem::new(supply_ms, completions).lowest_bound().min(total_worth)
 }
 
-/// Engine time in each bucket until the end.
+/// Engine time of all targets in each bucket until the end of the simulation.
 fn supply_ms(scenario: &Scenario) -> Vec<f64> {
     let end_us = micros(scenario.total_s());
     let mut supply_ms = vec![0.0; end_us.div_ceil(BUCKET_US) as usize];
@@ -75,7 +77,7 @@
     ((targets.step_ms + requests_ms + prefill_ms) * 1_000.0).ceil() as u64
 }
 
-/// Ways in which a request can end, with the least work that each takes.
+/// Possible completions of a request, within its objective and later, with the least work that each needs.
 fn completions(scenario: &Scenario, buckets: usize, request: &Request) -> [Option<Completion>; 2] {
     let targets = &scenario.targets;
     let prefill_ms = f64::from(request.own_tokens) / targets.prompt_tokens_per_ms;
--- a/crates/samphiredoor-standin/src/emulate/check.rs
+++ b/crates/samphiredoor-standin/src/emulate/check.rs
@@ -1,10 +1,10 @@
-//! What a scenario's values have to be, besides being of the right type.
+//! Validates the values of a scenario beyond their types.
 
 use anyhow::ensure;
 
 use super::scenario::{Batch, CountRange, Fault, FaultKind, Network, Online, Scenario, Targets};
 
-/// Names the first value that cannot be played.
+/// Returns an error that names the first invalid value.
 pub fn check(scenario: &Scenario) -> anyhow::Result<()> {
     let Scenario { gateways, targets, bursts, .. } = scenario;
     positive("duration_s", scenario.duration_s)?;
@@ -102,7 +102,7 @@
 
 fn fleet(name: &str, count: usize, zones: &[String]) -> anyhow::Result<()> {
     ensure!(count > 0, "`{name}.count` must be above 0");
-    ensure!(!zones.is_empty(), "`{name}.zones` must name a zone");
+    ensure!(!zones.is_empty(), "`{name}.zones` must contain at least one zone");
     for zone in zones {
         ensure!(zone.contains('/'), "`{name}.zones`: `{zone}` must be written as region/zone");
     }
@@ -111,7 +111,7 @@
 
 fn range(name: &str, [least, most]: CountRange, floor: u32) -> anyhow::Result<()> {
     ensure!(least >= floor, "`{name}` must be {floor} or more");
-    ensure!(least <= most, "`{name}` must have its least first: [{least}, {most}]");
+    ensure!(least <= most, "`{name}` must have its minimum first: [{least}, {most}]");
     Ok(())
 }
 
@@ -124,7 +124,9 @@
 
 fn indices(name: &str, indices: &[usize], count: usize) -> anyhow::Result<()> {
     match indices.iter().find(|it| **it >= count) {
-        Some(number) => anyhow::bail!("`{name}`: there is no number {number} among {count}"),
+        Some(number) => {
+            anyhow::bail!("`{name}`: index {number} is out of range, the count is {count}")
+        }
         None => Ok(()),
     }
 }
--- a/crates/samphiredoor-standin/src/emulate/command.rs
+++ b/crates/samphiredoor-standin/src/emulate/command.rs
@@ -1,4 +1,4 @@
-//! The emulator's command.
+//! The `emulate` command: simulates variants of a scenario and writes the results.
 
 use std::path::{Path, PathBuf};
 
@@ -11,36 +11,36 @@
     variants::{self, Seeds, Variants, Vary},
 };
 
-/// What to play, and where the results go.
+/// Arguments of the command: what to simulate, and where to write the results.
 #[derive(Debug, Clone)]
 #[derive(Bpaf)]
 #[bpaf(generate(emulate))]
 pub struct Emulate {
-    /// Seeds to play, from A up to and without B
+    /// Seeds to simulate, from A up to but excluding B
     #[bpaf(argument("A..B"), fallback(Seeds(1..21)))]
     seeds: Seeds,
-    /// A variant without a mechanism, or without some, joined by +; may be given several times
+    /// Adds a variant without a mechanism, or without several joined by +; may be repeated
     #[bpaf(argument("MECHANISM"))]
     without: Vec<Without>,
-    /// Variants with other values of a field; may be given several times
+    /// Adds a variant for each value of a scenario field; may be repeated
     #[bpaf(argument("KEY=V1,V2"))]
     vary: Vec<Vary>,
-    /// File that gets a row for each play
+    /// File to write one row per run to, as CSV
     #[bpaf(argument("FILE"))]
     csv: Option<PathBuf>,
-    /// File that gets a picture, as SVG
+    /// File to write a plot to, as SVG
     #[bpaf(argument("FILE"))]
     plot: Option<PathBuf>,
-    /// Plays at once
+    /// Simulations to run in parallel
     #[bpaf(argument("COUNT"), fallback(3), display_fallback)]
     threads: usize,
-    /// Scenario
+    /// Scenario file
     #[bpaf(positional("FILE"))]
     file: PathBuf,
 }
 
 impl Emulate {
-    /// Plays, prints the table, and writes the files that were asked for.
+    /// Simulates all variants, prints the summary table, and writes the requested files.
     pub fn run(&self) -> anyhow::Result<()> {
         let variants = Variants::read(&self.file, &self.without, &self.vary)?;
         let results = variants::run_all(&variants, &self.seeds, self.threads);
--- a/crates/samphiredoor-standin/src/emulate/engine.rs
+++ b/crates/samphiredoor-standin/src/emulate/engine.rs
@@ -1,33 +1,34 @@
-//! A target with continuous batching.
+//! Model of an inference engine with continuous batching and chunked prefill.
 //!
-//! It works in steps. In each step every request that has been read puts out one token, and a part of the prompts that
-//! have not been read is read, in order of arrival. A step takes the longer the more requests run and the more is read.
-//! Requests beyond the slots wait in order of arrival; there are no priorities.
+//! It works in steps. In each step every running request whose prompt is prefilled generates one token, and up to
+//! `chunk_tokens` of the other prompts are prefilled in order of arrival. The duration of a step grows with the number
+//! of running requests and of prefilled tokens. Requests beyond the slots wait in order of arrival; there are no
+//! priorities.
 
 use std::collections::VecDeque;
 
 use super::scenario::Targets;
 
-/// A request at a target.
+/// An attempt of a request at a target.
 #[derive(Debug, Clone)]
 pub struct Sequence {
-    /// Which attempt of which request.
+    /// ID of the attempt, which includes the request.
     pub attempt: u64,
-    /// Shared beginning of its prompt; 0 for none.
+    /// ID of its prompt's shared prefix; 0 for none.
     pub prefix: u64,
-    /// Tokens of that beginning.
+    /// Tokens of that shared prefix.
     pub shared_tokens: u32,
-    /// Tokens to read beside it: the rest of the prompt, and what was put out before.
+    /// Other tokens to prefill: the rest of the prompt, and the output of earlier attempts.
     pub own_tokens: u32,
-    /// Tokens that it has put out, those of attempts before among them.
+    /// Tokens generated so far, including those of earlier attempts.
     pub generated: u32,
-    /// Tokens after which it ends.
+    /// Number of generated tokens at which it is finished.
     pub output_tokens: u32,
     prefill_left: u32,
 }
 
 impl Sequence {
-    /// A request that has just arrived.
+    /// Creates the sequence of an attempt that has just arrived.
     pub fn new(
         attempt: u64,
         (prefix, shared_tokens): (u64, u32),
@@ -47,31 +48,31 @@
     }
 }
 
-/// What a step did for a request.
+/// Progress that a request made in a step.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Progress {
-    /// It put out the first token of this attempt.
+    /// It generated the first token of this attempt.
     FirstToken,
-    /// It put out its last token.
+    /// It generated its last token.
     Finished,
 }
 
-/// State of a target's process.
+/// State of a target's engine.
 #[derive(Debug)]
 pub struct Engine {
     config: Targets,
     running: Vec<Sequence>,
     queue: VecDeque<Sequence>,
-    /// Beginnings that are kept, the latest used last.
+    /// IDs of the cached shared prefixes, most recently used last.
     cached_prefixes: Vec<u64>,
-    /// Requests that have put out a token in this attempt.
+    /// Attempts that have generated a token here.
     started: Vec<u64>,
-    /// Whether a step is under way.
+    /// Whether a step is in progress.
     pub stepping: bool,
 }
 
 impl Engine {
-    /// An engine that has just started.
+    /// Creates an engine without requests and with an empty prefix cache.
     pub fn new(config: Targets) -> Engine {
         Engine {
             config,
@@ -83,7 +84,7 @@
         }
     }
 
-    /// Takes a request; `false` if it is refused.
+    /// Queues a request; returns `false` if slots and queue are full.
     pub fn offer(&mut self, sequence: Sequence) -> bool {
         let capacity = self.config.slots + self.config.queue;
         let takes = self.running.len() + self.queue.len() < capacity as usize;
@@ -93,7 +94,7 @@
         takes
     }
 
-    /// Drops a request, and tells what it has put out.
+    /// Removes an attempt and returns the number of tokens generated so far.
     pub fn drop_attempt(&mut self, attempt: u64) -> Option<u32> {
         let generated = self.generated(attempt);
         self.running.retain(|it| it.attempt != attempt);
@@ -102,23 +103,23 @@
         generated
     }
 
-    /// Tokens that a request has put out.
+    /// Tokens generated so far for the request of an attempt, if it is here.
     pub fn generated(&self, attempt: u64) -> Option<u32> {
         let mut all = self.running.iter().chain(&self.queue);
         all.find(|it| it.attempt == attempt).map(|it| it.generated)
     }
 
-    /// Requests that run, and that wait.
+    /// Numbers of running and waiting requests.
     pub fn load(&self) -> (u32, u32) {
         (self.running.len() as u32, self.queue.len() as u32)
     }
 
-    /// All requests here.
+    /// IDs of all attempts here, running or waiting.
     pub fn attempts(&self) -> impl Iterator<Item = u64> {
         self.running.iter().chain(&self.queue).map(|it| it.attempt)
     }
 
-    /// Begins a step, and tells how long it takes; `None` if there is nothing to do.
+    /// Begins a step and returns its duration in microseconds; `None` if no request is running or waiting.
     pub fn begin_step(&mut self) -> Option<u64> {
         self.admit();
         self.stepping = !self.running.is_empty();
@@ -133,7 +134,7 @@
         Some((whole_ms * 1_000.0).ceil() as u64)
     }
 
-    /// Ends a step, and tells which requests began or ended in it.
+    /// Ends a step and returns the attempts that generated their first or last token in it.
     pub fn end_step(&mut self) -> Vec<(u64, Progress)> {
         self.stepping = false;
         let mut progress = Vec::new();
--- a/crates/samphiredoor-standin/src/emulate/events.rs
+++ b/crates/samphiredoor-standin/src/emulate/events.rs
@@ -1,8 +1,9 @@
-//! What will happen, in order of time; what happens at the same time, in the order in which it was said.
+//! Event queue in order of time. Events at the same time keep the order in which they were added, so that runs are
+//! deterministic.
 
 use std::collections::BTreeMap;
 
-/// Events to come.
+/// Scheduled events, by time and order of insertion.
 #[derive(Debug)]
 pub struct Events<E> {
     events: BTreeMap<(u64, u64), E>,
@@ -10,18 +11,18 @@
 }
 
 impl<E> Events<E> {
-    /// No events.
+    /// Empty queue.
     pub fn new() -> Events<E> {
         Events { events: BTreeMap::new(), next_number: 0 }
     }
 
-    /// Adds an event.
+    /// Schedules an event.
     pub fn push(&mut self, at_us: u64, event: E) {
         self.events.insert((at_us, self.next_number), event);
         self.next_number += 1;
     }
 
-    /// Takes the next event, with its time.
+    /// Removes the earliest event and returns it with its time.
     pub fn pop(&mut self) -> Option<(u64, E)> {
         let ((at_us, _), event) = self.events.pop_first()?;
         Some((at_us, event))
--- a/crates/samphiredoor-standin/src/emulate/mechanism.rs
+++ b/crates/samphiredoor-standin/src/emulate/mechanism.rs
@@ -1,43 +1,43 @@
-//! Mechanisms of the decision that a run can do without.
+//! Mechanisms of the placement that a simulation can disable, to measure what each contributes.
 //!
-//! Most are switched off at the placement's edge: by what goes into it, or by what is done with what comes out. Two are
-//! margins of the placement.
+//! Most are disabled outside the placement, by changing its inputs or ignoring its outputs. Two are margins of the
+//! placement.
 
 use std::{fmt, str::FromStr};
 
 use anyhow::Context;
 
-/// A mechanism that a run can do without.
+/// A mechanism that a simulation can disable.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mechanism {
-    /// Items leave their places for online requests.
+    /// Batch items are preempted for online requests.
     Preemption,
-    /// Targets that are near come first.
+    /// Nearer targets are preferred.
     NearestFirst,
-    /// Targets that may have the prompt's beginning are preferred.
+    /// Targets that may have the prompt's shared prefix cached are preferred.
     Affinity,
-    /// Others are told at once where a request waits for their items.
+    /// Peers are notified at once if an online request waits for a slot that one of their items occupies.
     UrgentUpdates,
-    /// Online requests wait for a place before they are refused.
+    /// Online requests wait for a free slot before they are refused.
     Queue,
-    /// A target that refused counts as full for a moment.
+    /// A target that refused a request is treated as full for a short time.
     FullAfterRefusal,
-    /// Targets that failed are left alone for a while.
+    /// Targets that failed are in backoff for some time.
     Backoff,
-    /// What a target says of its own load counts.
+    /// Load reports of targets are taken into account.
     ReportedLoad,
-    /// Gateways tell each other how many items wait, and share the places by it.
+    /// Gateways send each other their numbers of waiting items and divide the slots accordingly.
     SharedSlots,
-    /// The output of unfinished items is kept.
+    /// Partial output of running items is saved, so that it survives the death of a gateway.
     SavedOutput,
-    /// Items leave a place of each target free for online requests.
+    /// Slots of each target are reserved for online requests.
     ReservedSlot,
-    /// Online requests wait at targets beyond their places.
+    /// Online requests are sent to targets beyond their free slots and wait there.
     WaitingAtTarget,
 }
 
 impl Mechanism {
-    /// All mechanisms.
+    /// All mechanisms, in the order in which error messages list them.
     pub const ALL: [Mechanism; 12] = [
         Mechanism::Preemption,
         Mechanism::NearestFirst,
@@ -79,12 +79,12 @@
         let found = Mechanism::ALL.into_iter().find(|it| it.name() == name);
         found.with_context(|| {
             let names = Mechanism::ALL.map(Mechanism::name).join(", ");
-            format!("`{name}` is no mechanism; there are {names}")
+            format!("`{name}` is not a mechanism; the mechanisms are {names}")
         })
     }
 }
 
-/// Mechanisms that one variant does without.
+/// Mechanisms that one variant disables, parsed from names joined by `+`.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Without(pub Vec<Mechanism>);
 
--- a/crates/samphiredoor-standin/src/emulate/mod.rs
+++ b/crates/samphiredoor-standin/src/emulate/mod.rs
@@ -1,4 +1,5 @@
-//! Plays a fleet in simulated time: the real decisions, before engines and callers that are only worked out.
+//! Simulates a fleet in simulated time: gateways run the placement of `samphiredoor-core`; engines, callers and the
+//! network are models. Compares mechanisms of the placement with each other and with an upper bound.
 
 pub mod bound;
 mod check;
--- a/crates/samphiredoor-standin/src/emulate/outcome.rs
+++ b/crates/samphiredoor-standin/src/emulate/outcome.rs
@@ -1,38 +1,38 @@
-//! What callers got in a run, and what it took.
+//! Outcome of a simulation: how requests ended, the worth earned, and the cost in sends and messages.
 
 use samphiredoor_core::dispatch::Class;
 
 use super::traffic::Request;
 
-/// How a request ended.
+/// End of a request, as its caller sees it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum End {
-    /// Answered within its aim.
+    /// Answered within its objective.
     OnTime,
-    /// Answered later.
+    /// Answered after its objective.
     Late,
-    /// Refused, and its caller did not come back in time.
+    /// Refused, without a further retry by its caller.
     Refused,
-    /// Lost with its gateway or its target.
+    /// Lost because its gateway or target died.
     Lost,
-    /// Not answered by its deadline.
+    /// Not answered by its deadline or the end of the simulation.
     TimedOut,
 }
 
-/// Ends of the requests of one class.
+/// Number of requests of one class by their end.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct EndCounts {
-    /// All requests.
+    /// Requests that have ended.
     pub total: u64,
-    /// Answered within the aim.
+    /// Answered within the objective.
     pub on_time: u64,
-    /// Answered later.
+    /// Answered after the objective.
     pub late: u64,
-    /// Refused.
+    /// Refused, without a further retry.
     pub refused: u64,
-    /// Lost with a gateway or a target.
+    /// Lost because a gateway or target died.
     pub lost: u64,
-    /// Not answered by the deadline.
+    /// Not answered by the deadline or the end of the simulation.
     pub timed_out: u64,
 }
 
@@ -48,39 +48,39 @@
         }
     }
 
-    /// So many of all of them, in percent.
+    /// A count as a percentage of the total.
     pub fn percent(&self, count: u64) -> f64 {
         100.0 * count as f64 / self.total.max(1) as f64
     }
 }
 
-/// What callers got in a run, and what it took.
+/// Outcome of a simulation.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Outcome {
     /// Online requests.
     pub online: EndCounts,
     /// Items of jobs.
     pub items: EndCounts,
-    /// Worth of all requests, if each were answered in its aim.
+    /// Worth of all requests if each were answered within its objective.
     pub total_worth: f64,
-    /// Worth of what was answered.
+    /// Worth of the answers that were given.
     pub earned: f64,
-    /// Requests sent to targets.
+    /// Sends of requests to targets, including repeated ones.
     pub sends: u64,
     /// Sends that targets refused.
     pub rejected: u64,
-    /// Runs of items that were cut for online requests.
+    /// Runs of items that were preempted for online requests.
     pub preempted: u64,
-    /// Messages between gateways.
+    /// Messages sent between gateways, including lost ones.
     pub messages: u64,
-    /// Messages for each gateway and second.
+    /// Messages per gateway and second.
     pub messages_per_gateway_s: f64,
-    /// Events of the simulation.
+    /// Events that the simulation processed.
     pub events: u64,
 }
 
 impl Outcome {
-    /// Counts a request that is over.
+    /// Adds a request that has ended.
     pub fn count(&mut self, request: &Request, end: End) {
         match request.class {
             Class::Online => self.online.count(end),
@@ -94,17 +94,17 @@
         };
     }
 
-    /// Part of the worth owed that was earned.
+    /// Fraction of the total worth that was earned.
     pub fn worth(&self) -> f64 {
         if self.total_worth > 0.0 { self.earned / self.total_worth } else { 1.0 }
     }
 
-    /// Sends that targets refused, in percent of all.
+    /// Sends that targets refused, as a percentage of all sends.
     pub fn rejected_percent(&self) -> f64 {
         100.0 * self.rejected as f64 / self.sends.max(1) as f64
     }
 
-    /// Runs cut for each item.
+    /// Preempted runs per item.
     pub fn preempted_per_item(&self) -> f64 {
         self.preempted as f64 / self.items.total.max(1) as f64
     }
--- a/crates/samphiredoor-standin/src/emulate/plot.rs
+++ b/crates/samphiredoor-standin/src/emulate/plot.rs
@@ -1,4 +1,4 @@
-//! The worth of each variant as a picture: a dot for each seed, the mean with its interval, and the bound.
+//! Plots the worth of each variant: a dot for each seed, the mean with its confidence interval, and the upper bound.
 
 use anyhow::anyhow;
 use plotters::prelude::*;
@@ -11,12 +11,12 @@
 const HEIGHT: u32 = 420;
 const WIDTH_EACH: u32 = 200;
 const MARGINS: u32 = 120;
-/// Part of a variant's width over which its dots are spread.
+/// Fraction of a variant's width over which its dots are spread.
 const DOT_SPREAD: f64 = 0.5;
-/// Half of the width of the mark for a mean.
+/// Half of the width of the horizontal marks for mean, interval and bound.
 const MARK_HALF_WIDTH: f64 = 0.3;
 
-/// Picture of all variants, as SVG.
+/// Plot of all variants, as SVG.
 pub fn svg(variants: &Variants, results: &[RunResult]) -> anyhow::Result<String> {
     let mut svg = String::new();
     draw(&mut svg, variants, results).map_err(|err| anyhow!("the plot cannot be drawn: {err}"))?;
--- a/crates/samphiredoor-standin/src/emulate/prices.rs
+++ b/crates/samphiredoor-standin/src/emulate/prices.rs
@@ -1,39 +1,40 @@
-//! Prices of engine time that give a low bound on the worth of all requests.
+//! Searches for prices of engine time that give a low upper bound on the worth of all requests.
 //!
-//! Any prices give a bound. The search for good ones starts from one price for all time, and then moves each bucket's by
-//! how much more of it is wanted than there is. So that this settles, wants are spread over cheap and less cheap time, at
-//! first widely, then less.
+//! Any prices give a valid bound. The search starts from the same price for all buckets of time and then adjusts the
+//! price of each bucket by its excess demand. To make the search converge, demand is spread over cheap and less cheap
+//! buckets by a softmax whose temperature falls in stages.
 
-/// Multiples of the mean worth of engine time that are tried as the one price.
+/// Uniform prices that are tried first, as multiples of the mean worth of engine time.
 const INITIAL_PRICES: [f64; 13] = [0.0, 0.1, 0.2, 0.3, 0.4, 0.5, 0.6, 0.7, 0.8, 0.9, 1.0, 1.3, 1.6];
-/// How widely wants are spread, as parts of the mean worth of engine time, one after the other.
+/// Softmax temperatures of the stages, as fractions of the mean worth of engine time.
 const TEMPERATURES: [f64; 5] = [0.3, 0.15, 0.08, 0.04, 0.02];
-/// Rounds with each spread.
+/// Price adjustments at each temperature.
 const ROUNDS: u32 = 60;
-/// Change of a price in a round, as a part of the spread, if twice as much is wanted as there is.
+/// Change of a price in a round, as a fraction of the temperature, if demand is twice the supply.
 const STEP_SIZE: f64 = 0.5;
-/// Part of all weights below which a range's sum of weights is worked out anew.
+/// Fraction of the total weight below which the weights of a range are added up directly instead of by a difference of
+/// prefix sums.
 const EXACT_BELOW: f64 = 1e-9;
 
-/// Work that has to be done in a range of buckets.
+/// Engine time that is needed within a range of buckets.
 #[derive(Debug, Clone, Copy)]
 pub struct Work {
-    /// First bucket.
+    /// Index of the first bucket.
     pub from: usize,
-    /// Bucket after the last.
+    /// Index of the bucket after the last.
     pub until: usize,
-    /// How much.
+    /// Engine time needed.
     pub engine_ms: f64,
 }
 
-/// A way in which a request may end, with its two pieces of work.
+/// A way to complete a request, with the work that it needs.
 #[derive(Debug, Clone, Copy)]
 pub struct Completion {
-    /// What it is worth.
+    /// Worth of the request if it is completed this way.
     pub worth: f64,
-    /// Work that has to be done first.
+    /// Work up to the first token.
     pub first: Work,
-    /// Work that may be done later.
+    /// Work for the remaining tokens, which may have a later limit.
     pub rest: Work,
 }
 
@@ -43,10 +44,10 @@
     }
 }
 
-/// Ways of one request; it ends in one of them or earns nothing.
+/// Alternative completions of one request, which is completed in one of them or earns nothing.
 pub type Completions = [Option<Completion>; 2];
 
-/// Engine time, and those who want it.
+/// Dual of the problem of assigning engine time to requests: its variables are the prices of the buckets.
 #[derive(Debug)]
 pub struct DualProblem {
     supply_ms: Vec<f64>,
@@ -54,7 +55,7 @@
     mean_price: f64,
 }
 
-/// Weights of buckets by which wants are spread over them.
+/// Softmax weights by which demand is spread over buckets, with their prefix sums.
 struct BucketWeights {
     weights: Vec<f64>,
     sums: Vec<f64>,
@@ -82,7 +83,7 @@
     }
 }
 
-/// Least prices of all ranges whose length is a power of two.
+/// Sparse table for minimum prices of ranges: level `n` has the minima of all ranges of length 2^`n`.
 struct RangeMinimum(Vec<Vec<f64>>);
 
 impl RangeMinimum {
@@ -109,7 +110,7 @@
 }
 
 impl DualProblem {
-    /// Engine time in each bucket, and the ways of each request.
+    /// Takes the engine time of each bucket and the completions of each request.
     pub fn new(supply_ms: Vec<f64>, requests: Vec<Completions>) -> DualProblem {
         let (mut worth, mut work_ms) = (0.0, 0.0);
         for completion in requests.iter().filter_map(|it| it[0]) {
@@ -120,7 +121,7 @@
         DualProblem { supply_ms, requests, mean_price }
     }
 
-    /// The least bound that the search finds.
+    /// Lowest bound that the search finds.
     pub fn lowest_bound(&self) -> f64 {
         let mut prices = self.initial_prices();
         let mut least = self.bound(&prices);
@@ -152,7 +153,8 @@
         }
     }
 
-    /// What all engine time costs, and what each request's worth exceeds the cost of its cheapest way.
+    /// Upper bound at these prices: the price of all engine time, plus for each request the largest surplus of its
+    /// worth over the cost of a completion.
     fn bound(&self, prices: &[f64]) -> f64 {
         let supply = self.supply_ms.iter().zip(prices);
         let all: f64 = supply.map(|(supply_ms, price)| supply_ms * price).sum();
@@ -164,18 +166,18 @@
         all + surpluses.sum::<f64>()
     }
 
-    // Where there is no engine time, none can be bought.
+    // Buckets without engine time have an infinite price, because no work can be done in them.
     fn price_minimum(&self, prices: &[f64]) -> RangeMinimum {
         let both = self.supply_ms.iter().zip(prices);
         let or_none = |(ms, it): (&f64, &f64)| if *ms > 0.0 { *it } else { f64::INFINITY };
         RangeMinimum::new(both.map(or_none).collect())
     }
 
-    /// Engine time that is wanted in each bucket.
+    /// Engine time demanded in each bucket at these prices.
     fn demand_ms(&self, prices: &[f64], temperature: f64) -> Vec<f64> {
         let weights = BucketWeights::new(&self.supply_ms, prices, temperature);
         let price_minimum = self.price_minimum(prices);
-        // Differences from bucket to bucket of what is wanted, for each unit of weight.
+        // Difference array of the demand per unit of weight.
         let mut differences = vec![0.0; prices.len() + 1];
         for completions in &self.requests {
             let all_odds =
@@ -186,19 +188,19 @@
                 for work in [completion.first, completion.rest] {
                     let of_work = weights.of(&work);
                     if odds > 0.0 && of_work > 0.0 {
-                        let each = work.engine_ms * odds / all / of_work;
-                        differences[work.from] += each;
-                        differences[work.until] -= each;
+                        let per_weight = work.engine_ms * odds / all / of_work;
+                        differences[work.from] += per_weight;
+                        differences[work.until] -= per_weight;
                     }
                 }
             }
         }
-        let mut each = 0.0;
-        let wanted = differences.iter().zip(&weights.weights).map(|(step, weight)| {
-            each += step;
-            (each * weight).max(0.0)
+        let mut per_weight = 0.0;
+        let demand = differences.iter().zip(&weights.weights).map(|(step, weight)| {
+            per_weight += step;
+            (per_weight * weight).max(0.0)
         });
-        wanted.collect()
+        demand.collect()
     }
 }
 
@@ -210,7 +212,7 @@
     completion.worth - cost(&completion.first) - cost(&completion.rest)
 }
 
-/// How much likelier than nothing a request ends in a way, if wants are spread.
+/// Softmax odds of completing a request this way against not completing it.
 fn odds(price_minimum: &RangeMinimum, completion: &Completion, temperature: f64) -> f64 {
     const MAX_EXPONENT: f64 = 500.0;
     (surplus(price_minimum, completion) / (temperature * completion.engine_ms()))
--- a/crates/samphiredoor-standin/src/emulate/report.rs
+++ b/crates/samphiredoor-standin/src/emulate/report.rs
@@ -1,4 +1,4 @@
-//! The table and the rows of an experiment.
+//! Reports of an experiment: the summary table and the CSV rows.
 
 use std::fmt::Write;
 
@@ -10,17 +10,17 @@
 /// The 97.5th percentile of the normal distribution.
 const NORMAL_975: f64 = 1.959_964;
 
-/// A mean, and how far from it the true one may be with a confidence of 95 in 100.
+/// A sample mean with its 95 % confidence interval.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Mean {
-    /// Mean.
+    /// Mean of the samples.
     pub mean: f64,
-    /// Half of the interval; 0 for a single value.
+    /// Half of the width of the interval; 0 for a single sample.
     pub half_width: f64,
 }
 
 impl Mean {
-    /// Mean of some values.
+    /// Computes the mean and the interval from samples.
     pub fn of(values: &[f64]) -> Mean {
         let count = values.len() as f64;
         let mean = values.iter().sum::<f64>() / count.max(1.0);
@@ -33,7 +33,8 @@
     }
 }
 
-/// The 97.5th percentile of Student's distribution, by the first terms of its expansion around the normal one.
+/// The 97.5th percentile of Student's t-distribution, by the first terms of its expansion around the normal
+/// distribution.
 fn student_975(degrees_of_freedom: f64) -> f64 {
     let z = NORMAL_975;
     let first = (z.powi(3) + z) / 4.0;
@@ -44,7 +45,7 @@
         + third / degrees_of_freedom.powi(3)
 }
 
-/// Worth of a variant's plays, and how it differs from the first variant's, seed by seed.
+/// Mean worth of a variant's runs, and of its difference from the first variant, paired by seed.
 pub fn worth(results: &[RunResult], variant: usize) -> (Mean, Mean) {
     let worth = |variant: usize| -> Vec<f64> {
         let runs = results.iter().filter(|it| it.variant == variant);
@@ -55,7 +56,7 @@
     (Mean::of(&own), Mean::of(&differences))
 }
 
-/// Summary of all variants, as a table.
+/// Summary of all variants, as a Markdown table.
 pub fn table(variants: &Variants, results: &[RunResult]) -> String {
     let mut text = String::from(
         "| variant | worth | against the first | of the bound | online in aim, late, refused, lost, left % | \
@@ -95,7 +96,7 @@
     text
 }
 
-/// How much faster than real time the plays went, each on one core.
+/// Sentence on how much faster than real time the simulations ran, each on one core.
 pub fn speed(variants: &Variants, results: &[RunResult]) -> String {
     let total_s: f64 = results
         .iter()
@@ -108,7 +109,7 @@
     )
 }
 
-/// All plays, one a row.
+/// All runs as CSV, one row each.
 pub fn csv(variants: &Variants, results: &[RunResult]) -> String {
     let mut text = String::from(
         "variant,seed,owed,earned,bound,online,online_in_aim,online_late,online_refused,online_lost,online_left,\
--- a/crates/samphiredoor-standin/src/emulate/scenario.rs
+++ b/crates/samphiredoor-standin/src/emulate/scenario.rs
@@ -1,4 +1,4 @@
-//! Scenario files of the emulator: a fleet, its load and its faults.
+//! Scenario files of the emulator, in TOML: the fleet, its load, and the faults to inject.
 
 use std::path::Path;
 
@@ -7,82 +7,82 @@
 
 use super::check::check;
 
-/// Least and most of something that is drawn evenly.
+/// Minimum and maximum, both inclusive, of a uniformly distributed count.
 pub type CountRange = [u32; 2];
 
-/// A fleet, its load and its faults.
+/// Content of a scenario file.
 #[derive(Debug, Clone)]
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
-    /// Time in which requests arrive.
+    /// Period in which requests arrive.
     pub duration_s: f64,
-    /// Time after it in which what has arrived may end.
+    /// Additional time after that period for requests to finish.
     pub finish_s: f64,
-    /// Gateways.
+    /// Gateways of the fleet.
     pub gateways: Gateways,
-    /// Targets, all of one service.
+    /// Targets of the fleet; all serve the same service.
     pub targets: Targets,
-    /// Ways between them.
+    /// Latency and message loss between processes.
     pub network: Network,
-    /// What callers do that were refused or found nobody.
+    /// Behaviour of callers after a refusal or when their gateway is dead.
     pub callers: Callers,
-    /// How jobs are kept and run.
+    /// Takeover, saving and ordering of batch items.
     #[serde(default)]
     pub jobs: Jobs,
-    /// Kinds of online requests.
+    /// Classes of online requests.
     #[serde(default)]
     pub online: Vec<Online>,
-    /// Kinds of jobs.
+    /// Classes of batch jobs.
     #[serde(default)]
     pub batch: Vec<Batch>,
     /// Bursts of online requests.
     #[serde(default)]
     pub bursts: Bursts,
-    /// What goes wrong.
+    /// Faults to inject.
     #[serde(default)]
     pub faults: Vec<Fault>,
 }
 
-/// Gateways, spread evenly over the zones.
+/// Gateways, distributed evenly over the zones.
 #[derive(Debug, Clone)]
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Gateways {
-    /// How many.
+    /// Number of processes.
     pub count: usize,
     /// Availability zones, as `region/zone`.
     pub zones: Vec<String>,
 }
 
-/// Targets, spread evenly over the zones.
+/// Targets, distributed evenly over the zones, and the performance of their engines.
 #[derive(Debug, Clone)]
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Targets {
-    /// How many.
+    /// Number of processes.
     pub count: usize,
     /// Availability zones, as `region/zone`.
     pub zones: Vec<String>,
-    /// Requests that one runs at once.
+    /// Requests that a target runs concurrently.
     pub slots: u32,
-    /// Requests that wait at one before it refuses more.
+    /// Requests that may wait at a target; it refuses further ones.
     pub queue: u32,
-    /// Time of a step without requests.
+    /// Base duration of a step, without requests.
     pub step_ms: f64,
-    /// Added time of a step for each request that runs.
+    /// Additional duration of a step for each running request.
     pub step_per_request_ms: f64,
-    /// Prompt tokens that are read in a millisecond.
+    /// Prompt tokens that are prefilled per millisecond.
     pub prompt_tokens_per_ms: f64,
-    /// Prompt tokens that are read in one step at most.
+    /// Most prompt tokens that are prefilled in one step.
     pub chunk_tokens: u32,
-    /// Shared beginnings of prompts that one keeps, the latest used.
+    /// Capacity of a target's prefix cache, which keeps the most recently used shared prefixes of prompts.
     pub kept_beginnings: usize,
-    /// Time until gateways learn that a target is gone or back.
+    /// Delay until gateways discover that a target has died or is back.
     pub discovery_ms: u64,
 }
 
-/// One way between two processes.
+/// One-way latencies between processes, and loss of messages between gateways.
 #[derive(Debug, Clone)]
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -91,35 +91,35 @@
     pub zone_ms: f64,
     /// Between zones of a region.
     pub region_ms: f64,
-    /// Between regions.
+    /// Between different regions.
     pub far_ms: f64,
-    /// Most that chance adds to the way of a message between gateways.
+    /// Most random delay that is added to a message between gateways.
     pub jitter_ms: f64,
-    /// Part of the messages between gateways that is lost.
+    /// Fraction of the messages between gateways that is lost.
     pub lost_part: f64,
 }
 
-/// What callers do that were refused or found nobody.
+/// Behaviour of callers after a refusal or when their gateway is dead.
 #[derive(Debug, Clone)]
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Callers {
-    /// How often one comes back after a refusal.
+    /// Retries of a caller after refusals.
     pub retries: u32,
-    /// Time until one that reached a dead gateway has reached another.
+    /// Time until a caller of a dead gateway reaches another gateway.
     pub reconnect_ms: u64,
 }
 
-/// How jobs are kept and run.
+/// Takeover, saving and ordering of batch items.
 #[derive(Debug, Clone)]
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Jobs {
-    /// Time until another gateway runs the items of a dead one.
+    /// Time until another gateway takes over the items of a dead one.
     pub takeover_ms: u64,
-    /// Time between two looks at which output of items is kept; 0 for never.
+    /// Interval at which partial output of running items is saved; 0 for never.
     pub keep_output_ms: u64,
-    /// Which items of a gateway go first.
+    /// Order in which a gateway dispatches its waiting items.
     pub order: ItemOrder,
 }
 
@@ -129,94 +129,94 @@
     }
 }
 
-/// Which items of a gateway go first.
+/// Order in which a gateway dispatches its waiting items.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ItemOrder {
-    /// Those that are due first.
+    /// Earliest due time first.
     Due,
-    /// Those that arrived last.
+    /// Latest arrival first.
     Newest,
-    /// Those with the least left to put out.
+    /// Fewest output tokens left first.
     LeastLeft,
 }
 
-/// A kind of online requests.
+/// A class of online requests with the same distribution, latency objective and worth.
 #[derive(Debug, Clone)]
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Online {
-    /// Arrivals at all gateways together, outside of bursts.
+    /// Arrivals at all gateways together, outside bursts.
     pub rate_per_s: f64,
-    /// Tokens of the beginning that a prompt shares with others.
+    /// Tokens of the prefix that a prompt shares with other prompts.
     #[serde(default)]
     pub shared_tokens: u32,
-    /// Number of such beginnings.
+    /// Number of different shared prefixes.
     #[serde(default = "one")]
     pub beginnings: u32,
-    /// Tokens of the rest of the prompt.
+    /// Tokens of the prompt after the shared prefix.
     pub prompt_tokens: CountRange,
-    /// Tokens of the answer.
+    /// Output tokens of an answer.
     pub output_tokens: CountRange,
-    /// Time to the first token within which an answer has its full worth.
+    /// Latency objective: an answer has its full worth if its first token arrives within this time.
     pub aim_ms: u64,
-    /// Time after which the caller leaves.
+    /// Time after which the caller disconnects.
     pub deadline_ms: u64,
-    /// Urgency; 0 is the highest.
+    /// Priority level; 0 is the highest.
     #[serde(default)]
     pub priority: u32,
-    /// Worth of an answer that begins in the aim.
+    /// Worth of an answer that starts within the latency objective.
     pub worth: f64,
-    /// Worth of one that begins later.
+    /// Worth of an answer that starts later.
     pub worth_late: f64,
 }
 
-/// A kind of jobs.
+/// A class of batch jobs with the same distribution, due time and worth.
 #[derive(Debug, Clone)]
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Batch {
     /// Arrivals at all gateways together.
     pub jobs_per_s: f64,
-    /// Items of a job.
+    /// Number of items of a job.
     pub items: CountRange,
-    /// Tokens of the beginning that prompts share.
+    /// Tokens of the prefix that the prompts of a job share.
     #[serde(default)]
     pub shared_tokens: u32,
-    /// Number of such beginnings.
+    /// Number of different shared prefixes.
     #[serde(default = "one")]
     pub beginnings: u32,
-    /// Tokens of the rest of a prompt.
+    /// Tokens of a prompt after the shared prefix.
     pub prompt_tokens: CountRange,
-    /// Tokens of an output.
+    /// Output tokens of an item.
     pub output_tokens: CountRange,
-    /// Time within which an item has its full worth.
+    /// Time from arrival within which an item has its full worth.
     pub due_s: f64,
-    /// Time after which an item is given up.
+    /// Time from arrival after which an item is cancelled.
     pub give_up_s: f64,
-    /// Worth of an item in time.
+    /// Worth of an item that finishes within `due_s`.
     pub worth: f64,
-    /// Worth of a later one.
+    /// Worth of an item that finishes later.
     pub worth_late: f64,
-    /// Jobs that come all at once.
+    /// Additional jobs that arrive simultaneously.
     #[serde(default)]
     pub rush_jobs: u32,
-    /// When they come.
+    /// Arrival time of these additional jobs.
     #[serde(default)]
     pub rush_at_s: f64,
 }
 
-/// Bursts of online requests; their phase is drawn.
+/// Periodic bursts of online requests, with a random phase.
 #[derive(Debug, Clone)]
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Bursts {
-    /// Time from one to the next; 0 for none.
+    /// Period from the start of one burst to the next; 0 for no bursts.
     pub every_s: f64,
-    /// Length of one.
+    /// Duration of a burst.
     pub lasts_s: f64,
-    /// Factor on the rate of arrivals in it.
+    /// Factor by which the arrival rate is multiplied during a burst.
     pub factor: f64,
 }
 
@@ -226,31 +226,31 @@
     }
 }
 
-/// What goes wrong, from when on and for how long.
+/// A fault to inject, with its start and duration.
 #[derive(Debug, Clone)]
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// When it begins.
+    /// Start of the fault.
     pub at_s: f64,
-    /// How long it lasts.
+    /// Duration of the fault.
     pub lasts_s: f64,
-    /// What it is.
+    /// Kind of fault, and what it affects.
     pub what: FaultKind,
 }
 
-/// What goes wrong.
+/// Kind of fault, and what it affects.
 #[derive(Debug, Clone)]
 #[derive(Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FaultKind {
-    /// Targets are killed, by number, and start anew at the end.
+    /// Kills the targets with these indices; they restart when the fault ends.
     TargetsDown(Vec<usize>),
-    /// Gateways are killed, by number, and start anew at the end.
+    /// Kills the gateways with these indices; they restart when the fault ends.
     GatewaysDown(Vec<usize>),
-    /// Messages between gateways are late by so much more.
+    /// Adds this delay to messages between gateways.
     MessagesLateMs(f64),
-    /// So large a part of the messages between gateways is lost.
+    /// Drops at least this fraction of the messages between gateways.
     MessagesLostPart(f64),
 }
 
@@ -259,13 +259,13 @@
 }
 
 impl Scenario {
-    /// Reads a file, with some values put in place of its own.
+    /// Reads a file and applies overrides, as pairs of dotted key and value.
     pub fn read(file: &Path, overrides: &[(String, toml::Value)]) -> anyhow::Result<Scenario> {
         let text = std::fs::read_to_string(file).with_context(|| file.display().to_string())?;
         Scenario::parse(&text, overrides).with_context(|| file.display().to_string())
     }
 
-    /// Reads a text, with some values put in place of its own.
+    /// Parses a text and applies overrides, as pairs of dotted key and value.
     pub fn parse(text: &str, overrides: &[(String, toml::Value)]) -> anyhow::Result<Scenario> {
         let scenario: Scenario = if overrides.is_empty() {
             toml::from_str(text)?
@@ -280,13 +280,13 @@
         Ok(scenario)
     }
 
-    /// Time until the end of everything.
+    /// Duration of the whole simulation.
     pub fn total_s(&self) -> f64 {
         self.duration_s + self.finish_s
     }
 }
 
-/// Puts a value in place of another one, or of a default, by its key with dots; parts of lists go by number.
+/// Sets the value at a dotted key, whether or not the file contains it; list entries are addressed by index.
 fn set_value(root: &mut toml::Value, key: &str, new: toml::Value) -> anyhow::Result<()> {
     let mut at = root;
     let (path, last) = key.rsplit_once('.').unwrap_or(("", key));
@@ -294,13 +294,17 @@
         if let toml::Value::Table(table) = at {
             at = table.entry(part).or_insert_with(|| toml::Value::Table(toml::Table::new()));
         } else {
-            let list =
-                at.as_array_mut().with_context(|| format!("`{key}`: nothing at `{part}`"))?;
-            let number: usize = part.parse().with_context(|| format!("`{key}`: `{part}`"))?;
-            at = list.get_mut(number).with_context(|| format!("`{key}`: no number {number}"))?;
+            let list = at
+                .as_array_mut()
+                .with_context(|| format!("`{key}`: `{part}` is not inside a table or a list"))?;
+            let number: usize =
+                part.parse().with_context(|| format!("`{key}`: `{part}` is not a list index"))?;
+            at = list
+                .get_mut(number)
+                .with_context(|| format!("`{key}`: the list has no entry {number}"))?;
         }
     }
-    let table = at.as_table_mut().with_context(|| format!("`{key}` is no field of a table"))?;
+    let table = at.as_table_mut().with_context(|| format!("`{key}` is not a field of a table"))?;
     table.insert(last.to_owned(), new);
     Ok(())
 }
--- a/crates/samphiredoor-standin/src/emulate/simulation/faults.rs
+++ b/crates/samphiredoor-standin/src/emulate/simulation/faults.rs
@@ -1,4 +1,4 @@
-//! What goes wrong, and what processes learn of it.
+//! Injects faults, and lets gateways discover which targets are up.
 
 use samphiredoor_core::placement::Input;
 
--- a/crates/samphiredoor-standin/src/emulate/simulation/gateways.rs
+++ b/crates/samphiredoor-standin/src/emulate/simulation/gateways.rs
@@ -1,4 +1,4 @@
-//! Gateways: a real placement each.
+//! Simulated gateways, each with the real placement, and their starts, stops and ticks.
 
 use std::{collections::BTreeMap, rc::Rc};
 
@@ -17,21 +17,24 @@
 };
 use crate::emulate::{mechanism::Mechanism, scenario::Scenario};
 
-/// A gateway.
+/// A simulated gateway.
 #[derive(Debug)]
 pub struct Gateway {
     pub name: Name,
     pub location: Location,
     pub placement: Placement,
-    /// Faults that keep it down.
+    /// Faults that currently keep it down.
     active_outages: u32,
+    /// Incremented when it is killed, so that ticks scheduled before are ignored.
     incarnation: u64,
     last_tick_ms: u64,
+    /// Time of its last state update.
     pub sent_ms: u64,
+    /// State in its last update.
     pub sent_state: Rc<GatewayState>,
     pub peer_groups: [PeerGroup; 3],
     pub sent_to_cells: BTreeMap<CellId, SentToCell>,
-    /// What the gateways of its cell told it last and when, its own word among them.
+    /// Last state of each gateway of its cell, including its own, and when it was received.
     pub received: BTreeMap<Name, (u64, Rc<GatewayState>)>,
 }
 
@@ -39,13 +42,13 @@
     format!("gateway-{number:03}").into()
 }
 
-/// Number of a gateway by its name.
+/// Index of the gateway with this name.
 pub fn number_of(name: &str) -> Option<usize> {
     name.strip_prefix("gateway-")?.parse().ok()
 }
 
 impl Gateway {
-    /// All gateways of a fleet, and their cells.
+    /// Creates all gateways of a fleet and divides them into cells.
     pub fn all(scenario: &Scenario, targets: &[Target]) -> (Vec<Gateway>, Cells) {
         let count = scenario.gateways.count;
         let gateways: Vec<Gateway> = (0..count)
@@ -76,12 +79,12 @@
         }
     }
 
-    /// Whether it runs.
+    /// Whether the process is running.
     pub fn is_up(&self) -> bool {
         self.active_outages == 0
     }
 
-    /// Kills it.
+    /// Kills the process; it stays down until all faults that stopped it have ended.
     pub fn stop(&mut self) {
         self.active_outages += 1;
         self.incarnation += 1;
@@ -129,7 +132,8 @@
         margins
     }
 
-    /// Targets as discovery tells them to a gateway.
+    /// Target list that discovery gives a gateway. Without [`Mechanism::NearestFirst`], all targets have the gateway's
+    /// location.
     pub(super) fn entries(&self, number: usize) -> Vec<TargetEntry> {
         let slots = self.scenario.targets.slots;
         let up = self.targets.iter().filter(|it| it.is_up());
@@ -140,7 +144,7 @@
         .collect()
     }
 
-    /// Gives an event to a gateway's placement and does what it says.
+    /// Passes an input to a gateway's placement and applies the resulting actions.
     pub(super) fn input(&mut self, number: usize, input: Input) {
         if !self.gateways[number].is_up() {
             return;
--- a/crates/samphiredoor-standin/src/emulate/simulation/mod.rs
+++ b/crates/samphiredoor-standin/src/emulate/simulation/mod.rs
@@ -1,4 +1,5 @@
-//! A fleet in simulated time: real placements in gateways, engines, callers, and what goes wrong.
+//! Discrete-event simulation of a fleet: gateways that run the real placement, models of engines, callers and the
+//! network, and injected faults.
 
 mod faults;
 mod gateways;
@@ -27,47 +28,47 @@
 use requests::{Attempt, RequestState};
 use targets::Target;
 
-/// All that is drawn in a run differs from what traffic is drawn from.
+/// Mixed into the seed, so that the simulation's random numbers are not those of the traffic.
 const RUN_SEED: u64 = 0x5eed_0001;
 /// The service that all targets serve.
 const SERVICE: &str = "service";
-/// Time of the first event; a clock of processes does not begin at 0.
+/// Time of the first event. It is not 0, because the clock of a real process does not start at 0.
 const START_US: u64 = 10_000_000;
 
-/// What happens.
+/// An event of the simulation.
 #[derive(Debug)]
 enum Event {
-    /// A caller's request, or the item of a job, reaches a gateway.
+    /// A caller's request or an item of a job reaches a gateway.
     Arrival(usize),
-    /// A gateway asks its placement for a target.
+    /// A gateway requests a slot at a target from its placement.
     RequestSlot { request: usize, generation: u32 },
     /// A request reaches a target.
     TargetArrival { attempt: Attempt, target: usize },
-    /// A cut reaches a target.
+    /// The cancellation of an attempt reaches a target.
     CancelAtTarget { attempt: Attempt, target: usize },
     /// A target ends a step.
     Step { target: usize, incarnation: u64 },
-    /// A gateway sees the first token of an attempt.
+    /// A gateway receives the first token of an attempt, with the target's numbers of running and waiting requests.
     FirstToken { attempt: Attempt, load: (u32, u32) },
-    /// A gateway sees an attempt end.
+    /// A gateway learns that an attempt has ended.
     Ended { attempt: Attempt, end: AttemptEnd },
-    /// A request is of no use any more.
+    /// The deadline of a request has passed.
     Deadline(usize),
-    /// A gateway looks after what waits.
+    /// A gateway checks its waiting requests and sends updates.
     Tick { gateway: usize, incarnation: u64 },
-    /// A message of a gateway or a cell reaches a gateway, which may pass it on in its cell.
+    /// A state update of a gateway or a cell reaches a gateway, which forwards it to its cell if `forwards` is set.
     Message { to: usize, from: Name, state: Rc<GatewayState>, forwards: bool },
-    /// Cells tell each other sums.
+    /// Cells send each other summaries: the near ones, or those in other regions.
     Summaries { is_far: bool },
     /// A fault begins or ends.
     Fault { number: usize, begins: bool },
-    /// Gateways learn which targets there are.
+    /// Gateways discover which targets are up.
     Discovery,
-    /// The output of unfinished items is kept.
+    /// The partial output of running items is saved.
     SaveOutputs,
 }
 
-/// A fleet in simulated time.
+/// State of a simulated fleet.
 pub struct Simulation<'a> {
     scenario: &'a Scenario,
     without: &'a [Mechanism],
@@ -85,7 +86,7 @@
 }
 
 impl<'a> Simulation<'a> {
-    /// A fleet that has just started, and the requests that will reach it.
+    /// Creates a fleet that has just started, and schedules its requests and faults.
     pub fn new(
         scenario: &'a Scenario,
         without: &'a [Mechanism],
@@ -115,7 +116,7 @@
         simulation
     }
 
-    /// Plays until all requests are over or the time is up.
+    /// Processes events until all requests have ended or the time is up.
     pub fn run(mut self) -> Outcome {
         let end_us = START_US + micros(self.scenario.total_s());
         while let Some((at_us, event)) = self.events.pop()
@@ -194,7 +195,7 @@
         self.now_us + ms * 1_000
     }
 
-    /// Time since the start of the traffic.
+    /// Time since the start of the traffic, on which the times of requests are based.
     fn since_start_us(&self) -> u64 {
         self.now_us - START_US
     }
@@ -213,9 +214,9 @@
     }
 }
 
-/// Zone of one of so many, if they are spread evenly over the zones.
+/// Location of process `number` of `count`, distributed evenly over the zones.
 fn zone_of(zones: &[String], number: usize, count: usize) -> Location {
-    let zone_of = &zones[number * zones.len() / count];
-    let (region, zone_of) = zone_of.split_once('/').unwrap_or((zone_of, zone_of));
-    Location { region: region.into(), availability_zone: zone_of.into() }
+    let zone = &zones[number * zones.len() / count];
+    let (region, zone) = zone.split_once('/').unwrap_or((zone, zone));
+    Location { region: region.into(), availability_zone: zone.into() }
 }
--- a/crates/samphiredoor-standin/src/emulate/simulation/peer_messages.rs
+++ b/crates/samphiredoor-standin/src/emulate/simulation/peer_messages.rs
@@ -1,4 +1,5 @@
-//! What gateways tell each other of their requests, and when.
+//! State updates that gateways send to the peers of their cell and to other cells, and summaries that cells send each
+//! other.
 
 use std::rc::Rc;
 
@@ -13,22 +14,23 @@
 use super::{Event, START_US, Simulation, gateways::number_of};
 use crate::emulate::mechanism::Mechanism;
 
-/// Shortest time between two messages on the own requests, and time between two looks at what waits.
+/// Minimum time between two state updates of a gateway, and interval of its ticks.
 pub const SEND_INTERVAL_MS: u64 = 20;
-/// Time after which a gateway speaks without a change.
+/// Time after which a gateway sends its state even if unchanged, and interval of its placement's ticks while no online
+/// request waits.
 pub const IDLE_INTERVAL_MS: u64 = 500;
-/// Shortest time between two messages to the cell's gateways in other zones of the region.
+/// Minimum time between two updates to the cell's gateways in other zones of the region, unless urgent.
 const REGION_INTERVAL_MS: u64 = 100;
-/// Shortest time between two messages to the cell's gateways beyond the region.
+/// Minimum time between two updates to the cell's gateways in other regions, unless urgent.
 const FAR_INTERVAL_MS: u64 = 450;
-/// Time after which another cell is told anew what has not changed.
+/// Time after which unchanged loads are sent to another cell again.
 const REPEAT_INTERVAL_MS: u64 = 400;
-/// Silence after which a gateway's requests count as ended.
+/// Time without an update after which a gateway's requests count as ended and are left out of summaries.
 const PEER_TIMEOUT_MS: u64 = 1_600;
-/// Gateways that speak for a cell.
+/// Live gateways of a cell that send its summaries.
 const SENDERS_PER_CELL: usize = 2;
 
-/// The gateways of the own cell at one distance.
+/// Peers of the same cell at one distance, and the state of the updates to them.
 #[derive(Debug, Clone, Copy)]
 pub struct PeerGroup {
     distance: Distance,
@@ -48,14 +50,14 @@
     }
 }
 
-/// What another cell was told last of the requests at its targets.
+/// Loads at another cell's targets that were last sent to that cell.
 #[derive(Debug)]
 pub struct SentToCell {
     loads: Vec<GatewayLoad>,
     at_ms: u64,
 }
 
-/// The gateways of the own cell, by distance.
+/// Groups of the peers of the same cell, by distance.
 pub fn peer_groups() -> [PeerGroup; 3] {
     [
         PeerGroup::new(Distance::Zone, 0),
@@ -197,8 +199,8 @@
         for cell in self.cells.ids() {
             let others = self.other_cells(cell, is_far);
             interval_ms = interval_ms.max(summary_interval_ms(distance, others.len()));
-            let gateways_of = self.gateways_of(cell);
-            let senders = gateways_of.into_iter().filter(|it| self.gateways[*it].is_up());
+            let members = self.gateways_of(cell);
+            let senders = members.into_iter().filter(|it| self.gateways[*it].is_up());
             for sender in senders.take(SENDERS_PER_CELL).collect::<Vec<_>>() {
                 for other in &others {
                     self.send_summary(cell, sender, *other);
@@ -206,7 +208,7 @@
             }
         }
         if self.now_us == START_US {
-            // Nobody has told anything yet.
+            // No gateway has sent its state yet.
             interval_ms = interval_ms.max(IDLE_INTERVAL_MS);
         }
         self.events.push(self.after_ms(interval_ms), Event::Summaries { is_far });
@@ -219,9 +221,9 @@
         let received = live.map(|(_, state)| &**state);
         let sum = Rc::new(sum_states(received, |it| self.cells.cell_of_target(it) == Some(to)));
         let Some(name) = self.cells.name(cell) else { return };
-        let gateways_of = self.gateways_of(to);
-        if !gateways_of.is_empty() {
-            let receiver = gateways_of[self.rng.random_range(0..gateways_of.len())];
+        let members = self.gateways_of(to);
+        if !members.is_empty() {
+            let receiver = members[self.rng.random_range(0..members.len())];
             self.send_message(sender, receiver, name, &sum, true);
         }
     }
--- a/crates/samphiredoor-standin/src/emulate/simulation/requests.rs
+++ b/crates/samphiredoor-standin/src/emulate/simulation/requests.rs
@@ -1,4 +1,4 @@
-//! The life of a request: from its caller to a gateway, to targets, and back.
+//! Lifecycle of a request: arrival at a gateway, waiting for a slot, attempts at targets, retries, and its end.
 
 use samphiredoor_core::{
     Name,
@@ -15,20 +15,21 @@
     traffic::{Request, micros},
 };
 
-/// Part of the aim for which an online request may wait for a place: one in so many.
+/// An online request may wait for a slot for this fraction (one in `QUEUE_DIVISOR`) of its latency objective.
 const QUEUE_DIVISOR: u64 = 5;
-/// Targets to which one request of a caller is sent at most.
+/// Most sends of a request to targets; a retry by its caller starts the count again.
 const MAX_SENDS: u32 = 8;
-/// Least time that must be left for another send.
+/// Minimum time before the deadline for another send.
 const MIN_SEND_US: u64 = 30_000;
-/// Time until an item that did not run is tried again.
+/// Backoff before an item that did not run is tried again.
 const NOT_RUN_BACKOFF_MS: u64 = 60;
-/// Part of the time left for which a caller waits after a refusal: one in so many.
+/// A caller waits after a refusal for at most this fraction (one in `RETRY_AFTER_DIVISOR`) of its remaining time;
+/// otherwise it gives up.
 const RETRY_AFTER_DIVISOR: u64 = 3;
-/// Attempts that a request may have; their numbers stand below it in an attempt's.
+/// Most attempts of a request. An attempt's ID is the request's index times this, plus the number of the attempt.
 const MAX_ATTEMPTS: u64 = 1 << 24;
 
-/// One attempt of a request.
+/// ID of an attempt of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Attempt(pub u64);
 
@@ -37,40 +38,40 @@
         Attempt(request as u64 * MAX_ATTEMPTS + number % MAX_ATTEMPTS)
     }
 
-    /// Which request.
+    /// Index of the request.
     pub fn request(self) -> usize {
         (self.0 / MAX_ATTEMPTS) as usize
     }
 }
 
-/// Where a request is.
+/// Where a request currently is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Stage {
-    /// With its caller.
+    /// Not at a gateway: before its arrival, or waiting for a retry, a reconnect or the takeover of an item.
     WithCaller,
-    /// At its gateway, between two attempts.
+    /// At its gateway, not waiting for a slot and not sent.
     AtGateway,
-    /// It waits for a place.
+    /// Waiting for a slot in the gateway's placement.
     Queued,
-    /// Sent to a target.
+    /// Sent to the target with this index.
     Sent(usize),
-    /// Over.
+    /// Ended and counted in the outcome.
     Finished,
 }
 
-/// State of a request.
+/// State of a request during the simulation.
 #[derive(Debug)]
 pub struct RequestState {
     pub gateway: usize,
     pub stage: Stage,
-    /// Grows whenever what was planned for the request does not hold any more.
+    /// Incremented when slot requests that are already scheduled for the request become invalid.
     pub generation: u32,
     pub attempt: Attempt,
-    /// Tokens that its gateway has.
+    /// Generated tokens that its gateway has; a further attempt continues after them.
     pub generated: u32,
-    /// Tokens that are kept for when its gateway dies.
+    /// Generated tokens that are saved and survive the death of its gateway.
     pub saved: u32,
-    /// How long earlier runs of an item took, as far as its gateway knows.
+    /// Duration of an item's earlier runs that its current gateway has seen.
     prior_run_us: u64,
     sent_us: u64,
     attempts: u64,
@@ -99,7 +100,7 @@
         }
     }
 
-    /// Notes the time of a run that was cut and goes on later.
+    /// Adds the duration of a run that was interrupted and will be continued.
     pub fn record_partial_run(&mut self, now_us: u64) {
         self.prior_run_us += now_us - self.sent_us;
     }
@@ -155,7 +156,7 @@
         }
     }
 
-    // For items it only gives their order.
+    // For items, the value only determines their order in the queue.
     fn deadline_or_order(&self, request: usize) -> u64 {
         let details = &self.requests[request];
         match (details.class, self.scenario.jobs.order) {
@@ -271,7 +272,8 @@
         }
     }
 
-    /// What the placement is told of an end.
+    /// End of an attempt as it is reported to the placement: without the mechanism that reacts to it, an end is
+    /// reported as a cut.
     fn reported_end(&self, end: AttemptEnd) -> AttemptEnd {
         match end {
             AttemptEnd::Refused if !self.is_enabled(Mechanism::FullAfterRefusal) => AttemptEnd::Cut,
@@ -333,7 +335,7 @@
         }
     }
 
-    /// What becomes of a request whose gateway has died.
+    /// Ends an online request whose gateway has died, and schedules the takeover of an item.
     pub(super) fn handle_gateway_death(&mut self, request: usize) {
         let RequestState { gateway, stage, attempt, .. } = self.states[request];
         if matches!(stage, Stage::WithCaller | Stage::Finished) {
--- a/crates/samphiredoor-standin/src/emulate/simulation/targets.rs
+++ b/crates/samphiredoor-standin/src/emulate/simulation/targets.rs
@@ -1,4 +1,4 @@
-//! Targets: engines that are reached, step, and can be down.
+//! Simulated targets: arrival and cancellation of attempts, steps of the engine, and outages.
 
 use samphiredoor_core::{
     Name,
@@ -16,20 +16,21 @@
     scenario,
 };
 
-/// A target.
+/// A simulated target.
 #[derive(Debug)]
 pub struct Target {
     pub name: Name,
     pub location: Location,
     pub engine: Engine,
-    /// Faults that keep it down.
+    /// Faults that currently keep it down.
     active_outages: u32,
-    /// Number of its start.
+    /// Number of its starts after outages. Steps that were scheduled in an earlier incarnation are ignored, and
+    /// discovery reports this number as the time of its start.
     pub incarnation: u64,
 }
 
 impl Target {
-    /// All targets of a fleet.
+    /// Creates all targets of a fleet.
     pub fn all(config: &scenario::Targets) -> Vec<Target> {
         let target = |number| Target {
             name: name_of(number),
@@ -41,12 +42,12 @@
         (0..config.count).map(target).collect()
     }
 
-    /// Whether it runs.
+    /// Whether the process is running.
     pub fn is_up(&self) -> bool {
         self.active_outages == 0
     }
 
-    /// As discovery tells it to a gateway at a place.
+    /// Entry of the target list that discovery gives to a gateway, with the given location.
     pub fn entry(&self, slots: u32, location: &Location) -> TargetEntry {
         TargetEntry {
             name: Name::clone(&self.name),
@@ -64,7 +65,7 @@
     format!("target-{number:03}").into()
 }
 
-/// Number of a target by its name.
+/// Index of the target with this name.
 pub fn number_of(name: &str) -> Option<usize> {
     name.strip_prefix("target-")?.parse().ok()
 }
@@ -78,7 +79,7 @@
             self.send_end(gateway, target, attempt, AttemptEnd::Unreachable);
             return;
         }
-        // It was cut on its way.
+        // It was cancelled before it arrived.
         if state.attempt != attempt || state.stage != Stage::Sent(target) {
             return;
         }
--- a/crates/samphiredoor-standin/src/emulate/traffic.rs
+++ b/crates/samphiredoor-standin/src/emulate/traffic.rs
@@ -1,42 +1,43 @@
-//! Requests drawn from a scenario and a seed; the same for each run, whatever is switched off.
+//! Generates requests from a scenario and a seed. All variants of a scenario get the same requests, whichever
+//! mechanisms they disable.
 
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use samphiredoor_core::dispatch::Class;
 
 use super::scenario::{Batch, Bursts, CountRange, Online, Scenario};
 
-/// An online request or an item of a job.
+/// An online request or an item of a batch job.
 #[derive(Debug, Clone)]
 pub struct Request {
-    /// Online or batch.
+    /// Online request or batch item.
     pub class: Class,
-    /// When it is first sent.
+    /// Time of arrival, since the start of the traffic.
     pub arrives_us: u64,
-    /// Which gateway it reaches first.
+    /// Index of the gateway that it reaches first.
     pub gateway: usize,
-    /// Until when it has its full worth: an online request by its first token, an item by its last.
+    /// Time until which it has its full worth: for the first token of an online request, for the last token of an item.
     pub objective_us: u64,
-    /// Until when it is of any use, by its last token.
+    /// Time by which its last token has to arrive; later it has no worth.
     pub deadline_us: u64,
-    /// Time from its arrival to its aim.
+    /// Time from its arrival to its objective.
     pub objective_after_ms: u64,
-    /// Urgency; 0 is the highest.
+    /// Priority level; 0 is the highest.
     pub priority: u32,
-    /// Shared beginning of its prompt; 0 for none.
+    /// ID of its prompt's shared prefix; 0 for none.
     pub prefix: u64,
-    /// Tokens of that beginning.
+    /// Tokens of that shared prefix.
     pub shared_tokens: u32,
-    /// Tokens of the rest of its prompt.
+    /// Tokens of the prompt after the shared prefix.
     pub own_tokens: u32,
-    /// Tokens that it puts out.
+    /// Tokens that it generates.
     pub output_tokens: u32,
-    /// Worth in the aim.
+    /// Worth if answered within the objective.
     pub worth: f64,
-    /// Worth later.
+    /// Worth if answered after the objective.
     pub worth_late: f64,
 }
 
-/// All requests of a run, in order of their arrival.
+/// Generates all requests of a simulation, in order of arrival.
 pub fn generate(scenario: &Scenario, seed: u64) -> Vec<Request> {
     let mut generator =
         Generator { rng: SmallRng::seed_from_u64(seed), scenario, requests: Vec::new() };
@@ -58,7 +59,8 @@
 }
 
 impl Generator<'_> {
-    // Thinning: drawn at the highest rate, kept with the part that the rate of the moment has of it.
+    // Poisson process with a varying rate, by thinning: arrivals are generated at the highest rate and accepted with a
+    // probability of current rate / highest rate.
     fn online_kind(&mut self, kind: usize, online: &Online, phase_s: f64) {
         let bursts = &self.scenario.bursts;
         let highest = bursts.factor.max(1.0);
@@ -149,7 +151,7 @@
     if bursting { bursts.factor } else { 1.0 }
 }
 
-/// Time in whole microseconds.
+/// Converts seconds to microseconds, rounded.
 pub fn micros(seconds: f64) -> u64 {
     (seconds * 1e6).round() as u64
 }
--- a/crates/samphiredoor-standin/src/emulate/variants.rs
+++ b/crates/samphiredoor-standin/src/emulate/variants.rs
@@ -1,4 +1,4 @@
-//! Plays one scenario in several variants and with many seeds, on a few threads.
+//! Simulates a scenario in several variants and with many seeds, on several threads.
 
 use std::{
     ops::Range,
@@ -21,7 +21,7 @@
     traffic,
 };
 
-/// Seeds from one up to, and without, another.
+/// Range of seeds, written as `A..B`; `B` is excluded.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Seeds(pub Range<u64>);
 
@@ -30,14 +30,14 @@
 
     fn from_str(text: &str) -> anyhow::Result<Seeds> {
         let (from, until) = text.split_once("..").context("seeds are written as A..B")?;
-        let number = |it: &str| it.parse::<u64>().with_context(|| format!("`{it}` is no seed"));
+        let number = |it: &str| it.parse::<u64>().with_context(|| format!("`{it}` is not a seed"));
         let seeds = number(from)?..number(until)?;
-        anyhow::ensure!(!seeds.is_empty(), "`{text}` holds no seed; B itself is left out");
+        anyhow::ensure!(!seeds.is_empty(), "`{text}` contains no seed; B is excluded");
         Ok(Seeds(seeds))
     }
 }
 
-/// A field of the scenario, and the values that it takes one after the other.
+/// A field of the scenario and the values to simulate, each in a variant of its own.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Vary {
     key: String,
@@ -48,40 +48,41 @@
     type Err = anyhow::Error;
 
     fn from_str(text: &str) -> anyhow::Result<Vary> {
-        let (key, values) = text.split_once('=').context("it is written as KEY=V1,V2")?;
+        let (key, values) =
+            text.split_once('=').context("varied fields are written as KEY=V1,V2")?;
         Ok(Vary { key: key.to_owned(), values: values.split(',').map(value).collect() })
     }
 }
 
-// What is no number, truth value or the like is taken as text.
+// Text that is not a valid TOML value, such as a number or boolean, is taken as a string.
 fn value(text: &str) -> toml::Value {
     let table: Result<toml::Table, _> = toml::from_str(&format!("value = {text}"));
     let value = table.ok().and_then(|mut it| it.remove("value"));
     value.unwrap_or_else(|| toml::Value::String(text.to_owned()))
 }
 
-/// One way to play a scenario.
+/// A scenario with some of its mechanisms disabled.
 #[derive(Debug, Clone)]
 pub struct Variant {
-    /// Name in tables and plots.
+    /// Name in tables, CSV rows and plots.
     pub label: String,
-    /// Number of its scenario.
+    /// Index of its scenario in [`Variants::scenarios`].
     pub scenario: usize,
-    /// What it does without.
+    /// Mechanisms that it disables.
     pub without: Vec<Mechanism>,
 }
 
-/// All variants of an experiment; the first is what the others are compared to.
+/// All variants of an experiment; the first is the baseline for the others.
 #[derive(Debug, Clone)]
 pub struct Variants {
-    /// Scenarios of the variants.
+    /// Scenarios that variants refer to by index; several variants can share one.
     pub scenarios: Vec<Scenario>,
-    /// Variants.
+    /// Variants in the order of reports.
     pub variants: Vec<Variant>,
 }
 
 impl Variants {
-    /// The scenario of a file as it is, without some mechanisms, and with each of some values.
+    /// Builds the variants of a scenario file: unchanged, without mechanisms, and with each of the varied values.
     pub fn read(file: &Path, without: &[Without], vary: &[Vary]) -> anyhow::Result<Variants> {
         let mut scenarios = vec![Scenario::read(file, &[])?];
         let variant = |label: String, scenario, without| Variant { label, scenario, without };
@@ -99,29 +100,29 @@
     }
 }
 
-/// A variant played with a seed.
+/// Result of a variant with one seed.
 #[derive(Debug, Clone)]
 pub struct RunResult {
-    /// Number of the variant.
+    /// Index of the variant.
     pub variant: usize,
-    /// Seed.
+    /// Seed of the traffic and of the simulation.
     pub seed: u64,
-    /// What callers got.
+    /// Outcome of the simulation.
     pub outcome: Outcome,
-    /// Most worth that any scheduler could have earned.
+    /// Upper bound on the worth that any scheduler could have earned.
     pub bound: f64,
-    /// Processor time that the play took, without that of the bound.
+    /// Processor time of the simulation, without that of the bound.
     pub cpu_s: f64,
 }
 
 impl RunResult {
-    /// Part of the bound that was earned.
+    /// Fraction of the bound that was earned.
     pub fn of_bound(&self) -> f64 {
         if self.bound > 0.0 { self.outcome.earned / self.bound } else { 1.0 }
     }
 }
 
-/// Plays all variants with all seeds; in order of variants, then seeds.
+/// Simulates all variants with all seeds; returns results in order of variants, then seeds.
 pub fn run_all(variants: &Variants, seeds: &Seeds, threads: usize) -> Vec<RunResult> {
     let next = AtomicU64::new(seeds.0.start);
     let results = Mutex::new(Vec::new());
@@ -160,7 +161,7 @@
     results
 }
 
-/// Processor time of this thread; 0 where the system does not tell it.
+/// Processor time of this thread; 0 where the system does not report it.
 fn thread_cpu_s() -> f64 {
     let statistics = std::fs::read_to_string("/proc/thread-self/schedstat").unwrap_or_default();
     let cpu_ns = statistics.split(' ').next().and_then(|it| it.parse::<u64>().ok());
--- a/crates/samphiredoor-standin/tests/emulate/bound.rs
+++ b/crates/samphiredoor-standin/tests/emulate/bound.rs
@@ -1,4 +1,5 @@
-//! The bound: that no run exceeds it, and that it is no looser than worked out by hand.
+//! Upper bound on worth: no simulation exceeds it, and in cases computed by hand it is within 2 % of what can be
+//! earned.
 
 use proptest::{
     prelude::*,
@@ -15,7 +16,7 @@
 
 const EIGHT: &str = include_str!("../../../../examples/emulate/eight_before_twelve.toml");
 const CASES: u32 = 60;
-/// What sums of floating numbers may differ by.
+/// Tolerance for rounding errors of floating-point sums.
 const ROUNDING: f64 = 1e-6;
 
 fn small_fleet() -> impl Strategy<Value = (Scenario, u64)> {
@@ -58,7 +59,7 @@
 }
 
 #[test]
-fn no_run_of_a_small_fleet_exceeds_the_bound() {
+fn no_simulation_of_a_small_fleet_exceeds_the_bound() {
     let config = Config { cases: CASES, failure_persistence: None, ..Config::default() };
     let rng = TestRng::deterministic_rng(RngAlgorithm::ChaCha);
     let check = |(scenario, seed): (Scenario, u64)| {
@@ -66,14 +67,14 @@
         let most = bound(&scenario, &requests);
         for without in [&[][..], &[Mechanism::Preemption], &[Mechanism::Queue]] {
             let outcome = Simulation::new(&scenario, without, &requests, seed).run();
-            prop_assert!(outcome.earned <= most + ROUNDING, "{} above {most}", outcome.earned);
+            prop_assert!(outcome.earned <= most + ROUNDING, "{} exceeds {most}", outcome.earned);
         }
         Ok(())
     };
     TestRunner::new_with_rng(config, rng).run(&small_fleet(), check).unwrap();
 }
 
-/// One target of four slots, whose full step of 8 ms puts out four tokens.
+/// One target with four slots; a step with all slots in use takes 8 ms and generates four tokens.
 fn one_target() -> Scenario {
     let mut scenario = Scenario::parse(EIGHT, &[]).unwrap();
     scenario.duration_s = 10.0;
@@ -86,7 +87,7 @@
     scenario
 }
 
-/// Items of 200 tokens, which take 400 ms of engine time each, due at the end of ten seconds.
+/// Items of 200 tokens, each needing 400 ms of engine time, due after ten seconds.
 fn items(count: usize, worth: f64) -> Vec<Request> {
     let item = Request {
         class: Class::Batch,
@@ -113,24 +114,24 @@
 }
 
 #[test]
-fn all_that_fits_is_within_the_bound() {
+fn the_bound_includes_all_items_that_fit() {
     assert_near(bound(&one_target(), &items(20, 1.0)), 20.0);
 }
 
 #[test]
-fn what_does_not_fit_is_not_in_the_bound() {
+fn the_bound_excludes_items_beyond_the_capacity() {
     assert_near(bound(&one_target(), &items(50, 1.0)), 25.0);
 }
 
 #[test]
-fn the_bound_takes_what_is_worth_most() {
+fn the_bound_prefers_items_with_the_highest_worth() {
     let mut requests = items(40, 1.0);
     requests.extend(items(10, 3.0));
     assert_near(bound(&one_target(), &requests), 45.0);
 }
 
 #[test]
-fn outages_are_not_in_the_bound() {
+fn the_bound_excludes_engine_time_during_outages() {
     let mut scenario = one_target();
     let what = FaultKind::TargetsDown(vec![0]);
     scenario.faults = vec![Fault { at_s: 2.0, lasts_s: 4.0, what }];
@@ -138,13 +139,13 @@
 }
 
 #[test]
-fn what_cannot_be_in_time_even_alone_is_not_in_the_bound() {
+fn the_bound_excludes_an_item_that_is_too_long_even_alone() {
     let mut requests = items(1, 1.0);
     requests[0].output_tokens = 2_001;
     assert_eq!(bound(&one_target(), &requests), 0.0);
 }
 
-/// Online requests of 200 tokens, which have to begin within 50 ms.
+/// Online requests of 200 tokens, whose first token is due within 50 ms.
 fn online(count: usize) -> Vec<Request> {
     let mut requests = items(count, 1.0);
     for request in &mut requests {
@@ -155,19 +156,19 @@
 }
 
 #[test]
-fn an_answer_that_begins_in_its_aim_may_end_later() {
+fn an_answer_that_starts_within_its_objective_may_end_later() {
     assert_near(bound(&one_target(), &online(4)), 4.0);
 }
 
-// Steps take 17 ms at most, so that what begins within 50 ms is over after 3.4 s.
+// Steps take at most 17 ms, so an answer of 200 tokens that starts within 50 ms ends after at most 3.4 s.
 #[test]
-fn an_answer_that_begins_in_its_aim_is_not_paused() {
+fn an_answer_that_starts_within_its_objective_is_not_paused() {
     let most = bound(&one_target(), &online(50));
     assert!(most < 9.0, "{most}");
 }
 
 #[test]
-fn an_item_that_is_done_late_is_worth_less_in_the_bound() {
+fn the_bound_counts_a_late_item_with_its_lower_worth() {
     let mut requests = items(20, 1.0);
     for request in &mut requests {
         request.objective_us = 4_000_000;
@@ -177,7 +178,7 @@
 }
 
 #[test]
-fn the_bound_keeps_to_the_times_of_requests() {
+fn the_bound_excludes_work_after_the_deadlines() {
     let mut requests = items(30, 1.0);
     requests.iter_mut().for_each(|it| it.objective_us = 4_000_000);
     requests.iter_mut().for_each(|it| it.deadline_us = 4_000_000);
--- a/crates/samphiredoor-standin/tests/emulate/engine.rs
+++ b/crates/samphiredoor-standin/tests/emulate/engine.rs
@@ -1,4 +1,4 @@
-//! Engines: how long steps take, and in which order requests run.
+//! Engine model: duration of steps, order of requests, prefix cache, and removal of attempts.
 
 use samphiredoor_standin::emulate::{
     engine::{Engine, Progress, Sequence},
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn a_step_is_longer_the_more_requests_run() {
+fn step_duration_grows_with_the_number_of_running_requests() {
     let mut engine = Engine::new(targets());
     engine.offer(request(1, 0, 9));
     assert_eq!(engine.begin_step(), Some(STEP_US + STEP_PER_REQUEST_US));
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn a_long_prompt_is_read_between_the_tokens_of_others() {
+fn a_long_prompt_is_prefilled_in_chunks_while_others_generate_tokens() {
     let mut engine = Engine::new(targets());
     engine.offer(request(1, 0, 9));
     engine.offer(request(2, 250, 9));
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn requests_run_in_order_of_arrival_and_the_last_is_refused() {
+fn requests_run_in_order_of_arrival_and_are_refused_when_the_queue_is_full() {
     let mut engine = Engine::new(targets());
     assert!((1..=3).all(|it| engine.offer(request(it, 0, 1))));
     assert!(!engine.offer(request(4, 0, 1)));
@@ -65,19 +65,19 @@
 }
 
 #[test]
-fn a_beginning_is_read_again_only_once_another_has_taken_its_room() {
+fn a_shared_prefix_is_prefilled_again_only_after_its_eviction_from_the_cache() {
     let mut engine = Engine::new(targets());
-    let mut reads = Vec::new();
+    let mut has_prefilled = Vec::new();
     for (attempt, prefix) in [(1, 7), (2, 7), (3, 8), (4, 7)] {
         engine.offer(Sequence::new(attempt, (prefix, 50), 0, (0, 1)));
-        reads.push(engine.begin_step().unwrap() > STEP_US + STEP_PER_REQUEST_US);
+        has_prefilled.push(engine.begin_step().unwrap() > STEP_US + STEP_PER_REQUEST_US);
         engine.end_step();
     }
-    assert_eq!(reads, [true, false, true, true]);
+    assert_eq!(has_prefilled, [true, false, true, true]);
 }
 
 #[test]
-fn a_request_that_is_cut_leaves_its_place_and_tells_what_it_made() {
+fn a_removed_attempt_frees_its_slot_and_returns_its_generated_tokens() {
     let mut engine = Engine::new(targets());
     (1..=3).for_each(|it| assert!(engine.offer(request(it, 0, 9))));
     engine.begin_step();
--- a/crates/samphiredoor-standin/tests/emulate/main.rs
+++ b/crates/samphiredoor-standin/tests/emulate/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the emulator: its scenarios, its engines, its fleets, and the bound.
+//! Tests of the emulator: scenario files, the engine model, simulations of fleets, and the upper bound.
 
 mod bound;
 mod engine;
--- a/crates/samphiredoor-standin/tests/emulate/simulation.rs
+++ b/crates/samphiredoor-standin/tests/emulate/simulation.rs
@@ -1,4 +1,5 @@
-//! Fleets: what callers get, and that each request ends once.
+//! Simulations of fleets: what callers get under load and faults, the effect of mechanisms, and that each request ends
+//! once.
 
 use samphiredoor_standin::emulate::{
     mechanism::Mechanism,
@@ -50,7 +51,7 @@
 }
 
 #[test]
-fn nothing_is_refused_or_late_where_places_abound() {
+fn nothing_is_refused_or_late_with_ample_slots() {
     let changes = "set = { duration_s = 8.0, faults = [], 'online.0.rate_per_s' = 20.0, \
                    'batch.0.rush_jobs' = 0, 'batch.0.jobs_per_s' = 0.2 }";
     let outcome = simulate(&scenario(EIGHT, changes), &[], 5);
@@ -59,7 +60,7 @@
     assert_eq!(outcome.rejected, 0);
 }
 
-macro_rules! items_outlive {
+macro_rules! items_survive {
     ($($name:ident: $what:literal,)*) => {$(
         #[test]
         fn $name() {
@@ -75,9 +76,9 @@
     )*};
 }
 
-items_outlive! {
-    items_outlive_killed_targets: "targets_down = [0, 1, 2, 3, 4, 5, 6, 7, 8]",
-    items_outlive_killed_gateways: "gateways_down = [0, 1, 2, 3, 4, 5, 6, 7]",
+items_survive! {
+    items_survive_killed_targets: "targets_down = [0, 1, 2, 3, 4, 5, 6, 7, 8]",
+    items_survive_killed_gateways: "gateways_down = [0, 1, 2, 3, 4, 5, 6, 7]",
 }
 
 macro_rules! streams_are_lost {
@@ -98,19 +99,19 @@
 }
 
 streams_are_lost! {
-    streams_at_a_killed_target_are_lost_and_others_served: "targets_down = [0]",
-    streams_of_a_killed_gateway_are_lost_and_others_served: "gateways_down = [7]",
+    streams_of_a_killed_target_are_lost_and_others_are_served: "targets_down = [0]",
+    streams_of_a_killed_gateway_are_lost_and_others_are_served: "gateways_down = [7]",
 }
 
 #[test]
-fn a_fleet_without_recalls_earns_less() {
+fn a_fleet_without_preemption_earns_less() {
     let scenario = busy();
     let (with, without) = (worth(&scenario, &[]), worth(&scenario, &[Mechanism::Preemption]));
     assert!(with > without + 0.05, "{with} with, {without} without");
 }
 
 #[test]
-fn a_fleet_that_keeps_no_place_free_cuts_more_items() {
+fn a_fleet_without_reserved_slots_preempts_more_items() {
     let scenario = busy();
     let preempted = |without: &[Mechanism]| {
         SEEDS.map(|it| simulate(&scenario, without, it).preempted).iter().sum::<u64>()
@@ -120,7 +121,7 @@
 }
 
 #[test]
-fn a_fleet_that_lets_nobody_wait_at_targets_refuses_more() {
+fn a_fleet_without_waiting_at_targets_refuses_more() {
     let scenario = busy();
     let refused = |without: &[Mechanism]| {
         SEEDS.map(|it| simulate(&scenario, without, it).online.refused).iter().sum::<u64>()
@@ -130,16 +131,16 @@
 }
 
 #[test]
-fn late_messages_cost_worth_in_bursts() {
+fn delayed_messages_reduce_worth_in_bursts() {
     let changes = "set = { duration_s = 12.0, faults = \
                    [{ at_s = 0.0, lasts_s = 12.0, what = { messages_late_ms = 800.0 } }] }";
     let late = worth(&scenario(EIGHT, changes), &[]);
     let usual = worth(&scenario(EIGHT, "set = { duration_s = 12.0, faults = [] }"), &[]);
-    assert!(late < usual - 0.01, "{late} with late messages, {usual} without");
+    assert!(late < usual - 0.01, "{late} with delayed messages, {usual} without");
 }
 
 #[test]
-fn cells_tell_each_other_less_than_every_gateway_would() {
+fn gateways_in_cells_send_fewer_messages_than_a_full_mesh() {
     let scenario = scenario(SIXTY, "set = { duration_s = 5.0 }");
     let outcome = simulate(&scenario, &[], 5);
     let gateways = scenario.gateways.count as f64;
