--- a/crates/samphiredoor-standin/src/emulate/check.rs
+++ b/crates/samphiredoor-standin/src/emulate/check.rs
@@ -109,9 +109,9 @@
     Ok(())
 }
 
-fn range(name: &str, [least, most]: CountRange, floor: u32) -> anyhow::Result<()> {
-    ensure!(least >= floor, "`{name}` must be {floor} or more");
-    ensure!(least <= most, "`{name}` must have its minimum first: [{least}, {most}]");
+fn range(name: &str, [min, max]: CountRange, lowest_min: u32) -> anyhow::Result<()> {
+    ensure!(min >= lowest_min, "`{name}` must be {lowest_min} or more");
+    ensure!(min <= max, "`{name}` must have its minimum first: [{min}, {max}]");
     Ok(())
 }
 
--- a/crates/samphiredoor-standin/src/emulate/engine.rs
+++ b/crates/samphiredoor-standin/src/emulate/engine.rs
@@ -68,7 +68,7 @@
     /// Attempts that have generated a token here.
     started: Vec<u64>,
     /// Whether a step is in progress.
-    pub stepping: bool,
+    pub is_stepping: bool,
 }
 
 impl Engine {
@@ -80,18 +80,18 @@
             queue: VecDeque::new(),
             cached_prefixes: Vec::new(),
             started: Vec::new(),
-            stepping: false,
+            is_stepping: false,
         }
     }
 
     /// Queues a request; returns `false` if slots and queue are full.
     pub fn offer(&mut self, sequence: Sequence) -> bool {
         let capacity = self.config.slots + self.config.queue;
-        let takes = self.running.len() + self.queue.len() < capacity as usize;
-        if takes {
+        let is_accepted = self.running.len() + self.queue.len() < capacity as usize;
+        if is_accepted {
             self.queue.push_back(sequence);
         }
-        takes
+        is_accepted
     }
 
     /// Removes an attempt and returns the number of tokens generated so far.
@@ -122,8 +122,8 @@
     /// Begins a step and returns its duration in microseconds; `None` if no request is running or waiting.
     pub fn begin_step(&mut self) -> Option<u64> {
         self.admit();
-        self.stepping = !self.running.is_empty();
-        if !self.stepping {
+        self.is_stepping = !self.running.is_empty();
+        if !self.is_stepping {
             return None;
         }
         let prefilled_tokens = self.prefill();
@@ -136,7 +136,7 @@
 
     /// Ends a step and returns the attempts that generated their first or last token in it.
     pub fn end_step(&mut self) -> Vec<(u64, Progress)> {
-        self.stepping = false;
+        self.is_stepping = false;
         let mut progress = Vec::new();
         let mut prefilled_prefixes = Vec::new();
         for sequence in self.running.iter_mut().filter(|it| it.prefill_left == 0) {
@@ -170,13 +170,13 @@
     }
 
     fn prefill(&mut self) -> u32 {
-        let mut left = self.config.chunk_tokens;
+        let mut budget = self.config.chunk_tokens;
         for sequence in &mut self.running {
-            let part = sequence.prefill_left.min(left);
+            let part = sequence.prefill_left.min(budget);
             sequence.prefill_left -= part;
-            left -= part;
+            budget -= part;
         }
-        self.config.chunk_tokens - left
+        self.config.chunk_tokens - budget
     }
 
     fn cache_prefix(&mut self, prefix: u64) {
--- a/crates/samphiredoor-standin/src/emulate/plot.rs
+++ b/crates/samphiredoor-standin/src/emulate/plot.rs
@@ -32,12 +32,12 @@
     let size = (MARGINS + WIDTH_EACH * count as u32, HEIGHT);
     let area = SVGBackend::with_string(svg, size).into_drawing_area();
     area.fill(&WHITE)?;
-    let least = results.iter().map(|it| it.outcome.worth()).fold(1.0, f64::min);
+    let lowest = results.iter().map(|it| it.outcome.worth()).fold(1.0, f64::min);
     let mut chart = ChartBuilder::on(&area)
         .margin(12)
         .x_label_area_size(44)
         .y_label_area_size(52)
-        .build_cartesian_2d(-0.5..count as f64 - 0.5, (least - 0.02).max(0.0)..1.01)?;
+        .build_cartesian_2d(-0.5..count as f64 - 0.5, (lowest - 0.02).max(0.0)..1.01)?;
     let label = |at: &f64| {
         let number = at.round();
         let variant = variants.variants.get(number as usize);
@@ -53,22 +53,26 @@
         .draw()?;
     for number in 0..count {
         let runs: Vec<&RunResult> = results.iter().filter(|it| it.variant == number).collect();
-        let middle = number as f64;
+        let center = number as f64;
         let dots = runs.iter().enumerate().map(|(index, it)| {
-            let part = (index as f64 + 0.5) / runs.len() as f64 - 0.5;
-            Circle::new((middle + part * DOT_SPREAD, it.outcome.worth()), 2, BLUE.mix(0.5).filled())
+            let offset = (index as f64 + 0.5) / runs.len() as f64 - 0.5;
+            Circle::new(
+                (center + offset * DOT_SPREAD, it.outcome.worth()),
+                2,
+                BLUE.mix(0.5).filled(),
+            )
         });
         chart.draw_series(dots)?;
         let (own, _) = worth(results, number);
         let lines = [own.mean - own.half_width, own.mean, own.mean + own.half_width];
-        chart.draw_series(lines.map(|at| horizontal_mark(middle, at, BLACK)))?;
+        chart.draw_series(lines.map(|at| horizontal_mark(center, at, BLACK)))?;
         let bounds: Vec<f64> = runs.iter().map(|it| it.bound / it.outcome.total_worth).collect();
-        chart.draw_series([horizontal_mark(middle, Mean::of(&bounds).mean, RED)])?;
+        chart.draw_series([horizontal_mark(center, Mean::of(&bounds).mean, RED)])?;
     }
     area.present()?;
     Ok(())
 }
 
-fn horizontal_mark(middle: f64, at: f64, color: RGBColor) -> PathElement<(f64, f64)> {
-    PathElement::new(vec![(middle - MARK_HALF_WIDTH, at), (middle + MARK_HALF_WIDTH, at)], color)
+fn horizontal_mark(center: f64, at: f64, color: RGBColor) -> PathElement<(f64, f64)> {
+    PathElement::new(vec![(center - MARK_HALF_WIDTH, at), (center + MARK_HALF_WIDTH, at)], color)
 }
--- a/crates/samphiredoor-standin/src/emulate/prices.rs
+++ b/crates/samphiredoor-standin/src/emulate/prices.rs
@@ -52,6 +52,7 @@
 pub struct DualProblem {
     supply_ms: Vec<f64>,
     requests: Vec<Completions>,
+    /// Mean worth of engine time, the unit of prices and temperatures.
     mean_price: f64,
 }
 
@@ -63,10 +64,10 @@
 
 impl BucketWeights {
     fn new(supply_ms: &[f64], prices: &[f64], temperature: f64) -> BucketWeights {
-        let least = prices.iter().copied().fold(f64::INFINITY, f64::min);
-        let both = supply_ms.iter().zip(prices);
+        let lowest = prices.iter().copied().fold(f64::INFINITY, f64::min);
+        let priced_supply = supply_ms.iter().zip(prices);
         let weights: Vec<f64> =
-            both.map(|(ms, it)| ms * ((least - it) / temperature).exp()).collect();
+            priced_supply.map(|(ms, it)| ms * ((lowest - it) / temperature).exp()).collect();
         let mut sums = vec![0.0];
         for weight in &weights {
             sums.push(sums[sums.len() - 1] + weight);
@@ -124,17 +125,17 @@
     /// Lowest bound that the search finds.
     pub fn lowest_bound(&self) -> f64 {
         let mut prices = self.initial_prices();
-        let mut least = self.bound(&prices);
+        let mut lowest = self.bound(&prices);
         if self.mean_price == 0.0 {
-            return least;
+            return lowest;
         }
         for temperature in TEMPERATURES.map(|it| it * self.mean_price) {
             for _ in 0..ROUNDS {
                 self.adjust_prices(&mut prices, temperature);
-                least = least.min(self.bound(&prices));
+                lowest = lowest.min(self.bound(&prices));
             }
         }
-        least
+        lowest
     }
 
     fn initial_prices(&self) -> Vec<f64> {
@@ -157,20 +158,20 @@
     /// worth over the cost of a completion.
     fn bound(&self, prices: &[f64]) -> f64 {
         let supply = self.supply_ms.iter().zip(prices);
-        let all: f64 = supply.map(|(supply_ms, price)| supply_ms * price).sum();
+        let supply_price: f64 = supply.map(|(supply_ms, price)| supply_ms * price).sum();
         let price_minimum = self.price_minimum(prices);
         let surpluses = self.requests.iter().map(|completions| {
             let surpluses = completions.iter().flatten().map(|it| surplus(&price_minimum, it));
             surpluses.fold(0.0, f64::max)
         });
-        all + surpluses.sum::<f64>()
+        supply_price + surpluses.sum::<f64>()
     }
 
     // Buckets without engine time have an infinite price, because no work can be done in them.
     fn price_minimum(&self, prices: &[f64]) -> RangeMinimum {
-        let both = self.supply_ms.iter().zip(prices);
+        let priced_supply = self.supply_ms.iter().zip(prices);
         let or_none = |(ms, it): (&f64, &f64)| if *ms > 0.0 { *it } else { f64::INFINITY };
-        RangeMinimum::new(both.map(or_none).collect())
+        RangeMinimum::new(priced_supply.map(or_none).collect())
     }
 
     /// Engine time demanded in each bucket at these prices.
@@ -182,13 +183,13 @@
         for completions in &self.requests {
             let all_odds =
                 completions.map(|it| it.map_or(0.0, |it| odds(&price_minimum, &it, temperature)));
-            let all = 1.0 + all_odds.iter().sum::<f64>();
+            let total_odds = 1.0 + all_odds.iter().sum::<f64>();
             for (completion, odds) in completions.iter().zip(all_odds) {
                 let Some(completion) = completion else { continue };
                 for work in [completion.first, completion.rest] {
-                    let of_work = weights.of(&work);
-                    if odds > 0.0 && of_work > 0.0 {
-                        let per_weight = work.engine_ms * odds / all / of_work;
+                    let weight = weights.of(&work);
+                    if odds > 0.0 && weight > 0.0 {
+                        let per_weight = work.engine_ms * odds / total_odds / weight;
                         differences[work.from] += per_weight;
                         differences[work.until] -= per_weight;
                     }
--- a/crates/samphiredoor-standin/src/emulate/simulation/gateways.rs
+++ b/crates/samphiredoor-standin/src/emulate/simulation/gateways.rs
@@ -114,6 +114,7 @@
         self.events.push(self.now_us + phase_us, Event::Tick { gateway: number, incarnation });
     }
 
+    /// Ends one outage of a gateway, and starts it if no other outage is active.
     pub(super) fn restart_gateway(&mut self, number: usize) {
         self.gateways[number].active_outages -= 1;
         if self.gateways[number].is_up() {
@@ -158,6 +159,7 @@
         self.send_updates(number);
     }
 
+    /// Ticks the placement if online requests wait or the idle interval has passed; otherwise only sends due updates.
     pub(super) fn tick(&mut self, number: usize, incarnation: u64) {
         let now_ms = self.now_ms();
         let gateway = &mut self.gateways[number];
--- a/crates/samphiredoor-standin/src/emulate/simulation/mod.rs
+++ b/crates/samphiredoor-standin/src/emulate/simulation/mod.rs
@@ -196,7 +196,7 @@
     }
 
     /// Time since the start of the traffic, on which the times of requests are based.
-    fn since_start_us(&self) -> u64 {
+    fn elapsed_us(&self) -> u64 {
         self.now_us - START_US
     }
 
--- a/crates/samphiredoor-standin/src/emulate/simulation/peer_messages.rs
+++ b/crates/samphiredoor-standin/src/emulate/simulation/peer_messages.rs
@@ -67,6 +67,7 @@
 }
 
 impl Simulation<'_> {
+    /// Sends a gateway's state where an update is due, after a change or the idle interval.
     pub(super) fn send_updates(&mut self, number: usize) {
         let now_ms = self.now_ms();
         let sends_urgently = self.is_enabled(Mechanism::UrgentUpdates);
@@ -94,6 +95,7 @@
         self.send_to_peers(number);
     }
 
+    /// Sends the last state to the groups of peers for which an update is due.
     fn send_to_peers(&mut self, number: usize) {
         let now_ms = self.now_ms();
         let gateway = &mut self.gateways[number];
@@ -118,6 +120,8 @@
         }
     }
 
+    /// Sends other cells the loads at their targets, if changed or not sent for [`REPEAT_INTERVAL_MS`]. Cells without
+    /// a load any more get an empty update.
     fn send_to_other_cells(&mut self, number: usize) {
         if self.cells.len() <= 1 {
             return;
@@ -193,6 +197,7 @@
         self.input(to, Input::Peer { peer: from, state: (*state).clone() });
     }
 
+    /// Sends the summaries of all cells, to cells in other regions if `is_far`, otherwise to those in the same region.
     pub(super) fn send_summaries(&mut self, is_far: bool) {
         let distance = if is_far { Distance::OtherRegion } else { Distance::Region };
         let mut interval_ms = summary_interval_ms(distance, 1);
@@ -214,6 +219,8 @@
         self.events.push(self.after_ms(interval_ms), Event::Summaries { is_far });
     }
 
+    /// Sends the sum of a cell's live states, without loads at the receiving cell's targets, to one gateway of that
+    /// cell, which forwards it to its peers.
     fn send_summary(&mut self, cell: CellId, sender: usize, to: CellId) {
         let received = self.gateways[sender].received.values();
         let live =
@@ -228,6 +235,7 @@
         }
     }
 
+    /// Other gateways of the same cell.
     fn peers(&self, number: usize) -> Vec<usize> {
         let own = self.cells.cell_of_gateway(&self.gateways[number].name);
         let mut peers = own.map(|it| self.gateways_of(it)).unwrap_or_default();
--- a/crates/samphiredoor-standin/src/emulate/simulation/requests.rs
+++ b/crates/samphiredoor-standin/src/emulate/simulation/requests.rs
@@ -170,6 +170,7 @@
         }
     }
 
+    /// Applies an action of a gateway's placement.
     pub(super) fn apply_action(&mut self, gateway: usize, action: Action) {
         match action {
             Action::Dispatch { request, target, .. } => {
@@ -196,6 +197,7 @@
         self.events.push(at_us, Event::TargetArrival { attempt, target });
     }
 
+    /// Cancels an item's attempt and keeps its partial output.
     fn preempt(&mut self, gateway: usize, attempt: Attempt) {
         let request = attempt.request();
         let Stage::Sent(target) = self.states[request].stage else { return };
@@ -214,8 +216,9 @@
         state.generated = generated.min(self.requests[request].output_tokens - 1);
     }
 
+    /// Schedules a retry by the caller at a random live gateway, or ends the request as refused.
     fn handle_refusal(&mut self, request: usize, retry_after_ms: u64) {
-        let left_us = self.requests[request].deadline_us.saturating_sub(self.since_start_us());
+        let left_us = self.requests[request].deadline_us.saturating_sub(self.elapsed_us());
         let retries_again = self.states[request].retries < self.scenario.callers.retries;
         if !retries_again || retry_after_ms * 1_000 > left_us / RETRY_AFTER_DIVISOR {
             self.finish(request, End::Refused);
@@ -232,8 +235,8 @@
     pub(super) fn handle_first_token(&mut self, attempt: Attempt, (running, waiting): (u32, u32)) {
         let request = attempt.request();
         let Some(target) = self.sent_to(attempt) else { return };
-        let since_us = self.since_start_us();
-        self.states[request].first_token_us.get_or_insert(since_us);
+        let elapsed_us = self.elapsed_us();
+        self.states[request].first_token_us.get_or_insert(elapsed_us);
         if self.is_enabled(Mechanism::ReportedLoad) {
             let load = ReportedLoad { running, waiting, slots: self.scenario.targets.slots };
             let target = Name::clone(&self.targets[target].name);
@@ -241,6 +244,7 @@
         }
     }
 
+    /// Target of an attempt that is still in progress.
     fn sent_to(&self, attempt: Attempt) -> Option<usize> {
         let state = &self.states[attempt.request()];
         match state.stage {
@@ -284,19 +288,20 @@
         }
     }
 
+    /// Ends an answered request: an online request is on time by its first token, an item by its last.
     fn finish_answered(&mut self, request: usize) {
         let details = &self.requests[request];
-        let since_us = self.since_start_us();
+        let elapsed_us = self.elapsed_us();
         let scored_us = match details.class {
-            Class::Online => self.states[request].first_token_us.unwrap_or(since_us),
-            Class::Batch => since_us,
+            Class::Online => self.states[request].first_token_us.unwrap_or(elapsed_us),
+            Class::Batch => elapsed_us,
         };
         let end = if scored_us <= details.objective_us { End::OnTime } else { End::Late };
         self.finish(request, end);
     }
 
     fn try_other_target(&mut self, request: usize, target: usize) {
-        let left_us = self.requests[request].deadline_us.saturating_sub(self.since_start_us());
+        let left_us = self.requests[request].deadline_us.saturating_sub(self.elapsed_us());
         if self.states[request].sends >= MAX_SENDS || left_us < MIN_SEND_US {
             self.finish(request, End::Refused);
             return;
@@ -327,6 +332,7 @@
         self.finish(request, End::TimedOut);
     }
 
+    /// Ends a request, unless it has already ended, and counts it in the outcome.
     pub(super) fn finish(&mut self, request: usize, end: End) {
         if self.states[request].stage != Stage::Finished {
             self.states[request].stage = Stage::Finished;
--- a/crates/samphiredoor-standin/src/emulate/simulation/targets.rs
+++ b/crates/samphiredoor-standin/src/emulate/simulation/targets.rs
@@ -106,9 +106,10 @@
         self.events.push(at_us, Event::Ended { attempt, end });
     }
 
+    /// Begins the next step, unless one is in progress or there is nothing to do.
     fn start_step(&mut self, target: usize) {
         let Target { engine, incarnation, .. } = &mut self.targets[target];
-        if engine.stepping {
+        if engine.is_stepping {
             return;
         }
         if let Some(step_us) = engine.begin_step() {
@@ -135,6 +136,7 @@
         self.start_step(target);
     }
 
+    /// Kills a target. Its attempts are lost, but gateways keep the output that items have generated so far.
     pub(super) fn stop_target(&mut self, target: usize) {
         let attempts: Vec<u64> = self.targets[target].engine.attempts().collect();
         for attempt in attempts {
--- a/crates/samphiredoor-standin/src/emulate/traffic.rs
+++ b/crates/samphiredoor-standin/src/emulate/traffic.rs
@@ -141,8 +141,8 @@
         if shared_tokens == 0 { 0 } else { ((kind as u64 + 1) << 32) + number }
     }
 
-    fn count_in(&mut self, [least, most]: CountRange) -> u32 {
-        self.rng.random_range(least..=most)
+    fn count_in(&mut self, [min, max]: CountRange) -> u32 {
+        self.rng.random_range(min..=max)
     }
 }
 
--- a/crates/samphiredoor-standin/tests/emulate/bound.rs
+++ b/crates/samphiredoor-standin/tests/emulate/bound.rs
@@ -64,10 +64,14 @@
     let rng = TestRng::deterministic_rng(RngAlgorithm::ChaCha);
     let check = |(scenario, seed): (Scenario, u64)| {
         let requests = traffic::generate(&scenario, seed);
-        let most = bound(&scenario, &requests);
+        let upper_bound = bound(&scenario, &requests);
         for without in [&[][..], &[Mechanism::Preemption], &[Mechanism::Queue]] {
             let outcome = Simulation::new(&scenario, without, &requests, seed).run();
-            prop_assert!(outcome.earned <= most + ROUNDING, "{} exceeds {most}", outcome.earned);
+            prop_assert!(
+                outcome.earned <= upper_bound + ROUNDING,
+                "{} exceeds {upper_bound}",
+                outcome.earned
+            );
         }
         Ok(())
     };
@@ -108,9 +112,9 @@
 }
 
 #[track_caller]
-fn assert_near(bound: f64, least: f64) {
-    assert!(bound >= least - ROUNDING, "{bound} is below {least}, which can be earned");
-    assert!(bound <= 1.02 * least, "{bound} is far above {least}");
+fn assert_near(bound: f64, attainable: f64) {
+    assert!(bound >= attainable - ROUNDING, "{bound} is below {attainable}, which can be earned");
+    assert!(bound <= 1.02 * attainable, "{bound} is far above {attainable}");
 }
 
 #[test]
@@ -163,8 +167,8 @@
 // Steps take at most 17 ms, so an answer of 200 tokens that starts within 50 ms ends after at most 3.4 s.
 #[test]
 fn an_answer_that_starts_within_its_objective_is_not_paused() {
-    let most = bound(&one_target(), &online(50));
-    assert!(most < 9.0, "{most}");
+    let upper_bound = bound(&one_target(), &online(50));
+    assert!(upper_bound < 9.0, "{upper_bound}");
 }
 
 #[test]
