--- a/crates/samphiredoor-embedded/src/engine.rs
+++ b/crates/samphiredoor-embedded/src/engine.rs
@@ -1,4 +1,5 @@
-//! Continuous batching in small: sequences join and leave between steps, and a step takes longer the more there are.
+//! A small model of continuous batching: sequences join and leave between steps, and the time of a step grows with the
+//! number of running sequences.
 
 use std::collections::BTreeMap;
 
@@ -8,26 +9,26 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// How an engine behaves.
+/// Model name, timing and capacity of an engine.
 #[derive(Debug, Clone)]
 #[derive(Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct EngineConfig {
-    /// Model it answers for.
+    /// Name of the served model.
     pub model: String,
-    /// Time of a step with no sequence.
+    /// Time of a step without sequences.
     pub step_ms: f64,
     /// Added time of a step for each sequence.
     pub step_per_sequence_ms: f64,
     /// Added time of the step in which a sequence joins, for each 1,000 bytes of prompt not in the prefix cache.
     pub prefill_per_kilobyte_ms: f64,
-    /// Sequences that run at once; more wait in order of arrival.
+    /// Maximum number of running sequences; further ones wait in order of arrival.
     pub max_running: usize,
-    /// Bytes of prompts and answers held for the running sequences; more sequences wait.
+    /// Capacity of the KV cache for prompts and answers of running sequences; sequences that don't fit wait.
     pub kv_bytes: usize,
-    /// Bytes of prompts whose beginnings are remembered.
+    /// Capacity of the prefix cache.
     pub prefix_cache_bytes: usize,
-    /// Age of the load that is reported.
+    /// Delay of the load report.
     pub report_lag_ms: u64,
 }
 
@@ -46,39 +47,39 @@
     }
 }
 
-/// Load as an engine reports it, `report_lag_ms` late.
+/// Load of an engine; the reported value is `report_lag_ms` old.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Sequences running.
+    /// Running sequences.
     pub running: u32,
-    /// Sequences waiting.
+    /// Waiting sequences.
     pub waiting: u32,
-    /// Steps done since start.
+    /// Steps completed since start.
     pub steps: u64,
     /// Tokens generated since start.
     pub tokens: u64,
 }
 
-/// Bytes that one token takes in the KV cache, counted as in the prompt.
+/// Bytes of one token in the KV cache, in the same unit as the bytes of a prompt.
 const TOKEN_BYTES: usize = 4;
 
 /// A sequence to be generated.
 #[derive(Debug, Clone, Copy)]
-pub struct Admission<'a> {
-    /// Identity of the request.
+pub struct SequenceRequest<'a> {
+    /// Request id.
     pub id: &'a str,
-    /// Prompt.
+    /// Text whose length and prefix determine the prefill time.
     pub prompt: &'a str,
-    /// Index of the first token to generate; the ones before it are part of the input.
+    /// Index of the first token to generate; earlier tokens of a resumed answer count as input.
     pub first_index: u32,
-    /// Tokens to generate.
+    /// Number of tokens to generate.
     pub tokens: u32,
 }
 
 #[derive(Debug)]
 struct Sequence {
-    batch: bool,
+    is_batch: bool,
     remaining: u32,
     generated: u32,
     prefill_bytes: usize,
@@ -87,12 +88,12 @@
     next_index: u32,
 }
 
-/// Sequences of one engine.
+/// Running and waiting sequences of one engine, with its prefix cache and counters.
 #[derive(Debug, Default)]
 pub struct Batch {
     running: BTreeMap<u64, Sequence>,
     waiting: BTreeMap<u64, Sequence>,
-    prefixes: PrefixCache,
+    prefix_cache: PrefixCache,
     next_id: u64,
     steps: u64,
     tokens: u64,
@@ -100,41 +101,46 @@
 }
 
 impl Batch {
-    /// Adds a sequence; the receiver gets each token's index and ends after the last. Dropping the receiver aborts the
-    /// sequence.
-    pub fn admit(&mut self, config: &EngineConfig, admission: Admission) -> flume::Receiver<u32> {
+    /// Adds a sequence to the queue; the receiver yields the index of each token and ends after the last one. Dropping
+    /// the receiver aborts the sequence.
+    pub fn admit(
+        &mut self,
+        config: &EngineConfig,
+        request: SequenceRequest,
+    ) -> flume::Receiver<u32> {
         let (output, receiver) = flume::unbounded();
-        let input_bytes = admission.prompt.len() + admission.first_index as usize * TOKEN_BYTES;
-        let held = self.prefixes.hold(admission.prompt, config.prefix_cache_bytes);
+        let input_bytes = request.prompt.len() + request.first_index as usize * TOKEN_BYTES;
+        let cached_bytes = self.prefix_cache.insert(request.prompt, config.prefix_cache_bytes);
         let sequence = Sequence {
-            batch: is_batch_id(admission.id),
-            remaining: admission.tokens,
+            is_batch: is_batch_id(request.id),
+            remaining: request.tokens,
             generated: 0,
-            prefill_bytes: input_bytes - held,
-            kv_bytes: input_bytes + admission.tokens as usize * TOKEN_BYTES,
+            prefill_bytes: input_bytes - cached_bytes,
+            kv_bytes: input_bytes + request.tokens as usize * TOKEN_BYTES,
             output,
-            next_index: admission.first_index,
+            next_index: request.first_index,
         };
         self.waiting.insert(self.next_id, sequence);
         self.next_id += 1;
         receiver
     }
 
-    /// Lets waiting sequences join; returns how long the step that begins now takes, in milliseconds.
+    /// Starts a step: removes aborted sequences and admits waiting ones. Returns the duration of the step, in
+    /// milliseconds.
     pub fn begin_step(&mut self, config: &EngineConfig) -> f64 {
         self.drop_aborted();
-        let joined_bytes = self.join(config);
+        let prefill_bytes = self.admit_waiting(config);
         let sequences = self.running.len() as f64;
         let step_ms = config.step_ms
             + config.step_per_sequence_ms * sequences
-            + config.prefill_per_kilobyte_ms * joined_bytes as f64 / 1_000.0;
-        let batch = self.running.values().filter(|it| it.batch).count() as u64;
+            + config.prefill_per_kilobyte_ms * prefill_bytes as f64 / 1_000.0;
+        let batch = self.running.values().filter(|it| it.is_batch).count() as u64;
         self.record.step(step_ms, self.running.len() as u64 - batch, batch);
         step_ms
     }
 
-    fn join(&mut self, config: &EngineConfig) -> usize {
-        let mut joined_bytes = 0;
+    fn admit_waiting(&mut self, config: &EngineConfig) -> usize {
+        let mut prefill_bytes = 0;
         let mut kv_bytes: usize = self.running.values().map(|it| it.kv_bytes).sum();
         while self.running.len() < config.max_running {
             let Some(next) = self.waiting.first_entry() else { break };
@@ -143,13 +149,13 @@
                 break;
             }
             let (id, sequence) = next.remove_entry();
-            joined_bytes += sequence.prefill_bytes;
+            prefill_bytes += sequence.prefill_bytes;
             self.running.insert(id, sequence);
         }
-        joined_bytes
+        prefill_bytes
     }
 
-    /// Ends a step: each running sequence has one more token.
+    /// Ends a step: each running sequence emits one token.
     pub fn end_step(&mut self) {
         self.steps += 1;
         self.tokens += self.running.len() as u64;
@@ -160,7 +166,7 @@
             sequence.generated += 1;
             sequence.remaining = sequence.remaining.saturating_sub(1);
             if sequence.remaining == 0 {
-                match sequence.batch {
+                match sequence.is_batch {
                     true => {
                         record.batch_completed += 1;
                         record.batch_tokens_completed += u64::from(sequence.next_index);
@@ -172,12 +178,12 @@
         });
     }
 
-    /// Whether nothing runs or waits.
+    /// Whether there is neither a running nor a waiting sequence.
     pub fn is_empty(&self) -> bool {
         self.running.is_empty() && self.waiting.is_empty()
     }
 
-    /// Load at this moment.
+    /// Current load, without the delay of the report.
     pub fn load(&self) -> LoadReport {
         LoadReport {
             running: self.running.len() as u32,
@@ -187,7 +193,7 @@
         }
     }
 
-    /// What was done, for measuring.
+    /// Counters for measurements.
     pub fn record(&mut self) -> &mut EngineRecord {
         &mut self.record
     }
@@ -196,7 +202,7 @@
         let record = &mut self.record;
         let mut keep = |sequence: &Sequence| {
             let aborted = sequence.output.is_disconnected();
-            if aborted && sequence.batch {
+            if aborted && sequence.is_batch {
                 record.batch_aborted += 1;
                 record.batch_tokens_aborted += u64::from(sequence.generated);
             }
--- a/crates/samphiredoor-embedded/src/engine_http.rs
+++ b/crates/samphiredoor-embedded/src/engine_http.rs
@@ -1,8 +1,9 @@
-//! An engine over HTTP: the usual completion calls, whole and streamed, a load report, and a record of what ran.
+//! HTTP API of an engine: completion calls, plain and streamed, a load report, and counters of what ran.
 //!
-//! `POST /v1/completions` and `POST /v1/chat/completions` answer with one word a token; closing the connection aborts
-//! the sequence. `GET /load` is the lagging report, `GET /runs` counts how often each `x-request-id` was run, `GET /record`
-//! tells what the steps were like, and `DELETE /record` sets that to zero. A prompt that holds the text of `crash_on` ends the engine, as a broken request would.
+//! `POST /v1/completions` and `POST /v1/chat/completions` answer with one word per token; closing the connection aborts
+//! the sequence. `GET /load` returns the delayed load report, `GET /runs` how often each `x-request-id` was run, and
+//! `GET /record` the counters of steps and tokens; `DELETE /record` resets these. A prompt that contains the text of
+//! `crash_on` ends the process, which simulates a request that crashes an engine.
 
 use std::{
     cell::RefCell,
@@ -18,16 +19,17 @@
 use serde_json::{Value, json};
 
 use crate::{
-    engine::{Admission, Batch, EngineConfig, LoadReport},
+    engine::{Batch, EngineConfig, LoadReport, SequenceRequest},
     engine_record::EngineRecord,
     json,
 };
 
 const MAX_BODY_BYTES: usize = 8_000_000;
-const IDLE_POLL: Duration = Duration::from_millis(1);
+const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(1);
 const DEFAULT_MAX_TOKENS: u32 = 16;
+const BODY_UNREADABLE: &str = "the request body cannot be read";
 
-/// Body of a completion call, as far as the engine reads it.
+/// Fields of a completion call's body that the engine reads.
 #[derive(Debug)]
 #[derive(Deserialize)]
 struct Completion {
@@ -55,13 +57,13 @@
     }
 }
 
-/// How often each request was run, by its id.
+/// Number of runs of each request.
 #[derive(Debug, Clone, Default)]
 #[derive(Serialize, Deserialize)]
 pub struct Runs {
-    /// Starts by request id.
+    /// Started runs by request id.
     pub started: BTreeMap<String, u32>,
-    /// Runs that reached their last token, by request id.
+    /// Runs whose last token was sent, by request id.
     pub completed: BTreeMap<String, u32>,
 }
 
@@ -73,14 +75,14 @@
     crash_on: Option<String>,
 }
 
-/// One engine as a handler.
+/// HTTP handler of one engine; clones share its state.
 #[derive(Clone)]
 pub struct Engine {
     state: Rc<RefCell<State>>,
 }
 
 impl Engine {
-    /// Engine without load.
+    /// Idle engine; [`Engine::run_steps`] has to run for it to generate tokens.
     pub fn new(config: EngineConfig) -> Engine {
         let state = State {
             config,
@@ -92,20 +94,21 @@
         Engine { state: Rc::new(RefCell::new(state)) }
     }
 
-    /// Ends the process when a prompt holds `text`.
+    /// Makes the process exit when a prompt contains `text`.
     pub fn with_crash_on(self, text: Option<String>) -> Engine {
         self.state.borrow_mut().crash_on = text;
         self
     }
 
-    /// Steps the batch until the process ends.
+    /// Runs the steps of the engine; never returns.
     pub async fn run_steps(self) {
-        // Ends of steps follow from each other, not from when the task woke: a late wake does not add up.
+        // Each step's end is computed from the previous one, not from the time of wake-up, so that late wake-ups don't
+        // accumulate.
         let mut step_end = Instant::now();
         loop {
             if self.state.borrow().batch.is_empty() {
                 self.record_load();
-                compio::time::sleep(IDLE_POLL).await;
+                compio::time::sleep(IDLE_POLL_INTERVAL).await;
                 step_end = Instant::now();
                 continue;
             }
@@ -123,7 +126,7 @@
         }
     }
 
-    /// Answers one request.
+    /// Handles one request.
     pub async fn handle(self, request: Request<Incoming>) -> Response<Body> {
         match (request.method().clone(), request.uri().path()) {
             (Method::GET, "/load") => json::answer(StatusCode::OK, &self.reported_load()),
@@ -139,7 +142,7 @@
             (Method::POST, "/v1/completions" | "/v1/chat/completions") => {
                 self.complete(request).await
             }
-            _ => json::status(StatusCode::NOT_FOUND, "NotFound", "no such call"),
+            _ => json::status(StatusCode::NOT_FOUND, "NotFound", "unknown path or method"),
         }
     }
 
@@ -148,7 +151,7 @@
         let id = request_id(&request);
         let body = match read_whole(request.into_body(), MAX_BODY_BYTES).await {
             Ok(body) => body,
-            Err(_) => return json::status(StatusCode::BAD_REQUEST, "BadRequest", "no body"),
+            Err(_) => return json::status(StatusCode::BAD_REQUEST, "BadRequest", BODY_UNREADABLE),
         };
         let call = match serde_json::from_slice::<Completion>(&body) {
             Ok(call) => call,
@@ -157,31 +160,41 @@
             }
         };
         let prompt = call.prompt_text();
-        self.crash_if_told(&prompt);
-        let (tokens, shape) = self.admit(&id, &prompt, &call, chat);
-        if call.stream { stream_answer(shape, tokens) } else { whole_answer(shape, tokens).await }
+        self.crash_if_requested(&prompt);
+        let (tokens, format) = self.admit(&id, &prompt, &call, chat);
+        if call.stream {
+            stream_answer(format, tokens)
+        } else {
+            complete_answer(format, tokens).await
+        }
     }
 
-    fn admit(&self, id: &str, prompt: &str, call: &Completion, chat: bool) -> (Tokens, Shape) {
+    fn admit(
+        &self,
+        id: &str,
+        prompt: &str,
+        call: &Completion,
+        chat: bool,
+    ) -> (TokenStream, CompletionFormat) {
         let state = &mut *self.state.borrow_mut();
         *state.runs.started.entry(id.to_owned()).or_default() += 1;
         let total = call.max_tokens.unwrap_or(DEFAULT_MAX_TOKENS).max(1);
         let first = call.resume_from_token.min(total - 1);
-        let admission = Admission { id, prompt, first_index: first, tokens: total - first };
-        let receiver = state.batch.admit(&state.config, admission);
-        let tokens = Tokens {
+        let sequence = SequenceRequest { id, prompt, first_index: first, tokens: total - first };
+        let receiver = state.batch.admit(&state.config, sequence);
+        let tokens = TokenStream {
             receiver,
             remaining: total - first,
             id: id.to_owned(),
             state: Rc::clone(&self.state),
         };
-        (tokens, Shape { chat, model: call.model.clone(), id: id.to_owned() })
+        (tokens, CompletionFormat { chat, model: call.model.clone(), id: id.to_owned() })
     }
 
-    fn crash_if_told(&self, prompt: &str) {
+    fn crash_if_requested(&self, prompt: &str) {
         let crash = self.state.borrow().crash_on.as_ref().is_some_and(|it| prompt.contains(it));
         if crash {
-            log::error!("engine: crashed by a request");
+            log::error!("engine: exiting, the prompt contains the text of crash_on");
             std::process::exit(101);
         }
     }
@@ -204,14 +217,14 @@
     }
 }
 
-struct Tokens {
+struct TokenStream {
     receiver: flume::Receiver<u32>,
     remaining: u32,
     id: String,
     state: Rc<RefCell<State>>,
 }
 
-impl Tokens {
+impl TokenStream {
     async fn next(&mut self) -> Option<u32> {
         let index = self.receiver.recv_async().await.ok()?;
         self.remaining -= 1;
@@ -223,14 +236,14 @@
     }
 }
 
-struct Shape {
+struct CompletionFormat {
     chat: bool,
     model: String,
     id: String,
 }
 
-impl Shape {
-    fn piece(&self, text: &str) -> Value {
+impl CompletionFormat {
+    fn chunk(&self, text: &str) -> Value {
         let choice = match self.chat {
             true => json!({ "index": 0, "delta": { "content": text } }),
             false => json!({ "index": 0, "text": text }),
@@ -239,7 +252,7 @@
         json!({ "id": self.id, "object": object, "model": self.model, "choices": [choice] })
     }
 
-    fn whole(&self, text: &str, tokens: u32) -> Value {
+    fn completion(&self, text: &str, tokens: u32) -> Value {
         let choice = match self.chat {
             true => json!({
                 "index": 0,
@@ -259,42 +272,42 @@
     }
 }
 
-async fn whole_answer(shape: Shape, mut tokens: Tokens) -> Response<Body> {
+async fn complete_answer(format: CompletionFormat, mut tokens: TokenStream) -> Response<Body> {
     let mut text = String::new();
     let mut count = 0;
     while let Some(index) = tokens.next().await {
-        text.push_str(&word(index));
+        text.push_str(&token_text(index));
         count += 1;
     }
-    json::answer(StatusCode::OK, &shape.whole(&text, count))
+    json::answer(StatusCode::OK, &format.completion(&text, count))
 }
 
-fn stream_answer(shape: Shape, tokens: Tokens) -> Response<Body> {
-    let pieces = futures_util::stream::unfold(Some((shape, tokens)), next_piece);
-    let mut response = Response::new(Body::stream(pieces));
+fn stream_answer(format: CompletionFormat, tokens: TokenStream) -> Response<Body> {
+    let chunks = futures_util::stream::unfold(Some((format, tokens)), next_chunk);
+    let mut response = Response::new(Body::stream(chunks));
     let content_type = header::HeaderValue::from_static("text/event-stream");
     response.headers_mut().insert(header::CONTENT_TYPE, content_type);
     response
 }
 
-type Streaming = Option<(Shape, Tokens)>;
+type Streaming = Option<(CompletionFormat, TokenStream)>;
 
-async fn next_piece(streaming: Streaming) -> Option<(Result<Bytes, BoxError>, Streaming)> {
-    let (shape, mut tokens) = streaming?;
+async fn next_chunk(streaming: Streaming) -> Option<(Result<Bytes, BoxError>, Streaming)> {
+    let (format, mut tokens) = streaming?;
     match tokens.next().await {
         Some(index) => {
-            let mut piece = shape.piece(&word(index));
+            let mut chunk = format.chunk(&token_text(index));
             if tokens.remaining == 0 {
-                piece["choices"][0]["finish_reason"] = "length".into();
+                chunk["choices"][0]["finish_reason"] = "length".into();
             }
-            let event = format!("data: {piece}\n\n");
-            Some((Ok(event.into()), Some((shape, tokens))))
+            let event = format!("data: {chunk}\n\n");
+            Some((Ok(event.into()), Some((format, tokens))))
         }
         None => Some((Ok(Bytes::from_static(b"data: [DONE]\n\n")), None)),
     }
 }
 
-fn word(index: u32) -> String {
+fn token_text(index: u32) -> String {
     format!("w{index} ")
 }
 
--- a/crates/samphiredoor-embedded/src/lib.rs
+++ b/crates/samphiredoor-embedded/src/lib.rs
@@ -1,8 +1,8 @@
-//! A small object API and a small engine, kept in memory.
+//! A small object API, inference engine and plain service that keep all state in memory.
 //!
-//! `samphiredoor dev` runs them inside its one process; the stand-ins run them as processes of their own. They follow
-//! the published conventions of the systems whose place they take: JSON objects with versions over HTTP, and the usual
-//! completion calls with server-sent events. Nothing here is kept after the process ends.
+//! `samphiredoor dev` runs them inside its one process; the `standin` program runs each as a separate process. They
+//! follow the published conventions of the systems that they replace: versioned JSON objects over HTTP, and completion
+//! calls with server-sent events. Nothing is persisted.
 
 pub mod engine;
 pub mod engine_http;
--- a/crates/samphiredoor-embedded/src/objects.rs
+++ b/crates/samphiredoor-embedded/src/objects.rs
@@ -1,7 +1,7 @@
-//! Objects with versions, conditional updates and watches.
+//! Versioned objects in memory, with conditional updates and watches.
 //!
-//! One version counter orders all writes. A watch starts after a version and gets every later event; a version that
-//! has fallen out of the bounded history is answered with [`StoreError::Expired`], and the watcher lists again.
+//! One version counter orders all writes. A watch starts after a given version and receives every later event. If the
+//! version is older than the bounded history, it gets [`StoreError::Expired`] and the watcher has to list again.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -9,9 +9,9 @@
 use serde_json::Value;
 
 const HISTORY_LEN: usize = 4_096;
-const MAX_VALUE_BYTES: usize = 1_000_000;
+const MAX_SPEC_BYTES: usize = 1_000_000;
 
-/// Labels that a list can select by.
+/// Labels of an object; lists can select by them.
 pub type Labels = BTreeMap<String, String>;
 
 /// Name, version and labels of an object.
@@ -33,12 +33,12 @@
 pub struct Object {
     /// Name, version and labels.
     pub metadata: Metadata,
-    /// Content; opaque to the store.
+    /// Content; not interpreted by the store.
     #[serde(default)]
     pub spec: Value,
 }
 
-/// What happened to an object.
+/// Kind of a change to an object.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "UPPERCASE")]
@@ -55,55 +55,55 @@
 #[derive(Debug, Clone)]
 #[derive(Serialize, Deserialize)]
 pub struct Event {
-    /// What happened.
+    /// Kind of change.
     #[serde(rename = "type")]
     pub kind: EventKind,
-    /// The object after it happened.
+    /// Object after the change; of a deleted object, its last content with the version of the deletion.
     pub object: Object,
 }
 
-/// Why the store refused a call.
+/// Reason for which the store rejected a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StoreError {
     /// No such object.
     NotFound,
-    /// Create of a name that stands.
+    /// Create with the name of an existing object.
     AlreadyExists,
-    /// Update against another version.
+    /// Update or delete with a version that is not the current one.
     Conflict,
-    /// Value above the limit of a megabyte.
+    /// Content larger than 1 MB.
     TooLarge,
-    /// The watch's version has left the history.
+    /// Version of a watch that is older than the history.
     Expired,
 }
 
 /// One page of a list.
 #[derive(Debug, Clone, Default)]
 pub struct Page {
-    /// Objects in order of their names.
+    /// Objects in the order of their names.
     pub items: Vec<Object>,
-    /// Version of the store when the page was read.
+    /// Version of the store at the time of the read.
     pub version: u64,
-    /// Name to continue after, if there is more.
+    /// Name after which the next page continues; none on the last page.
     pub next: Option<String>,
 }
 
-/// What a list selects.
+/// Filter and paging parameters of a list.
 #[derive(Debug, Clone, Default)]
 pub struct Selector {
-    /// Names start with this.
+    /// Prefix of the names.
     pub prefix: String,
-    /// Labels that must be equal.
+    /// Labels that objects must have.
     pub labels: Labels,
-    /// Names after this one.
+    /// Name after which the list continues.
     pub after: Option<String>,
-    /// Most objects in a page; 0 for the default.
+    /// Maximum number of objects in a page; 0 for the default.
     pub limit: usize,
 }
 
-const DEFAULT_PAGE: usize = 500;
+const DEFAULT_PAGE_LEN: usize = 500;
 
-/// All objects, by kind and name.
+/// Store of objects by kind and name, with a bounded history of events.
 #[derive(Debug, Default)]
 pub struct Objects {
     kinds: BTreeMap<String, BTreeMap<String, Object>>,
@@ -112,12 +112,12 @@
 }
 
 impl Objects {
-    /// Empty store.
+    /// Empty store at version 0.
     pub fn new() -> Objects {
         Objects::default()
     }
 
-    /// Version of the last write.
+    /// Version of the last write to any object.
     pub fn version(&self) -> u64 {
         self.version
     }
@@ -132,7 +132,7 @@
         object.cloned().ok_or(StoreError::NotFound)
     }
 
-    /// Creates an object if its name is free.
+    /// Creates an object if none of this name exists.
     ///
     /// # Errors
     ///
@@ -145,7 +145,7 @@
         Ok(self.put(kind, EventKind::Added, object))
     }
 
-    /// Replaces an object if its version is still the one named in `object`.
+    /// Replaces an object if its current version is the one in `object`.
     ///
     /// # Errors
     ///
@@ -174,13 +174,13 @@
         }
         self.version += 1;
         current.metadata.resource_version = self.version.to_string();
-        self.remember(kind, EventKind::Deleted, current.clone());
+        self.append_event(kind, EventKind::Deleted, current.clone());
         Ok(current)
     }
 
-    /// Lists one page.
+    /// Returns one page of the objects that a selector matches.
     pub fn list(&self, kind: &str, selector: &Selector) -> Page {
-        let limit = if selector.limit == 0 { DEFAULT_PAGE } else { selector.limit };
+        let limit = if selector.limit == 0 { DEFAULT_PAGE_LEN } else { selector.limit };
         let mut page = Page { version: self.version, ..Page::default() };
         let Some(objects) = self.kinds.get(kind) else { return page };
         let start = match &selector.after {
@@ -203,11 +203,11 @@
         page
     }
 
-    /// Events of a kind after `version`.
+    /// Events of a kind with versions above `version`.
     ///
     /// # Errors
     ///
-    /// [`StoreError::Expired`] if events after `version` have left the history.
+    /// [`StoreError::Expired`] if the history no longer contains all events after `version`.
     pub fn events_after(&self, kind: &str, version: u64) -> Result<Vec<(u64, Event)>, StoreError> {
         let oldest = self.history.front().map_or(self.version + 1, |(it, _, _)| *it);
         if version + 1 < oldest {
@@ -224,11 +224,11 @@
         object.metadata.resource_version = self.version.to_string();
         let objects = self.kinds.entry(kind.to_owned()).or_default();
         objects.insert(object.metadata.name.clone(), object.clone());
-        self.remember(kind, event, object.clone());
+        self.append_event(kind, event, object.clone());
         object
     }
 
-    fn remember(&mut self, kind: &str, event: EventKind, object: Object) {
+    fn append_event(&mut self, kind: &str, event: EventKind, object: Object) {
         if self.history.len() == HISTORY_LEN {
             self.history.pop_front();
         }
@@ -238,5 +238,5 @@
 
 fn check_size(object: &Object) -> Result<(), StoreError> {
     let size = serde_json::to_vec(&object.spec).map_or(0, |it| it.len());
-    if size > MAX_VALUE_BYTES { Err(StoreError::TooLarge) } else { Ok(()) }
+    if size > MAX_SPEC_BYTES { Err(StoreError::TooLarge) } else { Ok(()) }
 }
--- a/crates/samphiredoor-embedded/src/objects_http.rs
+++ b/crates/samphiredoor-embedded/src/objects_http.rs
@@ -1,8 +1,8 @@
-//! The object API over HTTP, with counters of its calls and faults that tests switch on.
+//! HTTP API of the object store, with call counters and injectable faults for tests.
 //!
 //! Paths: `/apis/samphiredoor.dev/v1/{kind}` and `/apis/samphiredoor.dev/v1/{kind}/{name}`, with `watch=1`,
 //! `resourceVersion`, `timeoutSeconds`, `labelSelector`, `prefix`, `limit` and `continue` as in the platform's
-//! convention. `GET /calls` counts calls by verb and kind; `PUT /faults` sets [`Faults`].
+//! convention. `GET /calls` returns the number of calls by verb and kind; `PUT /faults` sets [`Faults`].
 
 use std::{cell::RefCell, collections::BTreeMap, rc::Rc, time::Duration};
 
@@ -18,25 +18,25 @@
 
 const ROOT: &str = "/apis/samphiredoor.dev/v1/";
 const MAX_BODY_BYTES: usize = 2_000_000;
-const WATCH_DEFAULT: Duration = Duration::from_secs(30);
-const WATCH_POLL: Duration = Duration::from_millis(5);
+const DEFAULT_WATCH_TIMEOUT: Duration = Duration::from_secs(30);
+const WATCH_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Faults that a test switches on.
+/// Faults that a test injects.
 #[derive(Debug, Clone, Default, PartialEq)]
 #[derive(Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// Refuse every call with 503.
+    /// Rejects every call with 503.
     pub outage: bool,
-    /// Delay of each call.
+    /// Delay before each call is handled.
     pub latency_ms: u64,
-    /// Let this many next writes take effect and cut their answers.
+    /// Number of next writes that take effect but whose answers are cut off.
     pub lose_answers: u32,
-    /// Delay of watch events.
+    /// Delay before watch events are sent.
     pub watch_lag_ms: u64,
 }
 
-/// Counted calls, by `verb kind`.
+/// Number of calls by `verb kind`.
 pub type Calls = BTreeMap<String, u64>;
 
 struct State {
@@ -46,7 +46,7 @@
     watches: u64,
 }
 
-/// The object API as a handler.
+/// HTTP handler of the object API; clones share its state.
 #[derive(Clone)]
 pub struct ObjectApi {
     state: Rc<RefCell<State>>,
@@ -60,11 +60,11 @@
 
 enum Outcome {
     Answer(Response<Body>),
-    LoseAnswer,
+    CutAnswer,
 }
 
 impl ObjectApi {
-    /// Empty store without faults.
+    /// API of an empty store without faults.
     pub fn new() -> ObjectApi {
         let state = State {
             objects: Objects::new(),
@@ -75,7 +75,7 @@
         ObjectApi { state: Rc::new(RefCell::new(state)) }
     }
 
-    /// Answers one request.
+    /// Handles one request.
     pub async fn handle(self, request: Request<Incoming>) -> Response<Body> {
         match request.uri().path() {
             "/calls" => return self.calls(),
@@ -91,7 +91,7 @@
         }
         match self.answer(request).await {
             Outcome::Answer(response) => response,
-            Outcome::LoseAnswer => cut_answer(),
+            Outcome::CutAnswer => cut_answer(),
         }
     }
 
@@ -104,7 +104,11 @@
 
     async fn set_faults(&self, request: Request<Incoming>) -> Response<Body> {
         let Ok(body) = read_whole(request.into_body(), MAX_BODY_BYTES).await else {
-            return json::status(StatusCode::BAD_REQUEST, "BadRequest", "no body");
+            return json::status(
+                StatusCode::BAD_REQUEST,
+                "BadRequest",
+                "the request body cannot be read",
+            );
         };
         match serde_json::from_slice::<Faults>(&body) {
             Ok(faults) => {
@@ -118,7 +122,7 @@
     async fn answer(&self, request: Request<Incoming>) -> Outcome {
         let (head, body) = request.into_parts();
         let Some(path) = head.uri.path().strip_prefix(ROOT) else {
-            return refused(StatusCode::NOT_FOUND, "NotFound", "no such path");
+            return rejection(StatusCode::NOT_FOUND, "NotFound", "no such path");
         };
         let (kind, name) = match path.split_once('/') {
             Some((kind, name)) => (kind.to_owned(), Some(name.to_owned())),
@@ -127,32 +131,38 @@
         let query = Query::parse(head.uri.query().unwrap_or_default());
         let body = match read_whole(body, MAX_BODY_BYTES).await {
             Ok(body) => body,
-            Err(_) => return refused(StatusCode::PAYLOAD_TOO_LARGE, "TooLarge", "body too large"),
+            Err(_) => {
+                return rejection(StatusCode::PAYLOAD_TOO_LARGE, "TooLarge", "body too large");
+            }
         };
         match (head.method, name) {
             (Method::GET, Some(name)) => {
-                self.count("get", &kind);
+                self.count_call("get", &kind);
                 let got = self.state.borrow().objects.get(&kind, &name);
                 Outcome::Answer(object_answer(StatusCode::OK, got))
             }
             (Method::GET, None) if query.watch => {
-                self.count("watch", &kind);
+                self.count_call("watch", &kind);
                 Outcome::Answer(self.watch(kind, query))
             }
             (Method::GET, None) => {
-                self.count("list", &kind);
+                self.count_call("list", &kind);
                 let page = self.state.borrow().objects.list(&kind, &query.selector);
                 Outcome::Answer(list_answer(page))
             }
             (Method::POST, None) => self.write("create", &kind, &body, Objects::create),
             (Method::PUT, Some(_)) => self.write("update", &kind, &body, Objects::update),
             (Method::DELETE, Some(name)) => {
-                self.count("delete", &kind);
+                self.count_call("delete", &kind);
                 let version = query.version.map(|it| it.to_string()).unwrap_or_default();
                 let deleted = self.state.borrow_mut().objects.delete(&kind, &name, &version);
-                self.written(object_answer(StatusCode::OK, deleted))
+                self.answer_write(object_answer(StatusCode::OK, deleted))
             }
-            _ => refused(StatusCode::METHOD_NOT_ALLOWED, "MethodNotAllowed", "no such call"),
+            _ => rejection(
+                StatusCode::METHOD_NOT_ALLOWED,
+                "MethodNotAllowed",
+                "method not allowed here",
+            ),
         }
     }
 
@@ -163,25 +173,25 @@
         body: &Bytes,
         apply: fn(&mut Objects, &str, Object) -> Result<Object, StoreError>,
     ) -> Outcome {
-        self.count(verb, kind);
+        self.count_call(verb, kind);
         let object = match serde_json::from_slice::<Object>(body) {
             Ok(object) => object,
             Err(err) => {
-                return refused(StatusCode::BAD_REQUEST, "BadRequest", &err.to_string());
+                return rejection(StatusCode::BAD_REQUEST, "BadRequest", &err.to_string());
             }
         };
         let applied = apply(&mut self.state.borrow_mut().objects, kind, object);
         let status = if verb == "create" { StatusCode::CREATED } else { StatusCode::OK };
-        self.written(object_answer(status, applied))
+        self.answer_write(object_answer(status, applied))
     }
 
-    fn written(&self, response: Response<Body>) -> Outcome {
+    fn answer_write(&self, response: Response<Body>) -> Outcome {
         let faults = &mut self.state.borrow_mut().faults;
         if faults.lose_answers == 0 {
             return Outcome::Answer(response);
         }
         faults.lose_answers -= 1;
-        Outcome::LoseAnswer
+        Outcome::CutAnswer
     }
 
     fn watch(&self, kind: String, query: Query) -> Response<Body> {
@@ -190,37 +200,37 @@
             return json::status(StatusCode::GONE, "Expired", "the version is too old; list again");
         }
         let watch = Watch {
-            place: WatchPlace::new(&self.state),
+            count: WatchCount::new(&self.state),
             kind,
             version: start,
-            deadline: std::time::Instant::now() + query.timeout.unwrap_or(WATCH_DEFAULT),
+            deadline: std::time::Instant::now() + query.timeout.unwrap_or(DEFAULT_WATCH_TIMEOUT),
         };
-        let pieces = futures_util::stream::unfold(watch, Watch::next);
-        Response::new(Body::stream(pieces))
+        let chunks = futures_util::stream::unfold(watch, Watch::next);
+        Response::new(Body::stream(chunks))
     }
 
-    fn count(&self, verb: &str, kind: &str) {
+    fn count_call(&self, verb: &str, kind: &str) {
         *self.state.borrow_mut().calls.entry(format!("{verb} {kind}")).or_default() += 1;
     }
 }
 
-struct WatchPlace(Rc<RefCell<State>>);
+struct WatchCount(Rc<RefCell<State>>);
 
-impl WatchPlace {
-    fn new(state: &Rc<RefCell<State>>) -> WatchPlace {
+impl WatchCount {
+    fn new(state: &Rc<RefCell<State>>) -> WatchCount {
         state.borrow_mut().watches += 1;
-        WatchPlace(Rc::clone(state))
+        WatchCount(Rc::clone(state))
     }
 }
 
-impl Drop for WatchPlace {
+impl Drop for WatchCount {
     fn drop(&mut self) {
         self.0.borrow_mut().watches -= 1;
     }
 }
 
 struct Watch {
-    place: WatchPlace,
+    count: WatchCount,
     kind: String,
     version: u64,
     deadline: std::time::Instant,
@@ -230,7 +240,7 @@
     async fn next(mut self) -> Option<(Result<Bytes, BoxError>, Watch)> {
         while std::time::Instant::now() < self.deadline {
             let (events, faults) = {
-                let state = self.place.0.borrow();
+                let state = self.count.0.borrow();
                 (state.objects.events_after(&self.kind, self.version), state.faults.clone())
             };
             if faults.outage {
@@ -245,7 +255,7 @@
                 let lines = event_lines(events.iter().map(|(_, event)| event));
                 return Some((Ok(lines), self));
             }
-            compio::time::sleep(WATCH_POLL).await;
+            compio::time::sleep(WATCH_POLL_INTERVAL).await;
         }
         None
     }
@@ -260,7 +270,7 @@
     lines.into()
 }
 
-/// Parameters of a call.
+/// Query parameters of a call; unknown ones are ignored.
 #[derive(Default)]
 struct Query {
     watch: bool,
@@ -306,14 +316,16 @@
     match err {
         StoreError::NotFound => json::status(StatusCode::NOT_FOUND, "NotFound", "no such object"),
         StoreError::AlreadyExists => {
-            json::status(StatusCode::CONFLICT, "AlreadyExists", "the name is taken")
+            json::status(StatusCode::CONFLICT, "AlreadyExists", "an object of this name exists")
         }
         StoreError::Conflict => {
-            json::status(StatusCode::CONFLICT, "Conflict", "the version has moved on")
-        }
-        StoreError::TooLarge => {
-            json::status(StatusCode::PAYLOAD_TOO_LARGE, "TooLarge", "above a megabyte")
+            json::status(StatusCode::CONFLICT, "Conflict", "the object has another version")
         }
+        StoreError::TooLarge => json::status(
+            StatusCode::PAYLOAD_TOO_LARGE,
+            "TooLarge",
+            "the object is larger than 1 MB",
+        ),
         StoreError::Expired => json::status(StatusCode::GONE, "Expired", "list again"),
     }
 }
@@ -329,11 +341,11 @@
     json::answer(StatusCode::OK, &value)
 }
 
-fn refused(status: StatusCode, reason: &str, message: &str) -> Outcome {
+fn rejection(status: StatusCode, reason: &str, message: &str) -> Outcome {
     Outcome::Answer(json::status(status, reason, message))
 }
 
-/// Answer whose body breaks off, so that the caller cannot tell whether its write took effect.
+/// Response whose body is cut off, so that the outcome of the write is unknown to the caller.
 fn cut_answer() -> Response<Body> {
     let broken = futures_util::stream::once(async { Err("answer lost".into()) });
     let mut response = Response::new(Body::stream(broken));
--- a/crates/samphiredoor-embedded/src/orders_http.rs
+++ b/crates/samphiredoor-embedded/src/orders_http.rs
@@ -1,7 +1,8 @@
-//! Orders to an engine: weights that it loads and drops, with or without a check of the fencing number.
+//! Orders to an engine to load or unload weights, with or without a check of fencing tokens.
 //!
-//! `POST /v1/orders` takes `{"fence": 3, "action": "load", "weight": "menus"}`; an engine that checks answers 409 to a
-//! number below the highest it has seen. `GET /v1/orders` shows what it holds and every order that took effect.
+//! `POST /v1/orders` takes `{"fence": 3, "action": "load", "weight": "menus"}`. An engine that checks fencing answers
+//! 409 if the token is lower than the highest one received so far. `GET /v1/orders` returns the loaded weights and all
+//! orders that took effect.
 
 use std::{
     cell::{Cell, RefCell},
@@ -19,27 +20,27 @@
 
 const MAX_BODY_BYTES: usize = 64 * 1024;
 
-/// One order as it arrives.
+/// Body of an order.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct Order {
-    /// Fencing number.
+    /// Fencing token of the sender.
     pub fence: u64,
     /// `load` or `unload`.
     pub action: String,
-    /// Weight.
+    /// Name of the weight.
     pub weight: String,
 }
 
 #[derive(Default)]
 struct State {
-    held: BTreeSet<String>,
+    loaded: BTreeSet<String>,
     effects: Vec<Order>,
     loading: usize,
-    most_loading: usize,
+    max_loading: usize,
 }
 
-/// Weights of one engine, as a handler.
+/// HTTP handler for the weights of one engine; clones share its state.
 #[derive(Clone)]
 pub struct Weights {
     checks_fencing: bool,
@@ -49,53 +50,61 @@
 }
 
 impl Weights {
-    /// Engine without weights; a load takes `load_time`.
+    /// Engine without loaded weights; a load takes `load_time`.
     pub fn new(checks_fencing: bool, load_time: Duration) -> Weights {
         Weights { checks_fencing, load_time, highest_fence: Rc::default(), state: Rc::default() }
     }
 
-    /// Answers one request to `/v1/orders`.
+    /// Handles one request to `/v1/orders`.
     pub async fn handle(self, request: Request<Incoming>) -> Response<Body> {
         if request.method() == Method::GET {
             let state = self.state.borrow();
             let value = json!({
-                "held": state.held,
+                "held": state.loaded,
                 "effects": state.effects,
-                "most_loading": state.most_loading,
+                "most_loading": state.max_loading,
             });
             return json::answer(StatusCode::OK, &value);
         }
         let Ok(body) = read_whole(request.into_body(), MAX_BODY_BYTES).await else {
-            return json::status(StatusCode::BAD_REQUEST, "BadRequest", "no body");
+            return json::status(
+                StatusCode::BAD_REQUEST,
+                "BadRequest",
+                "the request body cannot be read",
+            );
         };
         match serde_json::from_slice::<Order>(&body) {
-            Ok(order) => self.carry_out(order).await,
+            Ok(order) => self.execute(order).await,
             Err(err) => json::status(StatusCode::BAD_REQUEST, "BadRequest", &err.to_string()),
         }
     }
 
-    async fn carry_out(&self, order: Order) -> Response<Body> {
+    async fn execute(&self, order: Order) -> Response<Body> {
         if self.checks_fencing && order.fence < self.highest_fence.get() {
-            return json::status(StatusCode::CONFLICT, "Fenced", "a higher number was seen");
+            return json::status(
+                StatusCode::CONFLICT,
+                "Fenced",
+                "a higher fencing token was received",
+            );
         }
         self.highest_fence.set(order.fence.max(self.highest_fence.get()));
         if order.action == "load" {
-            self.load().await;
+            self.run_load().await;
         }
         let state = &mut *self.state.borrow_mut();
         match order.action.as_str() {
-            "load" => state.held.insert(order.weight.clone()),
-            _ => state.held.remove(&order.weight),
+            "load" => state.loaded.insert(order.weight.clone()),
+            _ => state.loaded.remove(&order.weight),
         };
         state.effects.push(order);
         json::status(StatusCode::OK, "Done", "done")
     }
 
-    async fn load(&self) {
+    async fn run_load(&self) {
         {
             let state = &mut *self.state.borrow_mut();
             state.loading += 1;
-            state.most_loading = state.most_loading.max(state.loading);
+            state.max_loading = state.max_loading.max(state.loading);
         }
         compio::time::sleep(self.load_time).await;
         self.state.borrow_mut().loading -= 1;
--- a/crates/samphiredoor-embedded/src/prefix_cache.rs
+++ b/crates/samphiredoor-embedded/src/prefix_cache.rs
@@ -1,14 +1,14 @@
-//! The prompts whose beginnings an engine still holds: whole blocks, oldest forgotten first.
+//! Prefix cache of an engine: whole blocks of prompts, evicted in least-recently-used order.
 
 use std::{
     collections::{BTreeMap, HashMap},
     hash::{DefaultHasher, Hash, Hasher},
 };
 
-/// Bytes of a block; only whole blocks are held.
+/// Bytes of a block; only whole blocks are cached.
 pub const BLOCK_BYTES: usize = 256;
 
-/// Blocks of prompts, each known by the hash of everything up to its end.
+/// Cached blocks of prompts, each identified by the hash of the prompt up to the end of the block.
 #[derive(Debug, Default)]
 pub struct PrefixCache {
     last_use: HashMap<u64, u64>,
@@ -17,31 +17,31 @@
 }
 
 impl PrefixCache {
-    /// Holds `prompt` from now on; returns how many of its first bytes were held already.
-    pub fn hold(&mut self, prompt: &str, max_bytes: usize) -> usize {
+    /// Caches the blocks of `prompt`; returns the length of its prefix that was already cached, in bytes.
+    pub fn insert(&mut self, prompt: &str, max_bytes: usize) -> usize {
         let mut hasher = DefaultHasher::new();
-        let mut held = 0;
+        let mut cached_bytes = 0;
         let mut missed = false;
         for block in prompt.as_bytes().chunks_exact(BLOCK_BYTES) {
             block.hash(&mut hasher);
             missed |= !self.touch(hasher.finish());
             if !missed {
-                held += BLOCK_BYTES;
+                cached_bytes += BLOCK_BYTES;
             }
         }
         while self.by_age.len() * BLOCK_BYTES > max_bytes {
             let Some((_, oldest)) = self.by_age.pop_first() else { break };
             self.last_use.remove(&oldest);
         }
-        held
+        cached_bytes
     }
 
-    /// Blocks held.
+    /// Number of cached blocks.
     pub fn len(&self) -> usize {
         self.by_age.len()
     }
 
-    /// Whether nothing is held.
+    /// Whether no block is cached.
     pub fn is_empty(&self) -> bool {
         self.by_age.is_empty()
     }
--- a/crates/samphiredoor-embedded/src/service_http.rs
+++ b/crates/samphiredoor-embedded/src/service_http.rs
@@ -1,6 +1,7 @@
-//! A plain service over HTTP that records what it ran.
+//! A plain HTTP service that counts the runs of each request.
 //!
-//! `POST` on any path echoes the body after `delay_ms`; `GET /runs` counts runs by `x-request-id`.
+//! Any request except `GET /runs` is answered with its own body after a delay; `GET /runs` returns the number of runs
+//! by `x-request-id`.
 
 use std::{cell::RefCell, collections::BTreeMap, rc::Rc, time::Duration};
 
@@ -11,7 +12,7 @@
 
 const MAX_BODY_BYTES: usize = 8_000_000;
 
-/// One plain service as a handler.
+/// HTTP handler of a plain service; clones share its state.
 #[derive(Clone)]
 pub struct PlainService {
     delay: Duration,
@@ -19,12 +20,12 @@
 }
 
 impl PlainService {
-    /// Service that answers after `delay`.
+    /// Service that answers each request after `delay`.
     pub fn new(delay: Duration) -> PlainService {
         PlainService { delay, runs: Rc::default() }
     }
 
-    /// Answers one request.
+    /// Handles one request.
     pub async fn handle(self, request: Request<Incoming>) -> Response<Body> {
         if request.method() == Method::GET && request.uri().path() == "/runs" {
             return json::answer(StatusCode::OK, &*self.runs.borrow());
@@ -32,7 +33,11 @@
         let id = request.headers().get("x-request-id").and_then(|it| it.to_str().ok());
         let id = id.unwrap_or("unnamed").to_owned();
         let Ok(body) = read_whole(request.into_body(), MAX_BODY_BYTES).await else {
-            return json::status(StatusCode::BAD_REQUEST, "BadRequest", "no body");
+            return json::status(
+                StatusCode::BAD_REQUEST,
+                "BadRequest",
+                "the request body cannot be read",
+            );
         };
         *self.runs.borrow_mut().entry(id).or_default() += 1;
         compio::time::sleep(self.delay).await;
--- a/crates/samphiredoor-standin/src/measured.rs
+++ b/crates/samphiredoor-standin/src/measured.rs
@@ -3,7 +3,7 @@
 use std::{collections::BTreeMap, time::Duration};
 
 use hdrhistogram::Histogram;
-use samphiredoor_embedded::engine_record::{EngineRecord, STEP_CLASS_US};
+use samphiredoor_embedded::engine_record::{EngineRecord, STEP_BUCKET_US};
 
 /// How one online request ended.
 #[derive(Debug, Clone, Default)]
@@ -146,7 +146,7 @@
     fn steps(&self) -> Times {
         let mut steps = times();
         for (class, count) in self.engines.iter().flat_map(|it| &it.online_steps) {
-            let us = class * STEP_CLASS_US + STEP_CLASS_US / 2;
+            let us = class * STEP_BUCKET_US + STEP_BUCKET_US / 2;
             let _ = steps.record_n(us, *count);
         }
         steps
