--- a/crates/samphiredoor-standin/examples/manifest_spread.rs
+++ b/crates/samphiredoor-standin/examples/manifest_spread.rs
@@ -1,5 +1,6 @@
-//! How long a change of the manifest takes to be in force on nine doors, and what idle doors cost: bytes on peer links,
-//! processor time, memory, and calls to the store. Build `samphiredoor` in release first, and run this in release.
+//! Measures the time until a change of the manifest is active on nine gateways, and the cost of idle gateways: bytes
+//! sent to peers, CPU time, memory, and calls to the store. Build `samphiredoor` in release mode first, and run this in
+//! release mode.
 
 use std::{
     collections::BTreeMap,
@@ -87,7 +88,7 @@
 }
 
 async fn idle(doors: &[DoorProcess], store: &Pool) -> Result<()> {
-    // Gossip and probes from the start come to rest first.
+    // Lets gossip and probes from the start of the processes settle first.
     compio::time::sleep(Duration::from_secs(20)).await;
     let bytes = total(doors, "samphiredoor_peer_bytes_sent_total ").await?;
     let cpu: f64 = doors.iter().map(cpu_s).sum();
--- a/crates/samphiredoor-standin/src/calls.rs
+++ b/crates/samphiredoor-standin/src/calls.rs
@@ -1,8 +1,8 @@
-//! Small calls at a plain service, one by one or at a rate, for the time that a door adds and the rate that it bears.
+//! Load generator of small calls to a plain service, to measure the latency that a gateway adds and its maximum rate.
 //!
-//! Without a rate, each connection sends its next call when the last is answered: that gives the top rate. With one,
-//! calls are due at fixed times whatever became of the others, and each is timed from when it was due, so that a slow
-//! answer is not left out of the figures of those behind it.
+//! Without a rate, the load is closed-loop: each connection sends its next call when the last one is answered, which
+//! gives the maximum rate. With a rate, it is open-loop: calls are due at fixed times, and latency is measured from the
+//! due time, so that the delay that a slow answer causes to later calls is counted (no coordinated omission).
 
 use std::{
     cell::RefCell,
@@ -20,18 +20,18 @@
 const MAX_ANSWER_BYTES: usize = 1_024;
 const MAX_LATENCY_US: u64 = 60_000_000;
 
-/// Calls to make.
+/// Parameters of a run.
 #[derive(Debug, Clone)]
 pub struct Calls {
-    /// Where to send them.
+    /// Address that the calls are sent to.
     pub address: SocketAddr,
     /// Path of each call.
     pub path: String,
-    /// Calls under way at once, where no rate is given.
+    /// Concurrent calls; only without a rate.
     pub connections: usize,
-    /// Calls a second, due at fixed times.
+    /// Calls per second; without it, the load is closed-loop.
     pub rate_per_s: Option<f64>,
-    /// How long.
+    /// Duration of the run.
     pub duration: Duration,
 }
 
@@ -40,7 +40,7 @@
     failed: RefCell<u64>,
 }
 
-/// Makes the calls and prints one line: rate, latencies in milliseconds, failures.
+/// Sends the calls and prints one line: rate, latencies in milliseconds, number of failures.
 pub async fn run(calls: Calls) -> anyhow::Result<()> {
     let histogram = Histogram::new_with_bounds(1, MAX_LATENCY_US, 3)?;
     let measured =
--- a/crates/samphiredoor-standin/src/fleet.rs
+++ b/crates/samphiredoor-standin/src/fleet.rs
@@ -1,4 +1,5 @@
-//! A store, replicas and processes of gateways and storage hosts, all on loopback and ended with their owner.
+//! Test fleet on loopback: a simulated store, simulated replicas (targets), and real processes of gateways and storage
+//! hosts. Child processes end when their owner is dropped.
 
 use std::{
     collections::BTreeMap,
@@ -26,59 +27,63 @@
     process::ChildProcess,
 };
 
-/// Host of all routes.
+/// Host name of all routes.
 pub const HOST: &str = "desk.example";
-/// Events of a whole run.
+/// Number of events in the answer of a complete run.
 pub const EVENTS: u64 = 6;
 
 static NEXT_FOLDER: AtomicU32 = AtomicU32::new(0);
 
-/// The platform with any number of gateways.
+/// Simulated platform with any number of gateway processes. Fields that say so affect only processes and targets that
+/// are started after they were set.
 pub struct Platform {
-    /// Its store.
+    /// Store of the platform.
     pub store: PlatformStore,
-    /// The `samphiredoor` program.
+    /// Path of the `samphiredoor` program.
     binary: PathBuf,
     address: SocketAddr,
     folder: PathBuf,
     gateways: Vec<Gateway>,
-    /// Time between failing readiness and closing the listener, for gateways that are started next.
+    /// Setting `stopping.unready_ms` of gateways that are started next: time between failing readiness and closing the
+    /// listener.
     pub unready_ms: u64,
-    /// How long watches of processes wait at most that are started next.
+    /// Setting `store.watch_ms` of processes that are started next: maximum wait of a watch.
     pub watch_ms: u64,
-    /// Within which time changes of routes and targets have to be in force at gateways that are started next.
+    /// Settings `store.routes_within_ms` and `store.targets_within_ms` of gateways that are started next: time within
+    /// which changes of routes and targets have to be active.
     pub within_ms: u64,
-    /// How the store misbehaves towards gateways that are started next.
+    /// Fault of the store paths of gateways that are started next.
     pub way_fault: StoreFault,
-    /// Whether gateways and targets that are started next are reached through links.
+    /// Whether gateways that are started next reach the store through links, and targets that are started next are
+    /// reached through links.
     pub linked: bool,
-    /// Line that the links of gateways to the store share which are started next.
+    /// Bandwidth that the store links of gateways that are started next share.
     pub line: Option<SharedRate>,
-    /// Region of gateways that are started next, in its availability zone that ends in `-north`.
+    /// Region of gateways that are started next; their availability zone is this name with `-north` appended.
     pub region: &'static str,
-    /// Where gateways that are started next listen for others.
+    /// IP address on which gateways that are started next listen for peers.
     pub peers_ip: &'static str,
-    /// Links to targets, by their names.
+    /// Links to targets, by target name.
     target_links: BTreeMap<String, Link>,
-    /// Storage hosts' processes that gateways may ask which are started next.
+    /// Mirror addresses of storage hosts, for the settings of gateways that are started next.
     mirrors: Vec<SocketAddr>,
-    /// Logs of all processes that were started, by their names.
+    /// Names and logs of all processes that were started.
     logs: Vec<(String, Lines)>,
 }
 
-/// One gateway process.
+/// Gateway process with its addresses.
 pub struct Gateway {
     callers: SocketAddr,
     readiness: SocketAddr,
     process: ChildProcess,
-    /// Its own way to the store.
+    /// Store handle with the access path of this gateway.
     way: PlatformStore,
-    /// Its link to the store, if it has one.
+    /// Link to the store, if [`Platform::linked`] was set.
     link: Option<Link>,
     lines: Lines,
 }
 
-/// What a process has logged since it started.
+/// Log lines of a process since it reported its start.
 type Lines = Arc<Mutex<Vec<String>>>;
 
 impl Drop for Platform {
@@ -87,7 +92,7 @@
     }
 }
 
-/// Route of the given kind under `/kind/`.
+/// Route of a kind under `/kind/`, or `/kind-resumable/` for resumable streams.
 pub fn route(kind: &str, attempts: u32, resumable: bool) -> Value {
     json!({
         "name": format!("r-{kind}-{resumable}"), "host": HOST,
@@ -99,14 +104,14 @@
 }
 
 impl Platform {
-    /// A store with routes of all kinds, and neither gateways nor replicas.
+    /// Platform with routes of all kinds, without gateways and replicas.
     pub fn new(binary: impl AsRef<Path>) -> Platform {
         let platform = Platform::without_routes(binary);
         platform.put_routes(1, 3);
         platform
     }
 
-    /// An empty store.
+    /// Platform with an empty store.
     pub fn without_routes(binary: impl AsRef<Path>) -> Platform {
         let number = NEXT_FOLDER.fetch_add(1, Ordering::Relaxed);
         let name = format!("samphiredoor-fleet-{}-{number}", std::process::id());
@@ -135,7 +140,7 @@
         }
     }
 
-    /// Writes routes of all kinds under one version.
+    /// Writes a configuration with routes of all kinds.
     pub fn put_routes(&self, version: u64, attempts: u32) {
         let routes = [
             route("stream", 1, false),
@@ -153,14 +158,14 @@
         self.store.put("config", "main", config);
     }
 
-    /// Replaces all routes by one under `/newest/`.
+    /// Writes a configuration whose only route is `/newest/`.
     pub fn put_newest_route(&self, version: u64) {
         let mut newest = route("safe", 3, false);
         newest["pathPrefix"] = json!("/newest/");
         self.store.put("config", "main", json!({ "version": version, "routes": [newest] }));
     }
 
-    /// Starts a replica and registers it.
+    /// Starts a replica and registers it as ready.
     pub fn start_target(&mut self, name: &str, pause: Duration) -> PlatformTarget {
         let target = PlatformTarget::start(name, EVENTS, pause).expect("a replica starts");
         if self.linked {
@@ -171,7 +176,7 @@
         target
     }
 
-    /// Writes the entry of a replica.
+    /// Writes the store entry of a replica, with the address of its link if it has one.
     pub fn register(&self, target: &PlatformTarget, state: &str) {
         let mut entry = target.entry("reader", "brisbane-north", state);
         if let Some(link) = self.target_links.get(&target.name) {
@@ -187,13 +192,13 @@
         number
     }
 
-    /// Waits until a gateway says that it is ready.
+    /// Waits until the readiness check of a gateway succeeds.
     pub fn wait_ready(&self, number: usize) {
         let readiness = self.gateways[number].readiness;
         wait_until("the gateway is ready", || get(readiness, "/samphiredoor/ready").status == 200);
     }
 
-    /// Starts a gateway and waits until it listens.
+    /// Starts a gateway and waits until it listens; it may not be ready yet.
     pub fn spawn_gateway(&mut self) -> usize {
         let number = self.gateways.len();
         let gateway = self.run_gateway(number);
@@ -201,7 +206,7 @@
         number
     }
 
-    /// Starts a gateway anew under its former name, after the former process has ended.
+    /// Restarts a gateway under the same name; the previous process must have exited.
     pub fn restart_gateway(&mut self, number: usize) {
         self.gateways[number] = self.run_gateway(number);
     }
@@ -239,7 +244,7 @@
         Gateway { callers, readiness, process: ChildProcess(child), way, link, lines }
     }
 
-    /// Starts the process of a storage host.
+    /// Starts the process of a storage host; gateways that are started next use its mirror.
     pub fn start_storage(&mut self, name: &str) -> ChildProcess {
         let settings = format!(
             "name = \"{name}\"\nregion = \"brisbane\"\navailability_zone = \"brisbane-north\"\n\
@@ -280,34 +285,34 @@
         (child, started, logged)
     }
 
-    /// Sends a signal to a gateway by its name, as `STOP`.
+    /// Sends a signal to a gateway, by its name without `SIG`, such as `STOP`.
     pub fn signal(&self, number: usize, name: &str) {
         self.gateways[number].process.signal(name);
     }
 
-    /// Has a gateway's way to the store misbehave from now on.
+    /// Sets the fault of a gateway's store path.
     pub fn set_way_fault(&self, number: usize, fault: StoreFault) {
         self.gateways[number].way.set_way_fault(fault);
     }
 
-    /// All links: of gateways to the store, and to targets.
+    /// All links of gateways to the store and of gateways to targets.
     pub fn links(&self) -> Vec<&Link> {
         let of_gateways = self.gateways.iter().filter_map(|it| it.link.as_ref());
         of_gateways.chain(self.target_links.values()).collect()
     }
 
-    /// Waits until a gateway has logged something.
+    /// Waits until a gateway has logged a line that contains `text`.
     pub fn wait_logged(&self, number: usize, text: &str) {
         wait_until(text, || self.times_logged(number, text) > 0);
     }
 
-    /// How often a gateway has logged something.
+    /// Number of lines that contain `text` in the log of a gateway's current process.
     pub fn times_logged(&self, number: usize, text: &str) -> usize {
         let lines = self.gateways[number].lines.lock().expect("nobody panicked");
         lines.iter().filter(|it| it.contains(text)).count()
     }
 
-    /// What processes have logged that names an id, each line behind the name of its process.
+    /// Log lines of all processes that name an id, each with the name of its process in front.
     pub fn lines_with(&self, id: &str) -> Vec<String> {
         let mut found = Vec::new();
         for (name, lines) in &self.logs {
@@ -318,7 +323,7 @@
         found
     }
 
-    /// Writes what each process has logged into a file of its name; lines of later starts follow those of earlier ones.
+    /// Writes the log of each process to the file `NAME.log`; lines of later incarnations follow those of earlier ones.
     ///
     /// # Errors
     ///
@@ -344,7 +349,7 @@
         self.target_links.get(name)
     }
 
-    /// Where a gateway takes callers' connections.
+    /// Address of a gateway's listener for callers.
     pub fn callers(&self, number: usize) -> SocketAddr {
         self.gateways[number].callers
     }
@@ -354,17 +359,17 @@
         &mut self.gateways[number].process
     }
 
-    /// Where a gateway tells whether it is ready.
+    /// Address of a gateway's readiness check.
     pub fn readiness(&self, number: usize) -> SocketAddr {
         self.gateways[number].readiness
     }
 
-    /// Sends a request of a caller.
+    /// Sends a request as a caller.
     pub fn send(&self, gateway: usize, path: &str, id: &str, body: &str) -> Answer {
         self.send_with(gateway, path, id, &[], body)
     }
 
-    /// Sends a request of a caller with more headers.
+    /// Sends a request as a caller, with additional headers.
     pub fn send_with(
         &self,
         gateway: usize,
@@ -378,26 +383,26 @@
         call(Method::POST, self.gateways[gateway].callers, path, &headers, body)
     }
 
-    /// Submits a job of items whose bodies are their names.
+    /// Submits a job; the body of each item is its id.
     pub fn submit(&self, gateway: usize, job: &str, items: &[&str]) -> Answer {
         self.send(gateway, "/batch/submit", job, &submission(items))
     }
 
-    /// Submits a job of so many items.
+    /// Submits a job of `count` items.
     pub fn submit_many(&self, gateway: usize, job: &str, count: usize) -> Answer {
         let items: Vec<String> = (0..count).map(|it| format!("item-{it}")).collect();
         let items: Vec<&str> = items.iter().map(String::as_str).collect();
         self.submit(gateway, job, &items)
     }
 
-    /// Reads results from a position on.
+    /// Reads one page of results, from position `after` on.
     pub fn results(&self, gateway: usize, job: &str, after: usize) -> Answer {
         let path = format!("/samphiredoor/lots/{job}?after={after}");
         let headers = [("host", HOST), ("x-wait-ms", "100")];
         call(Method::GET, self.gateways[gateway].callers, &path, &headers, "")
     }
 
-    /// Reads all results once all stand.
+    /// Waits until a job has `count` results, and returns them.
     pub fn all_results(&self, gateway: usize, job: &str, count: usize) -> Vec<Value> {
         let mut all = Vec::new();
         wait_until("all results stand", || {
@@ -407,7 +412,7 @@
         all
     }
 
-    /// Reads the results that stand, page by page from the first one.
+    /// Reads all available results, page by page.
     pub fn standing_results(&self, gateway: usize, job: &str) -> Vec<Value> {
         let mut all: Vec<Value> = Vec::new();
         loop {
@@ -429,14 +434,14 @@
         call(Method::GET, self.gateways[gateway].callers, &path, &[("host", HOST)], "")
     }
 
-    /// Ends a job.
+    /// Cancels a job.
     pub fn cancel(&self, gateway: usize, job: &str) -> Answer {
         let path = format!("/samphiredoor/lots/{job}");
         call(Method::DELETE, self.gateways[gateway].callers, &path, &[("host", HOST)], "")
     }
 }
 
-/// Body of a submission; the body of each item is its name.
+/// Body of a job submission; the body of each item is its id.
 pub fn submission(items: &[impl AsRef<str>]) -> String {
     let items = items.iter().map(AsRef::as_ref).map(|id| {
         json!({
@@ -447,7 +452,7 @@
     json!({ "items": items.collect::<Vec<Value>>() }).to_string()
 }
 
-/// Whether a line holds an id that goes on on neither side.
+/// Whether a line contains an id as a whole word, not as a part of a longer id.
 fn names(line: &str, id: &str) -> bool {
     let ends = |it: Option<char>| it.is_none_or(|it| !it.is_alphanumeric() && it != '-');
     line.match_indices(id).any(|(at, _)| {
@@ -455,7 +460,7 @@
     })
 }
 
-/// The stream that a whole run gives its caller.
+/// Event stream that a caller receives from a complete run.
 pub fn whole_stream() -> String {
     (1..=EVENTS).map(|it| format!("id: {it}\ndata: piece-{it}\n\n")).collect()
 }
--- a/crates/samphiredoor-standin/src/http.rs
+++ b/crates/samphiredoor-standin/src/http.rs
@@ -1,4 +1,4 @@
-//! Single calls over HTTP, and servers for the stand-ins.
+//! Blocking HTTP calls for tests, and servers on threads of their own.
 
 use std::{net::SocketAddr, thread, time::Duration};
 
@@ -8,35 +8,39 @@
 const TRIES: u32 = 9_000;
 const PAUSE: Duration = Duration::from_millis(10);
 
-/// Answer to a call.
+/// Answer to an HTTP call.
 #[derive(Debug)]
 pub struct Answer {
-    /// Status; 0 if the answer was cut.
+    /// Status; 0 if no complete answer was received.
     pub status: u16,
     /// Headers.
     pub headers: hyper::HeaderMap,
-    /// Body, or what went wrong.
+    /// Body, or the error message if there is no complete answer.
     pub text: String,
 }
 
 impl Answer {
-    /// Body as JSON; null if it is none.
+    /// Body as JSON; null if it isn't valid JSON.
     pub fn json(&self) -> Value {
         serde_json::from_str(&self.text).unwrap_or(Value::Null)
     }
 }
 
-/// Posts a body.
+/// Sends a POST request.
 pub fn post(address: SocketAddr, path: &str, headers: &[(&str, &str)], body: &str) -> Answer {
     call(hyper::Method::POST, address, path, headers, body)
 }
 
-/// Gets a path.
+/// Sends a GET request.
 pub fn get(address: SocketAddr, path: &str) -> Answer {
     call(hyper::Method::GET, address, path, &[], "")
 }
 
-/// Waits for something that must come, without saying when.
+/// Polls a condition until it holds.
+///
+/// # Panics
+///
+/// The condition does not hold after [`TRIES`] polls, 90 s.
 pub fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
     for _ in 0..TRIES {
         if condition() {
@@ -47,7 +51,7 @@
     panic!("never: {what}");
 }
 
-/// Makes one call on a connection of its own; status 0 if its answer was cut.
+/// Sends one request on a new connection; the status is 0 if no complete answer was received.
 pub fn call(
     method: hyper::Method,
     address: SocketAddr,
@@ -73,7 +77,7 @@
     }
 }
 
-/// Starts a server with a handler of the test's own; returns where it listens.
+/// Starts a server on a new thread with the handler that `make` creates there; returns its address.
 pub fn start<M, H, F>(make: M) -> SocketAddr
 where
     M: FnOnce() -> H + Send + 'static,
--- a/crates/samphiredoor-standin/src/lib.rs
+++ b/crates/samphiredoor-standin/src/lib.rs
@@ -1,7 +1,9 @@
-//! Stand-ins that speak the users' platform's published pages: its store, and replicas behind it; and links to them.
+//! Simulated parts of the users' platform for tests: its store, the replicas behind the gateways (targets), and faulty
+//! network links to both, as the platform's published pages describe them.
 //!
-//! They keep everything in memory and can be told to misbehave in the ways that the pages allow, so that the gateway is
-//! tested against them without the platform.
+//! All state is in memory. Faults that the pages allow can be injected, so that gateways are tested against them
+//! without the platform. The modules [`soak`] and [`emulate`] are built on these parts: randomized tests of real
+//! processes, and simulations in virtual time.
 
 pub mod emulate;
 pub mod fleet;
--- a/crates/samphiredoor-standin/src/link.rs
+++ b/crates/samphiredoor-standin/src/link.rs
@@ -1,8 +1,8 @@
-//! A link on loopback that misbehaves on demand.
+//! A TCP proxy on loopback that simulates network faults.
 //!
-//! It stands between a process and one address, and passes bytes both ways. Bytes are never left out of a direction that
-//! goes on: a direction that has lost a byte stays silent for as long as its connection lasts, as behind a router that
-//! has forgotten it, while new connections work as soon as the fault is over.
+//! It forwards bytes both ways between a client process and one server address. It never drops bytes from the middle of
+//! a stream: once it has dropped a byte of one direction of a connection, it forwards nothing more in this direction,
+//! as a router that has lost the connection's state. New connections work as soon as the fault is over.
 
 use std::{
     io::{Read, Write},
@@ -12,23 +12,23 @@
     time::{Duration, Instant},
 };
 
-/// Time by which a slow link delays each piece.
+/// Delay of each chunk on a slow link.
 const SLOW: Duration = Duration::from_millis(150);
 const PIECE_BYTES: usize = 16 * 1024;
 
-/// How a link misbehaves.
+/// Fault of a link.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum LinkFault {
-    /// It does not.
+    /// No fault.
     #[default]
     None,
-    /// Each piece is late.
+    /// Delays each chunk by 150 ms.
     Slow,
-    /// Nothing passes.
+    /// Drops all data.
     Silent,
-    /// Nothing passes towards the far side.
+    /// Drops data from the client to the server.
     SilentThere,
-    /// Nothing passes back.
+    /// Drops data from the server to the client.
     SilentBack,
 }
 
@@ -49,7 +49,7 @@
     }
 }
 
-/// The two halves of a connection through the link; closed when nothing passes any more.
+/// Sockets to the client and to the server of one proxied connection; closed when both directions have ended.
 struct Connection {
     near: TcpStream,
     far: TcpStream,
@@ -64,8 +64,8 @@
     }
 }
 
-/// Bytes a second that several links share, as the hosts of a region share its line. Pieces pass in the order in which they
-/// come, so that each busy connection gets an equal part.
+/// Bandwidth that several links share, as the hosts of a region share its uplink. Chunks are forwarded in order of
+/// arrival, so that busy connections get equal shares.
 #[derive(Clone)]
 pub struct SharedRate {
     bytes_per_s: u64,
@@ -78,13 +78,13 @@
 }
 
 impl SharedRate {
-    /// A line that carries so much.
+    /// Shared bandwidth of this many bytes per second.
     pub fn new(bytes_per_s: u64) -> SharedRate {
         let line = Line { free_at: Instant::now(), carried_bytes: 0 };
         SharedRate { bytes_per_s, line: Arc::new(Mutex::new(line)) }
     }
 
-    /// Bytes that it has carried so far.
+    /// Bytes transferred so far.
     pub fn carried_bytes(&self) -> usize {
         self.line().carried_bytes
     }
@@ -93,7 +93,7 @@
         self.line.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    /// Waits until the line has carried a piece.
+    /// Waits until a chunk has been transferred.
     fn carry(&self, bytes: usize) {
         let takes = Duration::from_secs(1).mul_f64(bytes as f64 / self.bytes_per_s as f64);
         let carried_at = {
@@ -113,7 +113,7 @@
     open: Vec<Weak<Connection>>,
 }
 
-/// Handle to a link; it lasts as long as the process.
+/// Handle to a link; the link itself runs until the process ends.
 #[derive(Clone)]
 pub struct Link {
     address: SocketAddr,
@@ -121,11 +121,11 @@
 }
 
 impl Link {
-    /// Starts a link to `far`.
+    /// Starts a link to the server at `server`.
     ///
     /// # Errors
     ///
-    /// Why it cannot listen.
+    /// No port can be listened on.
     pub fn start(far: SocketAddr) -> std::io::Result<Link> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let link = Link { address: listener.local_addr()?, state: Arc::default() };
@@ -138,22 +138,22 @@
         Ok(link)
     }
 
-    /// Where it listens.
+    /// Address that clients connect to.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Has the link misbehave from now on.
+    /// Sets the fault from now on, also for open connections.
     pub fn set_fault(&self, fault: LinkFault) {
         self.state().fault = fault;
     }
 
-    /// Has the link share a line with others, for what comes back.
+    /// Limits data from the server to the client to a bandwidth that is shared with other links.
     pub fn share(&self, rate: &SharedRate) {
         self.state().rate = Some(rate.clone());
     }
 
-    /// Ends all open connections.
+    /// Closes all open connections.
     pub fn cut(&self) {
         for connection in self.state().open.drain(..).filter_map(|it| it.upgrade()) {
             // One that has ended already needs no end.
@@ -167,7 +167,7 @@
     }
 
     fn connect(&self, near: TcpStream, far: SocketAddr) {
-        // A far side that is gone closes the near one, too.
+        // If the server cannot be reached, the client's connection is closed by the drop.
         let Ok(far) = TcpStream::connect(far) else { return };
         let connection = Arc::new(Connection { near, far });
         {
@@ -181,7 +181,7 @@
         }
     }
 
-    /// Passes bytes one way until the connection ends.
+    /// Forwards bytes in one direction until the connection ends.
     fn pass(&self, connection: &Connection, direction: Direction) {
         let (mut from, mut to) = connection.ends(direction);
         let mut piece = vec![0; PIECE_BYTES];
--- a/crates/samphiredoor-standin/src/load.rs
+++ b/crates/samphiredoor-standin/src/load.rs
@@ -1,7 +1,7 @@
-//! Sends the requests of a scenario and measures what came back.
+//! Load generator: sends the requests and jobs of a scenario and measures the answers.
 //!
-//! Arrivals are open-loop: each request is sent at its time, whether or not earlier ones were answered, and its latency
-//! counts from the time at which it should have been sent. So a slow system cannot slow its own load down.
+//! The load is open-loop: each request is sent when it is due, whether or not earlier ones were answered, and its
+//! latency is measured from the due time. So a slow system cannot reduce its own load.
 
 use std::{
     cell::RefCell,
@@ -29,16 +29,16 @@
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(60);
 const MAX_BODY_BYTES: usize = 64_000_000;
 
-/// Where a run's load goes, and who is asked about it.
+/// Addresses of the processes under test.
 #[derive(Debug, Clone)]
 pub struct Fleet {
-    /// Callers' listeners of the doors.
+    /// Gateways' listeners for callers.
     pub doors: Vec<SocketAddr>,
-    /// Engines, for their records.
+    /// Engines, whose counters are read.
     pub engines: Vec<SocketAddr>,
 }
 
-/// Runs a scenario once.
+/// Runs a scenario once, with its jobs if `batch` is set.
 pub async fn run(scenario: &Scenario, fleet: &Fleet, batch: bool) -> anyhow::Result<Measured> {
     let arrivals = scenario.arrivals(fleet.doors.len());
     let doors: Vec<Pool> = fleet.doors.iter().map(|it| Pool::new(*it)).collect();
--- a/crates/samphiredoor-standin/src/main.rs
+++ b/crates/samphiredoor-standin/src/main.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for the platform and the targets, as processes of their own.
+//! Command-line program with simulated parts of the platform, load generators, and the soak and emulation tools.
 
 mod calls;
 mod cli;
--- a/crates/samphiredoor-standin/src/measured.rs
+++ b/crates/samphiredoor-standin/src/measured.rs
@@ -1,25 +1,25 @@
-//! What a run measured, and its row in the table.
+//! Measurements of a run, and their row in the result file.
 
 use std::{collections::BTreeMap, time::Duration};
 
 use hdrhistogram::Histogram;
 use samphiredoor_embedded::engine_record::{EngineRecord, STEP_BUCKET_US};
 
-/// How one online request ended.
+/// Outcome and latencies of one online request.
 #[derive(Debug, Clone, Default)]
 pub struct OnlineEnd {
-    /// From the time it should have been sent to its first token.
+    /// Time from when it was due to its first token.
     pub first_token_us: Option<u64>,
-    /// Between tokens.
+    /// Times between tokens.
     pub gaps_us: Vec<u64>,
-    /// From the time it should have been sent to its last token.
+    /// Time from when it was due to its last token.
     pub whole_us: u64,
-    /// Why it has no whole answer.
+    /// Reason for which it has no complete answer.
     pub error: Option<String>,
 }
 
 impl OnlineEnd {
-    /// A request without a whole answer.
+    /// Request without a complete answer.
     pub fn failed(why: &str) -> OnlineEnd {
         OnlineEnd { error: Some(why.to_owned()), ..OnlineEnd::default() }
     }
@@ -28,11 +28,11 @@
 type Times = Histogram<u64>;
 
 fn times() -> Times {
-    // The arguments are constants that the library takes.
+    // These constants are valid bounds.
     Histogram::new_with_bounds(1, 120_000_000, 3).expect("a histogram of up to two minutes")
 }
 
-/// Figures of a run.
+/// Latency histograms, errors and engine counters of a run.
 #[derive(Debug)]
 pub struct Measured {
     from: Duration,
@@ -53,7 +53,7 @@
 }
 
 impl Measured {
-    /// Nothing measured; requests due before `from` will not count.
+    /// Empty measurements; requests that are due before `from` are ignored.
     pub fn new(from: Duration) -> Measured {
         Measured {
             from,
@@ -88,13 +88,13 @@
         }
     }
 
-    /// Adds what the engines recorded during `elapsed_s`.
+    /// Sets the engines' counters of a time of `elapsed_s`.
     pub fn engines(&mut self, records: Vec<EngineRecord>, elapsed_s: f64) {
         self.engines = records;
         self.elapsed_s = elapsed_s;
     }
 
-    /// Row of the table.
+    /// Row of the result file.
     pub fn row(&self, label: &str) -> Row {
         let sum = |field: fn(&EngineRecord) -> u64| self.engines.iter().map(field).sum::<u64>();
         let steps = self.steps();
@@ -138,7 +138,7 @@
         row
     }
 
-    /// Errors by reason.
+    /// Number of errors by reason.
     pub fn errors(&self) -> &BTreeMap<String, u64> {
         &self.errors
     }
@@ -163,17 +163,17 @@
     text.split(' ').next().and_then(|it| it.parse().ok()).unwrap_or(0.0)
 }
 
-/// One run as figures with names.
+/// Named figures of one run.
 #[derive(Debug, Clone, Default)]
 pub struct Row {
-    /// Variant that was run.
+    /// Name of the variant that was run.
     pub label: String,
-    /// Figures in order.
+    /// Figures with their names, in the order of the columns.
     pub figures: Vec<(String, f64)>,
 }
 
 impl Row {
-    /// Names of the columns.
+    /// Names of the columns, separated by commas.
     pub fn heading(&self) -> String {
         let names: Vec<&str> = self.figures.iter().map(|(name, _)| name.as_str()).collect();
         format!("label,{}", names.join(","))
--- a/crates/samphiredoor-standin/src/platform_store.rs
+++ b/crates/samphiredoor-standin/src/platform_store.rs
@@ -1,4 +1,5 @@
-//! The platform's store in memory: objects by kind and name, one revision counter, watches and their history.
+//! Simulated platform store in memory, with injectable faults: objects by kind and name, one revision counter, and
+//! long-polling watches over a history of events.
 
 use std::{
     collections::BTreeMap,
@@ -12,46 +13,46 @@
 use serde_json::{Value, json};
 
 const ROOT: &str = "/samphiredoor/objects/";
-/// Kind of the parts of submissions.
+/// Kind of objects that hold parts of job submissions.
 const PARTS: &str = "jobparts";
-/// Kind of the headers of jobs.
+/// Kind of job headers.
 const HEADERS: &str = "orderedjobs";
-/// Kind of the entries of gateways.
+/// Kind of gateway entries.
 const GATEWAYS: &str = "doors";
-/// A kind of which there are no objects.
+/// Kind without objects, read instead of [`GATEWAYS`] while these are hidden.
 const NOTHING: &str = "";
 const MAX_BYTES: usize = 4 * 1024 * 1024;
 const WATCH_STEP: Duration = Duration::from_millis(5);
-/// Longer than any call of the tests waits.
+/// Time without an answer; longer than the timeout of any call in tests.
 const SILENCE: Duration = Duration::from_secs(600);
 
-/// How the store misbehaves.
+/// Fault of the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum StoreFault {
-    /// It does not.
+    /// No fault.
     #[default]
     None,
-    /// It answers nothing and does nothing.
+    /// Does not answer any call and does not apply writes.
     Silent,
-    /// It never answers watches that are asked or wait now, and all else.
+    /// Does not answer watches, including those that wait already; all other calls are answered.
     WatchesSilent,
-    /// It refuses with 503 and does nothing.
+    /// Rejects all calls with 503.
     Busy,
-    /// It does what writes ask for and does not answer them.
+    /// Applies writes but does not answer them.
     WritesUnanswered,
-    /// It does what writes ask for a second later, and does not answer them.
+    /// Applies writes one second later and does not answer them.
     WritesLate,
-    /// It keeps creates of parts of submissions waiting until there is a header.
+    /// Delays writes of submission parts until there is a job header.
     PartsAfterHeaders,
-    /// It keeps creates of parts of submissions waiting until it no longer does.
+    /// Delays writes of submission parts while this fault is set.
     PartsHeld,
-    /// It refuses creates of parts of submissions with 503 and does nothing.
+    /// Rejects writes of submission parts with 503.
     PartsRefused,
-    /// It keeps updates of headers of jobs waiting until it no longer does.
+    /// Delays updates of job headers while this fault is set.
     HeaderUpdatesHeld,
-    /// It lists no gateways, and tells watches of none.
+    /// Hides gateway entries from lists and watches.
     GatewaysHidden,
 }
 
@@ -86,7 +87,7 @@
 
 type Kinds = BTreeMap<String, BTreeMap<String, Object>>;
 
-/// The store as it stood at a revision.
+/// State of the store at a revision.
 #[derive(Debug, Clone)]
 struct Snapshot {
     revision: u64,
@@ -97,10 +98,11 @@
 struct State {
     revision: u64,
     kinds: Kinds,
-    /// What lists that may be stale are read from, oldest first; the present state where there is none.
+    /// Snapshots that lists with `isStale` are read from, oldest first; without any, they are read from the current
+    /// state.
     snapshots: Vec<Snapshot>,
     history: Vec<Event>,
-    /// Revisions up to this one are no longer told to watches.
+    /// Revision up to which the history was discarded; watches from before get 410.
     forgotten: u64,
     fault: StoreFault,
     calls: BTreeMap<String, u64>,
@@ -110,7 +112,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct PlatformStore {
     state: Arc<Mutex<State>>,
-    /// How this way to the store misbehaves, beside what the store does.
+    /// Fault of the access path of this handle; takes precedence over the store's own fault.
     way: Arc<Mutex<StoreFault>>,
 }
 
@@ -124,12 +126,12 @@
         self.state.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    /// Another way to the same store, as one host has it.
+    /// Handle to the same store with an access path of its own, as one host has it.
     pub fn another_way(&self) -> PlatformStore {
         PlatformStore { state: Arc::clone(&self.state), way: Arc::default() }
     }
 
-    /// Has this way to the store misbehave from now on; others are as before.
+    /// Sets the fault of this handle's access path; other paths are not affected.
     pub fn set_way_fault(&self, fault: StoreFault) {
         *self.way.lock().unwrap_or_else(|poisoned| poisoned.into_inner()) = fault;
     }
@@ -139,32 +141,33 @@
         if way == StoreFault::None { self.state().fault } else { way }
     }
 
-    /// Has the store misbehave from now on.
+    /// Sets the fault of the store for all access paths without a fault of their own.
     pub fn set_fault(&self, fault: StoreFault) {
         self.state().fault = fault;
     }
 
-    /// Forgets all history, so that watches have to list anew.
+    /// Discards the event history, so that watches have to list again.
     pub fn forget_history(&self) {
         let mut state = self.state();
         state.forgotten = state.revision;
         state.history.clear();
     }
 
-    /// Has lists that may be stale show, from now on, the store as it stands now. After several calls they come in pages of
-    /// one object, the first from the newest of these states, each next one from an older one.
+    /// Takes a snapshot of the current state for stale lists: from now on, lists with `isStale` are read from
+    /// snapshots. With several snapshots, these lists have pages of one object: the first is read from the newest
+    /// snapshot, each further one from the next older snapshot.
     pub fn keep_for_stale_lists(&self) {
         let mut state = self.state();
         let snapshot = Snapshot { revision: state.revision, kinds: state.kinds.clone() };
         state.snapshots.push(snapshot);
     }
 
-    /// Writes an object as its own writer would.
+    /// Creates or replaces an object without a check of its revision.
     pub fn put(&self, kind: &str, name: &str, spec: Value) {
         self.state().write(kind, name, |object| object.spec = spec);
     }
 
-    /// Removes an object.
+    /// Deletes an object.
     pub fn remove(&self, kind: &str, name: &str) {
         self.state().remove(kind, name);
     }
@@ -184,12 +187,12 @@
         self.state().kinds.get(kind).map(|it| it.keys().cloned().collect()).unwrap_or_default()
     }
 
-    /// Calls so far, by method and kind.
+    /// Number of calls so far, by method and kind.
     pub fn calls(&self) -> BTreeMap<String, u64> {
         self.state().calls.clone()
     }
 
-    /// Answers one call.
+    /// Handles one call.
     pub async fn handle(self, request: Request<Incoming>) -> Response<Body> {
         let (parts, body) = request.into_parts();
         let path = parts.uri.path().strip_prefix(ROOT).unwrap_or_default().to_owned();
@@ -259,7 +262,7 @@
         let since = number("watch");
         let until = Instant::now() + Duration::from_millis(number("waitMs"));
         loop {
-            // A watch that waits is cut off with the store.
+            // The fault is checked in each iteration, so that it also affects watches that wait already.
             let fault = self.fault();
             match fault {
                 StoreFault::Silent | StoreFault::WatchesSilent => {
--- a/crates/samphiredoor-standin/src/platform_target.rs
+++ b/crates/samphiredoor-standin/src/platform_target.rs
@@ -1,4 +1,5 @@
-//! A replica of the platform, over plain sockets, so that it can answer in ways that no HTTP library would.
+//! Simulated replica of the platform (a target), over plain sockets, so that it can send invalid and incomplete
+//! answers.
 
 use std::{
     collections::VecDeque,
@@ -15,71 +16,71 @@
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
 
-/// Longer than any request of the tests waits.
+/// Time without an answer; longer than the timeout of any request in tests.
 const SILENCE: Duration = Duration::from_secs(120);
 const MAX_HEADERS: usize = 64;
 
-/// How the next requests are answered.
+/// Fault with which a request is answered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum TargetFault {
-    /// As they should be.
+    /// No fault.
     #[default]
     None,
-    /// The connection ends after so many events.
+    /// The connection is closed after this number of events.
     CutAfter(u64),
-    /// The request runs, and its connection is reset without an answer.
+    /// The request runs, and its connection is closed without an answer.
     AnswerLost,
-    /// The request is refused, and the answer says that it did not run.
+    /// The request is rejected with 503 and marked as not run.
     Full,
-    /// The request runs and fails.
+    /// The request runs and fails with 500.
     Fails,
-    /// The request can never be done.
+    /// The request runs and is answered with 422: it can never succeed.
     Impossible,
-    /// A second answer, to an earlier request, comes before the one that is due.
+    /// An answer that names another request is sent before the correct one.
     Stray,
-    /// The request runs and no answer comes.
+    /// The request runs and is not answered.
     Silent,
-    /// The answer has no length and ends with its connection.
+    /// The answer has neither a length nor chunked framing; it ends with the connection.
     Unframed,
 }
 
-/// One request that began to run.
+/// Request that the target started to run.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Run {
-    /// Its id.
+    /// Request id.
     pub id: String,
-    /// Event after which it goes on.
+    /// Number of the event after which it resumes.
     pub after: Option<u64>,
-    /// Body.
+    /// Body of the request.
     pub body: Vec<u8>,
-    /// When it began.
+    /// Time of its start.
     pub at: Instant,
 }
 
 #[derive(Debug)]
 struct State {
-    /// Faults of the next requests.
+    /// Faults of the next requests, in order.
     faults: VecDeque<TargetFault>,
     runs: Vec<Run>,
     events: u64,
     pause: Duration,
 }
 
-/// A replica that listens until the process ends.
+/// Handle to a replica; it listens until it crashes or the process ends.
 #[derive(Debug, Clone)]
 pub struct PlatformTarget {
-    /// Its name.
+    /// Name under which it is registered.
     pub name: String,
-    /// Where it listens.
+    /// Address of its listener.
     pub address: SocketAddr,
     state: Arc<Mutex<State>>,
     gone: Arc<AtomicBool>,
 }
 
 impl PlatformTarget {
-    /// Replica that makes so many events, with a pause between them.
+    /// Starts a replica that answers with `events` events and waits `pause` after each.
     ///
     /// # Errors
     ///
@@ -100,7 +101,7 @@
                 if target.gone.load(Ordering::Relaxed) {
                     return;
                 }
-                // The end of a connection, orderly or not, is no failure of the replica.
+                // Errors of a connection are ignored: closed and reset connections are expected.
                 thread::spawn(move || drop(target.serve(stream)));
             }
         });
@@ -111,30 +112,30 @@
         self.state.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    /// Has the next requests answered with a fault.
+    /// Sets the fault of the next `count` requests; replaces faults set before.
     pub fn fail_next(&self, count: u32, fault: TargetFault) {
         self.state().faults.clear();
         self.fail_then(count, fault);
     }
 
-    /// Has requests answered with a fault that come after those that were told of before.
+    /// Sets the fault of `count` requests after those that have a fault already.
     pub fn fail_then(&self, count: u32, fault: TargetFault) {
         self.state().faults.extend((0..count).map(|_| fault));
     }
 
-    /// Requests that began to run.
+    /// Requests that started to run, in order.
     pub fn runs(&self) -> Vec<Run> {
         self.state().runs.clone()
     }
 
-    /// Ends it as a crash would: nothing is taken any more.
+    /// Simulates a crash: closes the listener and handles no further requests.
     pub fn crash(&self) {
         self.gone.store(true, Ordering::Relaxed);
-        // Wakes the accepting thread, which then closes the listener.
+        // This connection wakes the accepting thread, which then closes the listener.
         let _ = TcpStream::connect(self.address);
     }
 
-    /// Entry by which it registers itself.
+    /// Entry in the store that registers it.
     pub fn entry(&self, service: &str, zone: &str, state: &str) -> Value {
         json!({
             "service": service, "addr": self.address.to_string(), "zone": zone, "version": "v1",
@@ -142,7 +143,7 @@
         })
     }
 
-    /// Output of a whole run, as the text of an item's result.
+    /// Output of a complete run, as the text of an item's result.
     pub fn text(&self) -> String {
         let events = self.state().events;
         (1..=events).map(data).collect::<Vec<String>>().join("\n")
@@ -163,7 +164,7 @@
         Ok(())
     }
 
-    /// Answers a request; says whether the connection goes on.
+    /// Answers a request; returns whether the connection stays open.
     fn answer(&self, stream: &mut TcpStream, request: &HttpRequest) -> io::Result<bool> {
         let id = request.header("x-request-id").unwrap_or_default();
         if request.header("x-expect-instance").is_some_and(|it| it != self.name) {
@@ -171,7 +172,7 @@
             return Ok(true);
         }
         if id.is_empty() {
-            // Refused as not run, as by every replica; a call to a process that had this port before may be such a one.
+            // Rejected as not run, as every replica does. It may be a call to a process that used this port before.
             whole(stream, "400 Bad Request", id, "X-Not-Run: 1\r\n", "")?;
             return Ok(true);
         }
@@ -232,7 +233,7 @@
         let first = after.unwrap_or(0) + 1;
         for (sent, number) in (first..=events).enumerate() {
             if fault == TargetFault::CutAfter(sent as u64) {
-                // A part of an event may be out already.
+                // Also sends a part of the next event.
                 write!(stream, "8\r\nid: {number}\r\n")?;
                 return Ok(false);
             }
@@ -277,7 +278,7 @@
     }
 }
 
-/// Next request of a connection; `None` at its end.
+/// Reads the next request of a connection; `None` at its end.
 fn read_request(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> io::Result<Option<HttpRequest>> {
     loop {
         if let Some((request, len)) = parse(buffer) {
--- a/crates/samphiredoor-standin/src/process.rs
+++ b/crates/samphiredoor-standin/src/process.rs
@@ -1,30 +1,30 @@
-//! Child processes that end with their owner, each signalled by its own process id alone.
+//! Child processes that are killed when their owner is dropped; signals are sent only to their own process ids.
 
 use std::process::{Child, Command};
 
-/// A child process, killed when its owner is dropped.
+/// Child process that is killed on drop.
 pub struct ChildProcess(pub Child);
 
 impl ChildProcess {
-    /// Ends the process at once, as a lost host would.
+    /// Sends SIGKILL and waits for the end of the process, to simulate the loss of its host.
     pub fn kill(&mut self) {
         let _ = self.0.kill();
         let _ = self.0.wait();
     }
 
-    /// Sends a signal by its name, as `STOP`.
+    /// Sends a signal by its name without `SIG`, such as `STOP`.
     pub fn signal(&self, name: &str) {
         let pid = self.0.id().to_string();
         let sent = Command::new("kill").args(["-s", name, &pid]).status().expect("kill runs");
         assert!(sent.success(), "signal {name} was not sent");
     }
 
-    /// Whether the process has ended.
+    /// Whether the process has exited.
     pub fn has_ended(&mut self) -> bool {
         self.0.try_wait().expect("the process can be asked").is_some()
     }
 
-    /// Waits for the end of the process; tells whether it ended well.
+    /// Waits until the process exits; returns whether it exited successfully.
     pub fn wait(&mut self) -> bool {
         self.0.wait().expect("the process can be waited for").success()
     }
--- a/crates/samphiredoor-standin/src/scenario.rs
+++ b/crates/samphiredoor-standin/src/scenario.rs
@@ -1,4 +1,4 @@
-//! Scenario files of the load tool, and the arrivals drawn from them.
+//! Scenario files of the load generator, and the arrivals and jobs that are generated from them.
 
 use std::{path::Path, time::Duration};
 
@@ -6,18 +6,18 @@
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use serde::Deserialize;
 
-/// What is sent during a run.
+/// Load of one run.
 #[derive(Debug, Clone)]
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
-    /// Seed of all that is drawn.
+    /// Seed of the random number generators.
     pub seed: u64,
-    /// Service that is asked for.
+    /// Service that all requests name.
     pub service: String,
-    /// Load before the measurement begins.
+    /// Duration of the load before the measurement starts.
     pub warmup_s: f64,
-    /// Length of the measurement.
+    /// Duration of the measurement.
     pub measure_s: f64,
     /// Online requests.
     pub online: OnlineLoad,
@@ -25,59 +25,59 @@
     pub batch: BatchLoad,
 }
 
-/// Online requests: Poisson arrivals with bursts, whether or not earlier ones were answered.
+/// Online requests: open-loop Poisson arrivals with bursts.
 #[derive(Debug, Clone)]
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct OnlineLoad {
-    /// Arrivals at all doors together.
+    /// Arrival rate at all gateways together, outside of bursts.
     pub rate_per_s: f64,
-    /// Factor on the rate during a burst.
+    /// Factor of the rate during a burst.
     #[serde(default = "one")]
     pub burst_factor: f64,
     /// Mean time between bursts; 0 for none.
     #[serde(default)]
     pub burst_every_s: f64,
-    /// Length of a burst.
+    /// Duration of a burst.
     #[serde(default)]
     pub burst_s: f64,
-    /// Least and most bytes of a prompt.
+    /// Minimum and maximum bytes of the random text of a prompt.
     pub prompt_bytes: [usize; 2],
-    /// Bytes at the beginning of a prompt that are shared with others.
+    /// Bytes of the shared prefix of a prompt.
     #[serde(default)]
     pub shared_prefix_bytes: usize,
-    /// Number of such beginnings.
+    /// Number of different prefixes.
     #[serde(default = "one_prefix")]
     pub prefixes: u64,
-    /// Least and most tokens of an answer.
+    /// Minimum and maximum tokens of an answer.
     pub tokens: [u32; 2],
 }
 
-/// Jobs that are submitted at the start.
+/// Jobs that are submitted at the start of the run.
 #[derive(Debug, Clone)]
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct BatchLoad {
-    /// Jobs at each door.
+    /// Jobs submitted to each gateway.
     pub jobs_per_door: u32,
     /// Items of each job.
     pub items_per_job: u32,
-    /// Least and most bytes of a prompt.
+    /// Minimum and maximum bytes of the random text of a prompt.
     pub prompt_bytes: [usize; 2],
-    /// Least and most tokens of an answer.
+    /// Minimum and maximum tokens of an answer.
     pub tokens: [u32; 2],
 }
 
-/// One online request.
+/// Online request with its time of arrival.
 #[derive(Debug, Clone)]
 pub struct Arrival {
-    /// When it is to be sent, counted from the start.
+    /// Time at which it is due, from the start of the run.
     pub at: Duration,
-    /// Which door.
+    /// Index of the gateway that it is sent to.
     pub door: usize,
-    /// Prompt.
+    /// Shared prefix and random text.
     pub prompt: String,
-    /// Tokens asked for.
+    /// Number of requested tokens.
     pub tokens: u32,
 }
 
@@ -90,13 +90,13 @@
 }
 
 impl Scenario {
-    /// Reads a scenario file.
+    /// Reads a scenario from a TOML file.
     pub fn read(file: &Path) -> anyhow::Result<Scenario> {
         let text = std::fs::read_to_string(file).with_context(|| file.display().to_string())?;
         toml::from_str(&text).with_context(|| file.display().to_string())
     }
 
-    /// All arrivals of a run, in order; the same for each run.
+    /// Generates all arrivals of a run in order of time; the same ones for each run.
     pub fn arrivals(&self, doors: usize) -> Vec<Arrival> {
         let mut rng = SmallRng::seed_from_u64(self.seed);
         let bursts = self.bursts(&mut rng);
@@ -109,7 +109,7 @@
             if at_s >= end_s {
                 return arrivals;
             }
-            // Thinning: drawn at the peak rate, kept with the share that the rate of the moment has of it.
+            // Thinning: arrivals are drawn at the peak rate and kept with the probability current rate / peak rate.
             let bursting = bursts.iter().any(|it| (*it..*it + self.online.burst_s).contains(&at_s));
             let factor = if bursting { self.online.burst_factor } else { 1.0 };
             let kept = rng.random::<f64>() < factor * self.online.rate_per_s / peak;
@@ -120,7 +120,7 @@
         }
     }
 
-    /// Body of a job, as JSON lines.
+    /// Generates the body of a job, as JSON lines.
     pub fn job(&self, number: u32) -> String {
         let mut rng = SmallRng::seed_from_u64(self.seed ^ u64::from(number + 1).rotate_left(32));
         let mut lines = String::new();
--- a/crates/samphiredoor-standin/src/serve.rs
+++ b/crates/samphiredoor-standin/src/serve.rs
@@ -1,4 +1,4 @@
-//! Runs what the command line asked for: a stand-in until the process is ended, or one run of the load tool.
+//! Runs the command of the command line: a server until the process is ended, or one run of a tool.
 
 use std::{io::Write, net::SocketAddr, ops::Range, path::Path, time::Duration};
 
@@ -19,7 +19,7 @@
     table::{self, Bound},
 };
 
-/// Runs what was asked for.
+/// Runs a parsed command.
 pub fn run(opts: Opts) -> anyhow::Result<()> {
     if let Opts::Soak { folder, seconds, gateways, seed, seeds, plan, shrink, drills, binary } =
         opts
@@ -98,7 +98,7 @@
         (Some(file), true) => soak::shrink(options, seed, Plan::read(file)?),
         (Some(file), false) => soak::replay(options, seed, file),
         (None, true) => soak::shrink(options, seed, options.plan(seed)),
-        (None, false) => soak::play_seeds(options, seeds.map_or(Ok(seed..seed + 1), range)?),
+        (None, false) => soak::run_seeds(options, seeds.map_or(Ok(seed..seed + 1), range)?),
     }
 }
 
--- a/crates/samphiredoor-standin/src/soak/checks.rs
+++ b/crates/samphiredoor-standin/src/soak/checks.rs
@@ -1,4 +1,4 @@
-//! The promises, judged by what callers and targets have seen.
+//! Invariants of the soak test, checked from the answers that callers received and the requests that targets ran.
 
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap},
@@ -11,168 +11,179 @@
 use super::connection::Reply;
 use crate::{fleet::whole_stream, platform_target::Run};
 
-/// Time after the acknowledgement of a job's end within which its items may still reach a target.
-const END_WITHIN: Duration = Duration::from_secs(3);
+/// Time after the acknowledgement of a job's cancellation within which its items may still reach a target.
+const CANCELLATION_GRACE: Duration = Duration::from_secs(3);
 /// Separates the name of a job from the number of an item.
-pub const ITEM_MARK: char = '.';
+pub const ITEM_SEPARATOR: char = '.';
 
-/// What callers and operators rely on.
+/// Guarantee of the system to callers and operators.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum Promise {
-    /// A request that may not be repeated runs once at most.
-    RunsOnce,
-    /// What was refused as not run does not run.
-    RefusedDidNotRun,
-    /// What runs was asked for, with the body of its caller.
-    Asked,
-    /// An answer is whole or visibly cut, and its events come in order.
-    WholeAnswer,
-    /// An answer belongs to its request.
-    OwnAnswer,
-    /// What a configuration allows is not refused for good.
-    Allowed,
-    /// A result stays at its position, and each item has one.
-    ResultsStay,
-    /// An accepted job can be read, with all of its items, at every gateway.
-    JobKept,
-    /// After the end of a job none of its items begins to run.
-    EndStops,
-    /// Requests are served again after the last fault.
-    ServedAgain,
-    /// An acknowledged configuration is in force at every gateway, and no older one comes back.
-    ConfigurationInForce,
+pub enum Invariant {
+    /// A request that may not be repeated runs at most once.
+    RunsAtMostOnce,
+    /// A request that was rejected as not run never runs.
+    RejectedNeverRuns,
+    /// Targets run only requests that a caller sent, with the body that the caller sent.
+    RunWasRequested,
+    /// An answer is complete or visibly cut, and its events are in order.
+    AnswerComplete,
+    /// A caller receives the answer to its own request.
+    AnswerMatchesRequest,
+    /// A request that the configuration allows gets no permanent error.
+    NoPermanentError,
+    /// A result keeps its position and content, and each item has at most one.
+    ResultsStable,
+    /// An accepted job can be read at every gateway, with all of its items.
+    JobReadable,
+    /// After the cancellation of a job none of its items starts.
+    CancellationStopsRuns,
+    /// Every gateway serves requests again after the last fault.
+    ServesAfterFaults,
+    /// An acknowledged configuration becomes active at every gateway, and no older one becomes active again.
+    ConfigurationActive,
 }
 
-impl fmt::Display for Promise {
+impl fmt::Display for Invariant {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
-            Promise::RunsOnce => "an unsafe request runs once at most",
-            Promise::RefusedDidNotRun => "what was refused as not run does not run",
-            Promise::Asked => "what runs was asked for",
-            Promise::WholeAnswer => "an answer is whole and in order, or visibly cut",
-            Promise::OwnAnswer => "an answer belongs to its request",
-            Promise::Allowed => "what is allowed is not refused for good",
-            Promise::ResultsStay => "a result stays at its position",
-            Promise::JobKept => "an accepted job can be read at every gateway",
-            Promise::EndStops => "nothing of a job runs after its end",
-            Promise::ServedAgain => "requests are served again after the last fault",
-            Promise::ConfigurationInForce => "a configuration is in force everywhere",
+            Invariant::RunsAtMostOnce => "an unsafe request runs at most once",
+            Invariant::RejectedNeverRuns => "a request rejected as not run never runs",
+            Invariant::RunWasRequested => "targets run only what callers requested",
+            Invariant::AnswerComplete => "an answer is complete and in order, or visibly cut",
+            Invariant::AnswerMatchesRequest => "an answer belongs to its request",
+            Invariant::NoPermanentError => "an allowed request gets no permanent error",
+            Invariant::ResultsStable => "a result keeps its position and content",
+            Invariant::JobReadable => "an accepted job can be read at every gateway",
+            Invariant::CancellationStopsRuns => "no item of a job starts after its cancellation",
+            Invariant::ServesAfterFaults => "requests are served again after the last fault",
+            Invariant::ConfigurationActive => "a configuration is active at every gateway",
         })
     }
 }
 
-/// A promise that did not hold.
+/// Violation of an invariant.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Breach {
-    /// Which.
-    pub promise: Promise,
-    /// Request, item or job.
+pub struct Violation {
+    /// Violated invariant.
+    pub invariant: Invariant,
+    /// Id of the request, item or job.
     pub id: String,
-    /// What was seen.
-    pub seen: String,
+    /// Observation that violates the invariant.
+    pub observed: String,
 }
 
 #[derive(Debug, Default)]
 struct Request {
-    may_repeat: bool,
-    refused: bool,
+    is_repeatable: bool,
+    rejected: bool,
 }
 
-/// What is known of a job.
+/// Job as seen by clients.
 #[derive(Debug, Clone, Default)]
 pub struct Job {
-    /// Its items.
+    /// Ids of its items.
     pub items: BTreeSet<String>,
-    /// Results that were read, by position.
-    pub seen: Vec<Value>,
+    /// Results that were read, in the order of their positions.
+    pub results: Vec<Value>,
     /// Whether a gateway has accepted it.
     pub accepted: bool,
-    /// Whether its end was asked for.
-    pub ending: bool,
-    ended_at: Option<Instant>,
+    /// Whether its cancellation was requested.
+    pub cancelling: bool,
+    cancelled_at: Option<Instant>,
     attempts: u32,
     refusals: u32,
 }
 
 impl Job {
-    /// Whether each attempt to submit it was refused as not run.
-    fn is_refused(&self) -> bool {
+    /// Whether each attempt to submit it was rejected as not run.
+    fn is_rejected(&self) -> bool {
         self.attempts > 0 && self.attempts == self.refusals
     }
 }
 
-/// Numbers of a run.
+/// Counters of a run.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Counts {
-    /// Requests that were answered with success.
+    /// Successful requests.
     pub served: u64,
-    /// Requests that were refused as not run.
+    /// Requests that were rejected as not run.
     pub refused: u64,
-    /// Requests with any other answer, or none.
+    /// Requests with an unknown outcome: an error that allows that they ran, or no answer.
     pub doubtful: u64,
-    /// Results of jobs that were read for the first time.
+    /// Distinct results of jobs that were read.
     pub results: u64,
-    /// Jobs whose end was acknowledged.
+    /// Jobs whose cancellation was acknowledged.
     pub ended: u64,
-    /// Runs at targets.
+    /// Requests that targets ran.
     pub runs: u64,
 }
 
-/// What clients have seen so far, and the first promise that it breaks.
+/// Observations of clients so far, and the first invariant that they violate.
 #[derive(Debug, Default)]
 pub struct Checks {
     requests: HashMap<String, Request>,
     jobs: BTreeMap<String, Job>,
-    disturbed: Vec<(Instant, Instant)>,
-    breach: Option<Breach>,
+    fault_windows: Vec<(Instant, Instant)>,
+    violation: Option<Violation>,
     counts: Counts,
 }
 
 impl Checks {
-    /// The first promise that broke.
-    pub fn breach(&self) -> Option<&Breach> {
-        self.breach.as_ref()
+    /// First violation, if any.
+    pub fn violation(&self) -> Option<&Violation> {
+        self.violation.as_ref()
     }
 
-    /// Numbers so far.
+    /// Counters so far.
     pub fn counts(&self) -> Counts {
         self.counts
     }
 
-    /// Jobs so far.
+    /// Jobs so far, by name.
     pub fn jobs(&self) -> &BTreeMap<String, Job> {
         &self.jobs
     }
 
-    /// Takes a promise that broke; the first one counts.
-    pub fn broke(&mut self, promise: Promise, id: &str, seen: impl Into<String>) {
-        self.breach.get_or_insert_with(|| Breach { promise, id: id.to_owned(), seen: seen.into() });
+    /// Records a violation; only the first one is kept.
+    pub fn record_violation(
+        &mut self,
+        invariant: Invariant,
+        id: &str,
+        observed: impl Into<String>,
+    ) {
+        self.violation.get_or_insert_with(|| Violation {
+            invariant,
+            id: id.to_owned(),
+            observed: observed.into(),
+        });
     }
 
-    /// A fault was or will be on for this time.
-    pub fn disturbed(&mut self, from: Instant, until: Instant) {
-        self.disturbed.push((from, until));
+    /// Records a time in which a fault was or will be active.
+    pub fn add_fault_window(&mut self, from: Instant, until: Instant) {
+        self.fault_windows.push((from, until));
     }
 
-    /// A request is about to be sent.
-    pub fn sending(&mut self, id: &str, may_repeat: bool) {
-        self.requests.insert(id.to_owned(), Request { may_repeat, refused: false });
+    /// Records that a request is about to be sent.
+    pub fn record_request(&mut self, id: &str, is_repeatable: bool) {
+        self.requests.insert(id.to_owned(), Request { is_repeatable, rejected: false });
     }
 
-    /// A request was answered.
-    pub fn answered(&mut self, id: &str, reply: &Reply) {
+    /// Records and checks the answer to a request.
+    pub fn check_answer(&mut self, id: &str, reply: &Reply) {
         match reply.status {
             200 => self.check_success(id, reply),
             _ if reply.is_refusal() => {
                 self.counts.refused += 1;
-                self.requests.entry(id.to_owned()).or_default().refused = true;
+                self.requests.entry(id.to_owned()).or_default().rejected = true;
             }
             0 | 422 | 500 | 502 | 504 => self.counts.doubtful += 1,
-            status => self.broke(Promise::Allowed, id, format!("status {status}")),
+            status => {
+                self.record_violation(Invariant::NoPermanentError, id, format!("status {status}"))
+            }
         }
         let stamp = reply.header("x-server-stamp");
         if stamp.is_some_and(|it| it.strip_prefix("stamp-") != Some(id)) {
-            self.broke(Promise::OwnAnswer, id, format!("stamp {stamp:?}"));
+            self.record_violation(Invariant::AnswerMatchesRequest, id, format!("stamp {stamp:?}"));
         }
     }
 
@@ -180,51 +191,67 @@
         self.counts.served += 1;
         let whole = whole_stream();
         let body = String::from_utf8_lossy(&reply.body);
-        let fits = if reply.is_whole { body == whole } else { whole.starts_with(&*body) };
+        let fits = if reply.is_complete { body == whole } else { whole.starts_with(&*body) };
         if !fits {
-            self.broke(Promise::WholeAnswer, id, format!("whole={} {body:?}", reply.is_whole));
+            self.record_violation(
+                Invariant::AnswerComplete,
+                id,
+                format!("whole={} {body:?}", reply.is_complete),
+            );
         }
         if reply.header("x-server-stamp").is_none() || reply.header("x-request-id") != Some(id) {
-            self.broke(Promise::OwnAnswer, id, format!("{:?}", reply.headers));
+            self.record_violation(
+                Invariant::AnswerMatchesRequest,
+                id,
+                format!("{:?}", reply.headers),
+            );
         }
     }
 
-    /// A job is about to be submitted.
-    pub fn submitting(&mut self, job: &str, items: &[String]) {
+    /// Records that a job is about to be submitted.
+    pub fn record_submission(&mut self, job: &str, items: &[String]) {
         let job = self.jobs.entry(job.to_owned()).or_default();
         job.items.extend(items.iter().cloned());
         job.attempts += 1;
     }
 
-    /// A submission was answered.
-    pub fn submitted(&mut self, name: &str, reply: &Reply) {
+    /// Records and checks the answer to a submission.
+    pub fn check_submission(&mut self, name: &str, reply: &Reply) {
         let job = self.jobs.entry(name.to_owned()).or_default();
         match reply.status {
             202 => job.accepted = true,
             _ if reply.is_refusal() => job.refusals += 1,
             0 | 500 | 502 | 504 => {}
-            status => self.broke(Promise::Allowed, name, format!("submission: status {status}")),
+            status => self.record_violation(
+                Invariant::NoPermanentError,
+                name,
+                format!("submission: status {status}"),
+            ),
         }
     }
 
-    /// The end of a job is about to be asked for.
-    pub fn ending(&mut self, name: &str) {
-        self.jobs.entry(name.to_owned()).or_default().ending = true;
+    /// Records that the cancellation of a job is about to be requested.
+    pub fn record_cancellation(&mut self, name: &str) {
+        self.jobs.entry(name.to_owned()).or_default().cancelling = true;
     }
 
-    /// The end of a job was acknowledged.
-    pub fn ended(&mut self, name: &str) {
+    /// Records that the cancellation of a job was acknowledged.
+    pub fn record_cancelled(&mut self, name: &str) {
         self.counts.ended += 1;
-        self.jobs.entry(name.to_owned()).or_default().ended_at.get_or_insert_with(Instant::now);
+        self.jobs.entry(name.to_owned()).or_default().cancelled_at.get_or_insert_with(Instant::now);
     }
 
-    /// Results of a job were read from a position on; says how many came.
-    pub fn page(&mut self, name: &str, after: usize, reply: &Reply) -> usize {
+    /// Records and checks results of a job, read from position `after` on; returns their number.
+    pub fn check_page(&mut self, name: &str, after: usize, reply: &Reply) -> usize {
         let job = self.jobs.entry(name.to_owned()).or_default();
         match reply.status {
-            200 if reply.is_whole => {}
+            200 if reply.is_complete => {}
             404 | 410 if job.accepted => {
-                self.broke(Promise::JobKept, name, format!("read: status {}", reply.status));
+                self.record_violation(
+                    Invariant::JobReadable,
+                    name,
+                    format!("read: status {}", reply.status),
+                );
                 return 0;
             }
             _ => return 0,
@@ -232,86 +259,97 @@
         let page: Value = serde_json::from_slice(&reply.body).unwrap_or(Value::Null);
         let outputs = page["outputs"].as_array().cloned().unwrap_or_default();
         if page["total"].as_u64() != Some(job.items.len() as u64) {
-            self.broke(Promise::JobKept, name, format!("total {}", page["total"]));
+            self.record_violation(Invariant::JobReadable, name, format!("total {}", page["total"]));
             return 0;
         }
-        let problem = outputs.iter().enumerate().find_map(|(at, output)| {
-            let (promise, seen) = job.take(after + at, output)?;
-            Some((promise, output["id"].as_str().unwrap_or(name), seen))
+        let violation = outputs.iter().enumerate().find_map(|(at, output)| {
+            let (invariant, observed) = job.check_result(after + at, output)?;
+            Some((invariant, output["id"].as_str().unwrap_or(name), observed))
         });
-        if let Some((promise, id, seen)) = problem {
-            self.broke(promise, id, seen);
+        if let Some((invariant, id, observed)) = violation {
+            self.record_violation(invariant, id, observed);
         }
         outputs.len()
     }
 
-    /// Judges all runs at targets so far.
+    /// Checks all runs at targets so far.
     pub fn check_runs(&mut self, runs: &[Run]) {
         self.counts.runs = runs.len() as u64;
-        self.counts.results = self.jobs.values().map(|it| it.seen.len() as u64).sum();
+        self.counts.results = self.jobs.values().map(|it| it.results.len() as u64).sum();
         let mut times: HashMap<&str, u32> = HashMap::new();
         for run in runs {
             *times.entry(&run.id).or_default() += 1;
-            let problem = match self.requests.get(&run.id) {
-                Some(request) => request_problem(request, times[run.id.as_str()]),
-                None => self.item_problem(run),
+            let violation = match self.requests.get(&run.id) {
+                Some(request) => request_violation(request, times[run.id.as_str()]),
+                None => self.item_violation(run),
             };
-            if let Some((promise, seen)) = problem {
-                self.broke(promise, &run.id, seen);
+            if let Some((invariant, observed)) = violation {
+                self.record_violation(invariant, &run.id, observed);
             }
         }
     }
 
-    fn item_problem(&self, run: &Run) -> Option<(Promise, String)> {
-        let job = run.id.rsplit_once(ITEM_MARK).and_then(|(job, _)| self.jobs.get(job));
+    fn item_violation(&self, run: &Run) -> Option<(Invariant, String)> {
+        let job = run.id.rsplit_once(ITEM_SEPARATOR).and_then(|(job, _)| self.jobs.get(job));
         let Some(job) = job.filter(|it| it.items.contains(&run.id)) else {
-            return Some((Promise::Asked, "nobody sent it".to_owned()));
+            return Some((Invariant::RunWasRequested, "no caller sent it".to_owned()));
         };
         if run.body != run.id.as_bytes() {
-            return Some((Promise::Asked, "with another body".to_owned()));
+            return Some((Invariant::RunWasRequested, "the body differs".to_owned()));
         }
-        if job.is_refused() {
-            return Some((Promise::RefusedDidNotRun, "its job was refused".to_owned()));
+        if job.is_rejected() {
+            return Some((Invariant::RejectedNeverRuns, "its job was rejected".to_owned()));
         }
-        let late = job.ended_at.map(|it| run.at.saturating_duration_since(it));
-        let late = late.filter(|it| *it > END_WITHIN && self.was_calm(run.at - END_WITHIN, run.at));
-        late.map(|it| (Promise::EndStops, format!("{} ms after its end", it.as_millis())))
+        let late = job.cancelled_at.map(|it| run.at.saturating_duration_since(it));
+        let late = late.filter(|it| {
+            *it > CANCELLATION_GRACE && self.was_fault_free(run.at - CANCELLATION_GRACE, run.at)
+        });
+        late.map(|it| {
+            (
+                Invariant::CancellationStopsRuns,
+                format!("{} ms after the cancellation", it.as_millis()),
+            )
+        })
     }
 
-    fn was_calm(&self, from: Instant, until: Instant) -> bool {
-        self.disturbed.iter().all(|(began, ended)| *ended < from || *began > until)
+    fn was_fault_free(&self, from: Instant, until: Instant) -> bool {
+        self.fault_windows.iter().all(|(began, ended)| *ended < from || *began > until)
     }
 }
 
-fn request_problem(request: &Request, times: u32) -> Option<(Promise, String)> {
-    if request.refused {
-        return Some((Promise::RefusedDidNotRun, "it was refused".to_owned()));
+fn request_violation(request: &Request, times: u32) -> Option<(Invariant, String)> {
+    if request.rejected {
+        return Some((Invariant::RejectedNeverRuns, "it was rejected".to_owned()));
     }
-    let again = times > 1 && !request.may_repeat;
-    again.then(|| (Promise::RunsOnce, format!("it ran {times} times")))
+    let again = times > 1 && !request.is_repeatable;
+    again.then(|| (Invariant::RunsAtMostOnce, format!("it ran {times} times")))
 }
 
 impl Job {
-    /// Takes the result at a position.
-    fn take(&mut self, at: usize, output: &Value) -> Option<(Promise, String)> {
-        if let Some(seen) = self.seen.get(at) {
-            let moved = seen != output;
-            return moved.then(|| (Promise::ResultsStay, format!("at {at}: {seen}, now {output}")));
+    /// Checks and records the result at a position.
+    fn check_result(&mut self, at: usize, output: &Value) -> Option<(Invariant, String)> {
+        if let Some(earlier) = self.results.get(at) {
+            let changed = earlier != output;
+            return changed
+                .then(|| (Invariant::ResultsStable, format!("at {at}: {earlier}, now {output}")));
         }
         let id = output["id"].as_str().unwrap_or_default();
-        if !self.items.contains(id) || self.seen.iter().any(|it| it["id"] == id) {
-            return Some((Promise::ResultsStay, format!("at {at}: {id} is not due there")));
+        if !self.items.contains(id) || self.results.iter().any(|it| it["id"] == id) {
+            return Some((
+                Invariant::ResultsStable,
+                format!("at {at}: {id} was not expected there"),
+            ));
         }
-        if output["state"] == "completed" && output["text"] != whole_text().as_str() {
-            return Some((Promise::WholeAnswer, format!("at {at}: {output}")));
+        if output["state"] == "completed" && output["text"] != complete_text().as_str() {
+            return Some((Invariant::AnswerComplete, format!("at {at}: {output}")));
         }
-        self.seen.push(output.clone());
+        self.results.push(output.clone());
         None
     }
 }
 
-/// Data of all events of a whole run.
-fn whole_text() -> String {
+/// Data of all events of a complete run.
+fn complete_text() -> String {
     let stream = whole_stream();
     let data = stream.lines().filter_map(|it| it.strip_prefix("data: "));
     data.collect::<Vec<&str>>().join("\n")
--- a/crates/samphiredoor-standin/src/soak/connection.rs
+++ b/crates/samphiredoor-standin/src/soak/connection.rs
@@ -1,5 +1,5 @@
-//! A caller's connection to a gateway, over plain sockets, so that it shows what came of an answer that was cut and
-//! whether bytes came that nobody asked for.
+//! A caller's HTTP connection to a gateway over plain sockets, so that the received part of a cut answer and
+//! unsolicited bytes are visible.
 
 use std::{
     io::{self, Read, Write},
@@ -9,64 +9,64 @@
 
 use crate::fleet::HOST;
 
-const CONNECT_LIMIT: Duration = Duration::from_secs(1);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 const MAX_HEADERS: usize = 64;
-const PIECE_BYTES: usize = 16 * 1024;
+const BUFFER_BYTES: usize = 16 * 1024;
 
-/// A caller's request.
+/// Request of a caller.
 #[derive(Debug, Clone, Copy)]
 pub struct Request<'a> {
     /// Method.
     pub method: &'a str,
-    /// Path and query.
+    /// Path with query.
     pub path: &'a str,
-    /// Headers beside the host and the length.
+    /// Headers other than `Host` and `Content-Length`.
     pub headers: &'a [(&'a str, &'a str)],
     /// Body.
     pub body: &'a str,
-    /// Longest wait for the whole answer.
-    pub limit: Duration,
+    /// Timeout for the whole answer.
+    pub timeout: Duration,
 }
 
-/// What came of an answer.
+/// Received part of an answer.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Reply {
-    /// Status; 0 if no head came.
+    /// Status; 0 if no response head was received.
     pub status: u16,
     /// Headers.
     pub headers: Vec<(String, String)>,
-    /// Body as far as it came.
+    /// Received part of the body.
     pub body: Vec<u8>,
-    /// Whether the answer came to its end.
-    pub is_whole: bool,
+    /// Whether the answer was received to its end.
+    pub is_complete: bool,
 }
 
 impl Reply {
-    /// A header's value.
+    /// Value of a header; names are compared without regard to case.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.iter().find(|(it, _)| it.eq_ignore_ascii_case(name)).map(|(_, it)| it.as_str())
     }
 
-    /// Whether the answer promises that the request has not run and never will.
+    /// Whether the status guarantees that the request has not run and never will.
     pub fn is_refusal(&self) -> bool {
         matches!(self.status, 408 | 421 | 429 | 503)
     }
 }
 
-/// A connection that is kept open until its far side ends it.
+/// Keep-alive connection that stays open until the gateway closes it.
 pub struct Connection {
     stream: TcpStream,
     buffer: Vec<u8>,
 }
 
 impl Connection {
-    /// Connects to a gateway.
+    /// Connects to a gateway, with a timeout of [`CONNECT_TIMEOUT`].
     ///
     /// # Errors
     ///
-    /// Why it cannot be reached.
+    /// The gateway cannot be reached.
     pub fn open(address: SocketAddr) -> io::Result<Connection> {
-        let stream = TcpStream::connect_timeout(&address, CONNECT_LIMIT)?;
+        let stream = TcpStream::connect_timeout(&address, CONNECT_TIMEOUT)?;
         stream.set_nodelay(true)?;
         Ok(Connection { stream, buffer: Vec::new() })
     }
@@ -75,7 +75,7 @@
     ///
     /// # Errors
     ///
-    /// Why it cannot be sent.
+    /// The request cannot be sent.
     pub fn send(&mut self, request: &Request<'_>) -> io::Result<()> {
         let mut head = format!("{} {} HTTP/1.1\r\nHost: {HOST}\r\n", request.method, request.path);
         for (name, value) in request.headers {
@@ -85,47 +85,49 @@
         self.stream.write_all((head + request.body).as_bytes())
     }
 
-    /// Reads the answer to a request that was sent; says whether the connection goes on.
-    pub fn receive(&mut self, limit: Duration) -> (Reply, bool) {
-        let until = Instant::now() + limit;
+    /// Reads the answer to the request that was sent; also returns whether the connection can be reused.
+    pub fn receive(&mut self, timeout: Duration) -> (Reply, bool) {
+        let deadline = Instant::now() + timeout;
         let mut reply = Reply::default();
-        let ended = loop {
+        let stopped = loop {
             match parse(&self.buffer, &mut reply) {
-                Parsed::Whole(used) => {
+                Parsed::Complete(used) => {
                     self.buffer.drain(..used);
                     break false;
                 }
-                Parsed::Part => {}
+                Parsed::Incomplete => {}
             }
-            if !self.read_more(until) {
+            if !self.read_more(deadline) {
                 break true;
             }
         };
         let has_length = reply.header("content-length").is_some() || is_chunked(&reply);
-        reply.is_whole = !ended || (reply.status > 0 && !has_length && Instant::now() < until);
-        let closes = reply.header("connection").is_some_and(|it| it.eq_ignore_ascii_case("close"));
-        let goes_on = !ended && !closes;
-        (reply, goes_on)
+        reply.is_complete =
+            !stopped || (reply.status > 0 && !has_length && Instant::now() < deadline);
+        let is_closing =
+            reply.header("connection").is_some_and(|it| it.eq_ignore_ascii_case("close"));
+        let is_reusable = !stopped && !is_closing;
+        (reply, is_reusable)
     }
 
-    /// Whether bytes are there that answer nothing.
+    /// Whether bytes were received that don't belong to an answer.
     pub fn has_stray_bytes(&mut self) -> bool {
-        let mut piece = [0; 1];
+        let mut chunk = [0; 1];
         let _ = self.stream.set_nonblocking(true);
-        let waiting = matches!(self.stream.peek(&mut piece), Ok(1..));
+        let has_unread = matches!(self.stream.peek(&mut chunk), Ok(1..));
         let _ = self.stream.set_nonblocking(false);
-        waiting || !self.buffer.is_empty()
+        has_unread || !self.buffer.is_empty()
     }
 
-    fn read_more(&mut self, until: Instant) -> bool {
-        let left = until.saturating_duration_since(Instant::now());
+    fn read_more(&mut self, deadline: Instant) -> bool {
+        let left = deadline.saturating_duration_since(Instant::now());
         if left.is_zero() || self.stream.set_read_timeout(Some(left)).is_err() {
             return false;
         }
-        let mut piece = [0; PIECE_BYTES];
-        match self.stream.read(&mut piece) {
+        let mut chunk = [0; BUFFER_BYTES];
+        match self.stream.read(&mut chunk) {
             Ok(read @ 1..) => {
-                self.buffer.extend_from_slice(&piece[..read]);
+                self.buffer.extend_from_slice(&chunk[..read]);
                 true
             }
             _ => false,
@@ -133,31 +135,33 @@
     }
 }
 
-/// Makes one call on a connection of its own.
+/// Sends one request on a new connection.
 pub fn call(address: SocketAddr, request: &Request<'_>) -> Reply {
     let Ok(mut connection) = Connection::open(address) else { return Reply::default() };
     match connection.send(request) {
-        Ok(()) => connection.receive(request.limit).0,
+        Ok(()) => connection.receive(request.timeout).0,
         Err(_) => Reply::default(),
     }
 }
 
 enum Parsed {
-    /// The answer is there, in so many bytes.
-    Whole(usize),
-    /// More must come.
-    Part,
+    /// The answer is complete and takes this number of bytes.
+    Complete(usize),
+    /// More bytes are needed.
+    Incomplete,
 }
 
 fn is_chunked(reply: &Reply) -> bool {
     reply.header("transfer-encoding").is_some()
 }
 
-/// Reads what is there of an answer.
+/// Parses the received part of an answer into `reply`.
 fn parse(buffer: &[u8], reply: &mut Reply) -> Parsed {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut response = httparse::Response::new(&mut headers);
-    let Ok(httparse::Status::Complete(head)) = response.parse(buffer) else { return Parsed::Part };
+    let Ok(httparse::Status::Complete(head)) = response.parse(buffer) else {
+        return Parsed::Incomplete;
+    };
     let text = |it: &[u8]| String::from_utf8_lossy(it).into_owned();
     reply.status = response.code.unwrap_or(0);
     reply.headers =
@@ -167,9 +171,9 @@
         return parse_chunks(body, head, reply);
     }
     let length = reply.header("content-length").and_then(|it| it.parse::<usize>().ok());
-    let there = length.map_or(body.len(), |it| body.len().min(it));
-    reply.body = body[..there].to_vec();
-    if length == Some(there) { Parsed::Whole(head + there) } else { Parsed::Part }
+    let received = length.map_or(body.len(), |it| body.len().min(it));
+    reply.body = body[..received].to_vec();
+    if length == Some(received) { Parsed::Complete(head + received) } else { Parsed::Incomplete }
 }
 
 fn parse_chunks(body: &[u8], head: usize, reply: &mut Reply) -> Parsed {
@@ -178,17 +182,17 @@
     loop {
         let Ok(httparse::Status::Complete((skip, size))) = httparse::parse_chunk_size(&body[at..])
         else {
-            return Parsed::Part;
+            return Parsed::Incomplete;
         };
         let (first, size) = (at + skip, size as usize);
-        let there = &body[first..body.len().min(first + size)];
-        reply.body.extend_from_slice(there);
+        let received = &body[first..body.len().min(first + size)];
+        reply.body.extend_from_slice(received);
         at = first + size + 2;
         if body.len() < at {
-            return Parsed::Part;
+            return Parsed::Incomplete;
         }
         if size == 0 {
-            return Parsed::Whole(head + at);
+            return Parsed::Complete(head + at);
         }
     }
 }
--- a/crates/samphiredoor-standin/src/soak/injector.rs
+++ b/crates/samphiredoor-standin/src/soak/injector.rs
@@ -1,4 +1,4 @@
-//! The processes of a run, and the faults that are done to them from outside.
+//! The processes of a run, and the injection of faults into them from outside.
 
 use std::{
     path::Path,
@@ -19,28 +19,28 @@
     process::ChildProcess,
 };
 
-/// Pause of targets between two events.
+/// Time between two events of a target's answer.
 const EVENT_PAUSE: Duration = Duration::from_millis(40);
-/// Longer than any run: a watch that is deaf stays so, unless the gateway itself finds out.
+/// Longer than any run: a stalled watch never times out, so that the gateway has to detect it in another way.
 const WATCH_MS: u64 = 300_000;
-const ATTEMPTS: u32 = 3;
-/// Time from SIGTERM after which a process is killed, as the platform would.
-const GRACE: Duration = Duration::from_secs(15);
+const ROUTE_ATTEMPTS: u32 = 3;
+/// Time from SIGTERM to SIGKILL, as on the platform.
+const TERM_GRACE: Duration = Duration::from_secs(15);
 
-/// Store, targets, gateways and a storage host's process, all ended with this value.
+/// Store, targets, gateways and the process of a storage host; all end when this value is dropped.
 pub struct Injector<'a> {
     shared: &'a Shared,
-    /// The processes.
+    /// Store and gateway processes.
     pub platform: Platform,
-    /// How many of each there are.
+    /// Numbers of gateways and targets.
     pub sizes: Sizes,
     storage: ChildProcess,
-    storages: usize,
+    storages_started: usize,
     targets: Vec<PlatformTarget>,
-    /// Target that has each of the numbers of a plan now.
+    /// Index into `targets` for each target number of the plan; changes when a target is replaced.
     current: Vec<usize>,
-    /// Gateways that were told to end, since when.
-    ending: Vec<(usize, Instant)>,
+    /// Gateways that received SIGTERM, with the time of the signal.
+    stopping: Vec<(usize, Instant)>,
     /// Version of the newest configuration.
     pub routes_version: u64,
 }
@@ -64,47 +64,50 @@
             platform,
             sizes,
             storage,
-            storages: 1,
+            storages_started: 1,
             targets,
             current,
-            ending: Vec::new(),
+            stopping: Vec::new(),
             routes_version: 1,
         };
-        injector.tell_addresses();
+        injector.publish_addresses();
         injector
     }
 
-    fn tell_addresses(&self) {
+    fn publish_addresses(&self) {
         let addresses = (0..self.sizes.gateways).map(|it| self.platform.callers(it)).collect();
         self.shared.set_gateways(addresses);
     }
 
-    /// All runs at targets so far.
+    /// All runs at targets so far, in the order of their starts.
     pub fn runs(&self) -> Vec<Run> {
         let mut runs: Vec<Run> = self.targets.iter().flat_map(PlatformTarget::runs).collect();
         runs.sort_by_key(|it| it.at);
         runs
     }
 
-    /// Begins a fault.
+    /// Starts a fault.
     pub fn begin(&mut self, step: &Step) {
         self.shared.trace("fault", json!(step));
         let now = Instant::now();
-        self.shared.checks().disturbed(now, now + Duration::from_millis(step.for_ms));
+        self.shared.checks().add_fault_window(now, now + Duration::from_millis(step.for_ms));
         match step.fault {
             Fault::PauseGateway(gateway) => self.signal(gateway, "STOP"),
             Fault::KillGateway(gateway) => self.platform.gateway(gateway).kill(),
             Fault::StopGateway(gateway) => {
                 self.signal(gateway, "TERM");
-                self.ending.push((gateway, now));
+                self.stopping.push((gateway, now));
             }
             Fault::PauseStorage => self.signal_storage("STOP"),
             Fault::KillStorage => self.storage.kill(),
-            Fault::GatewayLink(gateway, trouble) => {
-                self.platform.gateway_link(gateway).into_iter().for_each(|it| disturb(it, trouble));
+            Fault::GatewayLink(gateway, fault) => {
+                self.platform
+                    .gateway_link(gateway)
+                    .into_iter()
+                    .for_each(|it| apply_link_fault(it, fault));
             }
-            Fault::TargetLink(target, trouble) => {
-                self.target_link(target).into_iter().for_each(|it| disturb(it, trouble));
+            Fault::TargetLink(target, fault) => {
+                self.target_link(target).into_iter().for_each(|it| apply_link_fault(it, fault));
             }
             Fault::Store(fault) => self.platform.store.set_fault(fault),
             Fault::StoreTowards(gateway, fault) => self.platform.set_way_fault(gateway, fault),
@@ -113,12 +116,12 @@
             Fault::ReplaceTarget(target) => self.platform.register(self.target(target), "draining"),
             Fault::ChangeRoutes => {
                 self.routes_version += 1;
-                self.platform.put_routes(self.routes_version, ATTEMPTS);
+                self.platform.put_routes(self.routes_version, ROUTE_ATTEMPTS);
             }
         }
     }
 
-    /// Ends a fault.
+    /// Ends a fault; a SIGTERM, a history loss and a new configuration have no end of their own.
     pub fn end(&mut self, step: &Step) {
         self.shared.trace("fault over", json!(step));
         match step.fault {
@@ -145,33 +148,34 @@
         }
     }
 
-    /// Starts gateways anew that have ended after SIGTERM; says whether none is ending any more.
+    /// Restarts gateways that have exited after SIGTERM, and kills those that exceed [`TERM_GRACE`]; returns whether no
+    /// gateway is still shutting down.
     pub fn tick(&mut self) -> bool {
-        for (gateway, since) in std::mem::take(&mut self.ending) {
-            if since.elapsed() > GRACE {
+        for (gateway, since) in std::mem::take(&mut self.stopping) {
+            if since.elapsed() > TERM_GRACE {
                 self.platform.gateway(gateway).kill();
             }
             match self.platform.gateway(gateway).has_ended() {
                 true => {
-                    self.shared.checks().disturbed(since, Instant::now());
+                    self.shared.checks().add_fault_window(since, Instant::now());
                     self.restart_gateway(gateway);
                 }
-                false => self.ending.push((gateway, since)),
+                false => self.stopping.push((gateway, since)),
             }
         }
-        self.ending.is_empty()
+        self.stopping.is_empty()
     }
 
-    /// Starts a gateway anew whose process has ended.
+    /// Restarts a gateway whose process has exited.
     pub fn restart_gateway(&mut self, gateway: usize) {
-        self.ending.retain(|(it, _)| *it != gateway);
+        self.stopping.retain(|(it, _)| *it != gateway);
         self.platform.restart_gateway(gateway);
-        self.tell_addresses();
+        self.publish_addresses();
     }
 
     fn restart_storage(&mut self) {
-        self.storage = self.platform.start_storage(&format!("storage-{}", self.storages));
-        self.storages += 1;
+        self.storage = self.platform.start_storage(&format!("storage-{}", self.storages_started));
+        self.storages_started += 1;
     }
 
     fn signal(&mut self, gateway: usize, name: &str) {
@@ -195,9 +199,9 @@
     }
 
     fn replace(&mut self, number: usize) {
-        let former = self.target(number);
-        former.crash();
-        self.platform.store.remove("servers", &former.name);
+        let previous = self.target(number);
+        previous.crash();
+        self.platform.store.remove("servers", &previous.name);
         let name = format!("t-{}", self.targets.len());
         let target = self.platform.start_target(&name, EVENT_PAUSE);
         self.current[number] = self.targets.len();
@@ -205,9 +209,9 @@
     }
 }
 
-fn disturb(link: &Link, trouble: LinkTrouble) {
-    match trouble {
+fn apply_link_fault(link: &Link, fault: LinkTrouble) {
+    match fault {
         LinkTrouble::Cut => link.cut(),
-        _ => link.set_fault(trouble.fault()),
+        _ => link.set_fault(fault.fault()),
     }
 }
--- a/crates/samphiredoor-standin/src/soak/mod.rs
+++ b/crates/samphiredoor-standin/src/soak/mod.rs
@@ -1,17 +1,17 @@
-//! A randomized soak: real processes on loopback, faults from outside, and promises judged by what callers and targets
-//! see.
+//! Randomized soak test: real processes on loopback, faults injected from outside, and invariants that are checked from
+//! the answers that callers get and the requests that targets run.
 //!
-//! The faults of a seed are planned before it is played and written beside its trace. When things happen within the
-//! processes is not part of the plan, so that a seed that breaks a promise once may need some plays to break it again.
+//! The fault plan of a seed is generated before its run and written to a file beside the trace. The timing inside the
+//! processes is not part of the plan, so that several runs may be needed to reproduce a violation.
 
 mod checks;
 mod clients;
 mod connection;
 mod drills;
+mod final_checks;
 mod injector;
 mod plan;
 mod report;
-mod settle;
 mod trace;
 
 use std::{
@@ -23,14 +23,14 @@
 
 use anyhow::Context;
 
-pub use checks::{Breach, Checks, Promise};
+pub use checks::{Checks, Invariant, Violation};
 pub use connection::Reply;
 pub use plan::{Fault, LinkTrouble, Plan, Sizes, Step};
 
 use clients::Client;
+use final_checks::FinalChecks;
 use injector::Injector;
 use report::Recovery;
-use settle::Settle;
 use trace::Shared;
 
 const SIGHUP: i32 = 1;
@@ -39,30 +39,30 @@
 const TARGETS: usize = 3;
 const ONLINE_CLIENTS: usize = 24;
 const BATCH_CLIENTS: usize = 4;
-const TICK: Duration = Duration::from_millis(10);
-const CHECK_PAUSE: Duration = Duration::from_millis(500);
-/// Time after the last fault in which clients go on.
-const CALM: Duration = Duration::from_secs(4);
-/// Plays without one of the faults that break nothing before the fault counts as needed.
-const SHRINK_PLAYS: usize = 2;
+const TICK_INTERVAL: Duration = Duration::from_millis(10);
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
+/// Time after the last fault for which clients continue.
+const CLIENT_TIME_AFTER_FAULTS: Duration = Duration::from_secs(4);
+/// Runs without a given fault that have to pass before the fault counts as necessary for the violation.
+const SHRINK_RUNS: usize = 2;
 
-/// What to play.
+/// Settings of soak runs.
 #[derive(Debug, Clone)]
 pub struct Options {
     /// The `samphiredoor` program.
     pub binary: PathBuf,
     /// Folder for plans, traces and logs.
     pub folder: PathBuf,
-    /// Time over which faults are spread.
+    /// Time span of the faults, in seconds.
     pub seconds: u64,
-    /// Gateway processes.
+    /// Number of gateway processes.
     pub gateways: usize,
-    /// Whether times to recover from single faults are taken, too.
+    /// Whether recovery times from single faults are measured after the plan.
     pub drills: bool,
 }
 
 impl Options {
-    /// Plan of a seed.
+    /// Generates the plan of a seed.
     pub fn plan(&self, seed: u64) -> Plan {
         Plan::of_seed(seed, self.seconds, self.sizes())
     }
@@ -72,51 +72,55 @@
     }
 }
 
-/// Plays the plans of these seeds one after the other.
+/// Runs the plans of the given seeds one after the other.
 ///
 /// # Errors
 ///
-/// Seeds broke a promise, the process was told to end, or files could not be written.
-pub fn play_seeds(options: &Options, seeds: impl Iterator<Item = u64>) -> anyhow::Result<()> {
+/// A seed violated an invariant, the process received a termination signal, or a file could not be written.
+pub fn run_seeds(options: &Options, seeds: impl Iterator<Item = u64>) -> anyhow::Result<()> {
     let mut recovery = Recovery::default();
-    let (mut kept, mut broken) = (0, Vec::new());
+    let (mut passed, mut violating_seeds) = (0, Vec::new());
     for seed in seeds {
-        match play(options, seed, &options.plan(seed), "seed", &mut recovery)? {
-            None => kept += 1,
-            Some(_) => broken.push(seed),
+        match run_plan(options, seed, &options.plan(seed), "seed", &mut recovery)? {
+            None => passed += 1,
+            Some(_) => violating_seeds.push(seed),
         }
     }
-    println!("{kept} seeds kept every promise, broken: {broken:?}");
+    println!("{passed} seeds kept every promise, broken: {violating_seeds:?}");
     recovery.print();
-    anyhow::ensure!(broken.is_empty(), "promises were broken by seeds {broken:?}");
+    anyhow::ensure!(
+        violating_seeds.is_empty(),
+        "invariants were violated by seeds {violating_seeds:?}"
+    );
     Ok(())
 }
 
-/// Plays a plan that was written before.
+/// Runs the plan in a file.
 ///
 /// # Errors
 ///
-/// As [`play_seeds`], or the plan cannot be read.
+/// As [`run_seeds`], or the plan cannot be read.
 pub fn replay(options: &Options, seed: u64, file: &Path) -> anyhow::Result<()> {
     let plan = Plan::read(file)?;
-    let breach = play(options, seed, &plan, "replay", &mut Recovery::default())?;
-    anyhow::ensure!(breach.is_none(), "a promise was broken");
+    let violation = run_plan(options, seed, &plan, "replay", &mut Recovery::default())?;
+    anyhow::ensure!(violation.is_none(), "an invariant was violated");
     Ok(())
 }
 
-/// Leaves out faults one by one for as long as the same promise breaks, and writes what is left as `shrunk.jsonl`.
+/// Removes faults one by one as long as the same invariant is still violated, and writes the remaining plan to
+/// `shrunk.jsonl`.
 ///
 /// # Errors
 ///
-/// As [`replay`], or the plan breaks no promise.
+/// Always: the violated invariant; or as [`replay`], or the plan did not violate any invariant.
 pub fn shrink(options: &Options, seed: u64, mut plan: Plan) -> anyhow::Result<()> {
-    let broken = play(options, seed, &plan, "shrink", &mut Recovery::default())?;
-    let broken = broken.context("the plan broke no promise this time")?.promise;
-    for number in (0..plan.0.len()).rev() {
-        let shorter = plan.without(number);
-        for _ in 0..SHRINK_PLAYS {
-            let breach = play(options, seed, &shorter, "shrink", &mut Recovery::default())?;
-            if breach.is_some_and(|it| it.promise == broken) {
+    let violated = run_plan(options, seed, &plan, "shrink", &mut Recovery::default())?;
+    let violated = violated.context("the plan violated no invariant this time")?.invariant;
+    for index in (0..plan.0.len()).rev() {
+        let shorter = plan.without(index);
+        for _ in 0..SHRINK_RUNS {
+            let violation = run_plan(options, seed, &shorter, "shrink", &mut Recovery::default())?;
+            if violation.is_some_and(|it| it.invariant == violated) {
                 plan = shorter;
                 break;
             }
@@ -125,40 +129,40 @@
     let file = options.folder.join(format!("shrink-{seed}")).join("shrunk.jsonl");
     plan.write(&file)?;
     println!("{} faults left: {}", plan.0.len(), file.display());
-    anyhow::bail!("a promise was broken: {broken}")
+    anyhow::bail!("an invariant was violated: {violated}")
 }
 
-/// Plays a plan, in a folder of that name and seed; tells the promise that broke, if one did.
-fn play(
+/// Runs a plan in a folder named after `name` and the seed; returns the violation, if any.
+fn run_plan(
     options: &Options,
     seed: u64,
     plan: &Plan,
     name: &str,
     recovery: &mut Recovery,
-) -> anyhow::Result<Option<Breach>> {
+) -> anyhow::Result<Option<Violation>> {
     let folder = options.folder.join(format!("{name}-{seed}"));
     fs::create_dir_all(&folder)
         .with_context(|| format!("{} cannot be created", folder.display()))?;
     plan.write(&folder.join("plan.jsonl"))?;
     let shared = Shared::new(&folder.join("trace.jsonl"))?;
     let mut injector = Injector::start(&shared, &options.binary, options.sizes());
-    run(&shared, &mut injector, plan, seed, options.drills, recovery);
+    drive(&shared, &mut injector, plan, seed, options.drills, recovery);
     shared.flush();
-    anyhow::ensure!(!trace::is_interrupted(), "told to end");
-    let breach = shared.checks().breach().cloned();
-    match &breach {
-        None => report::print_kept(seed, plan.0.len(), shared.checks().counts()),
-        Some(breach) => {
-            let lines = injector.platform.lines_with(&breach.id);
+    anyhow::ensure!(!trace::is_interrupted(), "ended by a signal");
+    let violation = shared.checks().violation().cloned();
+    match &violation {
+        None => report::print_passed(seed, plan.0.len(), shared.checks().counts()),
+        Some(violation) => {
+            let lines = injector.platform.lines_with(&violation.id);
             injector.platform.write_logs(&folder)?;
-            report::print_broken(seed, breach, &lines, &folder);
+            report::print_violation(seed, violation, &lines, &folder);
         }
     }
-    Ok(breach)
+    Ok(violation)
 }
 
-/// Does the faults of a plan while clients go on, and checks all promises.
-fn run(
+/// Injects the faults of a plan while clients send requests, and checks all invariants.
+fn drive(
     shared: &Shared,
     injector: &mut Injector<'_>,
     plan: &Plan,
@@ -167,11 +171,11 @@
     recovery: &mut Recovery,
 ) {
     let gateways = injector.sizes.gateways;
-    let settle = thread::scope(|scope| {
+    let final_checks = thread::scope(|scope| {
         let client = |number: usize, name: String| {
             Client::new(shared, seed.wrapping_add(number as u64), name, gateways)
         };
-        // Also when this thread panics: the scope waits for all clients.
+        // Stops the clients also when this thread panics, because the scope waits for all of them.
         let _stop = StopOnDrop(shared);
         for number in 0..ONLINE_CLIENTS {
             let client = client(number, format!("c{number}"));
@@ -181,19 +185,19 @@
             let client = client(ONLINE_CLIENTS + number, format!("b{number}"));
             scope.spawn(move || client.send_jobs());
         }
-        inject(shared, injector, plan);
-        let settle = Settle::new(shared, gateways);
-        settle.served_again(&mut recovery.served_ms);
-        wait(shared, injector, Instant::now() + CALM);
-        settle
+        inject_faults(shared, injector, plan);
+        let final_checks = FinalChecks::new(shared, gateways);
+        final_checks.check_gateways_serve(&mut recovery.served_ms);
+        wait_and_check(shared, injector, Instant::now() + CLIENT_TIME_AFTER_FAULTS);
+        final_checks
     });
     if drills && !shared.is_over() {
-        drills::measure(&settle, injector, recovery);
+        drills::measure(&final_checks, injector, recovery);
     }
-    settle.jobs_stand();
+    final_checks.check_jobs();
     let runs = injector.runs();
     shared.checks().check_runs(&runs);
-    settle.configuration_is_in_force(injector, &mut recovery.in_force_ms);
+    final_checks.check_new_configuration(injector, &mut recovery.config_active_ms);
 }
 
 struct StopOnDrop<'a>(&'a Shared);
@@ -204,15 +208,15 @@
     }
 }
 
-/// Does all faults of a plan, and waits until all are over.
-fn inject(shared: &Shared, injector: &mut Injector<'_>, plan: &Plan) {
-    let began = Instant::now();
+/// Injects all faults of a plan, and waits until all are over.
+fn inject_faults(shared: &Shared, injector: &mut Injector<'_>, plan: &Plan) {
+    let started_at = Instant::now();
     let begins = plan.0.iter().map(|it| (it.at_ms, true, it));
     let ends = plan.0.iter().map(|it| (it.at_ms + it.for_ms, false, it));
     let mut events: Vec<(u64, bool, &Step)> = begins.chain(ends).collect();
     events.sort_by_key(|(at_ms, begins, _)| (*at_ms, *begins));
     for (at_ms, begins, step) in events {
-        wait(shared, injector, began + Duration::from_millis(at_ms));
+        wait_and_check(shared, injector, started_at + Duration::from_millis(at_ms));
         if shared.is_over() {
             return;
         }
@@ -220,31 +224,31 @@
             injector.begin(step);
         } else {
             injector.end(step);
-            // Later than planned where the start of a process took its time.
-            let began = began + Duration::from_millis(step.at_ms);
-            shared.checks().disturbed(began, Instant::now());
+            // The fault may have ended later than planned, if a process was slow to start.
+            let fault_started_at = started_at + Duration::from_millis(step.at_ms);
+            shared.checks().add_fault_window(fault_started_at, Instant::now());
         }
     }
     while !injector.tick() && !shared.is_over() {
-        thread::sleep(TICK);
+        thread::sleep(TICK_INTERVAL);
     }
 }
 
-/// Waits, and checks meanwhile.
-fn wait(shared: &Shared, injector: &mut Injector<'_>, until: Instant) {
+/// Waits until a point in time and checks the runs at targets meanwhile.
+fn wait_and_check(shared: &Shared, injector: &mut Injector<'_>, until: Instant) {
     let mut check_at = Instant::now();
     while Instant::now() < until && !shared.is_over() {
         injector.tick();
         if Instant::now() >= check_at {
             let runs = injector.runs();
             shared.checks().check_runs(&runs);
-            check_at = Instant::now() + CHECK_PAUSE;
+            check_at = Instant::now() + CHECK_INTERVAL;
         }
-        thread::sleep(TICK.min(until.saturating_duration_since(Instant::now())));
+        thread::sleep(TICK_INTERVAL.min(until.saturating_duration_since(Instant::now())));
     }
 }
 
-/// Has all runs of this process end soon once it is told to end, so that no process outlives it.
+/// Ends the current run on SIGHUP, SIGINT and SIGTERM, so that no child process outlives this one.
 pub fn end_on_signals() {
     for signal in [SIGHUP, SIGINT, SIGTERM] {
         thread::spawn(move || {
--- a/crates/samphiredoor-standin/src/soak/plan.rs
+++ b/crates/samphiredoor-standin/src/soak/plan.rs
@@ -1,4 +1,4 @@
-//! A seeded plan of faults, one line each, that can be written, read again and shortened.
+//! Fault plans: generated from a seed, written and read as one JSON line per fault, and shrunk by removing faults.
 
 use std::{fmt::Write as _, path::Path};
 
@@ -8,39 +8,39 @@
 
 use crate::{link::LinkFault, platform_store::StoreFault, platform_target::TargetFault};
 
-/// Time before the first fault, in which clients make their first jobs.
-const FIRST_MS: u64 = 500;
-/// Time between two faults of a series; shorter than most faults last, so that they overlap.
-const GAP_MS: std::ops::Range<u64> = 20..500;
-/// Calm between two series, long enough for checks that hold while no fault is on.
-const CALM_MS: std::ops::Range<u64> = 4_000..6_000;
+/// Time before the first fault, in which clients submit their first jobs.
+const FIRST_FAULT_MS: u64 = 500;
+/// Time between the starts of two faults of a series; shorter than most faults last, so that they overlap.
+const FAULT_INTERVAL_MS: std::ops::Range<u64> = 20..500;
+/// Time between two series, long enough for checks that apply only while no fault is active.
+const SERIES_PAUSE_MS: std::ops::Range<u64> = 4_000..6_000;
 const SHORT_MS: std::ops::Range<u64> = 100..2_500;
-/// Lengths after which a gateway that is silent has lost its jobs to others.
+/// Duration after which other gateways have taken over the jobs of an unresponsive gateway.
 const LONG_MS: std::ops::Range<u64> = 4_000..8_000;
-/// Chance that a fault is a long one.
-const IS_LONG: f64 = 0.25;
-/// Chance that a series ends after a fault.
-const SERIES_ENDS: f64 = 0.1;
+/// Probability that the duration of a fault is from [`LONG_MS`].
+const LONG_PROBABILITY: f64 = 0.25;
+/// Probability that a series ends after a fault.
+const SERIES_END_PROBABILITY: f64 = 0.1;
 
-/// How a link misbehaves.
+/// Fault of a link, as written in plans.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum LinkTrouble {
-    /// Each piece is late.
+    /// Delays all data.
     Slow,
-    /// Nothing passes.
+    /// Drops all data.
     Silent,
-    /// Nothing passes towards the far side.
+    /// Drops data from the client to the server.
     SilentThere,
-    /// Nothing passes back.
+    /// Drops data from the server to the client.
     SilentBack,
-    /// Open connections end.
+    /// Closes open connections.
     Cut,
 }
 
 impl LinkTrouble {
-    /// Fault of the link while it lasts.
+    /// State of the link for the duration of the fault.
     pub fn fault(self) -> LinkFault {
         match self {
             LinkTrouble::Slow => LinkFault::Slow,
@@ -52,36 +52,36 @@
     }
 }
 
-/// What happens, and to whom; gateways and targets by their numbers.
+/// Kind of a fault, with the numbers of the gateways and targets that it affects.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Fault {
     /// SIGSTOP, then SIGCONT.
     PauseGateway(usize),
-    /// SIGKILL, then a new start.
+    /// SIGKILL, then a restart.
     KillGateway(usize),
-    /// SIGTERM, and a new start once the process has ended.
+    /// SIGTERM, then a restart once the process has ended.
     StopGateway(usize),
     /// SIGSTOP, then SIGCONT.
     PauseStorage,
-    /// SIGKILL, then a new start.
+    /// SIGKILL, then a restart.
     KillStorage,
-    /// Link between a gateway and the store.
+    /// Fault of the link between a gateway and the store.
     GatewayLink(usize, LinkTrouble),
-    /// Link between all gateways and a target.
+    /// Fault of the link between all gateways and a target.
     TargetLink(usize, LinkTrouble),
-    /// The store misbehaves towards all.
+    /// Fault of the store for all of its clients.
     Store(StoreFault),
-    /// The store misbehaves towards one gateway.
+    /// Fault of the store for one gateway.
     StoreTowards(usize, StoreFault),
-    /// The store forgets its history.
+    /// The store discards its event history, so that watches have to list again.
     ForgetHistory,
-    /// A target answers so many requests with a fault.
+    /// A target answers the given number of requests with a fault.
     Target(usize, TargetFault, u32),
-    /// A target drains and ends, and a new one takes its place.
+    /// A target drains and ends, and a new one replaces it.
     ReplaceTarget(usize),
-    /// The configuration is written anew under a higher version.
+    /// The configuration is written again, with a higher version.
     ChangeRoutes,
 }
 
@@ -89,57 +89,58 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Step {
-    /// When it begins.
+    /// Start of the fault, from the start of the plan.
     pub at_ms: u64,
-    /// How long it lasts, where that means something.
+    /// Duration of the fault; no effect on faults that happen at once.
     pub for_ms: u64,
-    /// What happens.
+    /// Kind of fault.
     pub fault: Fault,
 }
 
-/// How many of each there are.
+/// Numbers of processes that faults can affect.
 #[derive(Debug, Clone, Copy)]
 pub struct Sizes {
-    /// Gateway processes.
+    /// Number of gateway processes.
     pub gateways: usize,
-    /// Targets.
+    /// Number of targets.
     pub targets: usize,
 }
 
-/// Faults in the order of their beginnings.
+/// Faults in the order of their starts.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Plan(pub Vec<Step>);
 
 impl Plan {
-    /// Plan of a seed; every fault begins and ends within the time.
+    /// Generates the plan of a seed; every fault starts and ends within `seconds`.
     pub fn of_seed(seed: u64, seconds: u64, sizes: Sizes) -> Plan {
         let mut rng = SmallRng::seed_from_u64(seed);
-        let (mut at_ms, mut steps) = (FIRST_MS, Vec::new());
+        let (mut at_ms, mut steps) = (FIRST_FAULT_MS, Vec::new());
         let end_ms = seconds * 1_000;
         while at_ms + SHORT_MS.start < end_ms {
-            let lengths = if rng.random_bool(IS_LONG) { LONG_MS } else { SHORT_MS };
-            let for_ms = rng.random_range(lengths).min(end_ms - at_ms);
-            let fault = any_fault(&mut rng, sizes);
+            let durations = if rng.random_bool(LONG_PROBABILITY) { LONG_MS } else { SHORT_MS };
+            let for_ms = rng.random_range(durations).min(end_ms - at_ms);
+            let fault = random_fault(&mut rng, sizes);
             steps.push(Step { at_ms, for_ms, fault });
-            let series_ends = rng.random_bool(SERIES_ENDS);
-            at_ms += rng.random_range(if series_ends { CALM_MS } else { GAP_MS });
+            let series_ends = rng.random_bool(SERIES_END_PROBABILITY);
+            at_ms +=
+                rng.random_range(if series_ends { SERIES_PAUSE_MS } else { FAULT_INTERVAL_MS });
         }
         Plan(steps)
     }
 
-    /// Reads a plan.
+    /// Reads a plan from a file.
     ///
     /// # Errors
     ///
-    /// The file cannot be read, or a line is no fault.
+    /// The file cannot be read, or a line is not a valid step.
     pub fn read(file: &Path) -> anyhow::Result<Plan> {
         let text = std::fs::read_to_string(file)
             .with_context(|| format!("{} cannot be read", file.display()))?;
         let steps = text.lines().map(serde_json::from_str).collect::<Result<_, _>>();
-        Ok(Plan(steps.with_context(|| format!("{} is no plan", file.display()))?))
+        Ok(Plan(steps.with_context(|| format!("{} is not a valid plan", file.display()))?))
     }
 
-    /// Writes the plan, one fault a line.
+    /// Writes the plan to a file, one step per line.
     ///
     /// # Errors
     ///
@@ -152,15 +153,15 @@
         std::fs::write(file, text).with_context(|| format!("{} cannot be written", file.display()))
     }
 
-    /// The plan without one of its faults.
-    pub fn without(&self, number: usize) -> Plan {
+    /// The plan without the step at an index.
+    pub fn without(&self, index: usize) -> Plan {
         let mut steps = self.0.clone();
-        steps.remove(number);
+        steps.remove(index);
         Plan(steps)
     }
 }
 
-fn any_fault(rng: &mut SmallRng, sizes: Sizes) -> Fault {
+fn random_fault(rng: &mut SmallRng, sizes: Sizes) -> Fault {
     let gateway = rng.random_range(0..sizes.gateways);
     let target = rng.random_range(0..sizes.targets);
     match rng.random_range(0..24) {
@@ -169,29 +170,29 @@
         6 => Fault::StopGateway(gateway),
         7 => Fault::PauseStorage,
         8 => Fault::KillStorage,
-        9..=11 => Fault::GatewayLink(gateway, any_link_trouble(rng)),
-        12 | 13 => Fault::TargetLink(target, any_link_trouble(rng)),
-        14 | 15 => Fault::Store(any_store_fault(rng)),
-        16 => Fault::StoreTowards(gateway, any_store_fault(rng)),
+        9..=11 => Fault::GatewayLink(gateway, random_link_trouble(rng)),
+        12 | 13 => Fault::TargetLink(target, random_link_trouble(rng)),
+        14 | 15 => Fault::Store(random_store_fault(rng)),
+        16 => Fault::StoreTowards(gateway, random_store_fault(rng)),
         17 => Fault::ForgetHistory,
-        18..=21 => Fault::Target(target, any_target_fault(rng), rng.random_range(1..20)),
+        18..=21 => Fault::Target(target, random_target_fault(rng), rng.random_range(1..20)),
         22 => Fault::ReplaceTarget(target),
         _ => Fault::ChangeRoutes,
     }
 }
 
-fn any_link_trouble(rng: &mut SmallRng) -> LinkTrouble {
+fn random_link_trouble(rng: &mut SmallRng) -> LinkTrouble {
     use LinkTrouble::{Cut, Silent, SilentBack, SilentThere, Slow};
     *[Slow, Silent, SilentThere, SilentBack, Cut].choose(rng).expect("a fault")
 }
 
-fn any_store_fault(rng: &mut SmallRng) -> StoreFault {
+fn random_store_fault(rng: &mut SmallRng) -> StoreFault {
     use StoreFault::{Busy, PartsRefused, Silent, WatchesSilent, WritesLate, WritesUnanswered};
     let faults = [Silent, WatchesSilent, Busy, WritesUnanswered, WritesLate, PartsRefused];
     *faults.choose(rng).expect("a fault")
 }
 
-fn any_target_fault(rng: &mut SmallRng) -> TargetFault {
+fn random_target_fault(rng: &mut SmallRng) -> TargetFault {
     use TargetFault::{AnswerLost, CutAfter, Fails, Full, Silent, Stray, Unframed};
     let faults = [CutAfter(2), CutAfter(4), AnswerLost, Full, Fails, Silent, Stray, Unframed];
     *faults.choose(rng).expect("a fault")
--- a/crates/samphiredoor-standin/src/soak/report.rs
+++ b/crates/samphiredoor-standin/src/soak/report.rs
@@ -1,58 +1,58 @@
-//! What a run leaves to read: numbers, or the promise that broke with all that names its request.
+//! Output of a run: its counters, or the violated invariant with all log lines that name the request.
 
 use std::{fmt, path::Path, time::Duration};
 
 use hdrhistogram::Histogram;
 
-use super::checks::{Breach, Counts};
+use super::checks::{Counts, Violation};
 
-/// Lines of a log that are shown for a promise that broke.
-const SHOWN_LINES: usize = 40;
+/// Maximum number of log lines that are printed for a violation.
+const MAX_LOG_LINES: usize = 40;
 
-/// Longest time that is told apart; all waits are shorter.
-const LONGEST_MS: u64 = 120_000;
+/// Upper bound of the histogram; all timeouts are shorter.
+const MAX_MS: u64 = 120_000;
 
-/// Times to recover, over all runs of a command.
+/// Recovery times over all runs of a command.
 #[derive(Debug, Default)]
 pub struct Recovery {
-    /// From the last fault to a request that a gateway served.
+    /// From the last fault until a gateway served a request.
     pub served_ms: Times,
     /// From the acknowledgement of a configuration until all gateways served its new route.
-    pub in_force_ms: Times,
-    /// From the return of the store to a new job that was accepted.
-    pub accepted_ms: Times,
-    /// From the kill of a job's owner to the next of its items that began to run.
-    pub items_ms: Times,
+    pub config_active_ms: Times,
+    /// From the recovery of the store until a new job was accepted.
+    pub job_accepted_ms: Times,
+    /// From the kill of a job's owner until the job's next item started.
+    pub next_item_ms: Times,
 }
 
 impl Recovery {
-    /// Prints all times that were taken.
+    /// Prints the distributions that have at least one value.
     pub fn print(&self) {
-        for (what, times) in [
+        for (label, times) in [
             ("gateway serves after the last fault", &self.served_ms),
-            ("configuration in force at all gateways", &self.in_force_ms),
-            ("job accepted after the store's return", &self.accepted_ms),
-            ("items run after the kill of their owner", &self.items_ms),
+            ("configuration in force at all gateways", &self.config_active_ms),
+            ("job accepted after the store's return", &self.job_accepted_ms),
+            ("items run after the kill of their owner", &self.next_item_ms),
         ] {
             if !times.0.is_empty() {
-                println!("{what}: {times}");
+                println!("{label}: {times}");
             }
         }
     }
 }
 
-/// Distribution of times.
+/// Histogram of times in milliseconds.
 #[derive(Debug)]
 pub struct Times(Histogram<u64>);
 
 impl Default for Times {
     fn default() -> Times {
-        Times(Histogram::new_with_max(LONGEST_MS, 3).expect("the bounds are allowed"))
+        Times(Histogram::new_with_max(MAX_MS, 3).expect("the bounds are allowed"))
     }
 }
 
 impl Times {
-    /// Adds a time.
+    /// Adds a time; longer ones count as [`MAX_MS`].
     pub fn push(&mut self, time: Duration) {
         self.0.saturating_record(time.as_millis() as u64);
     }
@@ -66,8 +66,8 @@
     }
 }
 
-/// Prints the numbers of a run in which every promise held.
-pub fn print_kept(seed: u64, faults: usize, counts: Counts) {
+/// Prints the counters of a run without a violation.
+pub fn print_passed(seed: u64, faults: usize, counts: Counts) {
     let Counts { served, refused, doubtful, results, ended, runs } = counts;
     println!(
         "seed {seed}: kept, faults={faults} served={served} refused={refused} doubtful={doubtful} \
@@ -75,14 +75,14 @@
     );
 }
 
-/// Prints a promise that broke, and how to play it again.
-pub fn print_broken(seed: u64, breach: &Breach, lines: &[String], folder: &Path) {
-    println!("seed {seed}: BROKEN: {}", breach.promise);
-    println!("  id={} {}", breach.id, breach.seen);
-    for line in lines.iter().take(SHOWN_LINES) {
+/// Prints a violation, log lines about its request, and the folder with the plan to replay.
+pub fn print_violation(seed: u64, violation: &Violation, lines: &[String], folder: &Path) {
+    println!("seed {seed}: BROKEN: {}", violation.invariant);
+    println!("  id={} {}", violation.id, violation.observed);
+    for line in lines.iter().take(MAX_LOG_LINES) {
         println!("  {line}");
     }
-    if let Some(more @ 1..) = lines.len().checked_sub(SHOWN_LINES) {
+    if let Some(more @ 1..) = lines.len().checked_sub(MAX_LOG_LINES) {
         println!("  and {more} more lines");
     }
     println!("  trace, plan and logs: {}", folder.display());
--- a/crates/samphiredoor-standin/src/soak/trace.rs
+++ b/crates/samphiredoor-standin/src/soak/trace.rs
@@ -1,4 +1,4 @@
-//! What a run has done and seen, one line each, and what its threads share.
+//! State that the threads of a run share, and the trace of the run: one JSON line per event.
 
 use std::{
     fs::File,
@@ -17,30 +17,30 @@
 
 use super::checks::Checks;
 
-/// Set when the process is told to end.
+/// Set when the process receives a termination signal.
 static INTERRUPTED: AtomicBool = AtomicBool::new(false);
 
-/// Has all runs of this process end soon.
+/// Requests the end of all runs of this process.
 pub fn interrupt() {
     INTERRUPTED.store(true, Ordering::Relaxed);
 }
 
-/// Whether the process is told to end.
+/// Whether the process has received a termination signal.
 pub fn is_interrupted() -> bool {
     INTERRUPTED.load(Ordering::Relaxed)
 }
 
-/// What clients and faults of one run share.
+/// State of one run, shared by its clients and the fault injector.
 pub struct Shared {
     checks: Mutex<Checks>,
     gateways: Mutex<Vec<SocketAddr>>,
     lines: Mutex<BufWriter<File>>,
-    began: Instant,
+    started_at: Instant,
     stopped: AtomicBool,
 }
 
 impl Shared {
-    /// State of a run that writes its trace into a file.
+    /// New run that writes its trace to a file.
     ///
     /// # Errors
     ///
@@ -52,59 +52,59 @@
             checks: Mutex::default(),
             gateways: Mutex::default(),
             lines: Mutex::new(BufWriter::new(file)),
-            began: Instant::now(),
+            started_at: Instant::now(),
             stopped: AtomicBool::new(false),
         })
     }
 
-    /// The promises.
+    /// Locks the checks.
     pub fn checks(&self) -> MutexGuard<'_, Checks> {
-        locked(&self.checks)
+        lock(&self.checks)
     }
 
-    /// Where a gateway takes callers' connections.
+    /// Address of a gateway's listener for callers.
     pub fn gateway(&self, number: usize) -> SocketAddr {
-        locked(&self.gateways)[number]
+        lock(&self.gateways)[number]
     }
 
-    /// Takes where gateways take callers' connections.
+    /// Sets the addresses of the gateways' listeners for callers.
     pub fn set_gateways(&self, addresses: Vec<SocketAddr>) {
-        *locked(&self.gateways) = addresses;
+        *lock(&self.gateways) = addresses;
     }
 
-    /// Writes a line.
+    /// Writes a line to the trace.
     pub fn trace(&self, what: &str, details: Value) {
         let line = json!({ "at_ms": self.elapsed_ms(), "what": what, "of": details });
-        // A trace that cannot be written must not end the run that it tells about.
-        let _ = writeln!(locked(&self.lines), "{line}");
+        // A failure to write the trace must not end the run.
+        let _ = writeln!(lock(&self.lines), "{line}");
     }
 
-    /// Writes out all lines.
+    /// Flushes the trace to its file.
     pub fn flush(&self) {
-        let _ = locked(&self.lines).flush();
+        let _ = lock(&self.lines).flush();
     }
 
-    /// Time since the run began.
+    /// Time since the start of the run.
     pub fn elapsed_ms(&self) -> u64 {
-        self.began.elapsed().as_millis() as u64
+        self.started_at.elapsed().as_millis() as u64
     }
 
-    /// Has clients end.
+    /// Requests the end of all clients.
     pub fn stop(&self) {
         self.stopped.store(true, Ordering::Relaxed);
     }
 
-    /// Whether clients are to end.
+    /// Whether clients should end.
     pub fn is_stopped(&self) -> bool {
         self.stopped.load(Ordering::Relaxed) || self.is_over()
     }
 
-    /// Whether nothing more is worth doing: a promise broke, or the process is told to end.
+    /// Whether the run should end early: an invariant was violated, or the process received a termination signal.
     pub fn is_over(&self) -> bool {
-        is_interrupted() || self.checks().breach().is_some()
+        is_interrupted() || self.checks().violation().is_some()
     }
 }
 
-fn locked<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/samphiredoor-standin/src/table.rs
+++ b/crates/samphiredoor-standin/src/table.rs
@@ -1,10 +1,11 @@
-//! The table of a whole experiment: figures of each variant as ratios to the run without batch.
+//! Result table of an experiment: figures of each variant as ratios to the run without batch load.
 
 use std::{collections::BTreeMap, path::Path};
 
 use anyhow::Context;
 
-/// What an all-knowing scheduler could do is worked out from the engine's step time and the run without batch.
+/// Upper bound of the batch throughput of any scheduler, computed from the engine's step time and the run without
+/// batch.
 #[derive(Debug, Clone, Copy)]
 pub struct Bound {
     /// Time of a step with no sequence, in milliseconds.
@@ -13,19 +14,19 @@
     pub step_per_sequence_ms: f64,
     /// Number of engines.
     pub engines: f64,
-    /// Most batch sequences at one engine.
+    /// Maximum number of batch sequences at one engine.
     pub loan_limit: f64,
 }
 
-/// Slowdown of online tokens that counts as none.
+/// Allowed ratio of the 99th percentile of online step times to that without batch load.
 const ALLOWED_SLOWDOWN: f64 = 1.05;
 
 impl Bound {
-    /// Batch tokens a second that fit beside `online_tokens_per_s` if every step took exactly as long as the allowed
-    /// slowdown lets the 99th percentile of the run without batch be.
+    /// Batch tokens per second that fit beside `online_tokens_per_s` if every step took exactly the allowed slowdown
+    /// times the 99th percentile of the run without batch.
     ///
-    /// More needs a longer step, which more than one token in a hundred would feel; so no scheduler can do better and
-    /// keep the goal, however much it knows of the arrivals to come.
+    /// A higher throughput needs longer steps, which would slow down more than one token in a hundred. So no scheduler
+    /// can exceed this and stay within the allowed slowdown, even with full knowledge of future arrivals.
     pub fn batch_tokens_per_s(&self, baseline_step_p99_ms: f64, online_tokens_per_s: f64) -> f64 {
         let step_ms = ALLOWED_SLOWDOWN * baseline_step_p99_ms;
         let sequences = ((step_ms - self.step_ms) / self.step_per_sequence_ms).max(0.0);
@@ -34,7 +35,7 @@
     }
 }
 
-/// Prints the table of the rows in `file`, of which the first is the run without batch.
+/// Prints the rows of `file` as a Markdown table; the first row is the run without batch.
 pub fn print(file: &Path, bound: Bound) -> anyhow::Result<()> {
     let text = std::fs::read_to_string(file).with_context(|| file.display().to_string())?;
     let mut lines = text.lines();
