--- a/crates/samphiredoor-standin/src/calls.rs
+++ b/crates/samphiredoor-standin/src/calls.rs
@@ -46,12 +46,12 @@
     let measured =
         Rc::new(Measured { latency_us: RefCell::new(histogram), failed: RefCell::new(0) });
     let pool = Pool::new(calls.address);
-    let began = Instant::now();
+    let started_at = Instant::now();
     match calls.rate_per_s {
-        None => closed(&calls, &pool, &measured).await,
-        Some(rate) => open(&calls, rate, &pool, &measured).await,
+        None => run_closed_loop(&calls, &pool, &measured).await,
+        Some(rate) => run_open_loop(&calls, rate, &pool, &measured).await,
     }
-    let elapsed_s = began.elapsed().as_secs_f64();
+    let elapsed_s = started_at.elapsed().as_secs_f64();
     let latency = measured.latency_us.borrow();
     let ms = |quantile: f64| latency.value_at_quantile(quantile) as f64 / 1_000.0;
     println!(
@@ -65,22 +65,22 @@
     Ok(())
 }
 
-async fn closed(calls: &Calls, pool: &Pool, measured: &Rc<Measured>) {
+async fn run_closed_loop(calls: &Calls, pool: &Pool, measured: &Rc<Measured>) {
     let end = Instant::now() + calls.duration;
     let workers = (0..calls.connections).map(|_| async {
         while Instant::now() < end {
-            call(calls, pool, measured, Instant::now()).await;
+            call_and_record(calls, pool, measured, Instant::now()).await;
         }
     });
     futures_util::future::join_all(workers).await;
 }
 
-async fn open(calls: &Calls, rate: f64, pool: &Pool, measured: &Rc<Measured>) {
-    let began = Instant::now();
+async fn run_open_loop(calls: &Calls, rate: f64, pool: &Pool, measured: &Rc<Measured>) {
+    let started_at = Instant::now();
     let mut tasks = Vec::new();
     for number in 0.. {
-        let due = began + Duration::from_secs_f64(f64::from(number) / rate);
-        if due >= began + calls.duration {
+        let due = started_at + Duration::from_secs_f64(f64::from(number) / rate);
+        if due >= started_at + calls.duration {
             break;
         }
         let wait = due.saturating_duration_since(Instant::now());
@@ -89,14 +89,14 @@
         }
         let (calls, pool, measured) = (calls.clone(), pool.clone(), Rc::clone(measured));
         tasks.push(compio::runtime::spawn(async move {
-            call(&calls, &pool, &measured, due).await;
+            call_and_record(&calls, &pool, &measured, due).await;
         }));
     }
     futures_util::future::join_all(tasks).await;
 }
 
-async fn call(calls: &Calls, pool: &Pool, measured: &Measured, due: Instant) {
-    match exchange(calls, pool).await {
+async fn call_and_record(calls: &Calls, pool: &Pool, measured: &Measured, due: Instant) {
+    match send_call(calls, pool).await {
         Ok(()) => {
             let us = due.elapsed().as_micros() as u64;
             measured.latency_us.borrow_mut().saturating_record(us.max(1));
@@ -108,7 +108,7 @@
     }
 }
 
-async fn exchange(calls: &Calls, pool: &Pool) -> anyhow::Result<()> {
+async fn send_call(calls: &Calls, pool: &Pool) -> anyhow::Result<()> {
     let request = Request::builder()
         .method(Method::POST)
         .uri(&calls.path)
@@ -118,6 +118,6 @@
     let response = sent.map_err(|err| anyhow::anyhow!("{err:?}"))?;
     anyhow::ensure!(response.status().is_success(), "status {}", response.status());
     let read = read_whole(response.into_body(), MAX_ANSWER_BYTES).await;
-    read.map_err(|err| anyhow::anyhow!("{err:?}")).context("the answer was cut")?;
+    read.map_err(|err| anyhow::anyhow!("{err:?}")).context("the answer is incomplete")?;
     Ok(())
 }
--- a/crates/samphiredoor-standin/src/fleet.rs
+++ b/crates/samphiredoor-standin/src/fleet.rs
@@ -21,7 +21,7 @@
 
 use crate::{
     http::{Answer, call, get, start, wait_until},
-    link::{Link, SharedRate},
+    link::{Link, SharedBandwidth},
     platform_store::{PlatformStore, StoreFault},
     platform_target::PlatformTarget,
     process::ChildProcess,
@@ -53,12 +53,12 @@
     /// which changes of routes and targets have to be active.
     pub within_ms: u64,
     /// Fault of the store paths of gateways that are started next.
-    pub way_fault: StoreFault,
+    pub store_path_fault: StoreFault,
     /// Whether gateways that are started next reach the store through links, and targets that are started next are
     /// reached through links.
     pub linked: bool,
     /// Bandwidth that the store links of gateways that are started next share.
-    pub line: Option<SharedRate>,
+    pub store_bandwidth: Option<SharedBandwidth>,
     /// Region of gateways that are started next; their availability zone is this name with `-north` appended.
     pub region: &'static str,
     /// IP address on which gateways that are started next listen for peers.
@@ -77,7 +77,7 @@
     readiness: SocketAddr,
     process: ChildProcess,
     /// Store handle with the access path of this gateway.
-    way: PlatformStore,
+    store_path: PlatformStore,
     /// Link to the store, if [`Platform::linked`] was set.
     link: Option<Link>,
     lines: Lines,
@@ -129,9 +129,9 @@
             unready_ms: 300,
             watch_ms: 2_000,
             within_ms: 2_000,
-            way_fault: StoreFault::None,
+            store_path_fault: StoreFault::None,
             linked: false,
-            line: None,
+            store_bandwidth: None,
             region: "brisbane",
             peers_ip: "127.0.0.1",
             target_links: BTreeMap::new(),
@@ -212,13 +212,13 @@
     }
 
     fn run_gateway(&mut self, number: usize) -> Gateway {
-        let way = self.store.another_way();
-        way.set_way_fault(self.way_fault);
-        let serving = way.clone();
+        let store_path = self.store.with_own_path();
+        store_path.set_path_fault(self.store_path_fault);
+        let serving = store_path.clone();
         let store = start(move || move |request| serving.clone().handle(request));
         let link = self.linked.then(|| Link::start(store).expect("a link starts"));
-        if let (Some(link), Some(line)) = (&link, &self.line) {
-            link.share(line);
+        if let (Some(link), Some(bandwidth)) = (&link, &self.store_bandwidth) {
+            link.limit_bandwidth(bandwidth);
         }
         let store = link.as_ref().map_or(store, Link::address);
         let (region, peers_ip) = (self.region, self.peers_ip);
@@ -236,12 +236,12 @@
             self.mirrors.iter().map(SocketAddr::to_string).collect::<Vec<String>>(),
         );
         let (child, line, lines) = self.spawn("gateway", &format!("gateway-{number}"), &settings);
-        let field = |key: &str| {
+        let address = |key: &str| {
             let (_, rest) = line.split_once(&format!(" {key}=")).expect("the field is logged");
             rest.split_whitespace().next().expect("a value").parse().expect("an address")
         };
-        let (callers, readiness) = (field("callers"), field("readiness"));
-        Gateway { callers, readiness, process: ChildProcess(child), way, link, lines }
+        let (callers, readiness) = (address("callers"), address("readiness"));
+        Gateway { callers, readiness, process: ChildProcess(child), store_path, link, lines }
     }
 
     /// Starts the process of a storage host; gateways that are started next use its mirror.
@@ -269,17 +269,17 @@
         let mut lines = BufReader::new(child.stdout.take().expect("stdout is piped")).lines();
         let mark = format!("{role}: started");
         let started = lines.find_map(|it| it.ok().filter(|line| line.contains(&mark)));
-        let started = started.expect("the process says that it started");
-        let shown = std::env::var_os("SAMPHIREDOOR_TEST_LOG").is_some();
+        let started = started.expect("the process logs its start");
+        let print_lines = std::env::var_os("SAMPHIREDOOR_TEST_LOG").is_some();
         let (name, logged) = (name.to_owned(), Lines::default());
         let log = Arc::clone(&logged);
         self.logs.push((name.clone(), Arc::clone(&logged)));
         thread::spawn(move || {
             for line in lines.map_while(Result::ok) {
-                if shown {
+                if print_lines {
                     eprintln!("{name} {line}");
                 }
-                log.lock().expect("nobody panicked").push(line);
+                log.lock().expect("the lock is not poisoned").push(line);
             }
         });
         (child, started, logged)
@@ -291,8 +291,8 @@
     }
 
     /// Sets the fault of a gateway's store path.
-    pub fn set_way_fault(&self, number: usize, fault: StoreFault) {
-        self.gateways[number].way.set_way_fault(fault);
+    pub fn set_store_path_fault(&self, number: usize, fault: StoreFault) {
+        self.gateways[number].store_path.set_path_fault(fault);
     }
 
     /// All links of gateways to the store and of gateways to targets.
@@ -308,7 +308,7 @@
 
     /// Number of lines that contain `text` in the log of a gateway's current process.
     pub fn times_logged(&self, number: usize, text: &str) -> usize {
-        let lines = self.gateways[number].lines.lock().expect("nobody panicked");
+        let lines = self.gateways[number].lines.lock().expect("the lock is not poisoned");
         lines.iter().filter(|it| it.contains(text)).count()
     }
 
@@ -316,9 +316,9 @@
     pub fn lines_with(&self, id: &str) -> Vec<String> {
         let mut found = Vec::new();
         for (name, lines) in &self.logs {
-            let lines = lines.lock().expect("nobody panicked");
-            let naming = lines.iter().filter(|it| names(it, id));
-            found.extend(naming.map(|it| format!("{name} {it}")));
+            let lines = lines.lock().expect("the lock is not poisoned");
+            let matching = lines.iter().filter(|it| contains_id(it, id));
+            found.extend(matching.map(|it| format!("{name} {it}")));
         }
         found
     }
@@ -331,7 +331,7 @@
     pub fn write_logs(&self, folder: &Path) -> std::io::Result<()> {
         let mut logs: BTreeMap<&str, String> = BTreeMap::new();
         for (name, lines) in &self.logs {
-            let lines = lines.lock().expect("nobody panicked");
+            let lines = lines.lock().expect("the lock is not poisoned");
             let log = logs.entry(name).or_default();
             lines.iter().for_each(|it| log.extend([it.as_str(), "\n"]));
         }
@@ -375,11 +375,11 @@
         gateway: usize,
         path: &str,
         id: &str,
-        more: &[(&str, &str)],
+        extra: &[(&str, &str)],
         body: &str,
     ) -> Answer {
         let mut headers = vec![("host", HOST), ("x-request-id", id)];
-        headers.extend_from_slice(more);
+        headers.extend_from_slice(extra);
         call(Method::POST, self.gateways[gateway].callers, path, &headers, body)
     }
 
@@ -405,15 +405,15 @@
     /// Waits until a job has `count` results, and returns them.
     pub fn all_results(&self, gateway: usize, job: &str, count: usize) -> Vec<Value> {
         let mut all = Vec::new();
-        wait_until("all results stand", || {
-            all = self.standing_results(gateway, job);
+        wait_until("all results are available", || {
+            all = self.available_results(gateway, job);
             all.len() == count
         });
         all
     }
 
     /// Reads all available results, page by page.
-    pub fn standing_results(&self, gateway: usize, job: &str) -> Vec<Value> {
+    pub fn available_results(&self, gateway: usize, job: &str) -> Vec<Value> {
         let mut all: Vec<Value> = Vec::new();
         loop {
             let page = self.results(gateway, job, all.len()).json();
@@ -453,10 +453,11 @@
 }
 
 /// Whether a line contains an id as a whole word, not as a part of a longer id.
-fn names(line: &str, id: &str) -> bool {
-    let ends = |it: Option<char>| it.is_none_or(|it| !it.is_alphanumeric() && it != '-');
+fn contains_id(line: &str, id: &str) -> bool {
+    let is_boundary = |it: Option<char>| it.is_none_or(|it| !it.is_alphanumeric() && it != '-');
     line.match_indices(id).any(|(at, _)| {
-        ends(line[..at].chars().next_back()) && ends(line[at + id.len()..].chars().next())
+        is_boundary(line[..at].chars().next_back())
+            && is_boundary(line[at + id.len()..].chars().next())
     })
 }
 
--- a/crates/samphiredoor-standin/src/http.rs
+++ b/crates/samphiredoor-standin/src/http.rs
@@ -5,8 +5,8 @@
 use samphiredoor_net::{Body, ServeLimits, Server};
 use serde_json::Value;
 
-const TRIES: u32 = 9_000;
-const PAUSE: Duration = Duration::from_millis(10);
+const MAX_POLLS: u32 = 9_000;
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Answer to an HTTP call.
 #[derive(Debug)]
@@ -40,15 +40,15 @@
 ///
 /// # Panics
 ///
-/// The condition does not hold after [`TRIES`] polls, 90 s.
+/// The condition does not hold after [`MAX_POLLS`] polls, 90 s.
 pub fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
-    for _ in 0..TRIES {
+    for _ in 0..MAX_POLLS {
         if condition() {
             return;
         }
-        thread::sleep(PAUSE);
+        thread::sleep(POLL_INTERVAL);
     }
-    panic!("never: {what}");
+    panic!("timed out waiting: {what}");
 }
 
 /// Sends one request on a new connection; the status is 0 if no complete answer was received.
@@ -70,7 +70,7 @@
         let headers = response.headers().clone();
         Ok::<_, cyper::Error>(Answer { status, headers, text: response.text().await? })
     };
-    let runtime = compio::runtime::Runtime::new().expect("a runtime");
+    let runtime = compio::runtime::Runtime::new().expect("the runtime starts");
     match runtime.block_on(exchange) {
         Ok(answer) => answer,
         Err(err) => Answer { status: 0, headers: hyper::HeaderMap::new(), text: err.to_string() },
@@ -86,13 +86,13 @@
 {
     let (sender, receiver) = flume::bounded(1);
     thread::spawn(move || {
-        let runtime = compio::runtime::Runtime::new().expect("a runtime");
+        let runtime = compio::runtime::Runtime::new().expect("the runtime starts");
         runtime.block_on(async move {
             let any = SocketAddr::from(([127, 0, 0, 1], 0));
-            let server = Server::bind(any, ServeLimits::default()).await.expect("a port");
+            let server = Server::bind(any, ServeLimits::default()).await.expect("a free port");
             sender.send(server.local_addr().expect("an address")).expect("a waiting test");
             server.run(make()).await;
         });
     });
-    receiver.recv().expect("the stand-in starts")
+    receiver.recv().expect("the server starts")
 }
--- a/crates/samphiredoor-standin/src/link.rs
+++ b/crates/samphiredoor-standin/src/link.rs
@@ -13,8 +13,8 @@
 };
 
 /// Delay of each chunk on a slow link.
-const SLOW: Duration = Duration::from_millis(150);
-const PIECE_BYTES: usize = 16 * 1024;
+const SLOW_DELAY: Duration = Duration::from_millis(150);
+const BUFFER_BYTES: usize = 16 * 1024;
 
 /// Fault of a link.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
@@ -34,32 +34,32 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Direction {
-    There,
-    Back,
+    ToServer,
+    ToClient,
 }
 
 impl LinkFault {
-    fn silences(self, direction: Direction) -> bool {
+    fn drops(self, direction: Direction) -> bool {
         match self {
             LinkFault::None | LinkFault::Slow => false,
             LinkFault::Silent => true,
-            LinkFault::SilentThere => direction == Direction::There,
-            LinkFault::SilentBack => direction == Direction::Back,
+            LinkFault::SilentThere => direction == Direction::ToServer,
+            LinkFault::SilentBack => direction == Direction::ToClient,
         }
     }
 }
 
 /// Sockets to the client and to the server of one proxied connection; closed when both directions have ended.
 struct Connection {
-    near: TcpStream,
-    far: TcpStream,
+    client: TcpStream,
+    server: TcpStream,
 }
 
 impl Connection {
-    fn ends(&self, direction: Direction) -> (&TcpStream, &TcpStream) {
+    fn sockets(&self, direction: Direction) -> (&TcpStream, &TcpStream) {
         match direction {
-            Direction::There => (&self.near, &self.far),
-            Direction::Back => (&self.far, &self.near),
+            Direction::ToServer => (&self.client, &self.server),
+            Direction::ToClient => (&self.server, &self.client),
         }
     }
 }
@@ -67,49 +67,49 @@
 /// Bandwidth that several links share, as the hosts of a region share its uplink. Chunks are forwarded in order of
 /// arrival, so that busy connections get equal shares.
 #[derive(Clone)]
-pub struct SharedRate {
+pub struct SharedBandwidth {
     bytes_per_s: u64,
-    line: Arc<Mutex<Line>>,
+    transfers: Arc<Mutex<Transfers>>,
 }
 
-struct Line {
-    free_at: Instant,
-    carried_bytes: usize,
+struct Transfers {
+    idle_at: Instant,
+    transferred_bytes: usize,
 }
 
-impl SharedRate {
+impl SharedBandwidth {
     /// Shared bandwidth of this many bytes per second.
-    pub fn new(bytes_per_s: u64) -> SharedRate {
-        let line = Line { free_at: Instant::now(), carried_bytes: 0 };
-        SharedRate { bytes_per_s, line: Arc::new(Mutex::new(line)) }
+    pub fn new(bytes_per_s: u64) -> SharedBandwidth {
+        let transfers = Transfers { idle_at: Instant::now(), transferred_bytes: 0 };
+        SharedBandwidth { bytes_per_s, transfers: Arc::new(Mutex::new(transfers)) }
     }
 
     /// Bytes transferred so far.
-    pub fn carried_bytes(&self) -> usize {
-        self.line().carried_bytes
+    pub fn transferred_bytes(&self) -> usize {
+        self.transfers().transferred_bytes
     }
 
-    fn line(&self) -> MutexGuard<'_, Line> {
-        self.line.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
+    fn transfers(&self) -> MutexGuard<'_, Transfers> {
+        self.transfers.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
     /// Waits until a chunk has been transferred.
-    fn carry(&self, bytes: usize) {
-        let takes = Duration::from_secs(1).mul_f64(bytes as f64 / self.bytes_per_s as f64);
-        let carried_at = {
-            let mut line = self.line();
-            line.carried_bytes += bytes;
-            line.free_at = line.free_at.max(Instant::now()) + takes;
-            line.free_at
+    fn transfer(&self, bytes: usize) {
+        let duration = Duration::from_secs(1).mul_f64(bytes as f64 / self.bytes_per_s as f64);
+        let done_at = {
+            let mut transfers = self.transfers();
+            transfers.transferred_bytes += bytes;
+            transfers.idle_at = transfers.idle_at.max(Instant::now()) + duration;
+            transfers.idle_at
         };
-        thread::sleep(carried_at.saturating_duration_since(Instant::now()));
+        thread::sleep(done_at.saturating_duration_since(Instant::now()));
     }
 }
 
 #[derive(Default)]
 struct State {
     fault: LinkFault,
-    rate: Option<SharedRate>,
+    bandwidth: Option<SharedBandwidth>,
     open: Vec<Weak<Connection>>,
 }
 
@@ -126,13 +126,13 @@
     /// # Errors
     ///
     /// No port can be listened on.
-    pub fn start(far: SocketAddr) -> std::io::Result<Link> {
+    pub fn start(server: SocketAddr) -> std::io::Result<Link> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let link = Link { address: listener.local_addr()?, state: Arc::default() };
-        let accepting = link.clone();
+        let acceptor = link.clone();
         thread::spawn(move || {
-            for near in listener.incoming().flatten() {
-                accepting.connect(near, far);
+            for client in listener.incoming().flatten() {
+                acceptor.connect(client, server);
             }
         });
         Ok(link)
@@ -149,16 +149,16 @@
     }
 
     /// Limits data from the server to the client to a bandwidth that is shared with other links.
-    pub fn share(&self, rate: &SharedRate) {
-        self.state().rate = Some(rate.clone());
+    pub fn limit_bandwidth(&self, bandwidth: &SharedBandwidth) {
+        self.state().bandwidth = Some(bandwidth.clone());
     }
 
     /// Closes all open connections.
     pub fn cut(&self) {
         for connection in self.state().open.drain(..).filter_map(|it| it.upgrade()) {
-            // One that has ended already needs no end.
-            let _ = connection.near.shutdown(Shutdown::Both);
-            let _ = connection.far.shutdown(Shutdown::Both);
+            // Errors are ignored: the connection may have ended already.
+            let _ = connection.client.shutdown(Shutdown::Both);
+            let _ = connection.server.shutdown(Shutdown::Both);
         }
     }
 
@@ -166,45 +166,45 @@
         self.state.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    fn connect(&self, near: TcpStream, far: SocketAddr) {
+    fn connect(&self, client: TcpStream, server: SocketAddr) {
         // If the server cannot be reached, the client's connection is closed by the drop.
-        let Ok(far) = TcpStream::connect(far) else { return };
-        let connection = Arc::new(Connection { near, far });
+        let Ok(server) = TcpStream::connect(server) else { return };
+        let connection = Arc::new(Connection { client, server });
         {
             let mut state = self.state();
             state.open.retain(|it| it.strong_count() > 0);
             state.open.push(Arc::downgrade(&connection));
         }
-        for direction in [Direction::There, Direction::Back] {
+        for direction in [Direction::ToServer, Direction::ToClient] {
             let (link, connection) = (self.clone(), Arc::clone(&connection));
-            thread::spawn(move || link.pass(&connection, direction));
+            thread::spawn(move || link.forward(&connection, direction));
         }
     }
 
     /// Forwards bytes in one direction until the connection ends.
-    fn pass(&self, connection: &Connection, direction: Direction) {
-        let (mut from, mut to) = connection.ends(direction);
-        let mut piece = vec![0; PIECE_BYTES];
-        let mut silent = false;
-        while let Ok(read @ 1..) = from.read(&mut piece) {
-            let (fault, rate) = {
+    fn forward(&self, connection: &Connection, direction: Direction) {
+        let (mut from, mut to) = connection.sockets(direction);
+        let mut chunk = vec![0; BUFFER_BYTES];
+        let mut is_dropping = false;
+        while let Ok(read @ 1..) = from.read(&mut chunk) {
+            let (fault, bandwidth) = {
                 let state = self.state();
-                (state.fault, state.rate.clone().filter(|_| direction == Direction::Back))
+                (state.fault, state.bandwidth.clone().filter(|_| direction == Direction::ToClient))
             };
-            silent |= fault.silences(direction);
-            if let Some(rate) = rate {
-                rate.carry(read);
+            is_dropping |= fault.drops(direction);
+            if let Some(bandwidth) = bandwidth {
+                bandwidth.transfer(read);
             }
             if fault == LinkFault::Slow {
-                thread::sleep(SLOW);
+                thread::sleep(SLOW_DELAY);
             }
-            if !silent && to.write_all(&piece[..read]).is_err() {
+            if !is_dropping && to.write_all(&chunk[..read]).is_err() {
                 break;
             }
         }
-        silent |= self.state().fault.silences(direction);
-        if !silent {
-            // One that has ended already needs no end.
+        is_dropping |= self.state().fault.drops(direction);
+        if !is_dropping {
+            // Errors are ignored: the connection may have ended already.
             let _ = to.shutdown(Shutdown::Write);
         }
     }
--- a/crates/samphiredoor-standin/src/load.rs
+++ b/crates/samphiredoor-standin/src/load.rs
@@ -31,78 +31,87 @@
 
 /// Addresses of the processes under test.
 #[derive(Debug, Clone)]
-pub struct Fleet {
+pub struct Addresses {
     /// Gateways' listeners for callers.
-    pub doors: Vec<SocketAddr>,
+    pub gateways: Vec<SocketAddr>,
     /// Engines, whose counters are read.
     pub engines: Vec<SocketAddr>,
 }
 
 /// Runs a scenario once, with its jobs if `batch` is set.
-pub async fn run(scenario: &Scenario, fleet: &Fleet, batch: bool) -> anyhow::Result<Measured> {
-    let arrivals = scenario.arrivals(fleet.doors.len());
-    let doors: Vec<Pool> = fleet.doors.iter().map(|it| Pool::new(*it)).collect();
-    let engines: Vec<Pool> = fleet.engines.iter().map(|it| Pool::new(*it)).collect();
+pub async fn run(
+    scenario: &Scenario,
+    addresses: &Addresses,
+    batch: bool,
+) -> anyhow::Result<Measured> {
+    let arrivals = scenario.arrivals(addresses.gateways.len());
+    let gateways: Vec<Pool> = addresses.gateways.iter().map(|it| Pool::new(*it)).collect();
+    let engines: Vec<Pool> = addresses.engines.iter().map(|it| Pool::new(*it)).collect();
     if batch {
-        submit_jobs(scenario, &doors).await?;
+        submit_jobs(scenario, &gateways).await?;
     }
     let warmup = Duration::from_secs_f64(scenario.warmup_s);
     let measured = Rc::new(RefCell::new(Measured::new(warmup)));
     let start = Instant::now();
     let service = scenario.service.as_str().into();
-    let sending = send_all(start, service, arrivals, doors, Rc::clone(&measured));
-    let sending = compio::runtime::spawn(sending);
+    let sender = send_all(start, service, arrivals, gateways, Rc::clone(&measured));
+    let sender = compio::runtime::spawn(sender);
     compio::time::sleep_until(start + warmup).await;
     for engine in &engines {
         call(engine, Method::DELETE, "/record", &[], String::new()).await?;
     }
-    let from = Instant::now();
+    let measuring_since = Instant::now();
     compio::time::sleep_until(start + warmup + Duration::from_secs_f64(scenario.measure_s)).await;
     let mut records = Vec::new();
     for engine in &engines {
         let answer = call(engine, Method::GET, "/record", &[], String::new()).await?;
         records.push(serde_json::from_slice::<EngineRecord>(&answer)?);
     }
-    let elapsed_s = from.elapsed().as_secs_f64();
-    let answers = sending.await.ok().context("the sender failed")?;
-    for answer in answers {
-        let _ = within(ANSWER_TIMEOUT, answer).await;
+    let elapsed_s = measuring_since.elapsed().as_secs_f64();
+    let tasks = sender.await.ok().context("the task that sends requests failed")?;
+    for task in tasks {
+        let _ = within(ANSWER_TIMEOUT, task).await;
     }
     let mut measured = measured.take();
-    measured.engines(records, elapsed_s);
+    measured.set_engine_records(records, elapsed_s);
     Ok(measured)
 }
 
-type Handle = compio::runtime::JoinHandle<()>;
+type RequestTask = compio::runtime::JoinHandle<()>;
 
 async fn send_all(
     start: Instant,
     service: Rc<str>,
     arrivals: Vec<Arrival>,
-    doors: Vec<Pool>,
+    gateways: Vec<Pool>,
     measured: Rc<RefCell<Measured>>,
-) -> Vec<Handle> {
-    let mut handles = Vec::new();
+) -> Vec<RequestTask> {
+    let mut tasks = Vec::new();
     for arrival in arrivals {
         compio::time::sleep_until(start + arrival.at).await;
-        let door = doors[arrival.door].clone();
+        let gateway = gateways[arrival.gateway].clone();
         let service = Rc::clone(&service);
         let measured = Rc::clone(&measured);
-        handles.push(compio::runtime::spawn(async move {
+        tasks.push(compio::runtime::spawn(async move {
             let at = arrival.at;
-            let end = within(ANSWER_TIMEOUT, one(start, service, arrival, door)).await;
-            measured.borrow_mut().online(at, &end.unwrap_or(OnlineEnd::failed("no_answer")));
+            let end = within(ANSWER_TIMEOUT, send_request(start, service, arrival, gateway)).await;
+            measured.borrow_mut().add_online(at, &end.unwrap_or(OnlineEnd::failed("no_answer")));
         }));
     }
-    handles
+    tasks
 }
 
-async fn one(start: Instant, service: Rc<str>, arrival: Arrival, door: Pool) -> OnlineEnd {
+async fn send_request(
+    start: Instant,
+    service: Rc<str>,
+    arrival: Arrival,
+    gateway: Pool,
+) -> OnlineEnd {
     let body = serde_json::json!({
         "model": &*service, "prompt": arrival.prompt, "max_tokens": arrival.tokens, "stream": true,
     });
     let request = request(Method::POST, "/v1/completions", &[], body.to_string());
-    let Ok(response) = door.send(request).await else { return OnlineEnd::failed("connection") };
+    let Ok(response) = gateway.send(request).await else { return OnlineEnd::failed("connection") };
     if !response.status().is_success() {
         let body = read_whole(response.into_body(), MAX_BODY_BYTES).await.unwrap_or_default();
         let value: serde_json::Value = serde_json::from_slice(&body).unwrap_or_default();
@@ -132,19 +141,19 @@
             last = now;
         }
     }
-    end.whole_us = last.saturating_duration_since(due).as_micros() as u64;
+    end.total_us = last.saturating_duration_since(due).as_micros() as u64;
     if done { end } else { OnlineEnd::failed("cut") }
 }
 
-async fn submit_jobs(scenario: &Scenario, doors: &[Pool]) -> anyhow::Result<()> {
+async fn submit_jobs(scenario: &Scenario, gateways: &[Pool]) -> anyhow::Result<()> {
     let mut number = 0;
-    for door in doors {
+    for gateway in gateways {
         for _ in 0..scenario.batch.jobs_per_door {
             let key = format!("load-{number}");
             let workspace = format!("workspace-{}", number % 2);
             let headers = [("idempotency-key", key.as_str()), ("x-workspace", &workspace)];
-            let body = scenario.job(number);
-            call(door, Method::POST, "/v1/batches", &headers, body).await?;
+            let body = scenario.job_body(number);
+            call(gateway, Method::POST, "/v1/batches", &headers, body).await?;
             number += 1;
         }
     }
--- a/crates/samphiredoor-standin/src/measured.rs
+++ b/crates/samphiredoor-standin/src/measured.rs
@@ -13,23 +13,23 @@
     /// Times between tokens.
     pub gaps_us: Vec<u64>,
     /// Time from when it was due to its last token.
-    pub whole_us: u64,
+    pub total_us: u64,
     /// Reason for which it has no complete answer.
     pub error: Option<String>,
 }
 
 impl OnlineEnd {
     /// Request without a complete answer.
-    pub fn failed(why: &str) -> OnlineEnd {
-        OnlineEnd { error: Some(why.to_owned()), ..OnlineEnd::default() }
+    pub fn failed(reason: &str) -> OnlineEnd {
+        OnlineEnd { error: Some(reason.to_owned()), ..OnlineEnd::default() }
     }
 }
 
 type Times = Histogram<u64>;
 
-fn times() -> Times {
+fn new_histogram() -> Times {
     // These constants are valid bounds.
-    Histogram::new_with_bounds(1, 120_000_000, 3).expect("a histogram of up to two minutes")
+    Histogram::new_with_bounds(1, 120_000_000, 3).expect("the bounds are valid")
 }
 
 /// Latency histograms, errors and engine counters of a run.
@@ -38,7 +38,7 @@
     from: Duration,
     first_token: Times,
     gap: Times,
-    whole: Times,
+    total: Times,
     first_token_by_second: BTreeMap<u64, Times>,
     gap_by_second: BTreeMap<u64, Times>,
     errors: BTreeMap<String, u64>,
@@ -57,9 +57,9 @@
     pub fn new(from: Duration) -> Measured {
         Measured {
             from,
-            first_token: times(),
-            gap: times(),
-            whole: times(),
+            first_token: new_histogram(),
+            gap: new_histogram(),
+            total: new_histogram(),
             first_token_by_second: BTreeMap::new(),
             gap_by_second: BTreeMap::new(),
             errors: BTreeMap::new(),
@@ -69,19 +69,19 @@
     }
 
     /// Adds an online request that was due at `at`.
-    pub fn online(&mut self, at: Duration, end: &OnlineEnd) {
+    pub fn add_online(&mut self, at: Duration, end: &OnlineEnd) {
         let Some(measured_at) = at.checked_sub(self.from) else { return };
         if let Some(error) = &end.error {
             *self.errors.entry(error.clone()).or_default() += 1;
             return;
         }
         let second = measured_at.as_secs();
-        let first_token_us = end.first_token_us.unwrap_or(end.whole_us);
+        let first_token_us = end.first_token_us.unwrap_or(end.total_us);
         self.first_token.saturating_record(first_token_us);
-        let by_second = self.first_token_by_second.entry(second).or_insert_with(times);
+        let by_second = self.first_token_by_second.entry(second).or_insert_with(new_histogram);
         by_second.saturating_record(first_token_us);
-        self.whole.saturating_record(end.whole_us);
-        let by_second = self.gap_by_second.entry(second).or_insert_with(times);
+        self.total.saturating_record(end.total_us);
+        let by_second = self.gap_by_second.entry(second).or_insert_with(new_histogram);
         for gap_us in &end.gaps_us {
             self.gap.saturating_record(*gap_us);
             by_second.saturating_record(*gap_us);
@@ -89,7 +89,7 @@
     }
 
     /// Sets the engines' counters of a time of `elapsed_s`.
-    pub fn engines(&mut self, records: Vec<EngineRecord>, elapsed_s: f64) {
+    pub fn set_engine_records(&mut self, records: Vec<EngineRecord>, elapsed_s: f64) {
         self.engines = records;
         self.elapsed_s = elapsed_s;
     }
@@ -97,7 +97,7 @@
     /// Row of the result file.
     pub fn row(&self, label: &str) -> Row {
         let sum = |field: fn(&EngineRecord) -> u64| self.engines.iter().map(field).sum::<u64>();
-        let steps = self.steps();
+        let step_times = self.online_step_times();
         let steps_done = sum(|it| it.steps).max(1);
         let completed = sum(|it| it.batch_tokens_completed);
         let aborted = sum(|it| it.batch_tokens_aborted);
@@ -105,23 +105,23 @@
         let mut row = Row { label: label.to_owned(), ..Row::default() };
         let figures = &mut row.figures;
         let mut add = |name: &str, value: f64| figures.push((name.to_owned(), value));
-        add("answered", self.whole.len() as f64);
+        add("answered", self.total.len() as f64);
         add("errors", self.errors.values().sum::<u64>() as f64);
         for (name, histogram) in
-            [("ttft", &self.first_token), ("gap", &self.gap), ("whole", &self.whole)]
+            [("ttft", &self.first_token), ("gap", &self.gap), ("whole", &self.total)]
         {
             for (quantile, at) in [("p50", 0.5), ("p99", 0.99), ("p999", 0.999)] {
                 let ms = histogram.value_at_quantile(at) as f64 / 1_000.0;
                 add(&format!("{name}_{quantile}_ms"), ms);
             }
         }
-        add("worst_second_ttft_p99_ms", worst_second(&self.first_token_by_second));
-        add("worst_second_gap_p99_ms", worst_second(&self.gap_by_second));
+        add("worst_second_ttft_p99_ms", worst_second_p99_ms(&self.first_token_by_second));
+        add("worst_second_gap_p99_ms", worst_second_p99_ms(&self.gap_by_second));
         for (quantile, at) in [("p50", 0.5), ("p99", 0.99)] {
-            let ms = steps.value_at_quantile(at) as f64 / 1_000.0;
+            let ms = step_times.value_at_quantile(at) as f64 / 1_000.0;
             add(&format!("online_step_{quantile}_ms"), ms);
         }
-        add("online_step_mean_ms", steps.mean() / 1_000.0);
+        add("online_step_mean_ms", step_times.mean() / 1_000.0);
         add("online_tokens_per_s", sum(|it| it.online_tokens) as f64 / self.elapsed_s);
         add("batch_tokens_per_s", completed as f64 / self.elapsed_s);
         add("batch_generated_per_s", batch_tokens as f64 / self.elapsed_s);
@@ -143,17 +143,17 @@
         &self.errors
     }
 
-    fn steps(&self) -> Times {
-        let mut steps = times();
-        for (class, count) in self.engines.iter().flat_map(|it| &it.online_steps) {
-            let us = class * STEP_BUCKET_US + STEP_BUCKET_US / 2;
+    fn online_step_times(&self) -> Times {
+        let mut steps = new_histogram();
+        for (bucket, count) in self.engines.iter().flat_map(|it| &it.online_steps) {
+            let us = bucket * STEP_BUCKET_US + STEP_BUCKET_US / 2;
             let _ = steps.record_n(us, *count);
         }
         steps
     }
 }
 
-fn worst_second(by_second: &BTreeMap<u64, Times>) -> f64 {
+fn worst_second_p99_ms(by_second: &BTreeMap<u64, Times>) -> f64 {
     let p99 = by_second.values().map(|it| it.value_at_quantile(0.99)).max();
     p99.unwrap_or(0) as f64 / 1_000.0
 }
--- a/crates/samphiredoor-standin/src/platform_store.rs
+++ b/crates/samphiredoor-standin/src/platform_store.rs
@@ -20,11 +20,11 @@
 /// Kind of gateway entries.
 const GATEWAYS: &str = "doors";
 /// Kind without objects, read instead of [`GATEWAYS`] while these are hidden.
-const NOTHING: &str = "";
-const MAX_BYTES: usize = 4 * 1024 * 1024;
-const WATCH_STEP: Duration = Duration::from_millis(5);
+const EMPTY_KIND: &str = "";
+const MAX_BODY_BYTES: usize = 4 * 1024 * 1024;
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 /// Time without an answer; longer than the timeout of any call in tests.
-const SILENCE: Duration = Duration::from_secs(600);
+const NO_ANSWER_TIME: Duration = Duration::from_secs(600);
 
 /// Fault of the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
@@ -103,7 +103,7 @@
     snapshots: Vec<Snapshot>,
     history: Vec<Event>,
     /// Revision up to which the history was discarded; watches from before get 410.
-    forgotten: u64,
+    discarded_revision: u64,
     fault: StoreFault,
     calls: BTreeMap<String, u64>,
 }
@@ -113,7 +113,7 @@
 pub struct PlatformStore {
     state: Arc<Mutex<State>>,
     /// Fault of the access path of this handle; takes precedence over the store's own fault.
-    way: Arc<Mutex<StoreFault>>,
+    path_fault: Arc<Mutex<StoreFault>>,
 }
 
 impl PlatformStore {
@@ -127,18 +127,18 @@
     }
 
     /// Handle to the same store with an access path of its own, as one host has it.
-    pub fn another_way(&self) -> PlatformStore {
-        PlatformStore { state: Arc::clone(&self.state), way: Arc::default() }
+    pub fn with_own_path(&self) -> PlatformStore {
+        PlatformStore { state: Arc::clone(&self.state), path_fault: Arc::default() }
     }
 
     /// Sets the fault of this handle's access path; other paths are not affected.
-    pub fn set_way_fault(&self, fault: StoreFault) {
-        *self.way.lock().unwrap_or_else(|poisoned| poisoned.into_inner()) = fault;
+    pub fn set_path_fault(&self, fault: StoreFault) {
+        *self.path_fault.lock().unwrap_or_else(|poisoned| poisoned.into_inner()) = fault;
     }
 
     fn fault(&self) -> StoreFault {
-        let way = *self.way.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
-        if way == StoreFault::None { self.state().fault } else { way }
+        let path_fault = *self.path_fault.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
+        if path_fault == StoreFault::None { self.state().fault } else { path_fault }
     }
 
     /// Sets the fault of the store for all access paths without a fault of their own.
@@ -149,14 +149,14 @@
     /// Discards the event history, so that watches have to list again.
     pub fn forget_history(&self) {
         let mut state = self.state();
-        state.forgotten = state.revision;
+        state.discarded_revision = state.revision;
         state.history.clear();
     }
 
     /// Takes a snapshot of the current state for stale lists: from now on, lists with `isStale` are read from
     /// snapshots. With several snapshots, these lists have pages of one object: the first is read from the newest
     /// snapshot, each further one from the next older snapshot.
-    pub fn keep_for_stale_lists(&self) {
+    pub fn snapshot_for_stale_lists(&self) {
         let mut state = self.state();
         let snapshot = Snapshot { revision: state.revision, kinds: state.kinds.clone() };
         state.snapshots.push(snapshot);
@@ -197,7 +197,7 @@
         let (parts, body) = request.into_parts();
         let path = parts.uri.path().strip_prefix(ROOT).unwrap_or_default().to_owned();
         let query = query(parts.uri.query().unwrap_or_default());
-        let Ok(body) = read_whole(body, MAX_BYTES).await else {
+        let Ok(body) = read_whole(body, MAX_BODY_BYTES).await else {
             return answer(StatusCode::PAYLOAD_TOO_LARGE, &Value::Null);
         };
         let segments: Vec<&str> = path.split('/').filter(|it| !it.is_empty()).collect();
@@ -206,7 +206,7 @@
         let fault = self.fault();
         let is_write = parts.method != Method::GET;
         match fault {
-            StoreFault::Silent => compio::time::sleep(SILENCE).await,
+            StoreFault::Silent => compio::time::sleep(NO_ANSWER_TIME).await,
             StoreFault::Busy => return answer(StatusCode::SERVICE_UNAVAILABLE, &Value::Null),
             StoreFault::WritesLate if is_write => {
                 compio::time::sleep(Duration::from_secs(1)).await;
@@ -229,51 +229,51 @@
         let is_hidden = fault == StoreFault::GatewaysHidden && segments == [GATEWAYS];
         let response = match parts.method {
             Method::GET if query.contains_key("watch") => {
-                self.watch(if is_hidden { NOTHING } else { kind }, &query).await
+                self.watch(if is_hidden { EMPTY_KIND } else { kind }, &query).await
             }
-            Method::GET if is_hidden => self.state().read(&[NOTHING], &query),
+            Method::GET if is_hidden => self.state().read(&[EMPTY_KIND], &query),
             Method::GET => self.state().read(&segments, &query),
             Method::POST => self.state().create(kind, &body),
             Method::PUT => self.state().replace(&segments, &body),
             Method::DELETE => self.state().delete(&segments),
             _ => answer(StatusCode::METHOD_NOT_ALLOWED, &Value::Null),
         };
-        let unanswered = matches!(fault, StoreFault::WritesUnanswered | StoreFault::WritesLate);
-        if unanswered && is_write {
-            compio::time::sleep(SILENCE).await;
+        let is_unanswered = matches!(fault, StoreFault::WritesUnanswered | StoreFault::WritesLate);
+        if is_unanswered && is_write {
+            compio::time::sleep(NO_ANSWER_TIME).await;
         }
         response
     }
 
     async fn wait_while(&self, fault: StoreFault) {
         while self.fault() == fault {
-            compio::time::sleep(WATCH_STEP).await;
+            compio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
     async fn wait_for_header(&self) {
         while self.names(HEADERS).is_empty() {
-            compio::time::sleep(WATCH_STEP).await;
+            compio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
     async fn watch(&self, kind: &str, query: &BTreeMap<String, String>) -> Response<Body> {
         let number = |key: &str| query.get(key).and_then(|it| it.parse::<u64>().ok()).unwrap_or(0);
         let since = number("watch");
-        let until = Instant::now() + Duration::from_millis(number("waitMs"));
+        let deadline = Instant::now() + Duration::from_millis(number("waitMs"));
         loop {
             // The fault is checked in each iteration, so that it also affects watches that wait already.
             let fault = self.fault();
             match fault {
                 StoreFault::Silent | StoreFault::WatchesSilent => {
-                    compio::time::sleep(SILENCE).await;
+                    compio::time::sleep(NO_ANSWER_TIME).await;
                 }
                 StoreFault::Busy => return answer(StatusCode::SERVICE_UNAVAILABLE, &Value::Null),
                 _ => {}
             }
             {
                 let state = self.state();
-                if since < state.forgotten {
+                if since < state.discarded_revision {
                     return answer(StatusCode::GONE, &Value::Null);
                 }
                 let events = state.history.iter();
@@ -281,12 +281,12 @@
                 let events: Vec<Value> = events
                     .map(|it| json!({ "object": it.object, "deleted": it.deleted }))
                     .collect();
-                if !events.is_empty() || Instant::now() >= until {
+                if !events.is_empty() || Instant::now() >= deadline {
                     let answered = json!({ "events": events, "currentRev": state.revision });
                     return answer(StatusCode::OK, &answered);
                 }
             }
-            compio::time::sleep(WATCH_STEP).await;
+            compio::time::sleep(POLL_INTERVAL).await;
         }
     }
 }
@@ -346,8 +346,8 @@
             return answer(StatusCode::NOT_FOUND, &Value::Null);
         };
         let snapshot = &self.snapshots[newest.saturating_sub(pages_before)];
-        let most = if newest == 0 { usize::MAX } else { 1 };
-        list(&snapshot.kinds, snapshot.revision, kind, after, most)
+        let limit = if newest == 0 { usize::MAX } else { 1 };
+        list(&snapshot.kinds, snapshot.revision, kind, after, limit)
     }
 
     fn create(&mut self, kind: &str, body: &Value) -> Response<Body> {
@@ -387,11 +387,11 @@
     }
 }
 
-fn list(kinds: &Kinds, revision: u64, kind: &str, after: &str, most: usize) -> Response<Body> {
+fn list(kinds: &Kinds, revision: u64, kind: &str, after: &str, limit: usize) -> Response<Body> {
     let empty = BTreeMap::new();
     let objects = kinds.get(kind).unwrap_or(&empty).iter();
     let mut objects = objects.filter(|(name, _)| name.as_str() > after);
-    let items: Vec<Value> = objects.by_ref().take(most).map(|(name, it)| it.json(name)).collect();
+    let items: Vec<Value> = objects.by_ref().take(limit).map(|(name, it)| it.json(name)).collect();
     let has_more = objects.next().is_some();
     let list = json!({ "items": items, "hasMore": has_more, "currentRev": revision });
     answer(StatusCode::OK, &list)
--- a/crates/samphiredoor-standin/src/platform_target.rs
+++ b/crates/samphiredoor-standin/src/platform_target.rs
@@ -17,7 +17,7 @@
 use serde_json::{Value, json};
 
 /// Time without an answer; longer than the timeout of any request in tests.
-const SILENCE: Duration = Duration::from_secs(120);
+const NO_ANSWER_TIME: Duration = Duration::from_secs(120);
 const MAX_HEADERS: usize = 64;
 
 /// Fault with which a request is answered.
@@ -76,7 +76,7 @@
     /// Address of its listener.
     pub address: SocketAddr,
     state: Arc<Mutex<State>>,
-    gone: Arc<AtomicBool>,
+    is_crashed: Arc<AtomicBool>,
 }
 
 impl PlatformTarget {
@@ -92,13 +92,13 @@
             name: name.to_owned(),
             address: listener.local_addr()?,
             state: Arc::new(Mutex::new(state)),
-            gone: Arc::default(),
+            is_crashed: Arc::default(),
         };
-        let accepting = target.clone();
+        let acceptor = target.clone();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let target = accepting.clone();
-                if target.gone.load(Ordering::Relaxed) {
+                let target = acceptor.clone();
+                if target.is_crashed.load(Ordering::Relaxed) {
                     return;
                 }
                 // Errors of a connection are ignored: closed and reset connections are expected.
@@ -130,7 +130,7 @@
 
     /// Simulates a crash: closes the listener and handles no further requests.
     pub fn crash(&self) {
-        self.gone.store(true, Ordering::Relaxed);
+        self.is_crashed.store(true, Ordering::Relaxed);
         // This connection wakes the accepting thread, which then closes the listener.
         let _ = TcpStream::connect(self.address);
     }
@@ -146,7 +146,7 @@
     /// Output of a complete run, as the text of an item's result.
     pub fn text(&self) -> String {
         let events = self.state().events;
-        (1..=events).map(data).collect::<Vec<String>>().join("\n")
+        (1..=events).map(event_data).collect::<Vec<String>>().join("\n")
     }
 
     fn next_fault(&self) -> TargetFault {
@@ -157,7 +157,7 @@
         stream.set_nodelay(true)?;
         let mut buffer = Vec::new();
         while let Some(request) = read_request(&mut stream, &mut buffer)? {
-            if self.gone.load(Ordering::Relaxed) || !self.answer(&mut stream, &request)? {
+            if self.is_crashed.load(Ordering::Relaxed) || !self.answer(&mut stream, &request)? {
                 return Ok(());
             }
         }
@@ -168,17 +168,17 @@
     fn answer(&self, stream: &mut TcpStream, request: &HttpRequest) -> io::Result<bool> {
         let id = request.header("x-request-id").unwrap_or_default();
         if request.header("x-expect-instance").is_some_and(|it| it != self.name) {
-            whole(stream, "421 Misdirected Request", id, "", "")?;
+            write_answer(stream, "421 Misdirected Request", id, "", "")?;
             return Ok(true);
         }
         if id.is_empty() {
             // Rejected as not run, as every replica does. It may be a call to a process that used this port before.
-            whole(stream, "400 Bad Request", id, "X-Not-Run: 1\r\n", "")?;
+            write_answer(stream, "400 Bad Request", id, "X-Not-Run: 1\r\n", "")?;
             return Ok(true);
         }
         let fault = self.next_fault();
         if fault == TargetFault::Full {
-            whole(stream, "503 Service Unavailable", id, "X-Not-Run: 1\r\n", "")?;
+            write_answer(stream, "503 Service Unavailable", id, "X-Not-Run: 1\r\n", "")?;
             return Ok(true);
         }
         let after = request.header("last-event-id").and_then(|it| it.parse().ok());
@@ -186,22 +186,28 @@
         self.state().runs.push(run);
         match fault {
             TargetFault::Fails => {
-                whole(stream, "500 Internal Server Error", id, &stamp(id), "failed")?
+                write_answer(stream, "500 Internal Server Error", id, &stamp_header(id), "failed")?
             }
             TargetFault::Impossible => {
-                whole(stream, "422 Unprocessable Entity", id, &stamp(id), "impossible")?;
+                write_answer(
+                    stream,
+                    "422 Unprocessable Entity",
+                    id,
+                    &stamp_header(id),
+                    "impossible",
+                )?;
             }
             TargetFault::AnswerLost => return Ok(false),
             TargetFault::Silent => {
-                thread::sleep(SILENCE);
+                thread::sleep(NO_ANSWER_TIME);
                 return Ok(false);
             }
             TargetFault::Stray => {
-                whole(
+                write_answer(
                     stream,
                     "200 OK",
                     "of-another-request",
-                    &stamp("of-another-request"),
+                    &stamp_header("of-another-request"),
                     "stray",
                 )?;
                 self.stream_events(stream, id, after, fault)?;
@@ -222,13 +228,13 @@
             let state = self.state();
             (state.events, state.pause)
         };
-        let unframed = fault == TargetFault::Unframed;
-        let framing = if unframed { "" } else { "Transfer-Encoding: chunked\r\n" };
+        let is_unframed = fault == TargetFault::Unframed;
+        let framing = if is_unframed { "" } else { "Transfer-Encoding: chunked\r\n" };
         write!(
             stream,
             "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n{framing}X-Request-Id: {id}\r\n\
              X-Server-Load: 1,0,8\r\n{}\r\n",
-            stamp(id)
+            stamp_header(id)
         )?;
         let first = after.unwrap_or(0) + 1;
         for (sent, number) in (first..=events).enumerate() {
@@ -237,32 +243,38 @@
                 write!(stream, "8\r\nid: {number}\r\n")?;
                 return Ok(false);
             }
-            let event = format!("id: {number}\ndata: {}\n\n", data(number));
-            match unframed {
+            let event = format!("id: {number}\ndata: {}\n\n", event_data(number));
+            match is_unframed {
                 true => stream.write_all(event.as_bytes())?,
                 false => write!(stream, "{:x}\r\n{event}\r\n", event.len())?,
             }
             thread::sleep(pause);
         }
-        if !unframed {
+        if !is_unframed {
             stream.write_all(b"0\r\n\r\n")?;
         }
-        Ok(!unframed)
+        Ok(!is_unframed)
     }
 }
 
-fn data(number: u64) -> String {
+fn event_data(number: u64) -> String {
     format!("piece-{number}")
 }
 
-fn stamp(id: &str) -> String {
+fn stamp_header(id: &str) -> String {
     format!("X-Server-Stamp: stamp-{id}\r\n")
 }
 
-fn whole(stream: &mut TcpStream, status: &str, id: &str, more: &str, body: &str) -> io::Result<()> {
+fn write_answer(
+    stream: &mut TcpStream,
+    status: &str,
+    id: &str,
+    extra_headers: &str,
+    body: &str,
+) -> io::Result<()> {
     write!(
         stream,
-        "HTTP/1.1 {status}\r\nContent-Length: {}\r\nX-Request-Id: {id}\r\n{more}\r\n{body}",
+        "HTTP/1.1 {status}\r\nContent-Length: {}\r\nX-Request-Id: {id}\r\n{extra_headers}\r\n{body}",
         body.len()
     )
 }
--- a/crates/samphiredoor-standin/src/scenario.rs
+++ b/crates/samphiredoor-standin/src/scenario.rs
@@ -74,7 +74,7 @@
     /// Time at which it is due, from the start of the run.
     pub at: Duration,
     /// Index of the gateway that it is sent to.
-    pub door: usize,
+    pub gateway: usize,
     /// Shared prefix and random text.
     pub prompt: String,
     /// Number of requested tokens.
@@ -97,36 +97,36 @@
     }
 
     /// Generates all arrivals of a run in order of time; the same ones for each run.
-    pub fn arrivals(&self, doors: usize) -> Vec<Arrival> {
+    pub fn arrivals(&self, gateways: usize) -> Vec<Arrival> {
         let mut rng = SmallRng::seed_from_u64(self.seed);
-        let bursts = self.bursts(&mut rng);
+        let bursts = self.burst_starts_s(&mut rng);
         let end_s = self.warmup_s + self.measure_s;
-        let peak = self.online.rate_per_s * self.online.burst_factor.max(1.0);
+        let peak_rate_per_s = self.online.rate_per_s * self.online.burst_factor.max(1.0);
         let mut arrivals = Vec::new();
         let mut at_s = 0.0;
         loop {
-            at_s += exponential(&mut rng, 1.0 / peak);
+            at_s += random_exponential(&mut rng, 1.0 / peak_rate_per_s);
             if at_s >= end_s {
                 return arrivals;
             }
-            // Thinning: arrivals are drawn at the peak rate and kept with the probability current rate / peak rate.
-            let bursting = bursts.iter().any(|it| (*it..*it + self.online.burst_s).contains(&at_s));
-            let factor = if bursting { self.online.burst_factor } else { 1.0 };
-            let kept = rng.random::<f64>() < factor * self.online.rate_per_s / peak;
-            let arrival = self.arrival(at_s, doors, &mut rng);
-            if kept {
+            // Thinning: arrivals are drawn at the peak rate and kept with a probability of current rate / peak rate.
+            let in_burst = bursts.iter().any(|it| (*it..*it + self.online.burst_s).contains(&at_s));
+            let factor = if in_burst { self.online.burst_factor } else { 1.0 };
+            let is_kept = rng.random::<f64>() < factor * self.online.rate_per_s / peak_rate_per_s;
+            let arrival = self.random_arrival(at_s, gateways, &mut rng);
+            if is_kept {
                 arrivals.push(arrival);
             }
         }
     }
 
     /// Generates the body of a job, as JSON lines.
-    pub fn job(&self, number: u32) -> String {
+    pub fn job_body(&self, number: u32) -> String {
         let mut rng = SmallRng::seed_from_u64(self.seed ^ u64::from(number + 1).rotate_left(32));
         let mut lines = String::new();
         for index in 0..self.batch.items_per_job {
-            let prompt = text(&mut rng, self.batch.prompt_bytes);
-            let tokens = between(&mut rng, self.batch.tokens);
+            let prompt = random_text(&mut rng, self.batch.prompt_bytes);
+            let tokens = random_between(&mut rng, self.batch.tokens);
             let body = serde_json::json!({
                 "model": self.service, "prompt": prompt, "max_tokens": tokens,
             });
@@ -139,42 +139,42 @@
         lines
     }
 
-    fn bursts(&self, rng: &mut SmallRng) -> Vec<f64> {
+    fn burst_starts_s(&self, rng: &mut SmallRng) -> Vec<f64> {
         let mut starts = Vec::new();
         if self.online.burst_every_s <= 0.0 {
             return starts;
         }
-        let mut at_s = exponential(rng, self.online.burst_every_s);
+        let mut at_s = random_exponential(rng, self.online.burst_every_s);
         while at_s < self.warmup_s + self.measure_s {
             starts.push(at_s);
-            at_s += exponential(rng, self.online.burst_every_s);
+            at_s += random_exponential(rng, self.online.burst_every_s);
         }
         starts
     }
 
-    fn arrival(&self, at_s: f64, doors: usize, rng: &mut SmallRng) -> Arrival {
+    fn random_arrival(&self, at_s: f64, gateways: usize, rng: &mut SmallRng) -> Arrival {
         let prefix = rng.random_range(0..self.online.prefixes);
         let mut prompt = format!("prefix {prefix} ").repeat(self.online.shared_prefix_bytes / 8);
         prompt.truncate(self.online.shared_prefix_bytes);
-        prompt.push_str(&text(rng, self.online.prompt_bytes));
+        prompt.push_str(&random_text(rng, self.online.prompt_bytes));
         Arrival {
             at: Duration::from_secs_f64(at_s),
-            door: rng.random_range(0..doors),
+            gateway: rng.random_range(0..gateways),
             prompt,
-            tokens: between(rng, self.online.tokens),
+            tokens: random_between(rng, self.online.tokens),
         }
     }
 }
 
-fn exponential(rng: &mut SmallRng, mean: f64) -> f64 {
+fn random_exponential(rng: &mut SmallRng, mean: f64) -> f64 {
     -mean * (1.0 - rng.random::<f64>()).ln()
 }
 
-fn between(rng: &mut SmallRng, [least, most]: [u32; 2]) -> u32 {
+fn random_between(rng: &mut SmallRng, [least, most]: [u32; 2]) -> u32 {
     rng.random_range(least..=most)
 }
 
-fn text(rng: &mut SmallRng, [least, most]: [usize; 2]) -> String {
+fn random_text(rng: &mut SmallRng, [least, most]: [usize; 2]) -> String {
     let bytes = rng.random_range(least..=most);
     (0..bytes).map(|_| char::from(rng.random_range(b'a'..=b'z'))).collect()
 }
--- a/crates/samphiredoor-standin/src/serve.rs
+++ b/crates/samphiredoor-standin/src/serve.rs
@@ -13,7 +13,7 @@
 use crate::{
     calls::{self, Calls},
     cli::Opts,
-    load::{self, Fleet},
+    load::{self, Addresses},
     measured::Row,
     scenario::Scenario,
     table::{self, Bound},
@@ -65,19 +65,22 @@
                 serve("service", address, move |request| service.clone().handle(request)).await
             }
             Opts::Load { label, out, doors, engines, no_batch, scenario } => {
-                let fleet = Fleet { doors: addresses(&doors)?, engines: addresses(&engines)? };
+                let addresses = Addresses {
+                    gateways: parse_addresses(&doors)?,
+                    engines: parse_addresses(&engines)?,
+                };
                 let scenario = Scenario::read(&scenario)?;
-                let measured = load::run(&scenario, &fleet, !no_batch).await?;
+                let measured = load::run(&scenario, &addresses, !no_batch).await?;
                 for (reason, count) in measured.errors() {
                     println!("{label}: {count} requests ended with {reason}");
                 }
-                add_row(&out, &measured.row(&label))
+                append_row(&out, &measured.row(&label))
             }
             Opts::Calls { address, path, connections, rate_per_s, seconds } => {
                 let duration = Duration::from_secs_f64(seconds);
                 calls::run(Calls { address, path, connections, rate_per_s, duration }).await
             }
-            Opts::Soak { .. } => unreachable!("soaks run on threads of their own"),
+            Opts::Soak { .. } => unreachable!("handled above, a soak uses threads and no runtime"),
             Opts::Emulate(emulate) => emulate.run(),
             Opts::Table { step_ms, step_per_sequence_ms, engines, loan_limit, file } => {
                 table::print(&file, Bound { step_ms, step_per_sequence_ms, engines, loan_limit })
@@ -98,12 +101,14 @@
         (Some(file), true) => soak::shrink(options, seed, Plan::read(file)?),
         (Some(file), false) => soak::replay(options, seed, file),
         (None, true) => soak::shrink(options, seed, options.plan(seed)),
-        (None, false) => soak::run_seeds(options, seeds.map_or(Ok(seed..seed + 1), range)?),
+        (None, false) => soak::run_seeds(options, seeds.map_or(Ok(seed..seed + 1), parse_range)?),
     }
 }
 
-fn range(text: &str) -> anyhow::Result<Range<u64>> {
-    let (from, to) = text.split_once("..").with_context(|| format!("`{text}` is no range"))?;
+fn parse_range(text: &str) -> anyhow::Result<Range<u64>> {
+    let (from, to) = text
+        .split_once("..")
+        .with_context(|| format!("`{text}` is not a range such as 100..150"))?;
     Ok(from.parse()?..to.parse()?)
 }
 
@@ -134,14 +139,16 @@
     .await
 }
 
-fn addresses(list: &str) -> anyhow::Result<Vec<SocketAddr>> {
-    list.split(',').map(|it| it.parse().with_context(|| format!("`{it}` is no address"))).collect()
+fn parse_addresses(list: &str) -> anyhow::Result<Vec<SocketAddr>> {
+    list.split(',')
+        .map(|it| it.parse().with_context(|| format!("`{it}` is not an address with a port")))
+        .collect()
 }
 
-fn add_row(file: &Path, row: &Row) -> anyhow::Result<()> {
-    let new = !file.exists();
+fn append_row(file: &Path, row: &Row) -> anyhow::Result<()> {
+    let is_new = !file.exists();
     let mut file = std::fs::OpenOptions::new().create(true).append(true).open(file)?;
-    if new {
+    if is_new {
         writeln!(file, "{}", row.heading())?;
     }
     writeln!(file, "{}", row.line())?;
--- a/crates/samphiredoor-standin/src/soak/injector.rs
+++ b/crates/samphiredoor-standin/src/soak/injector.rs
@@ -110,7 +110,9 @@
                 self.target_link(target).into_iter().for_each(|it| apply_link_fault(it, fault));
             }
             Fault::Store(fault) => self.platform.store.set_fault(fault),
-            Fault::StoreTowards(gateway, fault) => self.platform.set_way_fault(gateway, fault),
+            Fault::StoreTowards(gateway, fault) => {
+                self.platform.set_store_path_fault(gateway, fault)
+            }
             Fault::ForgetHistory => self.platform.store.forget_history(),
             Fault::Target(target, fault, count) => self.target(target).fail_next(count, fault),
             Fault::ReplaceTarget(target) => self.platform.register(self.target(target), "draining"),
@@ -140,7 +142,7 @@
             }
             Fault::Store(_) => self.platform.store.set_fault(StoreFault::None),
             Fault::StoreTowards(gateway, _) => {
-                self.platform.set_way_fault(gateway, StoreFault::None);
+                self.platform.set_store_path_fault(gateway, StoreFault::None);
             }
             Fault::Target(target, ..) => self.target(target).fail_next(0, TargetFault::None),
             Fault::ReplaceTarget(target) => self.replace(target),
--- a/crates/samphiredoor-standin/src/soak/report.rs
+++ b/crates/samphiredoor-standin/src/soak/report.rs
@@ -52,7 +52,7 @@
 }
 
 impl Times {
-    /// Adds a time; longer ones count as [`MAX_MS`].
+    /// Adds a time; longer ones than [`MAX_MS`] count as this.
     pub fn push(&mut self, time: Duration) {
         self.0.saturating_record(time.as_millis() as u64);
     }
--- a/crates/samphiredoor-standin/src/table.rs
+++ b/crates/samphiredoor-standin/src/table.rs
@@ -30,8 +30,8 @@
     pub fn batch_tokens_per_s(&self, baseline_step_p99_ms: f64, online_tokens_per_s: f64) -> f64 {
         let step_ms = ALLOWED_SLOWDOWN * baseline_step_p99_ms;
         let sequences = ((step_ms - self.step_ms) / self.step_per_sequence_ms).max(0.0);
-        let spare = self.engines * sequences * 1_000.0 / step_ms - online_tokens_per_s;
-        spare.clamp(0.0, self.engines * self.loan_limit * 1_000.0 / step_ms)
+        let bound_tokens_per_s = self.engines * sequences * 1_000.0 / step_ms - online_tokens_per_s;
+        bound_tokens_per_s.clamp(0.0, self.engines * self.loan_limit * 1_000.0 / step_ms)
     }
 }
 
@@ -39,19 +39,19 @@
 pub fn print(file: &Path, bound: Bound) -> anyhow::Result<()> {
     let text = std::fs::read_to_string(file).with_context(|| file.display().to_string())?;
     let mut lines = text.lines();
-    let names: Vec<&str> = lines.next().context("no heading")?.split(',').collect();
+    let names: Vec<&str> = lines.next().context("the file has no heading")?.split(',').collect();
     let rows: Vec<BTreeMap<&str, &str>> =
         lines.map(|line| names.iter().copied().zip(line.split(',')).collect()).collect();
-    let baseline = rows.first().context("no rows")?;
+    let baseline = rows.first().context("the file has no rows")?;
     let figure = |row: &BTreeMap<&str, &str>, name: &str| -> f64 {
         row.get(name).and_then(|it| it.parse().ok()).unwrap_or(0.0)
     };
     let ratio = |row: &BTreeMap<&str, &str>, name| figure(row, name) / figure(baseline, name);
-    let spare = bound.batch_tokens_per_s(
+    let bound_tokens_per_s = bound.batch_tokens_per_s(
         figure(baseline, "online_step_p99_ms"),
         figure(baseline, "online_tokens_per_s"),
     );
-    println!("All-knowing bound: {spare:.0} batch tokens/s beside the online load.");
+    println!("All-knowing bound: {bound_tokens_per_s:.0} batch tokens/s beside the online load.");
     println!();
     println!(
         "| variant | TTFT p50 | TTFT p99 | gap p50 | gap p99 | step p99 | whole p99 | worst second TTFT p99 \
@@ -71,7 +71,7 @@
             ratio(row, "whole_p99_ms"),
             ratio(row, "worst_second_ttft_p99_ms"),
             ratio(row, "worst_second_gap_p99_ms"),
-            batch / spare.max(1.0),
+            batch / bound_tokens_per_s.max(1.0),
             figure(row, "batch_lost_percent"),
             figure(row, "errors"),
             figure(row, "load_average"),
--- a/crates/samphiredoor/tests/it/platform/cancellations.rs
+++ b/crates/samphiredoor/tests/it/platform/cancellations.rs
@@ -42,7 +42,7 @@
 
 /// Submits a job that the scans of other gateways do not find, as the store gives them an older list.
 fn submit_hidden_from_scans(platform: &Platform, target: &PlatformTarget, owner: usize) {
-    platform.store.keep_for_stale_lists();
+    platform.store.snapshot_for_stale_lists();
     assert_eq!(platform.submit_many(owner, "job-1", ITEMS).status, 202);
     wait_until("items run", || !target.runs().is_empty());
 }
@@ -71,7 +71,7 @@
 fn a_cancellation_reaches_an_owner_that_never_sent_a_heartbeat() {
     let (mut platform, target) = gateways(2);
     std::thread::sleep(DEAD_WITHOUT_HEARTBEAT);
-    platform.way_fault = StoreFault::GatewaysHidden;
+    platform.store_path_fault = StoreFault::GatewaysHidden;
     let owner = platform.start_gateway();
     submit_hidden_from_scans(&platform, &target, owner);
     wait_cancelled(&platform, 0);
@@ -84,14 +84,14 @@
     let mut platform = Platform::new(BINARY);
     let target = platform.start_target("t-1", SLOW);
     for number in 0..TWO_CELLS {
-        platform.way_fault = match number {
+        platform.store_path_fault = match number {
             FIRST_OF_SECOND_CELL => StoreFault::GatewaysHidden,
             _ => StoreFault::None,
         };
         platform.spawn_gateway();
     }
     (0..TWO_CELLS).for_each(|number| platform.wait_ready(number));
-    platform.way_fault = StoreFault::None;
+    platform.store_path_fault = StoreFault::None;
     platform.gateway(0).kill();
     platform.restart_gateway(0);
     platform.wait_ready(0);
@@ -107,7 +107,7 @@
 fn a_cancellation_reaches_an_owner_that_has_just_restarted() {
     let (mut platform, target) = gateways(3);
     platform.gateway(1).kill();
-    platform.way_fault = StoreFault::GatewaysHidden;
+    platform.store_path_fault = StoreFault::GatewaysHidden;
     platform.restart_gateway(1);
     platform.wait_ready(1);
     submit_hidden_from_scans(&platform, &target, 1);
@@ -121,7 +121,7 @@
 fn a_job_is_not_taken_over_from_a_live_owner_that_never_sent_a_heartbeat() {
     let (mut platform, _target) = gateways(2);
     std::thread::sleep(DEAD_WITHOUT_HEARTBEAT);
-    platform.way_fault = StoreFault::GatewaysHidden;
+    platform.store_path_fault = StoreFault::GatewaysHidden;
     let owner = platform.start_gateway();
     assert_eq!(platform.submit_many(owner, "job-1", ITEMS_FOR_THREE_SCANS).status, 202);
     platform.all_results(owner, "job-1", ITEMS_FOR_THREE_SCANS);
@@ -210,8 +210,8 @@
         |it| it.store.set_fault(StoreFault::None);
     an_owner_that_was_isolated_from_the_store_finds_the_cancellation:
         |it| {
-            it.set_way_fault(0, StoreFault::Busy);
+            it.set_store_path_fault(0, StoreFault::Busy);
             it.wait_logged(0, "runs stopped, the store answers other gateways but not this one");
         },
-        |it| it.set_way_fault(0, StoreFault::None);
+        |it| it.set_store_path_fault(0, StoreFault::None);
 }
--- a/crates/samphiredoor/tests/it/platform/cells.rs
+++ b/crates/samphiredoor/tests/it/platform/cells.rs
@@ -149,13 +149,13 @@
     changes_arrive_when_the_watch_relay_is_killed: |it| it.gateway(FIRST_OF_SECOND_CELL).kill();
     changes_arrive_when_the_watch_relay_is_frozen: |it| it.signal(FIRST_OF_SECOND_CELL, "STOP");
     changes_arrive_when_the_store_refuses_the_watch_relay: |it| {
-        it.set_way_fault(FIRST_OF_SECOND_CELL, StoreFault::Busy);
+        it.set_store_path_fault(FIRST_OF_SECOND_CELL, StoreFault::Busy);
     };
     changes_arrive_when_the_watches_of_the_watch_relay_stall: |it| {
-        it.set_way_fault(FIRST_OF_SECOND_CELL, StoreFault::WatchesSilent);
+        it.set_store_path_fault(FIRST_OF_SECOND_CELL, StoreFault::WatchesSilent);
     };
     changes_arrive_when_the_store_refuses_all_gateways_but_one: |it| {
-        (0..GATEWAYS - 1).for_each(|number| it.set_way_fault(number, StoreFault::Busy));
+        (0..GATEWAYS - 1).for_each(|number| it.set_store_path_fault(number, StoreFault::Busy));
     };
 }
 
@@ -165,10 +165,10 @@
 fn targets_whose_entries_expire_during_an_outage_of_the_watch_relays_still_serve() {
     let platform = start_relaying_cells();
     let relays = [IN_FIRST_CELL, FIRST_OF_SECOND_CELL];
-    relays.iter().for_each(|it| platform.set_way_fault(*it, StoreFault::Busy));
+    relays.iter().for_each(|it| platform.set_store_path_fault(*it, StoreFault::Busy));
     std::thread::sleep(Duration::from_millis(700));
     platform.store.remove("servers", "t-1");
-    relays.iter().for_each(|it| platform.set_way_fault(*it, StoreFault::None));
+    relays.iter().for_each(|it| platform.set_store_path_fault(*it, StoreFault::None));
     for number in 0..8 {
         let answer = platform.send(IN_SECOND_CELL, "/path-2/check", &format!("id-{number}"), "");
         assert_eq!(answer.status, 200);
--- a/crates/samphiredoor/tests/it/platform/discovery.rs
+++ b/crates/samphiredoor/tests/it/platform/discovery.rs
@@ -222,9 +222,9 @@
     platform.start_gateway();
     platform.wait_logged(0, "peers: peer is live");
     platform.wait_logged(1, "peers: peer is live");
-    platform.set_way_fault(1, StoreFault::WatchesSilent);
+    platform.set_store_path_fault(1, StoreFault::WatchesSilent);
     std::thread::sleep(Duration::from_millis(100));
-    platform.set_way_fault(1, StoreFault::None);
+    platform.set_store_path_fault(1, StoreFault::None);
     platform.register(&leaving, "draining");
     platform.wait_logged(1, "others_ahead");
     wait_until("it gets no requests", || {
@@ -259,7 +259,7 @@
 fn changes_after_a_stale_list_are_found() {
     let mut platform = Platform::new(BINARY);
     let leaving = platform.start_target("t-1", FAST);
-    platform.store.keep_for_stale_lists();
+    platform.store.snapshot_for_stale_lists();
     platform.register(&leaving, "draining");
     platform.start_target("t-2", FAST);
     platform.start_gateway();
@@ -275,9 +275,9 @@
     let mut platform = Platform::new(BINARY);
     platform.start_target("t-1", FAST);
     let leaving = platform.start_target("t-2", FAST);
-    platform.store.keep_for_stale_lists();
+    platform.store.snapshot_for_stale_lists();
     platform.register(&leaving, "draining");
-    platform.store.keep_for_stale_lists();
+    platform.store.snapshot_for_stale_lists();
     platform.start_gateway();
     platform.wait_logged(0, "state=leaving");
     assert_eq!(platform.send(0, "/stream/check", "id-1", "").status, 200);
--- a/crates/samphiredoor/tests/it/platform/jobs.rs
+++ b/crates/samphiredoor/tests/it/platform/jobs.rs
@@ -166,14 +166,14 @@
     platform.watch_ms = 30_000;
     let target = platform.start_target("t-0", Duration::from_millis(300));
     platform.start_gateway();
-    platform.set_way_fault(0, StoreFault::WatchesSilent);
+    platform.set_store_path_fault(0, StoreFault::WatchesSilent);
     platform.start_gateway();
     platform.start_gateway();
     // Without heartbeats for this long, the others declare the owner dead.
     std::thread::sleep(Duration::from_secs(4));
     assert_eq!(platform.submit_many(0, "job-1", 200).status, 202);
     wait_until("the cancellation is acknowledged", || platform.cancel(1, "job-1").status == 200);
-    platform.set_way_fault(0, StoreFault::None);
+    platform.set_store_path_fault(0, StoreFault::None);
     platform.wait_logged(1, "peers: peer is live peer=gateway-0");
     std::thread::sleep(Duration::from_secs(6));
     let runs = target.runs().len();
@@ -249,7 +249,7 @@
     platform.wait_logged(0, "peers: peer is live");
     platform.wait_logged(1, "peers: peer is live");
     assert_eq!(platform.submit(0, "job-1", &ITEMS).status, 202);
-    platform.set_way_fault(0, StoreFault::Busy);
+    platform.set_store_path_fault(0, StoreFault::Busy);
     platform.wait_logged(0, "runs stopped, the store answers other gateways but not this one");
     platform.store.set_fault(StoreFault::Busy);
     platform.wait_logged(1, "store: lost");
@@ -329,7 +329,7 @@
 fn accepted_through_another_gateway(fault: StoreFault) {
     let (platform, target) = two_gateways(FAST);
     platform.wait_logged(0, "peers: peer is live");
-    platform.set_way_fault(0, fault);
+    platform.set_store_path_fault(0, fault);
     assert_eq!(platform.submit(0, "job-1", &ITEMS).status, 202);
     let results = platform.all_results(1, "job-1", ITEMS.len());
     assert_eq!(ids(&results), ITEMS);
--- a/crates/samphiredoor/tests/it/platform/slow_link.rs
+++ b/crates/samphiredoor/tests/it/platform/slow_link.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use samphiredoor_standin::{link::SharedRate, platform_store::StoreFault};
+use samphiredoor_standin::{link::SharedBandwidth, platform_store::StoreFault};
 use serde_json::json;
 
 use super::env::{BINARY, Platform, route};
@@ -37,7 +37,7 @@
     let mut platform = Platform::without_routes(BINARY);
     put_many_routes(&platform);
     platform.linked = true;
-    platform.line = Some(SharedRate::new(LINK_BYTES_PER_S));
+    platform.store_bandwidth = Some(SharedBandwidth::new(LINK_BYTES_PER_S));
     for _ in 0..GATEWAYS {
         platform.spawn_gateway();
     }
@@ -59,7 +59,7 @@
     for peer in ["gateway-0", "gateway-1"] {
         platform.wait_logged(outdated, &format!("peers: peer is live peer={peer} "));
     }
-    platform.set_way_fault(outdated, StoreFault::Busy);
+    platform.set_store_path_fault(outdated, StoreFault::Busy);
     // Paused until both peers have sent it a status with the new routes, so that it can choose between them.
     platform.signal(outdated, "STOP");
     platform.put_routes(2, 1);
@@ -82,15 +82,15 @@
     let _storage = platform.start_storage("store-1");
     let has_copied = || platform.store.calls().contains_key("GET doors");
     wait_until("the mirror has copied all kinds", has_copied);
-    let link = SharedRate::new(LINK_BYTES_PER_S);
+    let link = SharedBandwidth::new(LINK_BYTES_PER_S);
     platform.linked = true;
-    platform.line = Some(link.clone());
+    platform.store_bandwidth = Some(link.clone());
     platform.store.set_fault(StoreFault::Silent);
     platform.start_gateway();
     platform.store.set_fault(StoreFault::None);
     let calls = || platform.store.calls()["GET config"];
     let before = calls();
     wait_until("the routes are watched", || calls() >= before + 6);
-    let transferred = link.carried_bytes();
+    let transferred = link.transferred_bytes();
     assert!(transferred < LESS_THAN_ROUTES_BYTES, "transferred bytes: {transferred}");
 }
--- a/crates/samphiredoor/tests/it/platform/soak.rs
+++ b/crates/samphiredoor/tests/it/platform/soak.rs
@@ -287,7 +287,7 @@
     fn wait_for_results(&self, name: &str, job: &Job) -> Vec<Value> {
         let mut results = Vec::new();
         for _ in 0..SETTLE_POLLS {
-            results = self.platform.standing_results(0, name);
+            results = self.platform.available_results(0, name);
             if results.len() == job.items.len() {
                 let mut ids: Vec<&str> =
                     results.iter().filter_map(|it| it["id"].as_str()).collect();
@@ -351,6 +351,6 @@
         gateways: GATEWAYS,
         drills: false,
     };
-    soak::play_seeds(&options, 1..3).expect("every guarantee holds");
+    soak::run_seeds(&options, 1..3).expect("every guarantee holds");
     std::fs::remove_dir_all(folder).expect("the traces are removed");
 }
