--- a/crates/samphiredoor-embedded/src/engine_http.rs
+++ b/crates/samphiredoor-embedded/src/engine_http.rs
@@ -27,7 +27,6 @@
 const MAX_BODY_BYTES: usize = 8_000_000;
 const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(1);
 const DEFAULT_MAX_TOKENS: u32 = 16;
-const BODY_UNREADABLE: &str = "the request body cannot be read";
 
 /// Fields of a completion call's body that the engine reads.
 #[derive(Debug)]
@@ -151,7 +150,13 @@
         let id = request_id(&request);
         let body = match read_whole(request.into_body(), MAX_BODY_BYTES).await {
             Ok(body) => body,
-            Err(_) => return json::status(StatusCode::BAD_REQUEST, "BadRequest", BODY_UNREADABLE),
+            Err(_) => {
+                return json::status(
+                    StatusCode::BAD_REQUEST,
+                    "BadRequest",
+                    "the request body cannot be read",
+                );
+            }
         };
         let call = match serde_json::from_slice::<Completion>(&body) {
             Ok(call) => call,
--- a/crates/samphiredoor-standin/src/measured.rs
+++ b/crates/samphiredoor-standin/src/measured.rs
@@ -28,7 +28,7 @@
 type Times = Histogram<u64>;
 
 fn new_histogram() -> Times {
-    // These constants are valid bounds.
+    // Up to two minutes, in microseconds; these constants are valid bounds.
     Histogram::new_with_bounds(1, 120_000_000, 3).expect("the bounds are valid")
 }
 
