--- a/crates/samphiredoor-embedded/src/engine.rs
+++ b/crates/samphiredoor-embedded/src/engine.rs
@@ -90,7 +90,7 @@
 
 /// Running and waiting sequences of one engine, with its prefix cache and counters.
 #[derive(Debug, Default)]
-pub struct Batch {
+pub struct ContinuousBatch {
     running: BTreeMap<u64, Sequence>,
     waiting: BTreeMap<u64, Sequence>,
     prefix_cache: PrefixCache,
@@ -100,7 +100,7 @@
     record: EngineRecord,
 }
 
-impl Batch {
+impl ContinuousBatch {
     /// Adds a sequence to the queue; the receiver yields the index of each token and ends after the last one. Dropping
     /// the receiver aborts the sequence.
     pub fn admit(
@@ -135,7 +135,7 @@
             + config.step_per_sequence_ms * sequences
             + config.prefill_per_kilobyte_ms * prefill_bytes as f64 / 1_000.0;
         let batch = self.running.values().filter(|it| it.is_batch).count() as u64;
-        self.record.step(step_ms, self.running.len() as u64 - batch, batch);
+        self.record.record_step(step_ms, self.running.len() as u64 - batch, batch);
         step_ms
     }
 
--- a/crates/samphiredoor-embedded/src/engine_http.rs
+++ b/crates/samphiredoor-embedded/src/engine_http.rs
@@ -19,7 +19,7 @@
 use serde_json::{Value, json};
 
 use crate::{
-    engine::{Batch, EngineConfig, LoadReport, SequenceRequest},
+    engine::{ContinuousBatch, EngineConfig, LoadReport, SequenceRequest},
     engine_record::EngineRecord,
     json,
 };
@@ -31,7 +31,7 @@
 /// Fields of a completion call's body that the engine reads.
 #[derive(Debug)]
 #[derive(Deserialize)]
-struct Completion {
+struct CompletionRequest {
     #[serde(default)]
     model: String,
     #[serde(default)]
@@ -46,7 +46,7 @@
     resume_from_token: u32,
 }
 
-impl Completion {
+impl CompletionRequest {
     fn prompt_text(&self) -> String {
         match (&self.prompt, &self.messages) {
             (Value::String(prompt), _) => prompt.clone(),
@@ -68,7 +68,7 @@
 
 struct State {
     config: EngineConfig,
-    batch: Batch,
+    batch: ContinuousBatch,
     reports: VecDeque<(Instant, LoadReport)>,
     runs: Runs,
     crash_on: Option<String>,
@@ -85,7 +85,7 @@
     pub fn new(config: EngineConfig) -> Engine {
         let state = State {
             config,
-            batch: Batch::default(),
+            batch: ContinuousBatch::default(),
             reports: VecDeque::new(),
             runs: Runs::default(),
             crash_on: None,
@@ -119,7 +119,7 @@
             compio::time::sleep_until(step_end).await;
             let late = Instant::now().saturating_duration_since(step_end);
             let state = &mut *self.state.borrow_mut();
-            state.batch.record().late(late.as_micros() as u64);
+            state.batch.record().record_delay(late.as_micros() as u64);
             state.batch.end_step();
             record_load(state);
         }
@@ -158,7 +158,7 @@
                 );
             }
         };
-        let call = match serde_json::from_slice::<Completion>(&body) {
+        let call = match serde_json::from_slice::<CompletionRequest>(&body) {
             Ok(call) => call,
             Err(err) => {
                 return json::status(StatusCode::BAD_REQUEST, "BadRequest", &err.to_string());
@@ -178,7 +178,7 @@
         &self,
         id: &str,
         prompt: &str,
-        call: &Completion,
+        call: &CompletionRequest,
         chat: bool,
     ) -> (TokenStream, CompletionFormat) {
         let state = &mut *self.state.borrow_mut();
@@ -295,10 +295,10 @@
     response
 }
 
-type Streaming = Option<(CompletionFormat, TokenStream)>;
+type StreamState = Option<(CompletionFormat, TokenStream)>;
 
-async fn next_chunk(streaming: Streaming) -> Option<(Result<Bytes, BoxError>, Streaming)> {
-    let (format, mut tokens) = streaming?;
+async fn next_chunk(state: StreamState) -> Option<(Result<Bytes, BoxError>, StreamState)> {
+    let (format, mut tokens) = state?;
     match tokens.next().await {
         Some(index) => {
             let mut chunk = format.chunk(&token_text(index));
--- a/crates/samphiredoor-embedded/src/engine_record.rs
+++ b/crates/samphiredoor-embedded/src/engine_record.rs
@@ -48,7 +48,7 @@
 
 impl EngineRecord {
     /// Counts a step and its tokens: one for each online and each batch sequence.
-    pub fn step(&mut self, step_ms: f64, online: u64, batch: u64) {
+    pub fn record_step(&mut self, step_ms: f64, online: u64, batch: u64) {
         let step_us = (step_ms * 1_000.0) as u64;
         self.steps += 1;
         self.steps_us += step_us;
@@ -60,8 +60,8 @@
     }
 
     /// Counts the delay of a step's end.
-    pub fn late(&mut self, late_us: u64) {
-        self.worst_late_us = self.worst_late_us.max(late_us);
-        self.late_us += late_us;
+    pub fn record_delay(&mut self, delay_us: u64) {
+        self.worst_late_us = self.worst_late_us.max(delay_us);
+        self.late_us += delay_us;
     }
 }
--- a/crates/samphiredoor-standin/src/fleet.rs
+++ b/crates/samphiredoor-standin/src/fleet.rs
@@ -313,7 +313,7 @@
     }
 
     /// Log lines of all processes that name an id, each with the name of its process in front.
-    pub fn lines_with(&self, id: &str) -> Vec<String> {
+    pub fn log_lines_with(&self, id: &str) -> Vec<String> {
         let mut found = Vec::new();
         for (name, lines) in &self.logs {
             let lines = lines.lock().expect("the lock is not poisoned");
--- a/crates/samphiredoor-standin/src/load.rs
+++ b/crates/samphiredoor-standin/src/load.rs
@@ -22,7 +22,7 @@
 };
 
 use crate::{
-    measured::{Measured, OnlineEnd},
+    measured::{Measurements, OnlineOutcome},
     scenario::{Arrival, Scenario},
 };
 
@@ -43,7 +43,7 @@
     scenario: &Scenario,
     addresses: &Addresses,
     batch: bool,
-) -> anyhow::Result<Measured> {
+) -> anyhow::Result<Measurements> {
     let arrivals = scenario.arrivals(addresses.gateways.len());
     let gateways: Vec<Pool> = addresses.gateways.iter().map(|it| Pool::new(*it)).collect();
     let engines: Vec<Pool> = addresses.engines.iter().map(|it| Pool::new(*it)).collect();
@@ -51,7 +51,7 @@
         submit_jobs(scenario, &gateways).await?;
     }
     let warmup = Duration::from_secs_f64(scenario.warmup_s);
-    let measured = Rc::new(RefCell::new(Measured::new(warmup)));
+    let measured = Rc::new(RefCell::new(Measurements::new(warmup)));
     let start = Instant::now();
     let service = scenario.service.as_str().into();
     let sender = send_all(start, service, arrivals, gateways, Rc::clone(&measured));
@@ -84,7 +84,7 @@
     service: Rc<str>,
     arrivals: Vec<Arrival>,
     gateways: Vec<Pool>,
-    measured: Rc<RefCell<Measured>>,
+    measured: Rc<RefCell<Measurements>>,
 ) -> Vec<RequestTask> {
     let mut tasks = Vec::new();
     for arrival in arrivals {
@@ -95,7 +95,9 @@
         tasks.push(compio::runtime::spawn(async move {
             let at = arrival.at;
             let end = within(ANSWER_TIMEOUT, send_request(start, service, arrival, gateway)).await;
-            measured.borrow_mut().add_online(at, &end.unwrap_or(OnlineEnd::failed("no_answer")));
+            measured
+                .borrow_mut()
+                .add_online(at, &end.unwrap_or(OnlineOutcome::failed("no_answer")));
         }));
     }
     tasks
@@ -106,26 +108,28 @@
     service: Rc<str>,
     arrival: Arrival,
     gateway: Pool,
-) -> OnlineEnd {
+) -> OnlineOutcome {
     let body = serde_json::json!({
         "model": &*service, "prompt": arrival.prompt, "max_tokens": arrival.tokens, "stream": true,
     });
     let request = request(Method::POST, "/v1/completions", &[], body.to_string());
-    let Ok(response) = gateway.send(request).await else { return OnlineEnd::failed("connection") };
+    let Ok(response) = gateway.send(request).await else {
+        return OnlineOutcome::failed("connection");
+    };
     if !response.status().is_success() {
         let body = read_whole(response.into_body(), MAX_BODY_BYTES).await.unwrap_or_default();
         let value: serde_json::Value = serde_json::from_slice(&body).unwrap_or_default();
-        return OnlineEnd::failed(value["error"]["type"].as_str().unwrap_or("unnamed"));
+        return OnlineOutcome::failed(value["error"]["type"].as_str().unwrap_or("unnamed"));
     }
     read_stream(start + arrival.at, response.into_body()).await
 }
 
-async fn read_stream(due: Instant, mut body: ResponseBody) -> OnlineEnd {
-    let mut end = OnlineEnd::default();
+async fn read_stream(due: Instant, mut body: ResponseBody) -> OnlineOutcome {
+    let mut end = OnlineOutcome::default();
     let mut last = due;
     let mut done = false;
     while let Some(frame) = body.frame().await {
-        let Ok(frame) = frame else { return OnlineEnd::failed("cut") };
+        let Ok(frame) = frame else { return OnlineOutcome::failed("cut") };
         let Ok(data) = frame.into_data() else { continue };
         let now = Instant::now();
         for event in data.split(|it| *it == b'\n').filter(|it| it.starts_with(b"data: ")) {
@@ -142,7 +146,7 @@
         }
     }
     end.total_us = last.saturating_duration_since(due).as_micros() as u64;
-    if done { end } else { OnlineEnd::failed("cut") }
+    if done { end } else { OnlineOutcome::failed("cut") }
 }
 
 async fn submit_jobs(scenario: &Scenario, gateways: &[Pool]) -> anyhow::Result<()> {
--- a/crates/samphiredoor-standin/src/measured.rs
+++ b/crates/samphiredoor-standin/src/measured.rs
@@ -7,7 +7,7 @@
 
 /// Outcome and latencies of one online request.
 #[derive(Debug, Clone, Default)]
-pub struct OnlineEnd {
+pub struct OnlineOutcome {
     /// Time from when it was due to its first token.
     pub first_token_us: Option<u64>,
     /// Times between tokens.
@@ -18,10 +18,10 @@
     pub error: Option<String>,
 }
 
-impl OnlineEnd {
+impl OnlineOutcome {
     /// Request without a complete answer.
-    pub fn failed(reason: &str) -> OnlineEnd {
-        OnlineEnd { error: Some(reason.to_owned()), ..OnlineEnd::default() }
+    pub fn failed(reason: &str) -> OnlineOutcome {
+        OnlineOutcome { error: Some(reason.to_owned()), ..OnlineOutcome::default() }
     }
 }
 
@@ -34,7 +34,7 @@
 
 /// Latency histograms, errors and engine counters of a run.
 #[derive(Debug)]
-pub struct Measured {
+pub struct Measurements {
     from: Duration,
     first_token: Times,
     gap: Times,
@@ -46,16 +46,16 @@
     elapsed_s: f64,
 }
 
-impl Default for Measured {
-    fn default() -> Measured {
-        Measured::new(Duration::ZERO)
+impl Default for Measurements {
+    fn default() -> Measurements {
+        Measurements::new(Duration::ZERO)
     }
 }
 
-impl Measured {
+impl Measurements {
     /// Empty measurements; requests that are due before `from` are ignored.
-    pub fn new(from: Duration) -> Measured {
-        Measured {
+    pub fn new(from: Duration) -> Measurements {
+        Measurements {
             from,
             first_token: new_histogram(),
             gap: new_histogram(),
@@ -69,7 +69,7 @@
     }
 
     /// Adds an online request that was due at `at`.
-    pub fn add_online(&mut self, at: Duration, end: &OnlineEnd) {
+    pub fn add_online(&mut self, at: Duration, end: &OnlineOutcome) {
         let Some(measured_at) = at.checked_sub(self.from) else { return };
         if let Some(error) = &end.error {
             *self.errors.entry(error.clone()).or_default() += 1;
--- a/crates/samphiredoor-standin/src/soak/clients.rs
+++ b/crates/samphiredoor-standin/src/soak/clients.rs
@@ -13,7 +13,7 @@
 use super::{
     checks::{ITEM_SEPARATOR, Invariant},
     connection::{Connection, Reply, Request, call},
-    trace::Shared,
+    trace::RunState,
 };
 use crate::fleet::submission;
 
@@ -45,7 +45,7 @@
 
 /// Client of a run, with its own random number generator.
 pub struct Client<'a> {
-    shared: &'a Shared,
+    shared: &'a RunState,
     rng: SmallRng,
     name: String,
     gateways: usize,
@@ -54,7 +54,7 @@
 
 impl<'a> Client<'a> {
     /// Client whose random choices are determined by the seed.
-    pub fn new(shared: &'a Shared, seed: u64, name: String, gateways: usize) -> Client<'a> {
+    pub fn new(shared: &'a RunState, seed: u64, name: String, gateways: usize) -> Client<'a> {
         Client { shared, rng: SmallRng::seed_from_u64(seed), name, gateways, next: 0 }
     }
 
--- a/crates/samphiredoor-standin/src/soak/final_checks.rs
+++ b/crates/samphiredoor-standin/src/soak/final_checks.rs
@@ -13,7 +13,7 @@
     connection::{Reply, Request, call},
     injector::Injector,
     report::Times,
-    trace::Shared,
+    trace::RunState,
 };
 use crate::fleet::submission;
 
@@ -28,7 +28,7 @@
 
 /// Checks of a fleet without active faults.
 pub struct FinalChecks<'a> {
-    shared: &'a Shared,
+    shared: &'a RunState,
     /// Number of gateways.
     pub gateways: usize,
     started_at: Instant,
@@ -36,7 +36,7 @@
 
 impl FinalChecks<'_> {
     /// Starts the time limits: the last fault has just ended.
-    pub fn new(shared: &Shared, gateways: usize) -> FinalChecks<'_> {
+    pub fn new(shared: &RunState, gateways: usize) -> FinalChecks<'_> {
         FinalChecks { shared, gateways, started_at: Instant::now() }
     }
 
--- a/crates/samphiredoor-standin/src/soak/injector.rs
+++ b/crates/samphiredoor-standin/src/soak/injector.rs
@@ -8,8 +8,8 @@
 use serde_json::json;
 
 use super::{
-    plan::{Fault, LinkTrouble, Sizes, Step},
-    trace::Shared,
+    plan::{Fault, PlannedLinkFault, Sizes, Step},
+    trace::RunState,
 };
 use crate::{
     fleet::Platform,
@@ -27,9 +27,10 @@
 /// Time from SIGTERM to SIGKILL, as on the platform.
 const TERM_GRACE: Duration = Duration::from_secs(15);
 
-/// Store, targets, gateways and the process of a storage host; all end when this value is dropped.
+/// Store, targets, gateways and the process of a storage host; the child processes are killed when this value is
+/// dropped.
 pub struct Injector<'a> {
-    shared: &'a Shared,
+    shared: &'a RunState,
     /// Store and gateway processes.
     pub platform: Platform,
     /// Numbers of gateways and targets.
@@ -47,7 +48,7 @@
 
 impl<'a> Injector<'a> {
     /// Starts all processes and waits until the gateways are ready.
-    pub fn start(shared: &'a Shared, binary: &Path, sizes: Sizes) -> Injector<'a> {
+    pub fn start(shared: &'a RunState, binary: &Path, sizes: Sizes) -> Injector<'a> {
         let mut platform = Platform::new(binary);
         platform.linked = true;
         platform.watch_ms = WATCH_MS;
@@ -211,9 +212,9 @@
     }
 }
 
-fn apply_link_fault(link: &Link, fault: LinkTrouble) {
+fn apply_link_fault(link: &Link, fault: PlannedLinkFault) {
     match fault {
-        LinkTrouble::Cut => link.cut(),
+        PlannedLinkFault::Cut => link.cut(),
         _ => link.set_fault(fault.fault()),
     }
 }
--- a/crates/samphiredoor-standin/src/soak/mod.rs
+++ b/crates/samphiredoor-standin/src/soak/mod.rs
@@ -25,13 +25,13 @@
 
 pub use checks::{Checks, Invariant, Violation};
 pub use connection::Reply;
-pub use plan::{Fault, LinkTrouble, Plan, Sizes, Step};
+pub use plan::{Fault, Plan, PlannedLinkFault, Sizes, Step};
 
 use clients::Client;
 use final_checks::FinalChecks;
 use injector::Injector;
 use report::Recovery;
-use trace::Shared;
+use trace::RunState;
 
 const SIGHUP: i32 = 1;
 const SIGINT: i32 = 2;
@@ -144,7 +144,7 @@
     fs::create_dir_all(&folder)
         .with_context(|| format!("{} cannot be created", folder.display()))?;
     plan.write(&folder.join("plan.jsonl"))?;
-    let shared = Shared::new(&folder.join("trace.jsonl"))?;
+    let shared = RunState::new(&folder.join("trace.jsonl"))?;
     let mut injector = Injector::start(&shared, &options.binary, options.sizes());
     drive(&shared, &mut injector, plan, seed, options.drills, recovery);
     shared.flush();
@@ -153,7 +153,7 @@
     match &violation {
         None => report::print_passed(seed, plan.0.len(), shared.checks().counts()),
         Some(violation) => {
-            let lines = injector.platform.lines_with(&violation.id);
+            let lines = injector.platform.log_lines_with(&violation.id);
             injector.platform.write_logs(&folder)?;
             report::print_violation(seed, violation, &lines, &folder);
         }
@@ -163,7 +163,7 @@
 
 /// Injects the faults of a plan while clients send requests, and checks all invariants.
 fn drive(
-    shared: &Shared,
+    shared: &RunState,
     injector: &mut Injector<'_>,
     plan: &Plan,
     seed: u64,
@@ -200,7 +200,7 @@
     final_checks.check_new_configuration(injector, &mut recovery.config_active_ms);
 }
 
-struct StopOnDrop<'a>(&'a Shared);
+struct StopOnDrop<'a>(&'a RunState);
 
 impl Drop for StopOnDrop<'_> {
     fn drop(&mut self) {
@@ -209,7 +209,7 @@
 }
 
 /// Injects all faults of a plan, and waits until all are over.
-fn inject_faults(shared: &Shared, injector: &mut Injector<'_>, plan: &Plan) {
+fn inject_faults(shared: &RunState, injector: &mut Injector<'_>, plan: &Plan) {
     let started_at = Instant::now();
     let begins = plan.0.iter().map(|it| (it.at_ms, true, it));
     let ends = plan.0.iter().map(|it| (it.at_ms + it.for_ms, false, it));
@@ -235,7 +235,7 @@
 }
 
 /// Waits until a point in time and checks the runs at targets meanwhile.
-fn wait_and_check(shared: &Shared, injector: &mut Injector<'_>, until: Instant) {
+fn wait_and_check(shared: &RunState, injector: &mut Injector<'_>, until: Instant) {
     let mut check_at = Instant::now();
     while Instant::now() < until && !shared.is_over() {
         injector.tick();
--- a/crates/samphiredoor-standin/src/soak/plan.rs
+++ b/crates/samphiredoor-standin/src/soak/plan.rs
@@ -26,7 +26,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum LinkTrouble {
+pub enum PlannedLinkFault {
     /// Delays all data.
     Slow,
     /// Drops all data.
@@ -39,15 +39,15 @@
     Cut,
 }
 
-impl LinkTrouble {
+impl PlannedLinkFault {
     /// State of the link for the duration of the fault.
     pub fn fault(self) -> LinkFault {
         match self {
-            LinkTrouble::Slow => LinkFault::Slow,
-            LinkTrouble::Silent => LinkFault::Silent,
-            LinkTrouble::SilentThere => LinkFault::SilentThere,
-            LinkTrouble::SilentBack => LinkFault::SilentBack,
-            LinkTrouble::Cut => LinkFault::None,
+            PlannedLinkFault::Slow => LinkFault::Slow,
+            PlannedLinkFault::Silent => LinkFault::Silent,
+            PlannedLinkFault::SilentThere => LinkFault::SilentThere,
+            PlannedLinkFault::SilentBack => LinkFault::SilentBack,
+            PlannedLinkFault::Cut => LinkFault::None,
         }
     }
 }
@@ -68,9 +68,9 @@
     /// SIGKILL, then a restart.
     KillStorage,
     /// Fault of the link between a gateway and the store.
-    GatewayLink(usize, LinkTrouble),
+    GatewayLink(usize, PlannedLinkFault),
     /// Fault of the link between all gateways and a target.
-    TargetLink(usize, LinkTrouble),
+    TargetLink(usize, PlannedLinkFault),
     /// Fault of the store for all of its clients.
     Store(StoreFault),
     /// Fault of the store for one gateway.
@@ -170,8 +170,8 @@
         6 => Fault::StopGateway(gateway),
         7 => Fault::PauseStorage,
         8 => Fault::KillStorage,
-        9..=11 => Fault::GatewayLink(gateway, random_link_trouble(rng)),
-        12 | 13 => Fault::TargetLink(target, random_link_trouble(rng)),
+        9..=11 => Fault::GatewayLink(gateway, random_link_fault(rng)),
+        12 | 13 => Fault::TargetLink(target, random_link_fault(rng)),
         14 | 15 => Fault::Store(random_store_fault(rng)),
         16 => Fault::StoreTowards(gateway, random_store_fault(rng)),
         17 => Fault::ForgetHistory,
@@ -181,8 +181,8 @@
     }
 }
 
-fn random_link_trouble(rng: &mut SmallRng) -> LinkTrouble {
-    use LinkTrouble::{Cut, Silent, SilentBack, SilentThere, Slow};
+fn random_link_fault(rng: &mut SmallRng) -> PlannedLinkFault {
+    use PlannedLinkFault::{Cut, Silent, SilentBack, SilentThere, Slow};
     *[Slow, Silent, SilentThere, SilentBack, Cut].choose(rng).expect("a fault")
 }
 
--- a/crates/samphiredoor-standin/src/soak/trace.rs
+++ b/crates/samphiredoor-standin/src/soak/trace.rs
@@ -31,7 +31,7 @@
 }
 
 /// State of one run, shared by its clients and the fault injector.
-pub struct Shared {
+pub struct RunState {
     checks: Mutex<Checks>,
     gateways: Mutex<Vec<SocketAddr>>,
     lines: Mutex<BufWriter<File>>,
@@ -39,16 +39,16 @@
     stopped: AtomicBool,
 }
 
-impl Shared {
+impl RunState {
     /// New run that writes its trace to a file.
     ///
     /// # Errors
     ///
     /// The file cannot be written.
-    pub fn new(trace: &Path) -> anyhow::Result<Shared> {
+    pub fn new(trace: &Path) -> anyhow::Result<RunState> {
         let file = File::create(trace)
             .with_context(|| format!("{} cannot be written", trace.display()))?;
-        Ok(Shared {
+        Ok(RunState {
             checks: Mutex::default(),
             gateways: Mutex::default(),
             lines: Mutex::new(BufWriter::new(file)),
