--- a/crates/samphiredoor-standin/src/http.rs
+++ b/crates/samphiredoor-standin/src/http.rs
@@ -40,7 +40,7 @@
 ///
 /// # Panics
 ///
-/// The condition does not hold after [`MAX_POLLS`] polls, 90 s.
+/// The condition does not hold within 90 s.
 pub fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
     for _ in 0..MAX_POLLS {
         if condition() {
--- a/crates/samphiredoor-standin/src/link.rs
+++ b/crates/samphiredoor-standin/src/link.rs
@@ -2,7 +2,7 @@
 //!
 //! It forwards bytes both ways between a client process and one server address. It never drops bytes from the middle of
 //! a stream: once it has dropped a byte of one direction of a connection, it forwards nothing more in this direction,
-//! as a router that has lost the connection's state. New connections work as soon as the fault is over.
+//! as behind a router that has lost the connection's state. New connections work as soon as the fault is over.
 
 use std::{
     io::{Read, Write},
--- a/crates/samphiredoor-standin/src/soak/plan.rs
+++ b/crates/samphiredoor-standin/src/soak/plan.rs
@@ -15,7 +15,7 @@
 /// Time between two series, long enough for checks that apply only while no fault is active.
 const SERIES_PAUSE_MS: std::ops::Range<u64> = 4_000..6_000;
 const SHORT_MS: std::ops::Range<u64> = 100..2_500;
-/// Duration after which other gateways have taken over the jobs of an unresponsive gateway.
+/// Durations after which other gateways have taken over the jobs of an unresponsive gateway.
 const LONG_MS: std::ops::Range<u64> = 4_000..8_000;
 /// Probability that the duration of a fault is from [`LONG_MS`].
 const LONG_PROBABILITY: f64 = 0.25;
