--- a/crates/samphiredoor-standin/src/soak/mod.rs
+++ b/crates/samphiredoor-standin/src/soak/mod.rs
@@ -146,7 +146,7 @@
     plan.write(&folder.join("plan.jsonl"))?;
     let shared = RunState::new(&folder.join("trace.jsonl"))?;
     let mut injector = Injector::start(&shared, &options.binary, options.sizes());
-    drive(&shared, &mut injector, plan, seed, options.drills, recovery);
+    execute_plan(&shared, &mut injector, plan, seed, options.drills, recovery);
     shared.flush();
     anyhow::ensure!(!trace::is_interrupted(), "ended by a signal");
     let violation = shared.checks().violation().cloned();
@@ -162,7 +162,7 @@
 }
 
 /// Injects the faults of a plan while clients send requests, and checks all invariants.
-fn drive(
+fn execute_plan(
     shared: &RunState,
     injector: &mut Injector<'_>,
     plan: &Plan,
