--- a/crates/samphiredoor-core/src/ledger/chunk.rs
+++ b/crates/samphiredoor-core/src/ledger/chunk.rs
@@ -227,7 +227,7 @@
                 attempts.tries += 1;
                 match repeatable {
                     true if attempts.tries < MAX_TRIES => self.delay_retry(index, ctx),
-                    true => self.fail(index, "every try ended without a response", ctx),
+                    true => self.fail(index, "each try was lost before its answer", ctx),
                     false => self.record_may_have_run(index, ctx),
                 }
             }
@@ -357,7 +357,7 @@
     }
 
     fn record_may_have_run(&mut self, index: u32, ctx: &mut Context<'_>) {
-        let body = serde_json::json!({ "error": "the item may have run and must not run twice" });
+        let body = serde_json::json!({ "error": "it may have run, and must not run twice" });
         self.record(index, ItemOutcome::MayHaveRun, 0, body, ctx);
     }
 
@@ -424,7 +424,7 @@
             }
             StoreAnswer::TooLarge => {
                 self.spills.remove(&index);
-                self.fail(index, "the result exceeds the size limit of the store", ctx);
+                self.fail(index, "the result is larger than the store holds", ctx);
             }
             _ => {
                 let Some(spill) = self.spills.get_mut(&index) else { return };
--- a/crates/samphiredoor-gateway/src/peers/routes_relay.rs
+++ b/crates/samphiredoor-gateway/src/peers/routes_relay.rs
@@ -129,10 +129,7 @@
             return json_message(StatusCode::NOT_FOUND, "no routes yet");
         };
         if !self.is_within_limit() {
-            return json_message(
-                StatusCode::SERVICE_UNAVAILABLE,
-                "too many requests for the routes",
-            );
+            return json_message(StatusCode::SERVICE_UNAVAILABLE, "others are being told");
         }
         let mut response = Response::new(Body::full(Bytes::copy_from_slice(&source.value)));
         if let Ok(name) = header::HeaderValue::from_str(&source.name) {
--- a/crates/samphiredoor-gateway/src/peers/watch_relay.rs
+++ b/crates/samphiredoor-gateway/src/peers/watch_relay.rs
@@ -120,7 +120,7 @@
         let until = Instant::now() + call.wait;
         loop {
             let Some((response, changed)) = self.changes_for(&call) else {
-                return json_message(StatusCode::NOT_FOUND, "this kind is not watched here");
+                return json_message(StatusCode::NOT_FOUND, "this kind is not followed here");
             };
             let left = until.saturating_duration_since(Instant::now());
             if response.delta != Delta::None || left.is_zero() {
