--- a/crates/samphiredoor-core/tests/dispatch/main.rs
+++ b/crates/samphiredoor-core/tests/dispatch/main.rs
@@ -1,7 +1,7 @@
-//! Tests of the dispatcher: invariants under any order of events, and behaviour in specific situations.
+//! Tests of the dispatcher: invariants under any order of events, and behaviour in specific scenarios.
 
 mod harness;
+mod invariants;
 mod leaving;
 mod limits;
-mod promises;
 mod routing;
--- a/crates/samphiredoor-core/tests/lending/main.rs
+++ b/crates/samphiredoor-core/tests/lending/main.rs
@@ -1,6 +1,6 @@
-//! Tests of batch capacity: invariants under any order of events, and behaviour in specific situations.
+//! Tests of batch capacity: invariants under any order of events, and behaviour in specific scenarios.
 
 mod division;
-mod promises;
-mod situations;
+mod invariants;
+mod scenarios;
 mod world;
--- a/crates/samphiredoor-core/tests/lending/situations.rs
+++ b/crates/samphiredoor-core/tests/lending/scenarios.rs
@@ -1,4 +1,4 @@
-//! Behaviour of batch capacity in specific situations.
+//! Behaviour of batch capacity in specific scenarios.
 
 use std::{collections::BTreeMap, sync::Arc};
 
--- a/crates/samphiredoor-core/tests/placement/main.rs
+++ b/crates/samphiredoor-core/tests/placement/main.rs
@@ -1,8 +1,8 @@
-//! Tests of the placement: single scenarios, invariants under random events, and simulated fleets.
+//! Tests of the placement: specific scenarios, invariants under random events, and simulated fleets.
 
 mod cells;
 mod fleet;
 mod harness;
 mod invariants;
 mod overload;
-mod situations;
+mod scenarios;
--- a/crates/samphiredoor-core/tests/placement/situations.rs
+++ b/crates/samphiredoor-core/tests/placement/scenarios.rs
@@ -1,4 +1,4 @@
-//! Which target a request is dispatched to, and which item is preempted, in single scenarios.
+//! Which target a request is dispatched to, and which item is preempted, in specific scenarios.
 
 use samphiredoor_core::{
     dispatch::{Class, RequestId},
