--- a/crates/samphiredoor-core/examples/keys_store_calls.rs
+++ b/crates/samphiredoor-core/examples/keys_store_calls.rs
@@ -11,8 +11,8 @@
 use samphiredoor_core::{
     dispatch::RequestId,
     keys::{
-        KeptAnswer, KeyOutcome, KeyedRequest, Keys, KeysAction, KeysConfig, KeysInput, holder_name,
-        key_id,
+        KeyOutcome, KeyedRequest, Keys, KeysAction, KeysConfig, KeysInput, SavedAnswer,
+        holder_name, key_id,
     },
     ledger::CallId,
     store::{ObjectKey, StoreAnswer, StoreOp, Stored, Value, Version},
@@ -97,7 +97,7 @@
                 }
                 Due::Call(gateway, call) => self.answer(now, gateway, call),
                 Due::RunEnd(gateway, request) => {
-                    let answer = KeptAnswer {
+                    let answer = SavedAnswer {
                         status: 200,
                         content_type: "application/json".into(),
                         body: Some(vec![b'x'; ANSWER_BYTES].into()),
--- a/crates/samphiredoor-core/src/dispatch/admission.rs
+++ b/crates/samphiredoor-core/src/dispatch/admission.rs
@@ -238,7 +238,7 @@
         }
     }
 
-    /// Ends a request that is not running without an answer. The verdict tells whether an earlier attempt may have run.
+    /// Ends a request that is not running without an answer. The verdict shows whether an earlier attempt may have run.
     pub(super) fn fail_request(
         &mut self,
         now_ms: u64,
--- a/crates/samphiredoor-core/src/dispatch/messages.rs
+++ b/crates/samphiredoor-core/src/dispatch/messages.rs
@@ -26,7 +26,7 @@
 pub enum Class {
     /// A caller waits for the answer.
     Online,
-    /// An item of a job; runs only in batch slots, which online requests take back.
+    /// An item of a job; runs only in batch slots, and may be preempted for online requests.
     Batch,
 }
 
@@ -71,7 +71,7 @@
         /// Outcome of the attempt.
         end: AttemptEnd,
     },
-    /// The request was cancelled: nobody waits for its answer any more.
+    /// The request was cancelled: no caller waits for its answer any more.
     Cancelled {
         /// Cancelled request.
         request: RequestId,
--- a/crates/samphiredoor-core/src/dispatch/targets.rs
+++ b/crates/samphiredoor-core/src/dispatch/targets.rs
@@ -154,7 +154,7 @@
         self.batch
     }
 
-    // Load reports may be wrong. One own attempt at a time is allowed even if they say that the target is full, so that
+    // Load reports may be wrong. One own attempt at a time is allowed even if they show the target as full, so that
     // a wrong report is detected.
     fn has_capacity(&self, now_ms: u64, own: u32) -> bool {
         let all = f64::from(own) + self.load.others(now_ms);
--- a/crates/samphiredoor-core/src/keys/change.rs
+++ b/crates/samphiredoor-core/src/keys/change.rs
@@ -8,7 +8,7 @@
     config::KeysConfig,
     context::{Context, Effect},
     keyed_request::{KeyId, KeyedRequest},
-    record::{self, IntentId, KeptAnswer, KeyStatus, is_orphaned},
+    record::{self, IntentId, KeyStatus, SavedAnswer, is_orphaned},
 };
 use crate::verdict::{MayHaveRunReason, Refusal, Verdict};
 
@@ -29,7 +29,7 @@
     /// Record to write.
     pub(super) record: KeyRecord,
     /// The answer, for resends that arrive before the outcome is written.
-    pub(super) answer: Option<KeptAnswer>,
+    pub(super) answer: Option<SavedAnswer>,
     /// Whether the body must first be written to an object of its own.
     pub(super) needs_upload: bool,
 }
--- a/crates/samphiredoor-core/src/keys/context.rs
+++ b/crates/samphiredoor-core/src/keys/context.rs
@@ -5,7 +5,7 @@
 use super::{
     config::KeysConfig,
     keyed_request::{KeyId, KeyedRequest},
-    record::{IntentId, KeptAnswer},
+    record::{IntentId, SavedAnswer},
 };
 use crate::{Name, store::StoreOp, time::Now, verdict::Verdict};
 
@@ -40,9 +40,9 @@
     /// The intent is committed: run the request.
     Run { arrival: KeyedRequest, intent_id: IntentId },
     /// Answer with the saved answer.
-    Replay { arrival: KeyedRequest, answer: KeptAnswer },
+    Replay { arrival: KeyedRequest, answer: SavedAnswer },
     /// Read the body from `object`, then answer with the saved answer.
-    FetchBody { arrival: KeyedRequest, answer: KeptAnswer, object: Name },
+    FetchBody { arrival: KeyedRequest, answer: SavedAnswer, object: Name },
     /// Refuse the request with a final verdict.
     Refuse { arrival: KeyedRequest, verdict: Verdict },
     /// The outcome needs no further write: it is committed or superseded.
--- a/crates/samphiredoor-core/src/keys/messages.rs
+++ b/crates/samphiredoor-core/src/keys/messages.rs
@@ -1,6 +1,6 @@
 //! Inputs and actions of [`Keys`](super::Keys).
 
-use super::{keyed_request::KeyedRequest, record::KeptAnswer};
+use super::{keyed_request::KeyedRequest, record::SavedAnswer};
 use crate::{
     Name,
     dispatch::RequestId,
@@ -13,7 +13,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum KeyOutcome {
     /// The whole answer arrived; resends get the same answer.
-    Answered(KeptAnswer),
+    Answered(SavedAnswer),
     /// The request did not run; a resend with the same key runs it.
     NotRun {
         /// After how many milliseconds the caller should retry.
@@ -84,7 +84,7 @@
         /// Id of the request.
         request: RequestId,
         /// Saved answer.
-        answer: KeptAnswer,
+        answer: SavedAnswer,
     },
     /// The request gets no answer; this is final.
     Refuse {
--- a/crates/samphiredoor-core/src/keys/mod.rs
+++ b/crates/samphiredoor-core/src/keys/mod.rs
@@ -28,7 +28,7 @@
 pub use config::{KeysConfig, SHARDS, holder_name};
 pub use keyed_request::{KeyId, KeyedRequest, key_id};
 pub use messages::{KeyOutcome, KeysAction, KeysInput};
-pub use record::{CLOCK_MARGIN_MS, KeptAnswer};
+pub use record::{CLOCK_MARGIN_MS, SavedAnswer};
 
 use crate::{
     Name,
@@ -65,7 +65,7 @@
 enum CallPurpose {
     Shard(u32),
     UploadBody { key: KeyId, object: Name },
-    FetchBody { arrival: KeyedRequest, answer: KeptAnswer },
+    FetchBody { arrival: KeyedRequest, answer: SavedAnswer },
     DeleteBody,
 }
 
@@ -281,8 +281,8 @@
             Some(CallPurpose::UploadBody { key, object }) => {
                 self.upload_answered(now, key, &object, answer, out);
             }
-            Some(CallPurpose::FetchBody { arrival, answer: kept }) => {
-                self.fetch_answered(arrival, kept, answer, out);
+            Some(CallPurpose::FetchBody { arrival, answer: saved }) => {
+                self.fetch_answered(arrival, saved, answer, out);
             }
             Some(CallPurpose::DeleteBody) | None => {}
         }
@@ -358,7 +358,7 @@
         }
     }
 
-    fn replay(&mut self, request: RequestId, answer: KeptAnswer, out: &mut Vec<KeysAction>) {
+    fn replay(&mut self, request: RequestId, answer: SavedAnswer, out: &mut Vec<KeysAction>) {
         if self.requests.remove(&request).is_some() {
             out.push(KeysAction::Replay { request, answer });
         }
@@ -409,7 +409,7 @@
     fn fetch_answered(
         &mut self,
         arrival: KeyedRequest,
-        kept: KeptAnswer,
+        saved: SavedAnswer,
         answer: StoreAnswer,
         out: &mut Vec<KeysAction>,
     ) {
@@ -417,7 +417,7 @@
             StoreAnswer::Object(stored) => {
                 let body = serde_json::from_slice::<KeptBody>(&stored.value).ok();
                 if let Some(body) = body.as_ref().and_then(decode_body) {
-                    let answer = KeptAnswer { body: Some(body), ..kept };
+                    let answer = SavedAnswer { body: Some(body), ..saved };
                     return self.replay(arrival.request, answer, out);
                 }
                 MayHaveRunReason::AnswerNotKept
@@ -491,15 +491,15 @@
 }
 
 /// Puts an answer into a record; returns whether its body needs an object of its own.
-fn save_answer(record: &mut KeyRecord, answer: &KeptAnswer) -> bool {
+fn save_answer(record: &mut KeyRecord, answer: &SavedAnswer) -> bool {
     record.state = KeyState::Answered;
     record.status = answer.status;
     record.content_type = answer.content_type.to_string();
     let Some(body) = &answer.body else { return false };
-    let kept = encode_body(body);
-    let bytes = serde_json::to_vec(&kept).map_or(usize::MAX, |it| it.len());
+    let saved = encode_body(body);
+    let bytes = serde_json::to_vec(&saved).map_or(usize::MAX, |it| it.len());
     if bytes <= INLINE_BODY_BYTES {
-        record.body = Some(kept);
+        record.body = Some(saved);
         return false;
     }
     body.len() <= MAX_BODY_BYTES && bytes <= MAX_OBJECT_BYTES
--- a/crates/samphiredoor-core/src/keys/record.rs
+++ b/crates/samphiredoor-core/src/keys/record.rs
@@ -14,7 +14,7 @@
 
 /// An answer that is saved for resends.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct KeptAnswer {
+pub struct SavedAnswer {
     /// HTTP status.
     pub status: u16,
     /// Content type; empty if the answer had none.
@@ -33,9 +33,9 @@
     /// An intent of another process without an outcome, with the name of its holder.
     OtherIntent(Name),
     /// The saved answer.
-    Answered(KeptAnswer),
+    Answered(SavedAnswer),
     /// The saved answer, whose body is in an object of its own.
-    BodyStoredApart(KeptAnswer, Name),
+    BodyStoredApart(SavedAnswer, Name),
     /// The request may have run, and has no answer.
     MayHaveRun(MayHaveRunReason),
     /// The key was used for a request with another digest.
@@ -70,7 +70,7 @@
 }
 
 fn answered_status(record: &KeyRecord) -> KeyStatus {
-    let mut answer = KeptAnswer {
+    let mut answer = SavedAnswer {
         status: record.status,
         content_type: record.content_type.as_str().into(),
         body: None,
--- a/crates/samphiredoor-core/src/keys/shard.rs
+++ b/crates/samphiredoor-core/src/keys/shard.rs
@@ -14,7 +14,7 @@
     },
     context::{Context, Effect},
     keyed_request::{KeyId, KeyedRequest},
-    record::{self, IntentId, KeptAnswer, KeyStatus, is_expired, is_orphaned},
+    record::{self, IntentId, KeyStatus, SavedAnswer, is_expired, is_orphaned},
 };
 use crate::{
     Name,
@@ -178,7 +178,7 @@
         }
     }
 
-    fn outcome_in_flight(&self, key: &str) -> Option<(KeyRecord, Option<KeptAnswer>)> {
+    fn outcome_in_flight(&self, key: &str) -> Option<(KeyRecord, Option<SavedAnswer>)> {
         let Some(InFlight::Write { changes, .. }) = &self.in_flight else { return None };
         match changes.get(key) {
             Some(Change::Outcome(outcome)) => {
@@ -192,7 +192,7 @@
         &mut self,
         arrival: KeyedRequest,
         record: &KeyRecord,
-        answer: Option<KeptAnswer>,
+        answer: Option<SavedAnswer>,
         cx: &Context<'_>,
         effects: &mut Vec<Effect>,
     ) {
--- a/crates/samphiredoor-core/src/ledger/backoff.rs
+++ b/crates/samphiredoor-core/src/ledger/backoff.rs
@@ -28,7 +28,7 @@
     }
 }
 
-/// Returns a random delay between half of `wait_ms` and all of it, so that processes don't retry in step.
+/// Returns a random delay between half of `wait_ms` and all of it, so that processes do not retry in step.
 pub(super) fn jittered(wait_ms: u64, rng: &mut SmallRng) -> u64 {
     rng.random_range(wait_ms / 2..=wait_ms)
 }
--- a/crates/samphiredoor-core/src/ledger/codec.rs
+++ b/crates/samphiredoor-core/src/ledger/codec.rs
@@ -1,6 +1,6 @@
 //! Encoding and decoding of the ledger's stored objects.
 //!
-//! An object that cannot be read (corrupt, above the store's size limit, or in a format that this version doesn't
+//! An object that cannot be read (corrupt, above the store's size limit, or in a format that this version does not
 //! support) is rejected with the reason and never overwritten, so that a later version or an operator can still read
 //! it. Bodies are kept as the original JSON text: they are opaque to the ledger, and text takes a fraction of the
 //! memory of a parsed value.
@@ -26,7 +26,7 @@
 /// Why a stored object cannot be read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Unreadable {
-    /// The content doesn't match the object's kind.
+    /// The content does not match the object's kind.
     Corrupt,
     /// The object is larger than any that is written.
     Oversized,
--- a/crates/samphiredoor-core/src/ledger/commit.rs
+++ b/crates/samphiredoor-core/src/ledger/commit.rs
@@ -181,7 +181,8 @@
         !self.own_intents.contains(&index) && self.unwritten_intents.insert(index)
     }
 
-    /// Withdraws the intents of items that this owner has not started and won't start: all except the `running` ones.
+    /// Withdraws the intents of items that this owner has not started and will not start: all except the `running`
+    /// ones.
     pub(super) fn withdraw_intents(&mut self, running: &BTreeSet<u32>) {
         self.unwritten_intents.clear();
         let not_started = self.own_intents.difference(running).copied();
@@ -383,7 +384,7 @@
         self.requeue_lost_intents();
     }
 
-    /// Queues intents that were sent but aren't stored to be written again.
+    /// Queues intents that were sent but are not stored to be written again.
     fn requeue_lost_intents(&mut self) {
         let missing: Vec<u32> = self.own_intents.difference(&self.intents).copied().collect();
         for index in missing {
--- a/crates/samphiredoor-core/src/ledger/context.rs
+++ b/crates/samphiredoor-core/src/ledger/context.rs
@@ -18,7 +18,7 @@
 /// Token bucket that limits the writes of incomplete groups of results.
 ///
 /// A burst of small jobs may make up to [`MAX_BURST_WRITES`] such writes at once. Under sustained load there is one
-/// write per `linger_write_interval_ms`, so that the write rate of a process doesn't grow with its number of jobs.
+/// write per `linger_write_interval_ms`, so that the write rate of a process does not grow with its number of jobs.
 #[derive(Debug)]
 pub(super) struct LingerLimiter {
     linger_write_interval_ms: u64,
--- a/crates/samphiredoor-core/src/ledger/messages.rs
+++ b/crates/samphiredoor-core/src/ledger/messages.rs
@@ -55,7 +55,7 @@
         /// Body of the response.
         body: serde_json::Value,
     },
-    /// The item did not run, or is repeatable and was preempted by online requests. Doesn't count as a try.
+    /// The item did not run, or is repeatable and was preempted by online requests. Does not count as a try.
     NotRun {
         /// Shortest delay before the item is started again.
         retry_after_ms: u64,
@@ -140,7 +140,7 @@
     },
     /// Run an item as soon as a target has a free slot, and report its end.
     Run(Box<ItemWork>),
-    /// Stop the run of an item if it is still in progress. A run that may have started and isn't repeatable is left to
+    /// Stop the run of an item if it is still in progress. A run that may have started and is not repeatable is left to
     /// end.
     Stop(ItemRef),
     /// The job was released; notify the other processes that they can take it over.
--- a/crates/samphiredoor-core/src/ledger/mod.rs
+++ b/crates/samphiredoor-core/src/ledger/mod.rs
@@ -130,7 +130,7 @@
         }
     }
 
-    /// Returns the progress of a job, or `None` if this process doesn't own it.
+    /// Returns the progress of a job, or `None` if this process does not own it.
     pub fn progress(&self, job: &str) -> Option<Progress> {
         self.runs.get(job).map(JobRun::progress)
     }
--- a/crates/samphiredoor-core/src/ledger/run.rs
+++ b/crates/samphiredoor-core/src/ledger/run.rs
@@ -1,6 +1,6 @@
 //! Execution of one job by its owner.
 //!
-//! A few chunks are open at a time, so that memory use doesn't grow with the size of the job. Each open chunk starts
+//! A few chunks are open at a time, so that memory use does not grow with the size of the job. Each open chunk starts
 //! its items without a result, handles the ends of their runs, and commits results in groups. When all chunks are
 //! complete the header is set to its final state.
 //!
@@ -389,7 +389,7 @@
         }
     }
 
-    /// Whether no other process has taken the job over, and the header isn't that of a new job under the name of a
+    /// Whether no other process has taken the job over, and the header is not that of a new job under the name of a
     /// removed one.
     fn is_still_owner(&self, header: &JobHeader) -> bool {
         header.owner.epoch == self.epoch() && header.upload == self.header.upload
--- a/crates/samphiredoor-core/src/ordered/codec.rs
+++ b/crates/samphiredoor-core/src/ordered/codec.rs
@@ -47,7 +47,7 @@
     /// Version of the routes under which the job was accepted; a process with only older ones cannot determine its route.
     #[serde(default)]
     pub routes_version: u64,
-    /// Number of failures at targets after which an item fails for good.
+    /// Number of failures at targets after which an item fails permanently.
     pub attempts: u32,
     /// Wall-clock time of acceptance, in milliseconds since 1970.
     pub accepted_unix_ms: u64,
--- a/crates/samphiredoor-core/src/ordered/items.rs
+++ b/crates/samphiredoor-core/src/ordered/items.rs
@@ -51,13 +51,13 @@
 #[derive(Debug)]
 pub struct Items {
     items: Vec<Arc<Item>>,
-    /// Number of failures at targets after which an item fails for good.
+    /// Number of failures at targets after which an item fails permanently.
     attempts: u32,
     tries: BTreeMap<u32, Tries>,
 }
 
 impl Items {
-    /// Creates the state of these items, each of which fails for good after this many failures at targets.
+    /// Creates the state of these items, each of which fails permanently after this many failures at targets.
     pub fn new(items: Vec<Item>, attempts: u32) -> Items {
         let items = items.into_iter().map(Arc::new).collect();
         Items { items, attempts: attempts.max(1), tries: BTreeMap::new() }
--- a/crates/samphiredoor-core/src/orders/leader.rs
+++ b/crates/samphiredoor-core/src/orders/leader.rs
@@ -103,7 +103,7 @@
         self.wants_slot
     }
 
-    /// Takes the next step that is possible now. `leased` tells whether this process holds its lease for long enough.
+    /// Takes the next step that is possible now. `leased` is whether this process holds its lease for long enough.
     pub(super) fn step(
         &mut self,
         now: Now,
--- a/crates/samphiredoor-core/src/placement/messages.rs
+++ b/crates/samphiredoor-core/src/placement/messages.rs
@@ -174,7 +174,7 @@
         /// Item whose attempt is preempted.
         request: RequestId,
     },
-    /// Refuse the request for good; it has been removed from its queue.
+    /// Refuse the request; it has been removed from its queue, so this is final.
     Refuse {
         /// Refused request.
         request: RequestId,
--- a/crates/samphiredoor-core/tests/keys.rs
+++ b/crates/samphiredoor-core/tests/keys.rs
@@ -11,8 +11,8 @@
     Name,
     dispatch::RequestId,
     keys::{
-        CLOCK_MARGIN_MS, KeptAnswer, KeyOutcome, KeyedRequest, Keys, KeysAction, KeysConfig,
-        KeysInput, holder_name, key_id,
+        CLOCK_MARGIN_MS, KeyOutcome, KeyedRequest, Keys, KeysAction, KeysConfig, KeysInput,
+        SavedAnswer, holder_name, key_id,
     },
     ledger::CallId,
     store::{Kind, ObjectKey, StoreAnswer, StoreOp, Stored, Value, Version},
@@ -152,7 +152,7 @@
     /// Request that ran or may still run, by key.
     ran: BTreeMap<Name, RequestId>,
     /// Digest and answer of the answered request, by key.
-    answers: BTreeMap<Name, (Name, KeptAnswer)>,
+    answers: BTreeMap<Name, (Name, SavedAnswer)>,
 }
 
 impl World {
@@ -283,7 +283,7 @@
         let request = self.running.remove(which % self.running.len());
         self.open.remove(&request);
         let (gateway, arrival) = self.sent[&request].clone();
-        let answer = |bytes: usize| KeptAnswer {
+        let answer = |bytes: usize| SavedAnswer {
             status: 200,
             content_type: "text/plain".into(),
             body: Some(vec![request.0 as u8; bytes].into()),
@@ -574,12 +574,12 @@
         let answer = store.call(&op);
         keys.handle(now, KeysInput::Stored { call, answer }, &mut actions);
     }
-    let kept = KeptAnswer {
+    let saved = SavedAnswer {
         status: 200,
         content_type: "text/plain".into(),
         body: Some(b"confirmed".as_slice().into()),
     };
-    let outcome = KeyOutcome::Answered(kept.clone());
+    let outcome = KeyOutcome::Answered(saved.clone());
     keys.handle(now, KeysInput::RunEnded { request: RequestId(0), outcome }, &mut actions);
     let Some(KeysAction::Store { call, .. }) = actions.pop() else {
         panic!("expected a write of the outcome")
@@ -587,6 +587,6 @@
     keys.handle(now, KeysInput::Arrived(arrival(1)), &mut actions);
     let answer = StoreAnswer::Unavailable;
     keys.handle(now, KeysInput::Stored { call, answer }, &mut actions);
-    let replayed = KeysAction::Replay { request: RequestId(1), answer: kept };
+    let replayed = KeysAction::Replay { request: RequestId(1), answer: saved };
     assert!(actions.contains(&replayed), "{actions:?}");
 }
--- a/crates/samphiredoor-core/tests/ledger/bounds.rs
+++ b/crates/samphiredoor-core/tests/ledger/bounds.rs
@@ -112,8 +112,8 @@
     an_item_with_a_final_status_is_not_retried: RunEnd::Answered(404) => Failed, 404, 1;
 }
 
-/// The responses of a chunk together exceed the store's object size limit, so that the job never ends. Those that don't
-/// fit in the results object are stored in separate objects.
+/// The responses of a chunk together exceed the store's object size limit, so that the job never ends. Those that do
+/// not fit in the results object are stored in separate objects.
 #[test]
 fn large_results_are_stored_in_separate_objects() {
     let mut simulation = with_job(8, 8);
@@ -167,7 +167,7 @@
     results_of_an_older_format_are_not_changed: results_key, "{\"format\":0}" => Older;
 }
 
-/// The last item of a job is never run. The last line of a submission, without a newline, didn't fit in the same chunk
+/// The last item of a job is never run. The last line of a submission, without a newline, did not fit in the same chunk
 /// as the line before it; it started a chunk that was never written, although the header counted it.
 #[test]
 fn the_last_line_of_a_full_chunk_is_kept() -> Result<(), BadLine> {
--- a/crates/samphiredoor-core/tests/ledger/scenarios.rs
+++ b/crates/samphiredoor-core/tests/ledger/scenarios.rs
@@ -55,7 +55,7 @@
 }
 
 /// A long job stalls permanently. The owner's update of the header takes effect but its answer is lost; each later
-/// update conflicts with this one if the owner doesn't read the header again.
+/// update conflicts with this one if the owner does not read the header again.
 #[test]
 fn a_header_write_with_a_lost_answer_is_followed_by_a_read() {
     let mut simulation = with_job(0, true);
@@ -65,8 +65,8 @@
     assert_eq!(simulation.header(0).completed, 36);
 }
 
-/// An item of a cancelled job is run. The owner opens a chunk that the header's `opened_chunks` doesn't include yet, is
-/// paused, and writes after the next owner, which fences only the chunks included, has ended the job.
+/// An item of a cancelled job is run. The owner opens a chunk that the header's `opened_chunks` does not include yet,
+/// is paused, and writes after the next owner, which fences only the chunks included, has ended the job.
 #[test]
 fn no_chunk_is_opened_before_the_header_covers_it() {
     let mut simulation = with_job(0, true);
--- a/crates/samphiredoor-core/tests/membership.rs
+++ b/crates/samphiredoor-core/tests/membership.rs
@@ -75,8 +75,8 @@
 }
 
 /// Guards against rosters that keep a dead process or lack a live one, so that a share of the work is left undone.
-/// After joins, crashes, partitions and lost heartbeats, reports can differ for good if gossip ends before all members
-/// have it, or if a false report of death is not refuted.
+/// After joins, crashes, partitions and lost heartbeats, reports can differ permanently if gossip ends before all
+/// members have it, or if a false report of death is not refuted.
 #[test]
 fn rosters_converge_once_faults_end() {
     let converges = |steps: Vec<Step>| {
--- a/crates/samphiredoor-core/tests/orders.rs
+++ b/crates/samphiredoor-core/tests/orders.rs
@@ -388,8 +388,8 @@
     world.run_round(false, false);
     world.processes[1].paused = true;
     world.set_wanted(0, 2);
-    let lapsed = OrdersInput::LeaseExpired { process: "gateway-1".into(), incarnation: 1 };
-    world.processes[0].ends.push_back(lapsed);
+    let expired = OrdersInput::LeaseExpired { process: "gateway-1".into(), incarnation: 1 };
+    world.processes[0].ends.push_back(expired);
     for _ in 0..150 {
         world.run_round(false, false);
         world.deliver(0, false, false);
@@ -435,8 +435,8 @@
     world.cut_connection(0);
     world.processes[1].paused = true;
     world.set_wanted(0, 0);
-    let lapsed = OrdersInput::LeaseExpired { process: "gateway-1".into(), incarnation: 1 };
-    world.processes[0].ends.push_back(lapsed);
+    let expired = OrdersInput::LeaseExpired { process: "gateway-1".into(), incarnation: 1 };
+    world.processes[0].ends.push_back(expired);
     for _ in 0..150 {
         world.run_round(false, false);
         world.deliver_uncut();
@@ -488,8 +488,8 @@
     world.run_until_sent(1);
     world.processes[1].paused = true;
     world.set_wanted(0, 1);
-    let lapsed = OrdersInput::LeaseExpired { process: "gateway-1".into(), incarnation: 1 };
-    world.processes[0].ends.push_back(lapsed);
+    let expired = OrdersInput::LeaseExpired { process: "gateway-1".into(), incarnation: 1 };
+    world.processes[0].ends.push_back(expired);
     world.lease_is_short = true;
     (0..100).for_each(|_| world.run_round(false, false));
     assert!(world.sent >= 2, "the order was never sent");
--- a/crates/samphiredoor-core/tests/placement/cells.rs
+++ b/crates/samphiredoor-core/tests/placement/cells.rs
@@ -108,7 +108,7 @@
 }
 
 // A zone has targets and no gateway. Without a fallback they would be in no cell, and a gateway that uses them would send
-// its loads there to nobody.
+// its loads there to no other gateway.
 #[test]
 fn targets_in_a_zone_without_gateways_are_assigned_within_the_region() {
     let cells = Cells::new(&gateways(&[[0; 10], [2; 10]].concat()), &targets(&[1, 1, 1]));
--- a/crates/samphiredoor-core/tests/placement/invariants.rs
+++ b/crates/samphiredoor-core/tests/placement/invariants.rs
@@ -164,7 +164,7 @@
     model.apply(fixture.wait(10_000));
     assert!(
         model.waiting.iter().all(|it| !model.online.contains(it)),
-        "no online request waits for ever"
+        "no online request waits forever"
     );
 }
 
--- a/crates/samphiredoor-core/tests/placement/scenarios.rs
+++ b/crates/samphiredoor-core/tests/placement/scenarios.rs
@@ -46,7 +46,7 @@
     }
 }
 
-// A gateway has died, and its requests with it. The loads that it sent last must not take slots for ever.
+// A gateway has died, and its requests with it. The loads that it sent last must not take slots forever.
 #[test]
 fn a_timed_out_peer_takes_no_slots() {
     let mut fixture = Fixture::with_targets(1);
@@ -281,7 +281,7 @@
     assert_eq!(sent_to(partly_done, &actions).as_deref(), Some("t-0"));
 }
 
-// While items that can finish in time keep arriving, those that cannot would wait for ever.
+// While items that can finish in time keep arriving, those that cannot would wait forever.
 #[test]
 fn a_late_item_starts_while_others_can_finish_in_time() {
     let (mut fixture, mut running) = full_of_items();
--- a/crates/samphiredoor-core/tests/quarantine.rs
+++ b/crates/samphiredoor-core/tests/quarantine.rs
@@ -313,7 +313,7 @@
     assert!(!is_refused(&mut quarantine, now, 7));
 }
 
-/// The entries must neither grow without bound nor stay for ever; quarantined ones are evicted last.
+/// The entries must neither grow without bound nor stay forever; quarantined ones are evicted last.
 #[test]
 fn suspects_are_bounded_in_number_and_age() {
     let mut now = Now::new(0, 1_000_000_000);
--- a/crates/samphiredoor-gateway/src/discovery.rs
+++ b/crates/samphiredoor-gateway/src/discovery.rs
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Follows the routes in the store for as long as the process runs.
+    /// Watches the routes in the store for as long as the process runs.
     pub async fn run(self: Rc<Self>, mut watcher: Watcher) {
         loop {
             match watcher.next().await {
@@ -100,7 +100,7 @@
 }
 
 impl TargetsTask {
-    /// Follows the targets in the store for as long as the process runs.
+    /// Watches the targets in the store for as long as the process runs.
     pub async fn run(self, mut watcher: Watcher) {
         let mut table = TargetTable::default();
         loop {
--- a/crates/samphiredoor-gateway/src/events.rs
+++ b/crates/samphiredoor-gateway/src/events.rs
@@ -31,7 +31,7 @@
         Event { raw, id }
     }
 
-    /// Appends the data lines of the event to `text`, separated by line feeds. `is_first` tells that no data has been
+    /// Appends the data lines of the event to `text`, separated by line feeds. `is_first` means that no data has been
     /// appended before, so that no line feed comes first.
     pub fn append_data(&self, text: &mut Vec<u8>, is_first: bool) {
         let mut first = is_first;
--- a/crates/samphiredoor-gateway/src/front/mod.rs
+++ b/crates/samphiredoor-gateway/src/front/mod.rs
@@ -169,7 +169,7 @@
     header.or_else(|| request.uri().host())
 }
 
-/// How long a caller lets a read wait for new results; zero if it does not say.
+/// How long a caller lets a read wait for new results; zero without the header.
 fn requested_wait(dialect: &dyn Dialect, headers: &HeaderMap) -> Duration {
     let wait_ms = header_number(headers.get(&dialect.headers().wait_ms));
     Duration::from_millis(wait_ms.unwrap_or(0))
--- a/crates/samphiredoor-gateway/src/jobs/job_task/mod.rs
+++ b/crates/samphiredoor-gateway/src/jobs/job_task/mod.rs
@@ -37,7 +37,7 @@
 /// Minimum wait for a message. A wait of zero does not yield to other tasks, so that a wakeup time in the past would
 /// block the whole process.
 const MIN_WAIT: Duration = Duration::from_millis(1);
-/// Stands for a time that is never reached.
+/// Offset of times that mean never.
 const FAR_FUTURE: Duration = Duration::from_secs(3_600);
 
 /// A job that this process owns.
@@ -162,7 +162,7 @@
     /// When the task was created.
     started_at: Instant,
     /// Whether other processes may have taken over the job while only this one was isolated from the store.
-    may_have_been_taken: bool,
+    may_have_been_taken_over: bool,
     /// Whether runs are stopped until the store confirms that this process owns the job.
     suspended: bool,
     /// Consecutive store calls without a usable answer, for the retry backoff.
@@ -176,7 +176,7 @@
     /// Start of the last read that found no further segment at the end of the log.
     log_end_seen_at: Instant,
     /// Start of the last read for segments of other processes.
-    foreign_check_at: Option<Instant>,
+    other_writers_checked_at: Option<Instant>,
 }
 
 impl JobTask {
@@ -197,13 +197,13 @@
         JobTask {
             permit,
             started_at: Instant::now(),
-            may_have_been_taken: false,
+            may_have_been_taken_over: false,
             suspended: false,
             store_failures: 0,
             checking: false,
             next_check_at: Instant::now(),
             log_end_seen_at: Instant::now(),
-            foreign_check_at: None,
+            other_writers_checked_at: None,
             env,
             ownership,
             items,
--- a/crates/samphiredoor-gateway/src/jobs/job_task/results.rs
+++ b/crates/samphiredoor-gateway/src/jobs/job_task/results.rs
@@ -14,7 +14,7 @@
 use crate::{jobs::STORE_RETRY_PAUSE, platform_api::ResultsPage};
 
 /// Minimum time between two reads for segments of other processes; callers poll twice a second.
-const FOREIGN_CHECK_INTERVAL: Duration = Duration::from_millis(300);
+const OTHER_WRITERS_CHECK_INTERVAL: Duration = Duration::from_millis(300);
 /// Time after which a write that was not answered can no longer take effect.
 const LATE_WRITE_WINDOW: Duration = Duration::from_secs(6);
 /// Upper limit of the backoff between store calls.
@@ -70,7 +70,7 @@
         self.log_call_in_flight = false;
         let before = self.log.committed().len();
         let step = self.log.answered(answer);
-        if let Some(since) = self.foreign_check_at
+        if let Some(since) = self.other_writers_checked_at
             && *answer == StoreAnswer::Absent
         {
             self.log_end_seen_at = since;
@@ -116,7 +116,7 @@
                 None => self.readers.push(reader),
             }
         }
-        self.check_for_foreign_segments();
+        self.check_for_other_writers();
     }
 
     pub(super) fn reply_to(&self, reader: &Reader, now: Instant) -> Option<ReadReply> {
@@ -137,7 +137,7 @@
     /// and readers that got its results from it must also get them here. A process that receives heartbeats from less
     /// than half of the fleet may itself be such a former owner.
     pub(super) fn may_have_other_writers(&self) -> bool {
-        self.may_have_been_taken
+        self.may_have_been_taken_over
             || self.former_owner_may_write()
             || !self.env.roster.at_least_half_live()
     }
@@ -146,22 +146,24 @@
     /// late.
     fn former_owner_may_write(&self) -> bool {
         let Some(former) = &self.ownership.header.former else { return false };
-        let is_gone = former.process == *self.env.name
+        let has_ended = former.process == *self.env.name
             || self.env.roster.has_restarted(&former.process, former.incarnation);
-        !is_gone || self.started_at.elapsed() < LATE_WRITE_WINDOW
+        !has_ended || self.started_at.elapsed() < LATE_WRITE_WINDOW
     }
 
     /// Reads the log for segments of other processes while a reader waits for more results.
-    pub(super) fn check_for_foreign_segments(&mut self) {
+    pub(super) fn check_for_other_writers(&mut self) {
         let wanted = self.readers.iter().any(|it| it.arrived > self.log_end_seen_at);
-        let paused = self.foreign_check_at.is_some_and(|it| it.elapsed() < FOREIGN_CHECK_INTERVAL);
+        let paused = self
+            .other_writers_checked_at
+            .is_some_and(|it| it.elapsed() < OTHER_WRITERS_CHECK_INTERVAL);
         if wanted
             && !paused
             && self.may_have_other_writers()
             && self.is_active()
             && !self.log_call_in_flight
         {
-            self.foreign_check_at = Some(Instant::now());
+            self.other_writers_checked_at = Some(Instant::now());
             self.log.request_reread();
             let step = self.log.step();
             self.run_log_step(step);
--- a/crates/samphiredoor-gateway/src/jobs/job_task/runs.rs
+++ b/crates/samphiredoor-gateway/src/jobs/job_task/runs.rs
@@ -38,7 +38,7 @@
         if isolated && !self.suspended {
             log::info!(job = &*self.ownership.job; "job: runs stopped, the store answers other gateways but not this one");
             self.suspended = true;
-            self.may_have_been_taken = true;
+            self.may_have_been_taken_over = true;
             self.stop_runs();
         } else if !isolated && (self.suspended || self.permit.is_wanted()) && self.may_check() {
             self.check_ownership();
--- a/crates/samphiredoor-gateway/src/jobs/mod.rs
+++ b/crates/samphiredoor-gateway/src/jobs/mod.rs
@@ -46,8 +46,8 @@
 /// Pause before a store call is retried that got no usable answer.
 const STORE_RETRY_PAUSE: Duration = Duration::from_millis(150);
 
-/// Attempts at one store call before the caller is refused or told that the outcome is unknown. Each attempt may take
-/// as long as the store's timeout, and callers give up after a few seconds.
+/// Attempts at one store call before the caller is refused or gets the answer that the outcome is unknown. Each
+/// attempt may take as long as the store's timeout, and callers give up after a few seconds.
 const STORE_ATTEMPTS: u32 = 3;
 
 /// Handles shared by everything that works on jobs; holds no job state itself.
--- a/crates/samphiredoor-gateway/src/jobs/peer_call.rs
+++ b/crates/samphiredoor-gateway/src/jobs/peer_call.rs
@@ -31,7 +31,7 @@
         /// Id of the item.
         item: String,
     },
-    /// Tells the owner that its job was cancelled by the caller.
+    /// Notifies the owner that its job was cancelled by the caller.
     Cancelled {
         /// Job that was cancelled.
         job: JobName,
--- a/crates/samphiredoor-gateway/src/jobs/reads.rs
+++ b/crates/samphiredoor-gateway/src/jobs/reads.rs
@@ -77,7 +77,7 @@
         Jobs { env, directory, stored, pools: Rc::default() }
     }
 
-    /// Accepts a submission, or says why it is refused.
+    /// Accepts a submission, or answers with the reason for its refusal.
     pub async fn submit(&self, submitted: SubmittedJob, acceptors: Forwarding) -> Response<Body> {
         submit::submit(&self.env, &self.directory, submitted, acceptors).await
     }
@@ -282,22 +282,22 @@
         }
         match self.cancel_at_owner(job, &owner).await {
             Ok(proof) => proof,
-            Err(Unreachable) => self.is_gone(&owner).then_some(StopProof::OwnerSilent),
+            Err(Unreachable) => self.is_dead(&owner).then_some(StopProof::OwnerSilent),
         }
     }
 
     /// Whether an owner that cannot be reached counts as dead. It does not if this process is itself isolated,
     /// receiving heartbeats from few others, or started too recently to have received one from the owner.
-    fn is_gone(&self, owner: &Owner) -> bool {
+    fn is_dead(&self, owner: &Owner) -> bool {
         let (process, incarnation) = (&*owner.process, owner.incarnation);
         let roster = &self.env.roster;
-        let is_heard = roster.live_address(process, incarnation).is_some();
+        let is_live = roster.live_address(process, incarnation).is_some();
         let liveness = roster.liveness(process, incarnation);
-        !is_heard && liveness == Liveness::Dead && roster.at_least_half_live()
+        !is_live && liveness == Liveness::Dead && roster.at_least_half_live()
     }
 
-    /// Tells the owner to cancel its job. Owners that are shutting down, have lost the store or send no heartbeats are
-    /// told as well, because their runs go on. `None` if the owner does not confirm it.
+    /// Notifies the owner that its job is cancelled. Owners that are shutting down, have lost the store or send no
+    /// heartbeats are notified as well, because their runs go on. `None` if the owner does not confirm it.
     async fn cancel_at_owner(
         &self,
         job: &JobName,
@@ -317,9 +317,9 @@
     /// Address of an owner: from its heartbeats, or else from its registration in the store.
     async fn owner_address(&self, owner: &Owner) -> Option<SocketAddr> {
         let roster = &self.env.roster;
-        let heard = roster.live_address(&owner.process, owner.incarnation);
-        if heard.is_some() {
-            return heard;
+        let live = roster.live_address(&owner.process, owner.incarnation);
+        if live.is_some() {
+            return live;
         }
         let registered = registered_address(&*self.env.platform.store, &owner.process).await;
         registered.or_else(|| roster.address(&owner.process))
--- a/crates/samphiredoor-gateway/src/jobs/send_permit.rs
+++ b/crates/samphiredoor-gateway/src/jobs/send_permit.rs
@@ -2,7 +2,7 @@
 //!
 //! A gateway that cancels a job first writes the cancellation to the store and then reads the owner from the header. An
 //! owner that writes or reads the header first, and then reads that there is no cancellation, is therefore found in the
-//! header and told of any later one.
+//! header and notified of any later one.
 
 use std::{cell::Cell, time::Duration};
 
--- a/crates/samphiredoor-gateway/src/jobs/submit.rs
+++ b/crates/samphiredoor-gateway/src/jobs/submit.rs
@@ -38,7 +38,7 @@
 const FORWARD_DELAY: Duration = Duration::from_millis(200);
 /// Retry time in refusals.
 const RETRY_AFTER_MS: u64 = 300;
-/// Hexadecimal digits of the digest in the keys of parts; 64 bits suffice to tell apart submissions with the same job
+/// Hexadecimal digits of the digest in the keys of parts; 64 bits suffice to distinguish submissions with the same job
 /// name.
 const DIGEST_CHARS: usize = 16;
 
--- a/crates/samphiredoor-gateway/src/lib.rs
+++ b/crates/samphiredoor-gateway/src/lib.rs
@@ -6,8 +6,8 @@
 //!   forwarded event by event by `front::forwarded_stream`;
 //! - a **job** arrives at `jobs::submit`, is owned by a `jobs::job_task`, its items run through `jobs::item_run`, and
 //!   its results can be read through `jobs::reads` at any gateway;
-//! - **routes** and **targets** come from the store through `discovery`, which follows them by `watch`; `watch_schedule`
-//!   staggers the watches of all gateways, and `store_health` tracks whether the store answers;
+//! - **routes** and **targets** come from the store through `discovery`, which watches them with `watch`;
+//!   `watch_schedule` staggers the watches of all gateways, and `store_health` tracks whether the store answers;
 //! - `peers` exchanges load, routes and job owners with **other gateways**;
 //! - `mirror` serves what a gateway needs to start during an outage of the store; `storage` runs it.
 //!
--- a/crates/samphiredoor-gateway/src/peers/mod.rs
+++ b/crates/samphiredoor-gateway/src/peers/mod.rs
@@ -41,7 +41,7 @@
 pub struct LocalGateway {
     /// Name under which it is registered in the store.
     pub name: Name,
-    /// Number of this start of the process; a restart has a higher one.
+    /// Incarnation of the process; a restart has a higher one.
     pub incarnation: u64,
     /// Region and availability zone.
     pub location: Location,
--- a/crates/samphiredoor-gateway/src/peers/owners.rs
+++ b/crates/samphiredoor-gateway/src/peers/owners.rs
@@ -20,7 +20,7 @@
 pub struct Owner {
     /// Name of the process.
     pub process: Name,
-    /// Number of this start of the process; a restart has a higher one.
+    /// Incarnation of the process; a restart has a higher one.
     pub incarnation: u64,
 }
 
--- a/crates/samphiredoor-gateway/src/peers/roster.rs
+++ b/crates/samphiredoor-gateway/src/peers/roster.rs
@@ -27,8 +27,8 @@
 const FAILOVER_TIMEOUT: Duration = Duration::from_millis(1_200);
 /// Gateways of a cell that send its summaries, so that the loss of one does not interrupt them.
 const SUMMARY_SENDERS: usize = 2;
-/// Time without news of a gateway of another cell after which it counts as dead. All summary senders of its cell may
-/// fail at once, and their successors start only after the failover timeout.
+/// Time without a report on a gateway of another cell after which it counts as dead. All summary senders of its cell
+/// may fail at once, and their successors start only after the failover timeout.
 const DEAD_AFTER_OTHER_CELL: Duration = DEAD_AFTER.saturating_add(FAILOVER_TIMEOUT);
 /// Time after the first list of gateways from which this process may send summaries. By then it has received statuses
 /// of the other gateways of its cell.
--- a/crates/samphiredoor-gateway/src/peers/status.rs
+++ b/crates/samphiredoor-gateway/src/peers/status.rs
@@ -32,13 +32,13 @@
 pub struct Status {
     /// Name of the gateway.
     pub name: String,
-    /// Number of this start of the gateway; a restart has a higher one.
+    /// Incarnation of the gateway; a restart has a higher one.
     pub incarnation: u64,
     /// Version of its active routes.
     pub routes_version: u64,
     /// Whether it reaches the store.
     pub store_reached: bool,
-    /// Whether a planned stop is under way.
+    /// Whether a graceful shutdown has begun.
     pub stopping: bool,
     /// Its requests at targets and its waiting items.
     pub requests: GatewayState,
--- a/crates/samphiredoor-gateway/src/peers/status_sender.rs
+++ b/crates/samphiredoor-gateway/src/peers/status_sender.rs
@@ -49,7 +49,7 @@
     pub routes: Routes,
     /// Whether the store responds to this process.
     pub health: StoreHealth,
-    /// Whether a planned stop is under way.
+    /// Whether a graceful shutdown has begun.
     pub stopping: Rc<Cell<bool>>,
 }
 
--- a/crates/samphiredoor-gateway/src/peers/summary.rs
+++ b/crates/samphiredoor-gateway/src/peers/summary.rs
@@ -18,7 +18,7 @@
 pub struct Member {
     /// Hash of its name, see [`samphiredoor_core::placement::name_hash`].
     pub key: u64,
-    /// Number of this start of the gateway; a restart has a higher one.
+    /// Incarnation of the gateway; a restart has a higher one.
     pub incarnation: u64,
     /// Version of its active routes.
     pub routes_version: u64,
@@ -26,7 +26,7 @@
     pub status_age_ms: u16,
     /// Whether it reaches the store.
     pub store_reached: bool,
-    /// Whether a planned stop is under way.
+    /// Whether a graceful shutdown has begun.
     pub stopping: bool,
 }
 
--- a/crates/samphiredoor-gateway/src/peers/watch_relay.rs
+++ b/crates/samphiredoor-gateway/src/peers/watch_relay.rs
@@ -41,7 +41,7 @@
 /// entries may have expired in the store in between.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RelayEpoch {
-    /// Number of this start of the gateway; a restart has a higher one.
+    /// Incarnation of the gateway; a restart has a higher one.
     pub incarnation: u64,
     /// Number of times that its watch of this kind was interrupted, as by an outage of the store.
     pub outages: u64,
--- a/crates/samphiredoor-gateway/src/placement.rs
+++ b/crates/samphiredoor-gateway/src/placement.rs
@@ -21,7 +21,7 @@
 use crate::metrics::Metrics;
 
 /// Shortest time between two reports of the own load to peers, so that requests that arrive together share one report.
-/// A slot that peers do not yet see as taken for this long is rarely chosen twice.
+/// A slot that peers see as free for this long after it was taken is rarely chosen twice.
 const MIN_REPORT_INTERVAL: Duration = Duration::from_millis(20);
 /// Time between two ticks while online requests or a load report wait; neither is delayed by more than this.
 const BUSY_TICK: Duration = Duration::from_millis(20);
--- a/crates/samphiredoor-gateway/src/seen_versions.rs
+++ b/crates/samphiredoor-gateway/src/seen_versions.rs
@@ -1,8 +1,8 @@
 //! Newest store versions that this process and its peers have seen.
 //!
-//! A watch that the store has dropped never completes, and its process cannot tell it from one without changes. The status
-//! messages of peers reveal it: a change that a peer has seen is in the store, so a process that has not seen it has to
-//! query the store.
+//! A watch that the store has dropped never completes, and its process cannot distinguish it from one without changes.
+//! The status messages of peers reveal it: a change that a peer has seen is in the store, so a process that has not
+//! seen it has to query the store.
 
 use std::{cell::Cell, rc::Rc};
 
--- a/crates/samphiredoor-gateway/src/store_health.rs
+++ b/crates/samphiredoor-gateway/src/store_health.rs
@@ -2,9 +2,9 @@
 //!
 //! A process that alone has lost the store must stop its batch items: other processes take over its jobs, and it
 //! learns neither of that nor of the end of a job. If the store answers no process, no job can be taken over, and stopping
-//! the items would only discard their output. The last reports of other processes do not tell the two cases apart, because
-//! processes detect an outage at different times. A store therefore counts as lost only here once it has answered another
-//! process after this one lost it, and a call that this one made later than that has failed as well.
+//! the items would only discard their output. The last reports of other processes do not distinguish the two cases,
+//! because processes detect an outage at different times. A store therefore counts as lost only here once it has
+//! answered another process after this one lost it, and a call that this one made later than that has failed as well.
 
 use std::{
     cell::Cell,
@@ -100,7 +100,7 @@
             let alone = self.state.lost_only_here.take();
             self.state.recoveries.set(self.state.recoveries.get() + 1);
             self.state.peer_answered_at.set(None);
-            log::info!(away_ms = since.elapsed().as_millis() as u64, alone; "store: regained");
+            log::info!(away_ms = since.elapsed().as_millis() as u64, alone; "store: recovered");
         }
     }
 }
--- a/crates/samphiredoor-gateway/src/target_client.rs
+++ b/crates/samphiredoor-gateway/src/target_client.rs
@@ -1,6 +1,6 @@
 //! Connections to targets.
 //!
-//! Connections are pooled by target name, not by address: the address of a target that is gone may be reused by another.
+//! Connections are pooled by target name, not by address: the address of a former target may be reused by another.
 
 use std::{
     cell::RefCell,
@@ -72,7 +72,7 @@
     ///
     /// # Errors
     ///
-    /// No answer was received; the error tells whether the call may have reached the target.
+    /// No answer was received; the error shows whether the call may have reached the target.
     pub async fn send(
         &self,
         target: &Name,
--- a/crates/samphiredoor-gateway/src/watch.rs
+++ b/crates/samphiredoor-gateway/src/watch.rs
@@ -322,9 +322,9 @@
     /// Records that the store has answered. During an outage it may keep connections open, so the time since its last answer
     /// is the only sign of a watcher that receives nothing.
     fn record_answer(&mut self) {
-        let silent = std::mem::replace(&mut self.answered_at, Instant::now()).elapsed();
+        let unanswered = std::mem::replace(&mut self.answered_at, Instant::now()).elapsed();
         if self.failures > 0 {
-            let silent_ms = silent.as_millis() as u64;
+            let silent_ms = unanswered.as_millis() as u64;
             log::info!(kind = self.kind.path(), silent_ms; "store: answers again");
         }
         if let Some(metrics) = &self.metrics {
--- a/crates/samphiredoor-net/src/fetch.rs
+++ b/crates/samphiredoor-net/src/fetch.rs
@@ -80,7 +80,7 @@
     ///
     /// # Errors
     ///
-    /// There is no complete response; the error tells whether the request may have arrived.
+    /// There is no complete response; the error shows whether the request may have arrived.
     pub async fn fetch(
         &self,
         request: Request<Body>,
--- a/crates/samphiredoor-net/src/serve.rs
+++ b/crates/samphiredoor-net/src/serve.rs
@@ -1,7 +1,7 @@
 //! HTTP server: accepts connections and responds to requests on them.
 //!
-//! Every wait is limited, so that slow clients and half-open connections don't occupy the server for ever: connections above
-//! `max_connections` are closed at once, a client that sends its headers slowly is disconnected after
+//! Every wait is limited, so that slow clients and half-open connections do not occupy the server forever: connections
+//! above `max_connections` are closed at once, a client that sends its headers slowly is disconnected after
 //! `header_read_timeout`, and one that does not read its response after `stall_timeout`.
 
 use std::{
@@ -155,7 +155,7 @@
     }
 
     // The kernel has completed handshakes of connections that are not accepted yet; closing the listener would reset them.
-    // The time is limited, so that clients that keep connecting don't keep the listener open for ever.
+    // The time is limited, so that clients that keep connecting do not keep the listener open forever.
     async fn accept_pending<H, F>(&self, handler: &Rc<H>)
     where
         H: Fn(Request<Incoming>) -> F + 'static,
@@ -250,7 +250,7 @@
         .serve_connection(stream, service);
     let mut connection = pin!(connection);
     let mut stalled = pin!(stall.reaches(limits.stall_timeout).fuse());
-    // A request may already be on its way on a new or idle connection; closing the connection at once would lose it.
+    // A request may already be in transit on a new or idle connection; closing the connection at once would lose it.
     let closing = async {
         wait_for_stop(stop).await;
         draining.set(true);
--- a/crates/samphiredoor-query/src/ast.rs
+++ b/crates/samphiredoor-query/src/ast.rs
@@ -183,7 +183,7 @@
         /// Name of the target.
         target: String,
     },
-    /// Takes a target's batch capacity back for its owner.
+    /// Reclaims a target's batch capacity for its owner.
     Reclaim {
         /// Name of the target.
         target: String,
--- a/crates/samphiredoor/src/keyed.rs
+++ b/crates/samphiredoor/src/keyed.rs
@@ -12,7 +12,7 @@
 use samphiredoor_core::{
     Name,
     dispatch::{Class, RequestSpec},
-    keys::{KeptAnswer, KeyOutcome, KeyedRequest, MAX_BODY_BYTES, key_id},
+    keys::{KeyOutcome, KeyedRequest, MAX_BODY_BYTES, SavedAnswer, key_id},
     verdict::{MayHaveRunReason, Refusal, Verdict},
 };
 use samphiredoor_net::{Body, BoxError, pool::within};
@@ -27,7 +27,7 @@
 };
 
 const MAX_KEY_BYTES: usize = 256;
-/// Header that marks an answer stored from an earlier send of the same request.
+/// Header that marks the saved answer of an earlier send of the same request.
 pub const REPLAYED_HEADER: &str = "x-replayed";
 
 /// The caller's idempotency key, if it sent one.
@@ -123,7 +123,7 @@
     }
     let (parts, body) = response.into_parts();
     let content_type = header_text(&parts.headers, header::CONTENT_TYPE.as_str());
-    let mut kept = KeptAnswer {
+    let mut saved = SavedAnswer {
         status: parts.status.as_u16(),
         content_type: content_type.unwrap_or_default().into(),
         body: None,
@@ -131,11 +131,11 @@
     let body = match body {
         Body::Full(content) => {
             let bytes = content.clone().unwrap_or_default();
-            kept.body = (bytes.len() <= MAX_BODY_BYTES).then(|| bytes.as_ref().into());
-            handle.ended(KeyOutcome::Answered(kept));
+            saved.body = (bytes.len() <= MAX_BODY_BYTES).then(|| bytes.as_ref().into());
+            handle.ended(KeyOutcome::Answered(saved));
             Body::Full(content)
         }
-        Body::Stream(_) => record_stream(body, parts.extensions.get().cloned(), kept, handle),
+        Body::Stream(_) => record_stream(body, parts.extensions.get().cloned(), saved, handle),
     };
     Response::from_parts(parts, body)
 }
@@ -143,7 +143,7 @@
 struct Recording {
     body: Body,
     end: Option<StreamEnd>,
-    kept: KeptAnswer,
+    saved: SavedAnswer,
     bytes: Vec<u8>,
     handle: KeyedRequestHandle,
 }
@@ -151,10 +151,10 @@
 fn record_stream(
     body: Body,
     end: Option<StreamEnd>,
-    kept: KeptAnswer,
+    saved: SavedAnswer,
     handle: KeyedRequestHandle,
 ) -> Body {
-    let recording = Recording { body, end, kept, bytes: Vec::new(), handle };
+    let recording = Recording { body, end, saved, bytes: Vec::new(), handle };
     Body::stream(futures_util::stream::unfold(Some(recording), Recording::next))
 }
 
@@ -183,9 +183,9 @@
         match self.end.and_then(|it| it.get()) {
             Some(Verdict::Done) => {
                 if self.bytes.len() <= MAX_BODY_BYTES {
-                    self.kept.body = Some(self.bytes.into());
+                    self.saved.body = Some(self.bytes.into());
                 }
-                self.handle.ended(KeyOutcome::Answered(self.kept));
+                self.handle.ended(KeyOutcome::Answered(self.saved));
             }
             Some(Verdict::MayHaveRun { reason }) => {
                 self.handle.ended(KeyOutcome::MayHaveRun(reason));
@@ -197,7 +197,7 @@
     }
 }
 
-fn replay(online: &OnlineRequest, answer: KeptAnswer) -> Response<Body> {
+fn replay(online: &OnlineRequest, answer: SavedAnswer) -> Response<Body> {
     let Some(body) = answer.body else {
         return online.refused(Verdict::MayHaveRun { reason: MayHaveRunReason::AnswerNotKept });
     };
--- a/crates/samphiredoor/src/keys_task.rs
+++ b/crates/samphiredoor/src/keys_task.rs
@@ -6,7 +6,7 @@
 use samphiredoor_core::{
     dispatch::RequestId,
     keys::{
-        KeptAnswer, KeyOutcome, KeyedRequest, Keys, KeysAction, KeysConfig, KeysInput, holder_name,
+        KeyOutcome, KeyedRequest, Keys, KeysAction, KeysConfig, KeysInput, SavedAnswer, holder_name,
     },
     verdict::{Refusal, Verdict},
 };
@@ -28,8 +28,8 @@
     Run,
     /// A run with the same key is in progress; another decision follows when it ends.
     Joined,
-    /// Send the stored answer of an earlier run.
-    Replay(KeptAnswer),
+    /// Send the saved answer of an earlier run.
+    Replay(SavedAnswer),
     /// The request ends without an answer from a target.
     Refused(Verdict),
 }
@@ -78,7 +78,7 @@
     }
 }
 
-/// A submitted request. Dropping the handle reports that nobody waits for the answer any more; if the request was
+/// A submitted request. Dropping the handle reports that no caller waits for the answer any more; if the request was
 /// running, it is recorded as one that may have run.
 pub struct KeyedRequestHandle {
     request: RequestId,
--- a/crates/samphiredoor/src/online.rs
+++ b/crates/samphiredoor/src/online.rs
@@ -270,7 +270,7 @@
 }
 
 /// Recognizes a refusal of an engine: 503 and 429 mean that it did not run the request. A plain service's 503 or 429 is
-/// its answer, because only the service can tell whether the request ran.
+/// its answer, because it does not show whether the request ran.
 pub fn pushback<B>(is_engine: bool, response: &Response<B>) -> Option<AttemptEnd> {
     let refuses = matches!(
         response.status(),
--- a/crates/samphiredoor/src/targets.rs
+++ b/crates/samphiredoor/src/targets.rs
@@ -25,7 +25,7 @@
     ///
     /// # Errors
     ///
-    /// The variant tells whether the call may have reached the target.
+    /// The variant shows whether the call may have reached the target.
     pub async fn send(
         &self,
         address: SocketAddr,
--- a/crates/samphiredoor/tests/it/platform/cancellations.rs
+++ b/crates/samphiredoor/tests/it/platform/cancellations.rs
@@ -58,7 +58,7 @@
         ways.iter().any(|it| platform.times_logged(owner, it) > 0)
     });
     assert_eq!(platform.times_logged(owner, "how=finished"), 0, "all items of the job were run");
-    // Requests that were on their way to the target have arrived by then.
+    // Requests that were in transit to the target have arrived by then.
     std::thread::sleep(SLOW);
     let runs = target.runs().len();
     std::thread::sleep(SLOW * 10);
--- a/crates/samphiredoor/tests/it/platform/jobs.rs
+++ b/crates/samphiredoor/tests/it/platform/jobs.rs
@@ -362,8 +362,8 @@
 }
 
 // The header of a job is written at once, its parts only later. Meanwhile its caller cancels it at another gateway,
-// which cannot tell the owner, as that has not started the job. The owner must find the cancellation when it starts the
-// job.
+// which cannot notify the owner, as that has not started the job. The owner must find the cancellation when it starts
+// the job.
 #[test]
 fn a_job_cancelled_before_it_starts_is_not_run() {
     let (platform, target) = two_gateways(FAST);
@@ -374,8 +374,8 @@
         let submission = scope.spawn(|| platform.submit(0, "job-1", &ITEMS).status);
         wait_until("the header exists", || platform.store.spec("orderedjobs", "job-1").is_some());
         assert_eq!(platform.cancel(1, "job-1").status, 504);
-        // Wait past the delay after which a submission is forwarded; before it, no caller has been told that the job is
-        // accepted, and its owner does not check for a cancellation.
+        // Wait past the delay after which a submission is forwarded; before it, no caller has got the answer that
+        // the job is accepted, and its owner does not check for a cancellation.
         std::thread::sleep(Duration::from_millis(300));
         platform.store.set_fault(StoreFault::None);
         assert_eq!(submission.join().expect("the submission is answered"), 202);
