--- a/crates/samphiredoor-core/src/hints.rs
+++ b/crates/samphiredoor-core/src/hints.rs
@@ -57,7 +57,7 @@
     pub target: Name,
     /// Online requests that are running.
     pub online_in_flight: u32,
-    /// Online requests that may run soon.
+    /// Sent as 0 and ignored; the wire format has this field.
     pub online_envelope: u32,
     /// Batch requests that are running.
     pub batch_in_flight: u32,
--- a/crates/samphiredoor-core/src/keys/change.rs
+++ b/crates/samphiredoor-core/src/keys/change.rs
@@ -46,12 +46,12 @@
     record: Option<&KeyRecord>,
     key: &KeyId,
     change: Change,
-    cx: &Context<'_>,
+    ctx: &Context<'_>,
     effects: &mut Vec<Effect>,
 ) -> Option<Change> {
     match change {
         Change::Intent(intent) => {
-            let status = KeyStatus::of(record, &intent.arrival.digest, cx.config, cx.now);
+            let status = KeyStatus::of(record, &intent.arrival.digest, ctx.config, ctx.now);
             match status {
                 KeyStatus::Free => Some(Change::Intent(intent)),
                 KeyStatus::OwnIntent if !record.is_some_and(|it| intent.intent_id.matches(it)) => {
@@ -59,12 +59,12 @@
                 }
                 // An earlier write, whose answer was lost, took effect.
                 KeyStatus::OwnIntent => {
-                    committed(Arc::clone(key), Change::Intent(intent), cx, effects)
+                    committed(Arc::clone(key), Change::Intent(intent), ctx, effects)
                 }
                 other => {
                     if intent.caller_waits {
-                        let orphaned = record.is_some_and(|it| is_orphaned(it, cx.now));
-                        effects.push(respond(intent.arrival, other, orphaned, cx));
+                        let orphaned = record.is_some_and(|it| is_orphaned(it, ctx.now));
+                        effects.push(respond(intent.arrival, other, orphaned, ctx));
                     }
                     None
                 }
@@ -72,7 +72,7 @@
         }
         Change::Outcome(outcome) => {
             let is_saved = record.is_some_and(|it| same_outcome(it, &outcome.record));
-            let other_holder = record.is_some_and(|it| *it.holder != *cx.config.holder);
+            let other_holder = record.is_some_and(|it| *it.holder != *ctx.config.holder);
             let other_process =
                 other_holder && record.is_some_and(|it| it.state != KeyState::NotRun);
             if is_saved || other_process {
@@ -92,7 +92,7 @@
 pub(super) fn committed(
     key: KeyId,
     change: Change,
-    cx: &Context<'_>,
+    ctx: &Context<'_>,
     effects: &mut Vec<Effect>,
 ) -> Option<Change> {
     match change {
@@ -101,7 +101,7 @@
             effects.push(Effect::Run { arrival, intent_id });
             None
         }
-        Change::Intent(intent) => Some(Change::Outcome(withdrawn(&intent, cx.config))),
+        Change::Intent(intent) => Some(Change::Outcome(withdrawn(&intent, ctx.config))),
         Change::Outcome(_) => {
             effects.push(Effect::OutcomeSaved(key));
             None
@@ -121,7 +121,7 @@
     arrival: KeyedRequest,
     status: KeyStatus,
     orphaned: bool,
-    cx: &Context<'_>,
+    ctx: &Context<'_>,
 ) -> Effect {
     match status {
         KeyStatus::Answered(answer) => Effect::Replay { arrival, answer },
@@ -129,7 +129,7 @@
         KeyStatus::MayHaveRun(reason) => may_have_run(arrival, reason),
         // An expired lease is only a hint, so the intent is not taken over. If the holder is alive after all, this
         // request is answered "may have run" too early, and the next resend gets the holder's outcome.
-        KeyStatus::OtherIntent(holder) if orphaned || cx.expired_holders.contains(&holder) => {
+        KeyStatus::OtherIntent(holder) if orphaned || ctx.expired_holders.contains(&holder) => {
             may_have_run(arrival, MayHaveRunReason::IntentWithoutOutcome)
         }
         KeyStatus::OtherIntent(_) => may_have_run(arrival, MayHaveRunReason::StillRunning),
--- a/crates/samphiredoor-core/src/keys/mod.rs
+++ b/crates/samphiredoor-core/src/keys/mod.rs
@@ -180,8 +180,8 @@
             return;
         }
         let mut effects = Vec::new();
-        self.with_shard(now, number, |shard, cx| {
-            shard.decide(arrival, read_since, cx, &mut effects)
+        self.with_shard(now, number, |shard, ctx| {
+            shard.decide(arrival, read_since, ctx, &mut effects)
         });
         self.apply_effects(number, effects, out);
     }
@@ -297,7 +297,7 @@
     ) {
         let mut effects = Vec::new();
         let read_since = self
-            .with_shard(now, number, |shard, cx| shard.store_answered(answer, cx, &mut effects));
+            .with_shard(now, number, |shard, ctx| shard.store_answered(answer, ctx, &mut effects));
         self.apply_effects(number, effects, out);
         for arrival in read_since {
             self.decide(now, number, arrival, true, out);
@@ -310,7 +310,7 @@
 
     fn advance(&mut self, now: Now, number: u32, out: &mut Vec<KeysAction>) {
         let mut effects = Vec::new();
-        self.with_shard(now, number, |shard, cx| shard.advance(cx, &mut effects));
+        self.with_shard(now, number, |shard, ctx| shard.advance(ctx, &mut effects));
         self.apply_effects(number, effects, out);
         let Some(shard) = self.shards.get(&number) else { return };
         if let Some(due_ms) = shard.due_ms(now) {
@@ -462,13 +462,13 @@
     ) -> T {
         let shard = self.shards.entry(number).or_insert_with(|| Shard::new(number));
         let before = shard.bytes();
-        let mut cx = Context {
+        let mut ctx = Context {
             config: &self.config,
             now,
             expired_holders: &self.expired_holders,
             counter: &self.counter,
         };
-        let result = step(shard, &mut cx);
+        let result = step(shard, &mut ctx);
         self.cached_bytes = self.cached_bytes + shard.bytes() - before;
         result
     }
--- a/crates/samphiredoor-core/src/keys/shard.rs
+++ b/crates/samphiredoor-core/src/keys/shard.rs
@@ -128,22 +128,22 @@
         &mut self,
         arrival: KeyedRequest,
         read_since: bool,
-        cx: &Context<'_>,
+        ctx: &Context<'_>,
         effects: &mut Vec<Effect>,
     ) {
-        self.last_used_ms = cx.now.mono_ms;
+        self.last_used_ms = ctx.now.mono_ms;
         if let Some(change) = self.pending.get(&arrival.key) {
             return match change {
                 Change::Outcome(outcome) => {
                     let record = outcome.record.clone();
                     let answer = outcome.answer.clone();
-                    self.decide_from_outcome(arrival, &record, answer, cx, effects);
+                    self.decide_from_outcome(arrival, &record, answer, ctx, effects);
                 }
                 Change::Intent(intent) if intent.arrival.digest != arrival.digest => {
                     effects.push(key_reused(arrival));
                 }
                 Change::Intent(intent) if !intent.caller_waits => {
-                    self.add_intent(arrival, cx, effects)
+                    self.add_intent(arrival, ctx, effects)
                 }
                 Change::Intent(_) => self.deferred.push(arrival),
             };
@@ -152,7 +152,7 @@
         if let Some((record, answer)) = self.outcome_in_flight(&arrival.key)
             && !matches!(record.state, KeyState::NotRun)
         {
-            return self.decide_from_outcome(arrival, &record, answer, cx, effects);
+            return self.decide_from_outcome(arrival, &record, answer, ctx, effects);
         }
         if self.in_flight.is_some() {
             self.deferred.push(arrival);
@@ -163,18 +163,18 @@
             return;
         };
         let record = content.keys.get(&*arrival.key);
-        let status = KeyStatus::of(record, &arrival.digest, cx.config, cx.now);
+        let status = KeyStatus::of(record, &arrival.digest, ctx.config, ctx.now);
         if matches!(status, KeyStatus::OtherIntent(_)) && !read_since {
             // The outcome may have been written since the content was read.
             self.content = None;
             self.deferred.push(arrival);
             return;
         }
-        let orphaned = record.is_some_and(|it| is_orphaned(it, cx.now));
+        let orphaned = record.is_some_and(|it| is_orphaned(it, ctx.now));
         match status {
             // An intent of this process without a run was never dispatched: the end of a run always leaves an outcome.
-            KeyStatus::Free | KeyStatus::OwnIntent => self.add_intent(arrival, cx, effects),
-            other => effects.push(respond(arrival, other, orphaned, cx)),
+            KeyStatus::Free | KeyStatus::OwnIntent => self.add_intent(arrival, ctx, effects),
+            other => effects.push(respond(arrival, other, orphaned, ctx)),
         }
     }
 
@@ -193,25 +193,25 @@
         arrival: KeyedRequest,
         record: &KeyRecord,
         answer: Option<SavedAnswer>,
-        cx: &Context<'_>,
+        ctx: &Context<'_>,
         effects: &mut Vec<Effect>,
     ) {
-        match (KeyStatus::of(Some(record), &arrival.digest, cx.config, cx.now), answer) {
-            (KeyStatus::Free | KeyStatus::OwnIntent, _) => self.add_intent(arrival, cx, effects),
+        match (KeyStatus::of(Some(record), &arrival.digest, ctx.config, ctx.now), answer) {
+            (KeyStatus::Free | KeyStatus::OwnIntent, _) => self.add_intent(arrival, ctx, effects),
             (KeyStatus::OtherRequest, _) => effects.push(key_reused(arrival)),
             (_, Some(answer)) => effects.push(Effect::Replay { arrival, answer }),
-            (other, None) => effects.push(respond(arrival, other, false, cx)),
+            (other, None) => effects.push(respond(arrival, other, false, ctx)),
         }
     }
 
-    fn add_intent(&mut self, arrival: KeyedRequest, cx: &Context<'_>, effects: &mut Vec<Effect>) {
+    fn add_intent(&mut self, arrival: KeyedRequest, ctx: &Context<'_>, effects: &mut Vec<Effect>) {
         let may_be_stored = self.pending.contains_key(&arrival.key);
         if may_be_stored {
             // An earlier request with this key did not run; this intent replaces its pending change.
             effects.push(Effect::OutcomeSaved(Arc::clone(&arrival.key)));
         }
         let key = Arc::clone(&arrival.key);
-        let intent_id = IntentId { since_unix_ms: cx.now.unix_ms, number: cx.next_number() };
+        let intent_id = IntentId { since_unix_ms: ctx.now.unix_ms, number: ctx.next_number() };
         let intent = Intent { arrival, intent_id, caller_waits: true, may_be_stored };
         self.pending.insert(key, Change::Intent(intent));
     }
@@ -242,9 +242,9 @@
     }
 
     /// Starts the next store call, if one is needed and none is in flight.
-    pub(super) fn advance(&mut self, cx: &mut Context<'_>, effects: &mut Vec<Effect>) {
+    pub(super) fn advance(&mut self, ctx: &mut Context<'_>, effects: &mut Vec<Effect>) {
         self.drop_cancelled_intents();
-        if self.in_flight.is_some() || !self.has_work(cx.now) {
+        if self.in_flight.is_some() || !self.has_work(ctx.now) {
             return;
         }
         match self.content.take() {
@@ -253,7 +253,7 @@
                 self.in_flight = Some(InFlight::Read { waiting });
                 effects.push(Effect::Call(StoreOp::Get { key: self.object.clone() }));
             }
-            Some(content) => self.write(content, cx, effects),
+            Some(content) => self.write(content, ctx, effects),
         }
     }
 
@@ -275,11 +275,16 @@
         now.mono_ms >= self.not_before_ms && self.pending.values().any(writable)
     }
 
-    fn write(&mut self, mut new_content: Content, cx: &mut Context<'_>, effects: &mut Vec<Effect>) {
+    fn write(
+        &mut self,
+        mut new_content: Content,
+        ctx: &mut Context<'_>,
+        effects: &mut Vec<Effect>,
+    ) {
         let mut changes = BTreeMap::new();
-        let obsolete_bodies = remove_expired(&mut new_content, cx);
+        let obsolete_bodies = remove_expired(&mut new_content, ctx);
         for (key, change) in std::mem::take(&mut self.pending) {
-            if let Some(change) = self.apply_change(&key, change, &mut new_content, cx, effects) {
+            if let Some(change) = self.apply_change(&key, change, &mut new_content, ctx, effects) {
                 changes.insert(key, change);
             }
         }
@@ -287,7 +292,7 @@
             self.content = Some(new_content);
             return;
         }
-        let shard = KeyShard { writer: cx.writer_token(), keys: new_content.keys };
+        let shard = KeyShard { writer: ctx.writer_token(), keys: new_content.keys };
         let value: Value = serde_json::to_vec(&shard).unwrap_or_default().into();
         new_content.keys = shard.keys;
         new_content.bytes = value.len();
@@ -306,12 +311,12 @@
         key: &KeyId,
         change: Change,
         new_content: &mut Content,
-        cx: &Context<'_>,
+        ctx: &Context<'_>,
         effects: &mut Vec<Effect>,
     ) -> Option<Change> {
         let (change, record) = match change {
             Change::Intent(intent) if !intent.caller_waits => {
-                let outcome = withdrawn(&intent, cx.config);
+                let outcome = withdrawn(&intent, ctx.config);
                 let record = outcome.record.clone();
                 (Change::Outcome(outcome), record)
             }
@@ -319,12 +324,12 @@
                 effects.push(refuse(&intent.arrival, Refusal::KeysFull, FULL_RETRY_AFTER_MS));
                 if intent.may_be_stored {
                     self.pending
-                        .insert(Arc::clone(key), Change::Outcome(withdrawn(&intent, cx.config)));
+                        .insert(Arc::clone(key), Change::Outcome(withdrawn(&intent, ctx.config)));
                 }
                 return None;
             }
             Change::Intent(intent) => {
-                let record = record::intent_record(&intent.arrival, cx.config, intent.intent_id);
+                let record = record::intent_record(&intent.arrival, ctx.config, intent.intent_id);
                 (Change::Intent(intent), record)
             }
             Change::Outcome(outcome) if outcome.needs_upload => {
@@ -354,13 +359,13 @@
     pub(super) fn store_answered(
         &mut self,
         answer: StoreAnswer,
-        cx: &Context<'_>,
+        ctx: &Context<'_>,
         effects: &mut Vec<Effect>,
     ) -> Vec<KeyedRequest> {
         match self.in_flight.take() {
-            Some(InFlight::Read { waiting }) => self.read_answered(waiting, answer, cx, effects),
+            Some(InFlight::Read { waiting }) => self.read_answered(waiting, answer, ctx, effects),
             Some(InFlight::Write { changes, new_content, obsolete_bodies }) => {
-                self.write_answered(changes, new_content, obsolete_bodies, answer, cx, effects);
+                self.write_answered(changes, new_content, obsolete_bodies, answer, ctx, effects);
                 Vec::new()
             }
             None => Vec::new(),
@@ -371,7 +376,7 @@
         &mut self,
         waiting: Vec<KeyedRequest>,
         answer: StoreAnswer,
-        cx: &Context<'_>,
+        ctx: &Context<'_>,
         effects: &mut Vec<Effect>,
     ) -> Vec<KeyedRequest> {
         let content = match answer {
@@ -380,11 +385,11 @@
             _ => None,
         };
         let Some(content) = content else {
-            self.refuse_waiting(waiting, cx, effects);
+            self.refuse_waiting(waiting, ctx, effects);
             return Vec::new();
         };
         for (key, change) in std::mem::take(&mut self.pending) {
-            if let Some(change) = reconcile(content.keys.get(&*key), &key, change, cx, effects) {
+            if let Some(change) = reconcile(content.keys.get(&*key), &key, change, ctx, effects) {
                 self.pending.insert(key, change);
             }
         }
@@ -398,13 +403,13 @@
         new_content: Content,
         obsolete_bodies: Vec<Name>,
         answer: StoreAnswer,
-        cx: &Context<'_>,
+        ctx: &Context<'_>,
         effects: &mut Vec<Effect>,
     ) {
         let may_be_stored = match answer {
             StoreAnswer::Object(stored) => {
                 for (key, change) in changes {
-                    if let Some(change) = committed(key.clone(), change, cx, effects) {
+                    if let Some(change) = committed(key.clone(), change, ctx, effects) {
                         self.pending.entry(key).or_insert(change);
                     }
                 }
@@ -429,7 +434,7 @@
         }
         if !retry {
             let deferred = std::mem::take(&mut self.deferred);
-            self.refuse_waiting(deferred, cx, effects);
+            self.refuse_waiting(deferred, ctx, effects);
         }
     }
 
@@ -438,10 +443,10 @@
     fn refuse_waiting(
         &mut self,
         waiting: Vec<KeyedRequest>,
-        cx: &Context<'_>,
+        ctx: &Context<'_>,
         effects: &mut Vec<Effect>,
     ) {
-        self.back_off(cx.now);
+        self.back_off(ctx.now);
         let refused =
             |it: &KeyedRequest| refuse(it, Refusal::StoreUnavailable, STORE_RETRY_AFTER_MS);
         effects.extend(waiting.iter().chain(&self.deferred).map(refused));
@@ -471,10 +476,10 @@
     }
 }
 
-fn remove_expired(content: &mut Content, cx: &Context<'_>) -> Vec<Name> {
+fn remove_expired(content: &mut Content, ctx: &Context<'_>) -> Vec<Name> {
     let mut obsolete_bodies = Vec::new();
     content.keys.retain(|_, record| {
-        let expired = is_expired(record, cx.config, cx.now);
+        let expired = is_expired(record, ctx.config, ctx.now);
         if expired {
             obsolete_bodies.extend(record.body_object.as_deref().map(Name::from));
         }
--- a/crates/samphiredoor-core/tests/keys.rs
+++ b/crates/samphiredoor-core/tests/keys.rs
@@ -27,7 +27,7 @@
 #[derive(Debug, Clone)]
 enum Step {
     Send { gateway: usize, key: u8, other: bool },
-    Answer { which: usize, fate: CallFate },
+    Answer { which: usize, outcome: CallOutcome },
     ApplyDelayed { which: usize },
     Finish { which: usize, end: RunEnd },
     Cancel { which: usize },
@@ -36,9 +36,9 @@
     Wait { ms: u64 },
 }
 
-/// What happens to a store call.
+/// Outcome of a store call.
 #[derive(Debug, Clone, Copy)]
-enum CallFate {
+enum CallOutcome {
     Answered,
     /// It takes effect, but its answer is lost.
     AnswerLost,
@@ -59,12 +59,12 @@
 }
 
 fn step() -> impl Strategy<Value = Step> {
-    let fate = prop_oneof![
-        8 => Just(CallFate::Answered),
-        2 => Just(CallFate::AnswerLost),
-        2 => Just(CallFate::Delayed),
-        1 => Just(CallFate::Lost),
-        2 => Just(CallFate::Unavailable),
+    let outcome = prop_oneof![
+        8 => Just(CallOutcome::Answered),
+        2 => Just(CallOutcome::AnswerLost),
+        2 => Just(CallOutcome::Delayed),
+        1 => Just(CallOutcome::Lost),
+        2 => Just(CallOutcome::Unavailable),
     ];
     let end = prop_oneof![
         4 => Just(RunEnd::Answered),
@@ -75,7 +75,7 @@
     prop_oneof![
         6 => (0..GATEWAYS, 0..3u8, prop::bool::weighted(0.1))
             .prop_map(|(gateway, key, other)| Step::Send { gateway, key, other }),
-        12 => (0..8usize, fate).prop_map(|(which, fate)| Step::Answer { which, fate }),
+        12 => (0..8usize, outcome).prop_map(|(which, outcome)| Step::Answer { which, outcome }),
         2 => (0..8usize).prop_map(|which| Step::ApplyDelayed { which }),
         4 => (0..8usize, end).prop_map(|(which, end)| Step::Finish { which, end }),
         1 => (0..8usize).prop_map(|which| Step::Cancel { which }),
@@ -192,7 +192,7 @@
     fn step(&mut self, step: &Step) -> Result<(), TestCaseError> {
         match *step {
             Step::Send { gateway, key, other } => self.send(gateway, key, other).map(|_| ()),
-            Step::Answer { which, fate } => self.answer(which, fate),
+            Step::Answer { which, outcome } => self.answer(which, outcome),
             Step::ApplyDelayed { which } => {
                 if !self.delayed.is_empty() {
                     let op = self.delayed.remove(which % self.delayed.len());
@@ -244,7 +244,7 @@
         Ok(request)
     }
 
-    fn answer(&mut self, which: usize, fate: CallFate) -> Result<(), TestCaseError> {
+    fn answer(&mut self, which: usize, outcome: CallOutcome) -> Result<(), TestCaseError> {
         let total: usize = self.gateways.iter().map(|it| it.calls.len()).sum();
         if total == 0 {
             return Ok(());
@@ -260,18 +260,18 @@
         let gateway = self.gateways.iter().position(holds).expect("the index is below the total");
         let (call, op) = self.gateways[gateway].calls.remove(which);
         let lost = if op.is_write() { StoreAnswer::Unknown } else { StoreAnswer::Unavailable };
-        let answer = match fate {
-            CallFate::Answered => self.store.call(&op),
-            CallFate::AnswerLost => {
+        let answer = match outcome {
+            CallOutcome::Answered => self.store.call(&op),
+            CallOutcome::AnswerLost => {
                 self.store.call(&op);
                 lost
             }
-            CallFate::Delayed => {
+            CallOutcome::Delayed => {
                 self.delayed.push(op);
                 lost
             }
-            CallFate::Lost => lost,
-            CallFate::Unavailable => StoreAnswer::Unavailable,
+            CallOutcome::Lost => lost,
+            CallOutcome::Unavailable => StoreAnswer::Unavailable,
         };
         self.input(gateway, KeysInput::Stored { call, answer })
     }
@@ -364,7 +364,7 @@
     fn settle(&mut self) -> Result<(), TestCaseError> {
         for _ in 0..100 {
             while self.gateways.iter().any(|it| !it.calls.is_empty()) {
-                self.answer(0, CallFate::Answered)?;
+                self.answer(0, CallOutcome::Answered)?;
             }
             while !self.running.is_empty() {
                 self.finish(0, RunEnd::Answered)?;
@@ -435,13 +435,13 @@
 fn a_delayed_write_does_not_free_the_key_of_a_running_request() {
     let steps = [
         Step::Send { gateway: 2, key: 2, other: false },
-        Step::Answer { which: 0, fate: CallFate::Answered },
-        Step::Answer { which: 0, fate: CallFate::Answered },
+        Step::Answer { which: 0, outcome: CallOutcome::Answered },
+        Step::Answer { which: 0, outcome: CallOutcome::Answered },
         Step::Finish { which: 0, end: RunEnd::NotRun },
-        Step::Answer { which: 0, fate: CallFate::Delayed },
+        Step::Answer { which: 0, outcome: CallOutcome::Delayed },
         Step::Send { gateway: 2, key: 2, other: false },
-        Step::Answer { which: 0, fate: CallFate::Answered },
-        Step::Answer { which: 0, fate: CallFate::Answered },
+        Step::Answer { which: 0, outcome: CallOutcome::Answered },
+        Step::Answer { which: 0, outcome: CallOutcome::Answered },
         Step::ApplyDelayed { which: 0 },
         Step::Crash { gateway: 2 },
     ];
--- a/crates/samphiredoor-core/tests/ledger/scenarios.rs
+++ b/crates/samphiredoor-core/tests/ledger/scenarios.rs
@@ -81,7 +81,7 @@
 }
 
 /// An item is recorded as `may_have_run` although it was never started. A process that shuts down has sent a write of
-/// intents, which takes effect only after the hand-over.
+/// intents, which takes effect only after the handover.
 #[test]
 fn a_late_intent_write_does_not_survive_the_hand_over() {
     let mut simulation = with_job(1, false);
--- a/crates/samphiredoor-core/tests/orders.rs
+++ b/crates/samphiredoor-core/tests/orders.rs
@@ -29,7 +29,7 @@
     /// An order in transit takes effect or is dropped; its answer may be lost.
     Deliver { which: usize, drop: bool, lose_answer: bool },
     /// The connection of an order breaks: its sender gets an unknown outcome, but the order is still in transit.
-    Cut { which: usize },
+    Disconnect { which: usize },
     /// The target reports that it did nothing.
     NotDone { which: usize },
     /// A process is paused.
@@ -37,7 +37,7 @@
     /// A paused process continues.
     Resume { process: usize },
     /// One process is assigned the target, with a desired state.
-    Want { process: usize, weights: u8 },
+    Assign { process: usize, weights: u8 },
     /// Time passes without any process running.
     Wait { steps: u64 },
 }
@@ -55,7 +55,7 @@
     fence: u64,
     order: Order,
     until_ms: u64,
-    cut: bool,
+    disconnected: bool,
 }
 
 struct World {
@@ -119,11 +119,11 @@
             Step::Deliver { which, drop, lose_answer } => {
                 self.deliver(*which, *drop, *lose_answer);
             }
-            Step::Cut { which } => self.cut_connection(*which),
+            Step::Disconnect { which } => self.cut_connection(*which),
             Step::NotDone { which } => self.not_done(*which),
             Step::Pause { process } => self.processes[*process].paused = true,
             Step::Resume { process } => self.processes[*process].paused = false,
-            Step::Want { process, weights: bits } => self.set_wanted(*process, *bits),
+            Step::Assign { process, weights: bits } => self.set_wanted(*process, *bits),
             Step::Wait { steps } => self.advance_time(steps * STEP_MS),
         }
     }
@@ -201,7 +201,7 @@
                     fence,
                     order,
                     until_ms: self.now_ms + ORDER_MS,
-                    cut: false,
+                    disconnected: false,
                 });
             }
         }
@@ -255,10 +255,10 @@
     fn cut_connection(&mut self, which: usize) {
         let count = self.in_transit.len().max(1);
         let Some(sent) = self.in_transit.get_mut(which % count) else { return };
-        if sent.cut {
+        if sent.disconnected {
             return;
         }
-        sent.cut = true;
+        sent.disconnected = true;
         let end = OrderEnd::Unknown;
         let input = OrdersInput::Ended { target: target(), fence: sent.fence, end };
         self.processes[sent.process].ends.push_back(input);
@@ -288,22 +288,22 @@
     }
 
     fn end(&mut self, sent: &InTransit, end: OrderEnd) {
-        if sent.cut {
+        if sent.disconnected {
             return;
         }
         let input = OrdersInput::Ended { target: target(), fence: sent.fence, end };
         self.processes[sent.process].ends.push_back(input);
     }
 
-    fn deliver_uncut(&mut self) {
-        if let Some(which) = self.in_transit.iter().position(|it| !it.cut) {
+    fn deliver_connected(&mut self) {
+        if let Some(which) = self.in_transit.iter().position(|it| !it.disconnected) {
             self.deliver(which, false, false);
         }
     }
 
-    fn deliver_cut_after_another(&mut self) {
+    fn deliver_disconnected_after_another(&mut self) {
         let other = |it: &InTransit| self.effects.iter().any(|(_, order)| *order != it.order);
-        if let Some(which) = self.in_transit.iter().position(|it| it.cut && other(it)) {
+        if let Some(which) = self.in_transit.iter().position(|it| it.disconnected && other(it)) {
             self.deliver(which, false, false);
         }
     }
@@ -337,11 +337,11 @@
             .prop_map(|(lose_answer, refuse)| Step::Round { lose_answer, refuse }),
         3 => (0..4_usize, prop::bool::weighted(0.2), prop::bool::weighted(0.2))
             .prop_map(|(which, drop, lose_answer)| Step::Deliver { which, drop, lose_answer }),
-        1 => (0..4_usize).prop_map(|which| Step::Cut { which }),
+        1 => (0..4_usize).prop_map(|which| Step::Disconnect { which }),
         1 => (0..4_usize).prop_map(|which| Step::NotDone { which }),
         1 => (0..3_usize).prop_map(|process| Step::Pause { process }),
         1 => (0..3_usize).prop_map(|process| Step::Resume { process }),
-        1 => (0..3_usize, 0..8_u8).prop_map(|(process, weights)| Step::Want { process, weights }),
+        1 => (0..3_usize, 0..8_u8).prop_map(|(process, weights)| Step::Assign { process, weights }),
         1 => (0..60_u64).prop_map(|steps| Step::Wait { steps }),
     ]
 }
@@ -413,12 +413,12 @@
         world.run_until_sent(1);
         world.cut_connection(0);
         world.run_until_sent(2);
-        world.deliver_uncut();
+        world.deliver_connected();
         world.set_wanted(0, 0);
         for _ in 0..30 {
             world.run_round(false, false);
-            world.deliver_uncut();
-            world.deliver_cut_after_another();
+            world.deliver_connected();
+            world.deliver_disconnected_after_another();
         }
         world.run_until_stable(0);
         assert_eq!(world.held, weights(0));
@@ -439,8 +439,8 @@
     world.processes[0].ends.push_back(expired);
     for _ in 0..150 {
         world.run_round(false, false);
-        world.deliver_uncut();
-        world.deliver_cut_after_another();
+        world.deliver_connected();
+        world.deliver_disconnected_after_another();
     }
     assert_eq!(world.held, weights(0));
 }
--- a/crates/samphiredoor-gateway/src/front/forwarded_stream.rs
+++ b/crates/samphiredoor-gateway/src/front/forwarded_stream.rs
@@ -58,7 +58,7 @@
     fn finish(&mut self) -> Option<Piece> {
         let mut active = self.active.take()?;
         active.ticket.report_end(AttemptEnd::Answered);
-        self.request.front.metrics.whole(self.request.started.elapsed());
+        self.request.front.metrics.answer_completed(self.request.started.elapsed());
         self.request.log_end("streamed", 200);
         let rest = active.started.events.take_rest();
         (!rest.is_empty()).then_some(Ok(rest))
--- a/crates/samphiredoor-gateway/src/front/online.rs
+++ b/crates/samphiredoor-gateway/src/front/online.rs
@@ -166,7 +166,7 @@
                 strip_hop_by_hop_headers(&mut parts.headers);
                 parts.headers.remove(header::CONTENT_LENGTH);
                 self.log_end("answered", parts.status.as_u16());
-                self.front.metrics.whole(self.started.elapsed());
+                self.front.metrics.answer_completed(self.started.elapsed());
                 Response::from_parts(*parts, Body::full(body))
             }
             Outcome::NoAnswer(why) => self.give_up(why),
--- a/crates/samphiredoor-gateway/src/jobs/forward.rs
+++ b/crates/samphiredoor-gateway/src/jobs/forward.rs
@@ -31,8 +31,8 @@
 
 /// Forwards a submission to the nearest gateways in turn, until one can be reached, and returns its outcome.
 pub async fn forward(env: &JobEnv, submitted: &SubmittedJob) -> SubmissionOutcome {
-    let takers = env.roster.takeover_candidates();
-    for address in takers.into_iter().take(MAX_PEERS) {
+    let candidates = env.roster.takeover_candidates();
+    for address in candidates.into_iter().take(MAX_PEERS) {
         let pool = Pool::new(address).with_connect_timeout(CONNECT_TIMEOUT);
         let end = match within(RESPONSE_TIMEOUT, send(env, &pool, submitted)).await {
             Some(Ok(StatusCode::ACCEPTED)) => SubmissionOutcome::Accepted,
--- a/crates/samphiredoor-gateway/src/jobs/job_task/ending.rs
+++ b/crates/samphiredoor-gateway/src/jobs/job_task/ending.rs
@@ -19,7 +19,7 @@
 const FINISHED_JOB_RETENTION: Duration = Duration::from_secs(60);
 
 impl JobTask {
-    /// Cancels the job, and returns whether no process will run it any more. That is `false` while its hand-over is
+    /// Cancels the job, and returns whether no process will run it any more. That is `false` while its handover is
     /// being written, as this process can no longer stop that.
     pub(super) fn cancel(&mut self) -> bool {
         if self.is_active() {
@@ -51,7 +51,7 @@
     }
 
     /// Stops all runs. Their partial outputs are saved, and the next owner resumes the items after their last event.
-    pub(super) fn begin_hand_over(&mut self) {
+    pub(super) fn begin_handover(&mut self) {
         if self.phase == Phase::Running {
             self.stop_runs();
             self.phase = Phase::HandingOver(Instant::now());
@@ -66,7 +66,7 @@
             return;
         }
         if self.log_call_in_flight || self.queue_outputs(now) || !self.log.is_flushed() {
-            // Writes the pending results at once instead of batching them, as the hand-over waits for them.
+            // Writes the pending results at once instead of batching them, as the handover waits for them.
             self.write_at = Some(now);
             self.phase = Phase::HandingOver(now + STORE_RETRY_PAUSE);
             return;
--- a/crates/samphiredoor-gateway/src/jobs/job_task/mod.rs
+++ b/crates/samphiredoor-gateway/src/jobs/job_task/mod.rs
@@ -268,7 +268,7 @@
                     let _ = reply.send(is_over);
                 }
             }
-            JobMessage::HandOver => self.begin_hand_over(),
+            JobMessage::HandOver => self.begin_handover(),
         }
     }
 
--- a/crates/samphiredoor-gateway/src/jobs/orphan_scan.rs
+++ b/crates/samphiredoor-gateway/src/jobs/orphan_scan.rs
@@ -95,8 +95,8 @@
 
 /// Whether a finished job is past its retention period.
 fn is_expired(env: &JobEnv, header: &JobHeader) -> bool {
-    let kept = env.retention + RETENTION_MARGIN;
-    env.clock.now().unix_ms > header.accepted_unix_ms + kept.as_millis() as u64
+    let kept_for = env.retention + RETENTION_MARGIN;
+    env.clock.now().unix_ms > header.accepted_unix_ms + kept_for.as_millis() as u64
 }
 
 /// Removes all objects of a job, the header last, so that a later scan repeats a removal that was interrupted.
--- a/crates/samphiredoor-gateway/src/jobs/submit.rs
+++ b/crates/samphiredoor-gateway/src/jobs/submit.rs
@@ -275,13 +275,13 @@
 }
 
 async fn create_header(env: &JobEnv, job: &JobName, header: &JobHeader) -> Acceptance {
-    let mut doubtful = false;
+    let mut may_exist = false;
     for _ in 0..STORE_ATTEMPTS {
         let (key, value) = (header_key(job), header.value());
         match env.call(StoreOp::Create { key, labels: Labels::new(), value }).await {
             StoreAnswer::Object(stored) => return Acceptance::New(stored.version),
             StoreAnswer::Taken | StoreAnswer::Unknown => {
-                doubtful = true;
+                may_exist = true;
                 if let Some(accepted) = existing_header(env, job, header).await {
                     return accepted;
                 }
@@ -290,7 +290,7 @@
         }
         compio::time::sleep(STORE_RETRY_PAUSE).await;
     }
-    if doubtful { Acceptance::Unknown } else { Acceptance::NotAccepted }
+    if may_exist { Acceptance::Unknown } else { Acceptance::NotAccepted }
 }
 
 /// Reads the existing header; `None` if it cannot be read. If it equals the own header, an earlier create whose answer
--- a/crates/samphiredoor-gateway/src/metrics.rs
+++ b/crates/samphiredoor-gateway/src/metrics.rs
@@ -127,7 +127,7 @@
     }
 
     /// Records the time from a request to the end of its answer.
-    pub fn whole(&self, elapsed: Duration) {
+    pub fn answer_completed(&self, elapsed: Duration) {
         self.whole_s.observe(elapsed.as_secs_f64());
     }
 
--- a/crates/samphiredoor-gateway/src/peers/roster.rs
+++ b/crates/samphiredoor-gateway/src/peers/roster.rs
@@ -233,7 +233,7 @@
         self.own_cell().map(|it| self.addresses_in(it)).unwrap_or_default()
     }
 
-    /// Addresses of the other gateways of the own cell that are at a distance.
+    /// Addresses of the other gateways of the own cell that are at this distance.
     pub fn cell_peers_at(&self, distance: Distance) -> Vec<SocketAddr> {
         let Some(own) = self.own_cell() else { return Vec::new() };
         let (cells, peers) = (self.cells(), self.peers.borrow());
--- a/crates/samphiredoor/tests/it/platform/jobs.rs
+++ b/crates/samphiredoor/tests/it/platform/jobs.rs
@@ -138,8 +138,8 @@
     platform.gateway(0).kill();
     let results = platform.all_results(1, "job-1", ITEMS.len());
     assert!(results.iter().all(|it| it["text"] == target.text()));
-    let begun = target.runs().iter().filter(|it| it.after.is_none()).count();
-    assert_eq!(begun, ITEMS.len(), "each item is started once");
+    let started = target.runs().iter().filter(|it| it.after.is_none()).count();
+    assert_eq!(started, ITEMS.len(), "each item is started once");
 }
 
 // A caller cancels a job at a gateway that has just started and has received no heartbeats yet. Guards against
