--- a/crates/samphiredoor/src/commands.rs
+++ b/crates/samphiredoor/src/commands.rs
@@ -128,7 +128,7 @@
     };
     let unreadable = |_| bad_request("manifest", "the stored one cannot be read");
     let record = decode_record(&stored.value).map_err(unreadable)?;
-    match door.manifest.above(record.revision).await {
+    match door.manifest.record_above(record.revision).await {
         Some(held) => decode_record(&held).map_err(unreadable),
         None => Ok(record),
     }
--- a/crates/samphiredoor/src/news.rs
+++ b/crates/samphiredoor/src/hints.rs
@@ -1,21 +1,21 @@
-//! Passes a peer's news on to the tasks that it concerns.
+//! Delivers hints, from peers or from this process, to the tasks that they concern.
 
 use samphiredoor_core::{Name, dispatch::Input, hints::Hint, quarantine::Suspect};
 
 use crate::door::Door;
 
-/// Passes one piece of news on.
-pub fn deliver(door: &Door, from: &Name, news: Hint) {
-    match news {
+/// Delivers one hint that `from` sent.
+pub fn deliver(door: &Door, from: &Name, hint: Hint) {
+    match hint {
         Hint::Cancelled(job) => door.jobs.cancel_hint(job),
         Hint::HandedOver(job) => door.jobs.offered(job),
         Hint::Lapsed { process, incarnation } => {
             door.jobs.lapsed(Name::clone(&process), incarnation);
             door.keys.lapsed(&process, incarnation);
-            door.orders.lapsed(process, incarnation);
+            door.orders.lease_expired(process, incarnation);
         }
         Hint::Leaving(target) => door.dispatch.leaving(target),
-        // The members task handles revisions itself.
+        // The members task handles revisions: it pulls the manifest over the link that the hint came from.
         Hint::Revision(_) => {}
         Hint::Recall { target, batch_slots, epoch } => {
             let allocator = Name::clone(from);
--- a/crates/samphiredoor/src/hosts_task.rs
+++ b/crates/samphiredoor/src/hosts_task.rs
@@ -1,8 +1,9 @@
-//! The task that reads the platform's host list and has all doors told which targets leave.
+//! The task that reads the platform's host list and notifies all gateways of targets on leaving hosts.
 //!
-//! A few processes of the whole fleet do this for all. They tell again and again while a host leaves, so that doors
-//! that start later learn of it too, and a host that stays after all is forgotten by itself. The list lags; a target
-//! that refuses connections is noticed by those who use it, and whichever says first that a target leaves is believed.
+//! A few processes of the whole fleet read the list for all. They repeat the hints while a host is leaving, so that
+//! gateways that start later receive them, too; the hints expire, so that a host that stays after all needs no message.
+//! The list lags: a gateway also marks a target as leaving when it refuses connections, and the first report takes
+//! effect.
 
 use std::{collections::HashSet, net::IpAddr, rc::Rc, time::Duration};
 
@@ -18,36 +19,37 @@
 use crate::{door::Door, metrics::PeerRefusal};
 
 const READERS: usize = 2;
-const PAGE: usize = 500;
-// Doors forget what they were told after 30 s.
-const RETELL: Duration = Duration::from_secs(10);
-const CHECK_PAUSE: Duration = Duration::from_secs(1);
+const PAGE_LEN: usize = 500;
+// The hint that a target is leaving expires after 30 s.
+const REPEAT_INTERVAL: Duration = Duration::from_secs(10);
+const RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// Reads the host list until the process ends, whenever this process is one of its readers.
+/// Runs the task until the process ends; it reads the list only while this process is one of the readers.
 pub async fn run(door: Rc<Door>) {
     loop {
         if !is_reader(&door) {
-            compio::time::sleep(CHECK_PAUSE).await;
+            compio::time::sleep(RETRY_DELAY).await;
             continue;
         }
         let version = match leaving_hosts(&door).await {
             Some((leaving, version)) => {
-                tell(&door, &leaving);
+                broadcast_leaving(&door, &leaving);
                 version
             }
             None => {
-                compio::time::sleep(CHECK_PAUSE).await;
+                compio::time::sleep(RETRY_DELAY).await;
                 continue;
             }
         };
         match door.store.watch(Kind::Hosts, version).await {
             Some(mut watch) => {
-                let ended = within(RETELL, watch.next()).await.is_some_and(|it| it.is_none());
+                let ended =
+                    within(REPEAT_INTERVAL, watch.next()).await.is_some_and(|it| it.is_none());
                 if ended {
-                    compio::time::sleep(CHECK_PAUSE).await;
+                    compio::time::sleep(RETRY_DELAY).await;
                 }
             }
-            None => compio::time::sleep(CHECK_PAUSE).await,
+            None => compio::time::sleep(RETRY_DELAY).await,
         }
     }
 }
@@ -66,7 +68,7 @@
             prefix: Name::from(""),
             labels: Labels::new(),
             after,
-            limit: PAGE,
+            limit: PAGE_LEN,
         };
         let StoreAnswer::Page { items, next, version } = door.store.call(op).await else {
             return None;
@@ -92,10 +94,10 @@
     }
 }
 
-fn tell(door: &Door, leaving: &HashSet<IpAddr>) {
+fn broadcast_leaving(door: &Door, leaving: &HashSet<IpAddr>) {
     let manifest = door.manifest.current();
     for target in manifest.targets.values().filter(|it| leaving.contains(&it.address.ip())) {
         door.dispatch.leaving(Name::clone(&target.name));
-        door.peers.tell_all(Hint::Leaving(Name::clone(&target.name)));
+        door.peers.broadcast_hint(Hint::Leaving(Name::clone(&target.name)));
     }
 }
--- a/crates/samphiredoor/src/job_control.rs
+++ b/crates/samphiredoor/src/job_control.rs
@@ -33,7 +33,7 @@
                 log::info!("jobs: {job} is cancelled");
                 door.jobs.cancel_hint(job.clone());
                 let owner: Name = header.owner.process.as_str().into();
-                door.peers.tell(owner, Hint::Cancelled(job.clone()));
+                door.peers.send_hint(owner, Hint::Cancelled(job.clone()));
                 return json_answer(StatusCode::OK, &header_json(&job, &header));
             }
             CancelStep::Finished { header } => {
--- a/crates/samphiredoor/src/jobs_task.rs
+++ b/crates/samphiredoor/src/jobs_task.rs
@@ -198,7 +198,7 @@
         match action {
             LedgerAction::Store { call, op } => {
                 let handle = self.env.handle.clone();
-                self.env.store.call_and_tell(op, move |answer| {
+                self.env.store.spawn_call(op, move |answer| {
                     handle.input(LedgerInput::Stored { call, answer });
                 });
             }
@@ -211,7 +211,7 @@
             LedgerAction::HandedOver(job) => {
                 self.env.metrics.job_event("handed_over");
                 log::info!("jobs: {job} is handed over");
-                self.env.peers.offer(job);
+                self.env.peers.offer_job(job);
             }
             LedgerAction::Note(note) => self.note(&note),
         }
--- a/crates/samphiredoor/src/keys_task.rs
+++ b/crates/samphiredoor/src/keys_task.rs
@@ -168,7 +168,7 @@
         match action {
             KeysAction::Store { call, op } => {
                 let messages = self.env.handle.messages.clone();
-                self.env.store.call_and_tell(op, move |answer| {
+                self.env.store.spawn_call(op, move |answer| {
                     let _ = messages.send(Message::Input(KeysInput::Stored { call, answer }));
                 });
             }
--- a/crates/samphiredoor/src/lease_task.rs
+++ b/crates/samphiredoor/src/lease_task.rs
@@ -1,4 +1,4 @@
-//! The task that keeps the process's lease. Those of others are observed by the members task.
+//! The task that acquires and renews the lease of this process. The members task observes the leases of others.
 
 use std::{rc::Rc, time::Duration};
 
@@ -15,19 +15,19 @@
 
 const TICK: Duration = Duration::from_millis(50);
 
-/// Keeps the lease until the process ends.
+/// Runs the lease task until the process ends.
 pub async fn run(door: Rc<Door>) {
     let mut lease = OwnLease::new(lease_config(&door));
-    let (answers, answered) = flume::unbounded::<(CallId, StoreAnswer)>();
+    let (answers, inbox) = flume::unbounded::<(CallId, StoreAnswer)>();
     let mut actions = Vec::new();
-    let mut told_stopping = false;
-    let mut inbox = TimedInbox::new(answered, TICK);
+    let mut stopping_reported = false;
+    let mut inbox = TimedInbox::new(inbox, TICK);
     loop {
         let input = match inbox.next().await {
             InboxEvent::Message((call, answer)) => LeaseInput::Stored { call, answer },
             InboxEvent::Closed => return,
-            InboxEvent::Tick if door.stopping.get() && !told_stopping => {
-                told_stopping = true;
+            InboxEvent::Tick if door.stopping.get() && !stopping_reported => {
+                stopping_reported = true;
                 LeaseInput::Stopping
             }
             InboxEvent::Tick => LeaseInput::Tick,
@@ -37,19 +37,21 @@
             match action {
                 LeaseAction::Store { call, op } => {
                     let answers = answers.clone();
-                    door.store.call_and_tell(op, move |answer| {
+                    door.store.spawn_call(op, move |answer| {
                         let _ = answers.send((call, answer));
                     });
                 }
                 LeaseAction::Held { valid_until_ms } => {
                     door.jobs.lease(valid_until_ms);
-                    door.orders.lease(valid_until_ms);
+                    door.orders.set_lease(valid_until_ms);
                     door.peers.input(MembershipInput::LeaseRenewed(lease.renewals()));
                 }
                 LeaseAction::Lost => {
-                    log::error!("lease: a later process has this name; this one stops working");
+                    log::error!(
+                        "lease: a newer process holds the lease of this name; this process stops working"
+                    );
                     door.jobs.lease(0);
-                    door.orders.lease(0);
+                    door.orders.set_lease(0);
                     door.stopping.set(true);
                 }
             }
--- a/crates/samphiredoor/src/lending_task.rs
+++ b/crates/samphiredoor/src/lending_task.rs
@@ -19,7 +19,7 @@
         tell_live_doors(&door);
         let telling = async {
             while let Ok((to, news)) = news.recv_async().await {
-                door.peers.tell(to, news);
+                door.peers.send_hint(to, news);
             }
         };
         if within(PERIOD, telling).await.is_some() {
--- a/crates/samphiredoor/src/links/codec.rs
+++ b/crates/samphiredoor/src/links/codec.rs
@@ -1,4 +1,4 @@
-//! Between the messages on the wire and the types of the decisions.
+//! Converts between the Cap'n Proto messages of the wire and the types of `samphiredoor_core`.
 
 use capnp::{Error, NotInSchema, struct_list};
 use samphiredoor_core::{
@@ -8,10 +8,10 @@
 };
 use samphiredoor_schema::peer_capnp::{self as wire, heartbeat, member, news, target_load};
 
-use crate::peers::Told;
+use crate::peers::HintMessage;
 
-/// Most list entries that are read from one message.
-const MAX_ENTRIES: u32 = 1_000;
+/// Most members that one message may contain.
+const MAX_MEMBERS: u32 = 1_000;
 
 pub(super) fn write_heartbeat(heartbeat: &Heartbeat, mut builder: heartbeat::Builder<'_>) {
     builder.set_incarnation(heartbeat.incarnation);
@@ -42,7 +42,7 @@
 pub(super) fn read_members(
     list: struct_list::Reader<'_, member::Owned>,
 ) -> Result<Vec<Member>, Error> {
-    if list.len() > MAX_ENTRIES {
+    if list.len() > MAX_MEMBERS {
         return Err(Error::failed("too many members in one message".to_owned()));
     }
     list.iter().map(read_member).collect()
@@ -63,13 +63,13 @@
 }
 
 pub(super) fn read_member(reader: member::Reader<'_>) -> Result<Member, Error> {
-    let name = name(reader.get_name()?)?;
+    let name = to_name(reader.get_name()?)?;
     if name.is_empty() {
         return Err(Error::failed("a member without a name".to_owned()));
     }
     Ok(Member {
         name,
-        address: self::name(reader.get_address()?)?,
+        address: to_name(reader.get_address()?)?,
         incarnation: reader.get_incarnation(),
         counter: reader.get_counter(),
         state: match reader.get_state()? {
@@ -77,17 +77,17 @@
             wire::MemberState::Stopping => MemberState::Stopping,
             wire::MemberState::Dead => MemberState::Dead,
         },
-        region: self::name(reader.get_region()?)?,
-        availability_zone: self::name(reader.get_zone()?)?,
+        region: to_name(reader.get_region()?)?,
+        availability_zone: to_name(reader.get_zone()?)?,
     })
 }
 
-pub(super) fn write_news(told: &Told, mut builder: news::Builder<'_>) {
-    if let Some(origin) = &told.origin {
+pub(super) fn write_hint(message: &HintMessage, mut builder: news::Builder<'_>) {
+    if let Some(origin) = &message.origin {
         builder.set_origin(&*origin.door);
         builder.set_number(origin.number);
     }
-    match &told.news {
+    match &message.hint {
         Hint::Cancelled(job) => builder.set_cancelled(&**job),
         Hint::Suspect { fingerprint, deaths, lifted } => {
             let mut suspect = builder.init_suspect();
@@ -97,26 +97,26 @@
         }
         Hint::Leaving(target) => builder.set_leaving(&**target),
         Hint::Recall { target, batch_slots, epoch } => {
-            let mut recall = builder.init_recall();
-            recall.set_target(&**target);
-            recall.set_batch_slots(*batch_slots);
-            recall.set_epoch(*epoch);
+            let mut grant = builder.init_recall();
+            grant.set_target(&**target);
+            grant.set_batch_slots(*batch_slots);
+            grant.set_epoch(*epoch);
         }
         Hint::Need(load) => write_load(load, builder.init_need()),
         Hint::Revision(revision) => builder.set_revision(*revision),
         Hint::HandedOver(job) => builder.set_handed_over(&**job),
         Hint::Lapsed { process, incarnation } => {
-            let mut lapse = builder.init_lapsed();
-            lapse.set_process(&**process);
-            lapse.set_incarnation(*incarnation);
+            let mut expired = builder.init_lapsed();
+            expired.set_process(&**process);
+            expired.set_incarnation(*incarnation);
         }
     }
 }
 
-/// News as told; `None` for a kind that a newer version has added.
-pub(super) fn read_news(reader: news::Reader<'_>) -> Result<Option<Told>, Error> {
-    let news = match reader.which() {
-        Ok(news::Cancelled(job)) => Hint::Cancelled(name(job?)?),
+/// Reads a hint; `None` for a kind that only a newer version defines.
+pub(super) fn read_hint(reader: news::Reader<'_>) -> Result<Option<HintMessage>, Error> {
+    let hint = match reader.which() {
+        Ok(news::Cancelled(job)) => Hint::Cancelled(to_name(job?)?),
         Ok(news::Suspect(suspect)) => {
             let suspect = suspect?;
             Hint::Suspect {
@@ -125,30 +125,30 @@
                 lifted: suspect.get_lifted(),
             }
         }
-        Ok(news::Leaving(target)) => Hint::Leaving(name(target?)?),
-        Ok(news::Recall(recall)) => {
-            let recall = recall?;
+        Ok(news::Leaving(target)) => Hint::Leaving(to_name(target?)?),
+        Ok(news::Recall(grant)) => {
+            let grant = grant?;
             Hint::Recall {
-                target: name(recall.get_target()?)?,
-                batch_slots: recall.get_batch_slots(),
-                epoch: recall.get_epoch(),
+                target: to_name(grant.get_target()?)?,
+                batch_slots: grant.get_batch_slots(),
+                epoch: grant.get_epoch(),
             }
         }
         Ok(news::Need(load)) => Hint::Need(read_load(load?)?),
         Ok(news::Revision(revision)) => Hint::Revision(revision),
-        Ok(news::HandedOver(job)) => Hint::HandedOver(name(job?)?),
-        Ok(news::Lapsed(lapse)) => {
-            let lapse = lapse?;
+        Ok(news::HandedOver(job)) => Hint::HandedOver(to_name(job?)?),
+        Ok(news::Lapsed(expired)) => {
+            let expired = expired?;
             Hint::Lapsed {
-                process: name(lapse.get_process()?)?,
-                incarnation: lapse.get_incarnation(),
+                process: to_name(expired.get_process()?)?,
+                incarnation: expired.get_incarnation(),
             }
         }
         Err(NotInSchema(_)) => return Ok(None),
     };
-    let door = name(reader.get_origin()?)?;
+    let door = to_name(reader.get_origin()?)?;
     let origin = (!door.is_empty()).then(|| Origin { door, number: reader.get_number() });
-    Ok(Some(Told { origin, news }))
+    Ok(Some(HintMessage { origin, hint }))
 }
 
 fn write_load(load: &TargetLoad, mut builder: target_load::Builder<'_>) {
@@ -161,7 +161,7 @@
 
 fn read_load(reader: target_load::Reader<'_>) -> Result<TargetLoad, Error> {
     Ok(TargetLoad {
-        target: name(reader.get_target()?)?,
+        target: to_name(reader.get_target()?)?,
         online_in_flight: reader.get_online_in_flight(),
         online_envelope: reader.get_online_envelope(),
         batch_in_flight: reader.get_batch_in_flight(),
@@ -169,6 +169,6 @@
     })
 }
 
-fn name(text: capnp::text::Reader<'_>) -> Result<Name, Error> {
+fn to_name(text: capnp::text::Reader<'_>) -> Result<Name, Error> {
     Ok(text.to_str().map_err(|err| Error::failed(err.to_string()))?.into())
 }
--- a/crates/samphiredoor/src/links/counted.rs
+++ b/crates/samphiredoor/src/links/counted.rs
@@ -1,4 +1,4 @@
-//! A stream that counts its bytes.
+//! Stream wrapper that counts the bytes read and written.
 
 use std::{
     io,
@@ -9,20 +9,20 @@
 use futures_util::io::{AsyncRead, AsyncWrite};
 use prometheus_client::metrics::counter::Counter;
 
-/// Half of a connection that counts what passes.
-pub struct Counted<T> {
+/// One half of a connection, with a counter of its bytes.
+pub struct CountedStream<T> {
     inner: T,
     bytes: Counter,
 }
 
-impl<T> Counted<T> {
-    /// Counts what passes through `inner` in `bytes`.
-    pub fn new(inner: T, bytes: Counter) -> Counted<T> {
-        Counted { inner, bytes }
+impl<T> CountedStream<T> {
+    /// Adds the bytes that pass through `inner` to `bytes`.
+    pub fn new(inner: T, bytes: Counter) -> CountedStream<T> {
+        CountedStream { inner, bytes }
     }
 }
 
-impl<T: AsyncRead + Unpin> AsyncRead for Counted<T> {
+impl<T: AsyncRead + Unpin> AsyncRead for CountedStream<T> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -36,7 +36,7 @@
     }
 }
 
-impl<T: AsyncWrite + Unpin> AsyncWrite for Counted<T> {
+impl<T: AsyncWrite + Unpin> AsyncWrite for CountedStream<T> {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
--- a/crates/samphiredoor/src/links/link.rs
+++ b/crates/samphiredoor/src/links/link.rs
@@ -1,4 +1,5 @@
-//! One connection between two doors: opened or accepted, entered with the token, and served until either side ends.
+//! One connection between two gateways: opened or accepted, authenticated with the peer token by the RPC `enter`, and
+//! served until either side closes it.
 
 use std::{
     cell::Cell,
@@ -29,8 +30,8 @@
 
 use super::{
     codec,
-    counted::Counted,
-    service::{DoorService, FarSide, GateService},
+    counted::CountedStream,
+    service::{DoorService, GateService, RemoteSide},
 };
 use crate::{
     door::Door,
@@ -40,58 +41,59 @@
 };
 
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
-const WATCHDOG_PAUSE: Duration = Duration::from_millis(250);
-const MAX_LINKS: usize = 512;
-const MAX_CALLS: usize = 64;
-// A link on which nothing was heard for this many heartbeats is half-open; far links beat every 16th, or every 32nd in
-// a large fleet.
-const SILENT_BEATS: u32 = 128;
+// Delay after a failed accept, between two checks whether a peer has authenticated, and for sending a refusal.
+const ACCEPT_DELAY: Duration = Duration::from_millis(20);
+const TIMEOUT_CHECK_INTERVAL: Duration = Duration::from_millis(250);
+const MAX_ACCEPTED_LINKS: usize = 512;
+const MAX_CONCURRENT_CALLS: usize = 64;
+// An accepted link that has received nothing for this many heartbeat intervals is considered half-open. Links that do
+// not monitor a neighbour send a heartbeat only every 16th interval, or every 32nd in a large fleet.
+const TIMEOUT_INTERVALS: u32 = 128;
 const MAX_MESSAGE_BYTES: usize = 4 * 1024 * 1024;
 const BUFFER_BYTES: usize = 8 * 1024;
 const WORD_BYTES: usize = 8;
 const MAX_NESTING: i32 = 16;
 
-/// Takes links of peers until the process ends.
+/// Accepts links from peers until the process ends.
 pub async fn listen(door: Rc<Door>, listener: TcpListener) {
-    let open = Rc::new(Cell::new(0_usize));
+    let open_links = Rc::new(Cell::new(0_usize));
     loop {
         match listener.accept().await {
-            Ok(_) if open.get() >= MAX_LINKS => {
+            Ok(_) if open_links.get() >= MAX_ACCEPTED_LINKS => {
                 door.metrics.peer_refused(PeerRefusal::TooManyLinks);
-                log::warn!("peers: closed a link above the limit of {MAX_LINKS}");
+                log::warn!("peers: closed a link above the limit of {MAX_ACCEPTED_LINKS}");
             }
             Ok((stream, from)) => {
-                open.set(open.get() + 1);
-                let (door, open) = (Rc::clone(&door), Rc::clone(&open));
+                open_links.set(open_links.get() + 1);
+                let (door, open_links) = (Rc::clone(&door), Rc::clone(&open_links));
                 compio::runtime::spawn(async move {
                     if let Err(err) = accept(&door, stream).await {
                         log::debug!("peers: link from {from} ended: {err:#}");
                     }
-                    open.set(open.get() - 1);
+                    open_links.set(open_links.get() - 1);
                 })
                 .detach();
             }
             Err(err) => {
                 log::warn!("peers: accept failed: {err}");
-                compio::time::sleep(ACCEPT_PAUSE).await;
+                compio::time::sleep(ACCEPT_DELAY).await;
             }
         }
     }
 }
 
-/// Opens a link to a member, or to whoever listens on a seed's address, and serves it until it ends.
+/// Opens a link to a member, or to whichever gateway listens on a seed's address, and serves it until it ends.
 pub async fn connect(door: Rc<Door>, peer: Option<Name>, address: String) {
-    let opened = open(&door, peer.as_ref(), &address).await;
-    if let Err(err) = opened {
-        log::debug!("peers: no link to {address}: {err:#}");
+    let served = open(&door, peer.as_ref(), &address).await;
+    if let Err(err) = served {
+        log::debug!("peers: link to {address} failed: {err:#}");
         if let Some(peer) = peer {
             door.peers.input(MembershipInput::ConnectFailed { peer });
         }
     }
 }
 
-fn network(
+fn vat_network(
     door: &Door,
     stream: TcpStream,
     side: Side,
@@ -103,17 +105,17 @@
     let mut options = ReaderOptions::new();
     options.traversal_limit_in_words(Some(MAX_MESSAGE_BYTES / WORD_BYTES));
     options.nesting_limit(MAX_NESTING);
-    let (reader, writer) = (Counted::new(reader, received), Counted::new(writer, sent));
+    let (reader, writer) = (CountedStream::new(reader, received), CountedStream::new(writer, sent));
     Ok(Box::new(VatNetwork::new(reader, writer, side, options)))
 }
 
 async fn accept(door: &Rc<Door>, stream: TcpStream) -> anyhow::Result<()> {
-    let far = FarSide::new();
-    let service = GateService { door: Rc::clone(door), far: Rc::clone(&far) };
+    let remote = RemoteSide::new();
+    let service = GateService { door: Rc::clone(door), remote: Rc::clone(&remote) };
     let gate: gate::Client = capnp_rpc::new_client(service);
-    let network = network(door, stream, Side::Server)?;
+    let network = vat_network(door, stream, Side::Server)?;
     let mut system = pin!(RpcSystem::new(network, Some(gate.client)).fuse());
-    let mut entered = pin!(wait_for_entry(&far).fuse());
+    let mut entered = pin!(wait_for_enter(&remote).fuse());
     let (peer, client) = select! {
         ended = system => {
             door.metrics.peer_refused(PeerRefusal::NoEntry);
@@ -122,49 +124,52 @@
         entered = entered => match entered {
             Some(entered) => entered,
             None => {
-                // The refusal itself has still to be sent.
-                let _ = within(ACCEPT_PAUSE, &mut system).await;
+                // Leaves the RPC system time to send the refusal.
+                let _ = within(ACCEPT_DELAY, &mut system).await;
                 door.metrics.peer_refused(PeerRefusal::NoEntry);
-                bail!("the far side did not enter");
+                bail!("the peer did not authenticate");
             }
         },
     };
-    serve(door, &far, system, peer, client, false).await
+    serve(door, &remote, system, peer, client, false).await
 }
 
-async fn wait_for_entry(far: &FarSide) -> Option<(Member, door::Client)> {
+async fn wait_for_enter(remote: &RemoteSide) -> Option<(Member, door::Client)> {
     let deadline = Instant::now() + CALL_TIMEOUT;
-    while Instant::now() < deadline && !far.refused.get() {
-        if let Some(entered) = far.entered.borrow_mut().take() {
+    while Instant::now() < deadline && !remote.refused.get() {
+        if let Some(entered) = remote.entered.borrow_mut().take() {
             return Some(entered);
         }
-        compio::time::sleep(ACCEPT_PAUSE).await;
+        compio::time::sleep(ACCEPT_DELAY).await;
     }
     None
 }
 
 async fn open(door: &Rc<Door>, expected: Option<&Name>, address: &str) -> anyhow::Result<()> {
-    let address: SocketAddr = address.parse().context("no IP address with a port")?;
+    let address: SocketAddr = address.parse().context("not an IP address with a port")?;
     let stream = within(CONNECT_TIMEOUT, TcpStream::connect(address))
         .await
-        .context("the connect timed out")??;
-    let far = FarSide::new();
-    let mut rpc = RpcSystem::new(network(door, stream, Side::Client)?, None);
+        .context("the connection attempt timed out")??;
+    let remote = RemoteSide::new();
+    let mut rpc = RpcSystem::new(vat_network(door, stream, Side::Client)?, None);
     let gate: gate::Client = rpc.bootstrap(VatId::Server);
-    let own = Rc::new(DoorService::new(door, &far, &Name::from("")));
+    let own = Rc::new(DoorService::new(door, &remote, &Name::from("")));
     let mut system = pin!(rpc.fuse());
     let entering = within(CALL_TIMEOUT, enter(door, &gate, &own));
     let (peer, client) = match futures_util::future::select(&mut system, pin!(entering)).await {
         Either::Left((ended, _)) => return Ok(ended?),
-        Either::Right((entered, _)) => entered.context("the far side did not answer")??,
+        Either::Right((entered, _)) => {
+            entered.context("the peer did not answer `enter` in time")??
+        }
     };
     if expected.is_some_and(|it| *it != peer.name) {
-        bail!("{} is there instead", peer.name);
+        bail!("{} listens on this address instead", peer.name);
     }
     own.set_peer(&peer.name);
-    serve(door, &far, system, peer, client, true).await
+    serve(door, &remote, system, peer, client, true).await
 }
 
+// Authenticates to the peer; returns the peer as a member and the capability to call it.
 async fn enter(
     door: &Door,
     gate: &gate::Client,
@@ -180,12 +185,12 @@
     Ok((codec::read_member(answer.get_self()?)?, answer.get_door()?))
 }
 
-type Ended = Result<(), capnp::Error>;
+type RpcEnd = Result<(), capnp::Error>;
 
 async fn serve(
     door: &Rc<Door>,
-    far: &FarSide,
-    system: impl Future<Output = Ended> + Unpin,
+    remote: &RemoteSide,
+    system: impl Future<Output = RpcEnd> + Unpin,
     peer: Member,
     client: door::Client,
     opened: bool,
@@ -193,34 +198,35 @@
     let link = LinkId(door.next_number());
     let name = Name::clone(&peer.name);
     let (commands, inbox) = command_channel();
-    door.peers.send(PeerMessage::Up(LinkUp { link, peer, opened, commands }));
-    let obeying = pin!(obey(Rc::clone(door), Name::clone(&name), client, inbox));
-    // Whoever opened a link beats on it and notices the other's silence by itself.
-    let watching = pin!(async {
+    door.peers.send(PeerMessage::LinkUp(LinkUp { link, peer, opened, commands }));
+    let executing = pin!(execute_commands(Rc::clone(door), Name::clone(&name), client, inbox));
+    // On an opened link this process sends the heartbeats, and the membership notices missing answers.
+    let timing_out = pin!(async {
         match opened {
             true => std::future::pending().await,
-            false => silence(door, far).await,
+            false => wait_for_timeout(door, remote).await,
         }
     });
-    let until = pin!(futures_util::future::select(obeying, watching));
+    let until = pin!(futures_util::future::select(executing, timing_out));
     let ended = match futures_util::future::select(system, until).await {
         Either::Left((ended, _)) => ended,
         Either::Right(_) => Ok(()),
     };
-    door.peers.send(PeerMessage::Down { link, peer: name });
+    door.peers.send(PeerMessage::LinkDown { link, peer: name });
     Ok(ended?)
 }
 
-async fn silence(door: &Door, far: &FarSide) {
-    let patience = door.config.heartbeat * SILENT_BEATS;
-    far.heard.set(Instant::now());
-    while far.heard.get().elapsed() < patience {
-        compio::time::sleep(WATCHDOG_PAUSE).await;
+// Ends when nothing has been received from the peer for the timeout.
+async fn wait_for_timeout(door: &Door, remote: &RemoteSide) {
+    let timeout = door.config.heartbeat * TIMEOUT_INTERVALS;
+    remote.last_received.set(Instant::now());
+    while remote.last_received.get().elapsed() < timeout {
+        compio::time::sleep(TIMEOUT_CHECK_INTERVAL).await;
     }
 }
 
-// Ends when the members task has dropped its side.
-async fn obey(
+// Makes a call for each command; ends when the members task drops the sender of the commands.
+async fn execute_commands(
     door: Rc<Door>,
     peer: Name,
     client: door::Client,
@@ -228,7 +234,7 @@
 ) {
     let calls = Rc::new(Cell::new(0_usize));
     while let Ok(command) = commands.recv_async().await {
-        if calls.get() >= MAX_CALLS {
+        if calls.get() >= MAX_CONCURRENT_CALLS {
             door.metrics.peer_refused(PeerRefusal::SlowPeer);
             continue;
         }
@@ -238,8 +244,8 @@
         compio::runtime::spawn(async move {
             match within(CALL_TIMEOUT, call(&door, &peer, &client, command)).await {
                 Some(Ok(())) => {}
-                Some(Err(err)) => log::debug!("peers: {peer} did not answer: {err}"),
-                None => log::debug!("peers: {peer} did not answer in time"),
+                Some(Err(err)) => log::debug!("peers: a call to {peer} failed: {err}"),
+                None => log::debug!("peers: a call to {peer} timed out"),
             }
             calls.set(calls.get() - 1);
         })
@@ -261,18 +267,18 @@
             let heartbeat = codec::read_heartbeat(answer.get()?.get_beat()?)?;
             door.peers.input(MembershipInput::Heartbeat { from: Name::clone(peer), heartbeat });
         }
-        LinkCommand::Tell(told) => {
+        LinkCommand::SendHint(message) => {
             let mut request = client.tell_request();
-            codec::write_news(&told, request.get().init_news(1).get(0));
+            codec::write_hint(&message, request.get().init_news(1).get(0));
             request.send().promise.await?;
         }
         LinkCommand::PullMembers => pull_members(door, client).await?,
         LinkCommand::PullManifest { above } => {
             let pulled = pull_manifest(door, client, above).await;
-            door.peers.send(PeerMessage::PullEnded);
+            door.peers.send(PeerMessage::ManifestPullEnded);
             pulled?;
         }
-        LinkCommand::Hold { record, reply } => {
+        LinkCommand::ReplicateManifest { record, reply } => {
             let mut request = client.hold_request();
             request.get().set_content(&record);
             let answer = request.send().promise.await?;
--- a/crates/samphiredoor/src/links/mod.rs
+++ b/crates/samphiredoor/src/links/mod.rs
@@ -1,7 +1,7 @@
-//! Links between doors: Cap'n Proto RPC over TCP, one connection for calls in both directions.
+//! Links between gateways: Cap'n Proto RPC over TCP, with calls in both directions on one connection.
 //!
-//! A link's tasks own its socket. Every wait and every size has a bound, and what cannot be read is refused with a log
-//! line and a counter.
+//! A link's tasks own its socket. Every wait and every size is bounded; an unreadable message is refused, logged and
+//! counted.
 
 mod codec;
 mod counted;
--- a/crates/samphiredoor/src/links/service.rs
+++ b/crates/samphiredoor/src/links/service.rs
@@ -1,4 +1,4 @@
-//! What a door answers to its peers.
+//! RPC services that a gateway offers to its peers: authentication, and the calls of authenticated peers.
 
 use std::{
     cell::{Cell, RefCell},
@@ -14,34 +14,37 @@
 use super::codec;
 use crate::{door::Door, manifest_task::Source, metrics::PeerRefusal, peers::PeerMessage};
 
-const MAX_NEWS: u32 = 1_000;
+const MAX_HINTS: u32 = 1_000;
 
-/// What the far side of a link has done so far; shared by the link and the capabilities that it gave out.
-pub(super) struct FarSide {
+/// State of the remote side of a link, shared by the link and the services that it offers.
+pub(super) struct RemoteSide {
+    /// The authenticated peer and the capability to call it, until the link takes them.
     pub(super) entered: RefCell<Option<(Member, door::Client)>>,
+    /// Whether authentication was refused.
     pub(super) refused: Cell<bool>,
-    pub(super) heard: Cell<Instant>,
+    /// Time of the peer's last call.
+    pub(super) last_received: Cell<Instant>,
 }
 
-impl FarSide {
-    pub(super) fn new() -> Rc<FarSide> {
-        Rc::new(FarSide {
+impl RemoteSide {
+    pub(super) fn new() -> Rc<RemoteSide> {
+        Rc::new(RemoteSide {
             entered: RefCell::new(None),
             refused: Cell::new(false),
-            heard: Cell::new(Instant::now()),
+            last_received: Cell::new(Instant::now()),
         })
     }
 }
 
-/// Digest of the token; digests are compared in constant time.
+/// Digest of a token. Digests are compared instead of tokens because their comparison takes constant time.
 pub(super) fn token_digest(token: &[u8]) -> blake3::Hash {
     blake3::hash(token)
 }
 
-/// The first capability on a connection: it gives a door to whoever shows the token.
+/// Bootstrap capability of a connection: it returns a [`DoorService`] to a peer that presents the token.
 pub(super) struct GateService {
     pub(super) door: Rc<Door>,
-    pub(super) far: Rc<FarSide>,
+    pub(super) remote: Rc<RemoteSide>,
 }
 
 impl gate::Server for GateService {
@@ -52,18 +55,18 @@
     ) -> Result<(), Error> {
         let params = params.get()?;
         if token_digest(params.get_token()?) != token_digest(&self.door.config.peer_token) {
-            self.far.refused.set(true);
+            self.remote.refused.set(true);
             self.door.metrics.peer_refused(PeerRefusal::WrongToken);
-            log::warn!("peers: refused a process with a wrong token");
+            log::warn!("peers: refused a connection with a wrong token");
             return Err(Error::failed("wrong token".to_owned()));
         }
         let peer = codec::read_member(params.get_self()?)?;
         if peer.name == self.door.config.name {
-            self.far.refused.set(true);
-            return Err(Error::failed("a door of this name is here".to_owned()));
+            self.remote.refused.set(true);
+            return Err(Error::failed("this gateway has the same name".to_owned()));
         }
-        let service = DoorService::new(&self.door, &self.far, &peer.name);
-        *self.far.entered.borrow_mut() = Some((peer, params.get_door()?));
+        let service = DoorService::new(&self.door, &self.remote, &peer.name);
+        *self.remote.entered.borrow_mut() = Some((peer, params.get_door()?));
         let mut results = results.get();
         codec::write_member(&self.door.own_member(), results.reborrow().init_self());
         results.set_door(capnp_rpc::new_client(service));
@@ -71,39 +74,41 @@
     }
 }
 
-/// What a peer may call once it was let in.
+/// Service that an authenticated peer may call.
 pub(super) struct DoorService {
     door: Rc<Door>,
-    far: Rc<FarSide>,
+    remote: Rc<RemoteSide>,
     peer: RefCell<Name>,
 }
 
 impl DoorService {
-    pub(super) fn new(door: &Rc<Door>, far: &Rc<FarSide>, peer: &Name) -> DoorService {
+    pub(super) fn new(door: &Rc<Door>, remote: &Rc<RemoteSide>, peer: &Name) -> DoorService {
         let peer = RefCell::new(Name::clone(peer));
-        DoorService { door: Rc::clone(door), far: Rc::clone(far), peer }
+        DoorService { door: Rc::clone(door), remote: Rc::clone(remote), peer }
     }
 
-    /// Names the peer, where this service was given out before the peer had said its name.
+    /// Sets the name of the peer, for a service that was offered before that name was received.
     pub(super) fn set_peer(&self, peer: &Name) {
         *self.peer.borrow_mut() = Name::clone(peer);
     }
 
-    fn from(&self) -> Name {
-        self.far.heard.set(Instant::now());
+    // Records that the peer made a call; returns the peer's name.
+    fn record_call(&self) -> Name {
+        self.remote.last_received.set(Instant::now());
         Name::clone(&self.peer.borrow())
     }
 
+    // Counts and logs a message that cannot be read.
     fn checked<T>(&self, read: Result<T, Error>) -> Result<T, Error> {
         read.inspect_err(|err| {
             self.door.metrics.peer_refused(PeerRefusal::Unreadable);
-            log::warn!("peers: refused a message of {}: {err}", self.peer.borrow());
+            log::warn!("peers: refused an unreadable message from {}: {err}", self.peer.borrow());
         })
     }
 }
 
-fn gone<T>(_: T) -> Error {
-    Error::disconnected("the door is stopping".to_owned())
+fn stopping<T>(_: T) -> Error {
+    Error::disconnected("the gateway is stopping".to_owned())
 }
 
 impl door::Server for DoorService {
@@ -112,11 +117,11 @@
         params: door::HeartbeatParams,
         mut results: door::HeartbeatResults,
     ) -> Result<(), Error> {
-        let from = self.from();
+        let from = self.record_call();
         let heartbeat = self.checked(params.get()?.get_beat().and_then(codec::read_heartbeat))?;
         let (reply, answer) = flume::bounded(1);
         self.door.peers.send(PeerMessage::Heartbeat { from, heartbeat, reply });
-        let heartbeat = answer.recv_async().await.map_err(gone)?;
+        let heartbeat = answer.recv_async().await.map_err(stopping)?;
         codec::write_heartbeat(&heartbeat, results.get().init_beat());
         Ok(())
     }
@@ -126,9 +131,9 @@
         params: door::ManifestParams,
         mut results: door::ManifestResults,
     ) -> Result<(), Error> {
-        self.from();
+        self.record_call();
         let above = params.get()?.get_above_revision();
-        if let Some(record) = self.door.manifest.above(above).await {
+        if let Some(record) = self.door.manifest.record_above(above).await {
             results.get().set_content(&record);
         }
         Ok(())
@@ -139,19 +144,19 @@
         params: door::TellParams,
         _: door::TellResults,
     ) -> Result<(), Error> {
-        let from = self.from();
+        let from = self.record_call();
         let list = params.get()?.get_news()?;
-        let mut told = Vec::new();
-        for news in list.iter().take(MAX_NEWS as usize) {
-            match self.checked(codec::read_news(news))? {
-                Some(news) => told.push(news),
+        let mut hints = Vec::new();
+        for news in list.iter().take(MAX_HINTS as usize) {
+            match self.checked(codec::read_hint(news))? {
+                Some(hint) => hints.push(hint),
                 None => {
                     self.door.metrics.peer_refused(PeerRefusal::UnknownNews);
-                    log::warn!("peers: {from} told news of a kind that this version does not know");
+                    log::warn!("peers: ignored a hint of an unknown kind from {from}");
                 }
             }
         }
-        self.door.peers.send(PeerMessage::News { from, told });
+        self.door.peers.send(PeerMessage::Hints { from, hints });
         Ok(())
     }
 
@@ -160,12 +165,12 @@
         params: door::MembersParams,
         mut results: door::MembersResults,
     ) -> Result<(), Error> {
-        self.from();
+        self.record_call();
         let after = params.get()?.get_after()?;
         let after: Name = after.to_str().map_err(|err| Error::failed(err.to_string()))?.into();
         let (reply, answer) = flume::bounded(1);
-        self.door.peers.send(PeerMessage::PageAsked { after, reply });
-        let page = answer.recv_async().await.map_err(gone)?;
+        self.door.peers.send(PeerMessage::MembersRequest { after, reply });
+        let page = answer.recv_async().await.map_err(stopping)?;
         codec::write_members(&page, results.get().init_members(page.len() as u32));
         Ok(())
     }
@@ -175,7 +180,7 @@
         params: door::HoldParams,
         mut results: door::HoldResults,
     ) -> Result<(), Error> {
-        self.from();
+        self.record_call();
         let record: Arc<[u8]> = params.get()?.get_content()?.into();
         let held = self.door.manifest.offer(record, Source::Peer).await;
         results.get().set_held(held);
--- a/crates/samphiredoor/src/manifest_change.rs
+++ b/crates/samphiredoor/src/manifest_change.rs
@@ -1,4 +1,5 @@
-//! Carries out an operator's change of the manifest, up to its acceptance.
+//! Carries out an operator's change of the manifest: writes it to the store, makes it active here and replicates it to
+//! a peer. Only then it counts as accepted.
 
 use std::{rc::Rc, sync::Arc, time::Duration};
 
@@ -15,11 +16,11 @@
     manifest_task::Source,
 };
 
-const HOLD_TRIES: u32 = 30;
-const HOLD_PAUSE: Duration = Duration::from_millis(100);
+const REPLICATION_TRIES: u32 = 30;
+const REPLICATION_BACKOFF: Duration = Duration::from_millis(100);
 
-/// Changes the declarations to `declared`, in the name of `operator`; with an expected revision, only if it is the
-/// last one. Goes on when the operator's connection is lost, so that a change never stops half-way.
+/// Replaces the declarations by `declared` on behalf of `operator`; with an expected revision, only if it is the latest.
+/// The change continues when the operator's connection is lost, so that it never stops half-way.
 pub async fn change(
     door: &Rc<Door>,
     operator: &str,
@@ -42,9 +43,12 @@
         input = match change.step(input) {
             ChangeStep::Call(op) => ChangeInput::Stored(door.store.call(op).await),
             ChangeStep::ApplyAndReplicate { record, .. } => {
-                let held = door.manifest.offer(Arc::clone(&record), Source::Operator).await;
-                let confirmation =
-                    if held { hold(door, record).await } else { PeerConfirmation::Unconfirmed };
+                let active = door.manifest.offer(Arc::clone(&record), Source::Operator).await;
+                let confirmation = if active {
+                    replicate(door, record).await
+                } else {
+                    PeerConfirmation::Unconfirmed
+                };
                 ChangeInput::Replicated(confirmation)
             }
             ChangeStep::End(end) => return end,
@@ -52,19 +56,19 @@
     }
 }
 
-// A link may just be being opened, or a lost member not yet be noticed.
-async fn hold(door: &Door, record: Arc<[u8]>) -> PeerConfirmation {
-    for _ in 0..HOLD_TRIES {
-        let confirmation = door.peers.hold(Arc::clone(&record)).await;
+// Retries, since a link may still be opening, or a dead member not be detected yet.
+async fn replicate(door: &Door, record: Arc<[u8]>) -> PeerConfirmation {
+    for _ in 0..REPLICATION_TRIES {
+        let confirmation = door.peers.replicate_manifest(Arc::clone(&record)).await;
         if confirmation != PeerConfirmation::Unconfirmed {
             return confirmation;
         }
-        compio::time::sleep(HOLD_PAUSE).await;
+        compio::time::sleep(REPLICATION_BACKOFF).await;
     }
     PeerConfirmation::Unconfirmed
 }
 
-/// Answer to the operator.
+/// Response to the operator for each outcome.
 pub fn answer(end: ChangeEnd) -> Response<Body> {
     let (status, value) = match end {
         ChangeEnd::Accepted { revision } => {
@@ -92,7 +96,7 @@
         ChangeEnd::WrittenUnconfirmed { revision } => (
             StatusCode::SERVICE_UNAVAILABLE,
             json!({
-                "error": "it stands in the store, but no other door confirmed that it holds it",
+                "error": "the change is stored, but no other door confirmed that it holds it",
                 "written_revision": revision,
             }),
         ),
--- a/crates/samphiredoor/src/manifest_http.rs
+++ b/crates/samphiredoor/src/manifest_http.rs
@@ -1,4 +1,4 @@
-//! The manifest at the operators' door: read it, and change it.
+//! The `/manifest` endpoint of the operators' listener: reads and replaces the manifest.
 
 use std::rc::Rc;
 
@@ -16,15 +16,15 @@
 const MAX_MANIFEST_BYTES: usize = 450_000;
 const OPERATOR_HEADER: &str = "x-samphiredoor-operator";
 
-/// Answers with the record in force.
+/// Responds with the active record.
 pub async fn get(door: &Door) -> Response<Body> {
-    match door.manifest.above(0).await {
+    match door.manifest.record_above(0).await {
         Some(record) => answers::json(StatusCode::OK, record.to_vec()),
         None => not_found("no manifest is in force yet"),
     }
 }
 
-/// Changes the manifest. With `if-match` or `expected_revision` it has no effect unless that revision is the last one.
+/// Replaces the manifest. With `if-match` or `expected_revision`, only if that revision is the latest.
 pub async fn put(door: &Rc<Door>, request: Request<Incoming>) -> Response<Body> {
     let expected = match expected_revision(&request) {
         Ok(expected) => expected,
--- a/crates/samphiredoor/src/manifest_task.rs
+++ b/crates/samphiredoor/src/manifest_task.rs
@@ -1,8 +1,8 @@
-//! The task that owns the manifest in force, and the watchers that learn of new ones.
+//! The task that owns the active manifest, and the loop that watches the store for newer revisions.
 //!
-//! Only a few processes of each availability zone keep a watch on the store; all others learn of a new revision from
-//! their peers. Whatever the way, a record comes in by [`ManifestHandle::offer`] and is in force only if its revision
-//! is above the one that is.
+//! Only a few processes of each availability zone watch the store; all others receive a new revision from their peers.
+//! Every record, wherever it comes from, is passed to [`ManifestHandle::offer`] and becomes active only if its revision
+//! is above the active one.
 
 use std::{cell::RefCell, rc::Rc, sync::Arc, time::Duration};
 
@@ -23,12 +23,13 @@
 };
 
 const WATCHERS_PER_ZONE: usize = 2;
-const FIRST_PAUSE: Duration = Duration::from_millis(250);
-const LONGEST_FIRST_PAUSE: Duration = Duration::from_secs(5);
-const WATCH_PAUSE: Duration = Duration::from_millis(500);
-// A process that watches nothing looks this rarely, in case it is cut off from all peers.
-const IDLE_PAUSE: Duration = Duration::from_secs(60);
-const CHECK_PAUSE: Duration = Duration::from_secs(1);
+// Backoff between reads of the store while no manifest is active.
+const MIN_READ_BACKOFF: Duration = Duration::from_millis(250);
+const MAX_READ_BACKOFF: Duration = Duration::from_secs(5);
+const WATCH_RESTART_DELAY: Duration = Duration::from_millis(500);
+// Processes that do not watch read the store this often, in case they are isolated from all peers.
+const POLL_INTERVAL: Duration = Duration::from_secs(60);
+const ROLE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Where a record came from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -37,80 +38,80 @@
     Store,
     /// A peer.
     Peer,
-    /// An operator, through this door.
+    /// An operator's change, received by this process.
     Operator,
 }
 
 enum Message {
     Offer { record: Arc<[u8]>, source: Source, reply: flume::Sender<bool> },
-    Above { revision: u64, reply: flume::Sender<Option<Arc<[u8]>>> },
+    GetAbove { revision: u64, reply: flume::Sender<Option<Arc<[u8]>>> },
 }
 
-/// Handle to the manifest's task.
+/// Handle to the manifest task.
 #[derive(Clone)]
 pub struct ManifestHandle {
     messages: flume::Sender<Message>,
     current: Rc<RefCell<Arc<Manifest>>>,
 }
 
-/// Inbox of the manifest's task, before the task starts.
+/// Receiver of the manifest task's messages; passed to the task when it starts.
 pub struct ManifestInbox(flume::Receiver<Message>);
 
 impl ManifestHandle {
-    /// Handle and inbox.
+    /// Creates the handle and the inbox.
     pub fn new() -> (ManifestHandle, ManifestInbox) {
         let (messages, inbox) = flume::unbounded();
         (ManifestHandle { messages, current: Rc::default() }, ManifestInbox(inbox))
     }
 
-    /// The manifest in force; empty before the first.
+    /// The active manifest; empty, with revision 0, before the first.
     pub fn current(&self) -> Arc<Manifest> {
         Arc::clone(&self.current.borrow())
     }
 
-    /// Offers a record; tells whether it, or the change right on top of it, is in force then.
+    /// Offers a record; returns whether it, or the change directly on top of it, is active afterwards.
     pub async fn offer(&self, record: Arc<[u8]>, source: Source) -> bool {
         let (reply, answer) = flume::bounded(1);
         let _ = self.messages.send(Message::Offer { record, source, reply });
         answer.recv_async().await.unwrap_or_default()
     }
 
-    /// The record in force, if its revision is above `revision`.
-    pub async fn above(&self, revision: u64) -> Option<Arc<[u8]>> {
+    /// The active record, if its revision is above `revision`.
+    pub async fn record_above(&self, revision: u64) -> Option<Arc<[u8]>> {
         let (reply, answer) = flume::bounded(1);
-        let _ = self.messages.send(Message::Above { revision, reply });
+        let _ = self.messages.send(Message::GetAbove { revision, reply });
         answer.recv_async().await.ok().flatten()
     }
 }
 
-/// What the manifest's task uses.
+/// Dependencies of the manifest task.
 pub struct ManifestEnv {
-    /// Decided options.
+    /// Checked settings.
     pub config: Rc<DoorConfig>,
     /// The task's own handle.
     pub handle: ManifestHandle,
-    /// The dispatcher, which works by the manifest in force.
+    /// The dispatcher, which routes by the active manifest.
     pub dispatch: Dispatch,
-    /// Other doors.
+    /// Peers, which are notified of a new active revision.
     pub peers: Peers,
-    /// The object API.
+    /// Client of the object API.
     pub store: StoreClient,
-    /// Counters.
+    /// Metrics of the process.
     pub metrics: Rc<Metrics>,
 }
 
 /// Runs the task until the process ends.
 pub async fn run(env: ManifestEnv, inbox: ManifestInbox) {
     let env = Rc::new(env);
-    compio::runtime::spawn(watch(Rc::clone(&env))).detach();
+    compio::runtime::spawn(watch_store(Rc::clone(&env))).detach();
     let mut active = ActiveManifest::default();
     while let Ok(message) = inbox.0.recv_async().await {
         match message {
             Message::Offer { record, source, reply } => {
-                take(&env, &mut active, &record, source);
+                apply(&env, &mut active, &record, source);
                 let _ = reply.send(active.is_at_or_one_above(&record));
             }
-            Message::Above { revision, reply } => {
+            Message::GetAbove { revision, reply } => {
                 let newer = active.revision() > revision;
                 let _ = reply.send(active.record().filter(|_| newer).cloned());
             }
@@ -118,39 +119,44 @@
     }
 }
 
-fn take(env: &ManifestEnv, active: &mut ActiveManifest, record: &[u8], source: Source) {
+// Makes an offered record active if it is newer; counts and logs why it was refused otherwise.
+fn apply(env: &ManifestEnv, active: &mut ActiveManifest, record: &[u8], source: Source) {
     let held = active.revision();
     match active.update_if_newer(record) {
         UpdateOutcome::Applied(manifest) => {
             let revision = manifest.revision;
-            log::info!("manifest: revision {revision} is in force");
+            log::info!("manifest: revision {revision} is active");
             *env.handle.current.borrow_mut() = Arc::clone(&manifest);
             env.dispatch.apply(manifest);
             env.peers.input(MembershipInput::OwnRevision(revision));
         }
         UpdateOutcome::AlreadyActive => {}
-        // From a peer it is only late. From the store it is a stale read, or the store was set back.
+        // From a peer, an older revision is merely late. From the store, it is a stale read, or the store was restored
+        // from an older copy.
         UpdateOutcome::Older { revision } if source == Source::Store => {
             env.metrics.manifest_refused(ManifestRefusal::Older);
-            log::error!("manifest: the store gives revision {revision}; {held} stays in force");
+            log::error!(
+                "manifest: the store returned revision {revision}; revision {held} stays active"
+            );
         }
         UpdateOutcome::Older { .. } => env.metrics.manifest_refused(ManifestRefusal::Older),
         UpdateOutcome::Forked { revision } => {
             env.metrics.manifest_refused(ManifestRefusal::Forked);
             log::error!(
-                "manifest: there are two revisions {revision}; apply the declarations anew"
+                "manifest: two different manifests have revision {revision}; apply the declarations again"
             );
         }
         UpdateOutcome::Unusable(problem) => {
             env.metrics.manifest_refused(ManifestRefusal::Unusable);
             log::error!(
-                "manifest: revision {held} stays in force, not one from {source:?}: {problem}"
+                "manifest: revision {held} stays active; refused a record from {source:?}: {problem}"
             );
         }
     }
 }
 
-/// Whether this process is to keep a watch of its own: a hint, so that a wrong answer costs a call and no more.
+/// Whether this process is one of its zone's watchers. The member list that decides it may be out of date; a wrong result
+/// costs an extra call, nothing else.
 fn is_watcher(env: &ManifestEnv) -> bool {
     let live = env.peers.live();
     let zone = &env.config.availability_zone;
@@ -158,33 +164,33 @@
     rendezvous_select("manifest", in_zone, WATCHERS_PER_ZONE).contains(&env.config.name)
 }
 
-async fn watch(env: Rc<ManifestEnv>) {
-    // A process that has no revision asks the store again and again, also when others watch: it is not ready. It asks
-    // ever more seldom, since a whole fleet may be doing so, and its peers tell it of a revision at once.
-    let mut pause = FIRST_PAUSE;
+async fn watch_store(env: Rc<ManifestEnv>) {
+    // A process without a manifest is not ready, so it polls the store even when others watch. The polls back off
+    // because the whole fleet may be polling; peers send a revision immediately.
+    let mut backoff = MIN_READ_BACKOFF;
     while env.handle.current().revision == 0 {
-        read(&env).await;
-        compio::time::sleep(pause).await;
-        pause = (pause * 2).min(LONGEST_FIRST_PAUSE);
+        read_store(&env).await;
+        compio::time::sleep(backoff).await;
+        backoff = (backoff * 2).min(MAX_READ_BACKOFF);
     }
-    let mut idle = Duration::ZERO;
+    let mut since_poll = Duration::ZERO;
     loop {
         if is_watcher(&env) {
-            follow(&env).await;
-            compio::time::sleep(WATCH_PAUSE).await;
+            run_watch(&env).await;
+            compio::time::sleep(WATCH_RESTART_DELAY).await;
             continue;
         }
-        compio::time::sleep(CHECK_PAUSE).await;
-        idle += CHECK_PAUSE;
-        if idle >= IDLE_PAUSE {
-            idle = Duration::ZERO;
-            read(&env).await;
+        compio::time::sleep(ROLE_CHECK_INTERVAL).await;
+        since_poll += ROLE_CHECK_INTERVAL;
+        if since_poll >= POLL_INTERVAL {
+            since_poll = Duration::ZERO;
+            read_store(&env).await;
         }
     }
 }
 
-// Gives the version of the store from which a watch goes on.
-async fn read(env: &ManifestEnv) -> Option<Version> {
+// Offers the stored record; returns the store's version, from which a watch can continue.
+async fn read_store(env: &ManifestEnv) -> Option<Version> {
     let op = StoreOp::List {
         kind: Kind::Manifest,
         prefix: manifest_key().name,
@@ -199,17 +205,20 @@
     Some(version)
 }
 
-// Ends when the watch does: at its length, at an error, or when its version has left the store's history.
-async fn follow(env: &ManifestEnv) {
-    let Some(version) = read(env).await else { return };
+// Watches until the watch ends (at its time limit, at an error, or because the store's history no longer holds its
+// version), or until this process is no longer a watcher.
+async fn run_watch(env: &ManifestEnv) {
+    let Some(version) = read_store(env).await else { return };
     let Some(mut watch) = env.store.watch(Kind::Manifest, version).await else { return };
     loop {
-        match within(CHECK_PAUSE, watch.next()).await {
+        match within(ROLE_CHECK_INTERVAL, watch.next()).await {
             Some(Some(WatchEvent::Written(stored))) => {
                 env.handle.offer(stored.value, Source::Store).await;
             }
             Some(Some(WatchEvent::Deleted(name))) => {
-                log::error!("manifest: {name} was deleted from the store; what is in force stays");
+                log::error!(
+                    "manifest: {name} was deleted from the store; the active revision stays"
+                );
             }
             Some(None) => return,
             None if !is_watcher(env) => return,
--- a/crates/samphiredoor/src/members_task.rs
+++ b/crates/samphiredoor/src/members_task.rs
@@ -1,4 +1,7 @@
-//! The task that owns the membership: it decides on links, passes news on, and notices lapsed leases.
+//! The task that owns the membership state machine and the links to peers.
+//!
+//! It opens and closes links, sends heartbeats, forwards hints, pulls and replicates manifests, and notifies the other
+//! tasks when the set of live members changes or the lease of a process expires.
 
 use std::{collections::HashMap, rc::Rc, sync::Arc, time::Duration};
 
@@ -17,15 +20,16 @@
 
 use crate::{
     door::Door,
-    links,
+    hints, links,
     metrics::PeerRefusal,
-    news,
-    peers::{self, CALL_TIMEOUT, LinkCommand, LinkId, LinkUp, PeerMessage, PeersInbox, Told},
+    peers::{
+        self, CALL_TIMEOUT, HintMessage, LinkCommand, LinkId, LinkUp, PeerMessage, PeersInbox,
+    },
 };
 
 const TICK: Duration = Duration::from_millis(50);
-const LIST_PAGE: usize = 500;
-const MAX_PENDING: usize = 64;
+const LIST_PAGE_LEN: usize = 500;
+const MAX_PENDING_HINTS: usize = 64;
 
 struct Link {
     id: LinkId,
@@ -33,21 +37,25 @@
     commands: flume::Sender<LinkCommand>,
 }
 
-struct Task {
+struct MembersTask {
     door: Rc<Door>,
     membership: Membership,
     links: HashMap<Name, Vec<Link>>,
-    // News for members that a link is being opened to.
-    pending: HashMap<Name, Vec<Hint>>,
-    seen: SeenHints,
-    origin: Name,
-    next_number: u64,
+    // Hints to members without a link, sent as soon as the link that is being opened is up.
+    pending_hints: HashMap<Name, Vec<Hint>>,
+    seen_hints: SeenHints,
+    // Name of this process in the origins of its broadcasts.
+    own_origin: Name,
+    next_hint_number: u64,
+    // Highest manifest revision that has been active here.
     revision: u64,
+    // Until this time a manifest pull may be in progress, and no other is started.
     pulling_until_ms: u64,
-    listed: bool,
+    // Whether lease objects have been listed; before that, a lone process cannot conclude that it has no peers.
+    leases_listed: bool,
 }
 
-/// Runs the membership until the process ends.
+/// Runs the members task until the process ends.
 pub async fn run(door: Rc<Door>, inbox: PeersInbox) {
     let config = MembershipConfig {
         own: door.own_member(),
@@ -55,22 +63,22 @@
         lease_ms: door.config.lease.as_millis() as u64,
         seeds: door.config.seeds.clone(),
     };
-    let mut task = Task {
+    let mut task = MembersTask {
         membership: Membership::new(config),
         links: HashMap::new(),
-        pending: HashMap::new(),
-        seen: SeenHints::default(),
-        origin: origin_name(&door.config.name, door.incarnation),
-        next_number: 1,
+        pending_hints: HashMap::new(),
+        seen_hints: SeenHints::default(),
+        own_origin: origin_name(&door.config.name, door.incarnation),
+        next_hint_number: 1,
         revision: 0,
         pulling_until_ms: 0,
-        listed: false,
+        leases_listed: false,
         door,
     };
-    task.publish();
+    task.publish_live();
     loop {
         match within(TICK, inbox.0.recv_async()).await {
-            Some(Ok(message)) => task.take(message),
+            Some(Ok(message)) => task.handle_message(message),
             Some(Err(_)) => return,
             None => {}
         }
@@ -78,27 +86,29 @@
     }
 }
 
-impl Task {
-    fn take(&mut self, message: PeerMessage) {
+impl MembersTask {
+    fn handle_message(&mut self, message: PeerMessage) {
         match message {
-            PeerMessage::Up(up) => self.up(up),
-            PeerMessage::Down { link, peer } => self.down(link, peer),
+            PeerMessage::LinkUp(up) => self.link_up(up),
+            PeerMessage::LinkDown { link, peer } => self.link_down(link, peer),
             PeerMessage::Heartbeat { from, heartbeat, reply } => {
                 self.input(MembershipInput::Heartbeat { from, heartbeat });
                 let _ = reply.send(self.membership.next_heartbeat());
             }
-            PeerMessage::PageAsked { after, reply } => {
+            PeerMessage::MembersRequest { after, reply } => {
                 let _ = reply.send(self.membership.page(&after));
             }
-            PeerMessage::News { from, told } => {
-                for told in told {
-                    self.news(&from, told);
+            PeerMessage::Hints { from, hints } => {
+                for message in hints {
+                    self.hint_received(&from, message);
                 }
             }
-            PeerMessage::TellAll(news) => self.tell_all(news),
-            PeerMessage::Tell { to, news } => self.tell(to, news),
-            PeerMessage::Hold { record, reply } => self.hold(record, reply),
-            PeerMessage::PullEnded => self.pulling_until_ms = 0,
+            PeerMessage::BroadcastHint(hint) => self.broadcast_hint(hint),
+            PeerMessage::SendHint { to, hint } => self.send_hint(to, hint),
+            PeerMessage::ReplicateManifest { record, reply } => {
+                self.replicate_manifest(record, reply);
+            }
+            PeerMessage::ManifestPullEnded => self.pulling_until_ms = 0,
             PeerMessage::Input(input) => self.input(input),
         }
     }
@@ -106,25 +116,25 @@
     fn input(&mut self, input: MembershipInput) {
         match &input {
             MembershipInput::ConnectFailed { peer } => {
-                self.pending.remove(peer);
+                self.pending_hints.remove(peer);
             }
-            MembershipInput::Leases(_) => self.listed = true,
-            MembershipInput::OwnRevision(revision) => self.in_force(*revision),
+            MembershipInput::Leases(_) => self.leases_listed = true,
+            MembershipInput::OwnRevision(revision) => self.revision_active(*revision),
             _ => {}
         }
         let mut actions = Vec::new();
         self.membership.handle(self.door.clock.now(), input, &mut actions);
         for action in actions {
-            self.act(action);
+            self.execute(action);
         }
     }
 
-    fn act(&mut self, action: MembershipAction) {
+    fn execute(&mut self, action: MembershipAction) {
         match action {
             MembershipAction::Connect { peer, address } => self.connect(Some(peer), &address),
             MembershipAction::ConnectSeed { address } => self.connect(None, &address),
             MembershipAction::Close { peer, accepted } => {
-                // The link ends when its commands' sender is gone, and then says so.
+                // Dropping the sender of its commands ends a link, which then reports `LinkDown`.
                 if let Some(links) = self.links.get_mut(&peer) {
                     for link in links.iter_mut().filter(|it| it.opened || accepted) {
                         link.commands = peers::command_channel().0;
@@ -132,10 +142,10 @@
                 }
             }
             MembershipAction::SendHeartbeat { to, heartbeat } => {
-                self.command(&to, LinkCommand::Heartbeat(heartbeat))
+                self.send_command(&to, LinkCommand::Heartbeat(heartbeat))
             }
             MembershipAction::PullMembers { from } => {
-                self.command(&from, LinkCommand::PullMembers);
+                self.send_command(&from, LinkCommand::PullMembers);
             }
             MembershipAction::ReadLease { process } => {
                 compio::runtime::spawn(read_lease(Rc::clone(&self.door), process)).detach();
@@ -144,12 +154,12 @@
                 compio::runtime::spawn(list_leases(Rc::clone(&self.door))).detach();
             }
             MembershipAction::LeaseExpired { process, incarnation } => {
-                self.lapsed(&process, incarnation);
+                self.lease_expired(&process, incarnation);
             }
             MembershipAction::PeerRevision { from, revision } => {
                 self.pull_manifest(&from, revision);
             }
-            MembershipAction::LiveMembersChanged => self.publish(),
+            MembershipAction::LiveMembersChanged => self.publish_live(),
         }
     }
 
@@ -158,25 +168,26 @@
         compio::runtime::spawn(links::connect(door, peer, address.to_owned())).detach();
     }
 
-    fn command(&self, peer: &Name, command: LinkCommand) {
+    // Sends a command over the newest link to a peer; drops it if there is none, or if the link's queue is full.
+    fn send_command(&self, peer: &Name, command: LinkCommand) {
         let Some(link) = self.links.get(peer).and_then(|it| it.last()) else { return };
         if let Err(flume::TrySendError::Full(_)) = link.commands.try_send(command) {
             self.door.metrics.peer_refused(PeerRefusal::SlowPeer);
         }
     }
 
-    fn up(&mut self, up: LinkUp) {
+    fn link_up(&mut self, up: LinkUp) {
         let name = Name::clone(&up.peer.name);
-        log::debug!("peers: link to {name}");
+        log::debug!("peers: linked to {name}");
         let link = Link { id: up.link, opened: up.opened, commands: up.commands };
         self.links.entry(Name::clone(&name)).or_default().push(link);
         self.input(MembershipInput::LinkUp { peer: up.peer, opened: up.opened });
-        for news in self.pending.remove(&name).unwrap_or_default() {
-            self.command(&name, LinkCommand::Tell(Told { origin: None, news }));
+        for hint in self.pending_hints.remove(&name).unwrap_or_default() {
+            self.send_command(&name, LinkCommand::SendHint(HintMessage { origin: None, hint }));
         }
     }
 
-    fn down(&mut self, id: LinkId, peer: Name) {
+    fn link_down(&mut self, id: LinkId, peer: Name) {
         let Some(links) = self.links.get_mut(&peer) else { return };
         links.retain(|it| it.id != id);
         if links.is_empty() {
@@ -185,76 +196,79 @@
         }
     }
 
-    fn news(&mut self, from: &Name, told: Told) {
-        if let Hint::Revision(revision) = told.news {
+    fn hint_received(&mut self, from: &Name, message: HintMessage) {
+        if let Hint::Revision(revision) = message.hint {
             return self.pull_manifest(from, revision);
         }
-        if let Some(origin) = &told.origin {
-            if !self.seen.insert(origin) {
+        if let Some(origin) = &message.origin {
+            if !self.seen_hints.insert(origin) {
                 return;
             }
-            self.spread(&told, Some(from));
+            self.send_to_linked(&message, Some(from));
         }
-        news::deliver(&self.door, from, told.news);
+        hints::deliver(&self.door, from, message.hint);
     }
 
-    fn tell_all(&mut self, news: Hint) {
-        let origin = Origin { door: Name::clone(&self.origin), number: self.next_number };
-        self.next_number += 1;
-        self.seen.insert(&origin);
-        self.spread(&Told { origin: Some(origin), news }, None);
+    fn broadcast_hint(&mut self, hint: Hint) {
+        let origin = Origin { door: Name::clone(&self.own_origin), number: self.next_hint_number };
+        self.next_hint_number += 1;
+        self.seen_hints.insert(&origin);
+        self.send_to_linked(&HintMessage { origin: Some(origin), hint }, None);
     }
 
-    fn spread(&self, told: &Told, except: Option<&Name>) {
+    fn send_to_linked(&self, message: &HintMessage, except: Option<&Name>) {
         for peer in self.links.keys().filter(|it| Some(*it) != except) {
-            self.command(peer, LinkCommand::Tell(told.clone()));
+            self.send_command(peer, LinkCommand::SendHint(message.clone()));
         }
     }
 
-    fn tell(&mut self, to: Name, news: Hint) {
+    // Sends a hint to one member, over a new link if there is none yet.
+    fn send_hint(&mut self, to: Name, hint: Hint) {
         if to == self.door.config.name {
-            return news::deliver(&self.door, &to, news);
+            return hints::deliver(&self.door, &to, hint);
         }
         if self.links.contains_key(&to) {
-            return self.command(&to, LinkCommand::Tell(Told { origin: None, news }));
+            let message = HintMessage { origin: None, hint };
+            return self.send_command(&to, LinkCommand::SendHint(message));
         }
         let Some(member) = self.membership.roster().get(&to) else { return };
         let address = Arc::clone(&member.address);
-        let opening = self.pending.contains_key(&to);
-        let pending = self.pending.entry(Name::clone(&to)).or_default();
-        if pending.len() < MAX_PENDING {
-            pending.push(news);
+        let opening = self.pending_hints.contains_key(&to);
+        let pending = self.pending_hints.entry(Name::clone(&to)).or_default();
+        if pending.len() < MAX_PENDING_HINTS {
+            pending.push(hint);
         }
         if !opening {
             self.connect(Some(to), &address);
         }
     }
 
-    // The revision itself is told to neighbours only, and each tells its own once it holds it.
-    fn in_force(&mut self, revision: u64) {
+    // The hint goes to linked peers only; each notifies its own once the revision is active there.
+    fn revision_active(&mut self, revision: u64) {
         self.revision = self.revision.max(revision);
-        self.spread(&Told { origin: None, news: Hint::Revision(revision) }, None);
+        self.send_to_linked(&HintMessage { origin: None, hint: Hint::Revision(revision) }, None);
     }
 
     fn pull_manifest(&mut self, from: &Name, revision: u64) {
         let now_ms = self.door.clock.now().mono_ms;
         if revision > self.revision && now_ms >= self.pulling_until_ms {
             self.pulling_until_ms = now_ms + CALL_TIMEOUT.as_millis() as u64;
-            self.command(from, LinkCommand::PullManifest { above: self.revision });
+            self.send_command(from, LinkCommand::PullManifest { above: self.revision });
         }
     }
 
-    fn hold(&self, record: Arc<[u8]>, reply: flume::Sender<PeerConfirmation>) {
-        if self.listed && self.membership.live().count() == 1 {
+    // Replies as soon as one linked peer confirms the record, or once all have declined or failed.
+    fn replicate_manifest(&self, record: Arc<[u8]>, reply: flume::Sender<PeerConfirmation>) {
+        if self.leases_listed && self.membership.live().count() == 1 {
             let _ = reply.send(PeerConfirmation::NoPeers);
             return;
         }
-        let (held, answers) = flume::unbounded();
+        let (confirm, answers) = flume::unbounded();
         for peer in self.links.keys() {
-            let (record, reply) = (Arc::clone(&record), held.clone());
-            self.command(peer, LinkCommand::Hold { record, reply });
+            let (record, reply) = (Arc::clone(&record), confirm.clone());
+            self.send_command(peer, LinkCommand::ReplicateManifest { record, reply });
         }
-        drop(held);
+        drop(confirm);
         compio::runtime::spawn(async move {
             let mut confirmation = PeerConfirmation::Unconfirmed;
             while let Ok(held) = answers.recv_async().await {
@@ -268,26 +282,29 @@
         .detach();
     }
 
-    // Only those who take its jobs are told, so that the loss of many at once costs little.
-    fn lapsed(&mut self, process: &Name, incarnation: u64) {
-        log::info!("peers: the lease of {process} has lapsed");
-        for scanner in orphan_scanners(process, &self.working()) {
+    // Only the members that scan for the orphaned jobs of the process are notified, so that the loss of many processes
+    // at once causes few messages.
+    fn lease_expired(&mut self, process: &Name, incarnation: u64) {
+        log::info!("peers: the lease of {process} has expired");
+        for scanner in orphan_scanners(process, &self.not_stopping()) {
             let process = Name::clone(process);
-            self.tell(scanner, Hint::Lapsed { process, incarnation });
+            self.send_hint(scanner, Hint::Lapsed { process, incarnation });
         }
         self.door.jobs.lapsed(Name::clone(process), incarnation);
-        self.door.orders.lapsed(Name::clone(process), incarnation);
+        self.door.orders.lease_expired(Name::clone(process), incarnation);
         self.door.keys.lapsed(process, incarnation);
     }
 
-    fn working(&self) -> Vec<Name> {
+    // Live members that are not shutting down, and so can take over jobs.
+    fn not_stopping(&self) -> Vec<Name> {
         let live = self.membership.live().filter(|it| it.state == MemberState::Live);
         live.map(|it| Name::clone(&it.name)).collect()
     }
 
-    fn publish(&self) {
+    // Passes the live members to the other tasks and the metrics.
+    fn publish_live(&self) {
         let live: Vec<Member> = self.membership.live().cloned().collect();
-        self.door.jobs.live(self.working());
+        self.door.jobs.live(self.not_stopping());
         self.door.metrics.members(live.len());
         self.door.peers.set_live(live.into());
     }
@@ -296,7 +313,7 @@
 async fn read_lease(door: Rc<Door>, process: Name) {
     let key = ObjectKey::new(Kind::Process, Name::clone(&process));
     let input = match door.store.call(StoreOp::Get { key }).await {
-        StoreAnswer::Object(stored) => match lease(&door, &stored) {
+        StoreAnswer::Object(stored) => match parse_lease(&door, &stored) {
             Some(lease) => MembershipInput::Lease { process, lease: Box::new(lease) },
             None => MembershipInput::LeaseReadFailed { process },
         },
@@ -314,12 +331,13 @@
             prefix: Name::from(""),
             labels: Labels::new(),
             after,
-            limit: LIST_PAGE,
+            limit: LIST_PAGE_LEN,
         };
         let StoreAnswer::Page { items, next, .. } = door.store.call(op).await else {
             return door.peers.input(MembershipInput::ListFailed);
         };
-        let leases = items.iter().filter_map(|it| Some((Name::clone(&it.name), lease(&door, it)?)));
+        let leases =
+            items.iter().filter_map(|it| Some((Name::clone(&it.name), parse_lease(&door, it)?)));
         door.peers.input(MembershipInput::Leases(leases.collect()));
         after = next;
         if after.is_none() {
@@ -328,7 +346,7 @@
     }
 }
 
-fn lease(door: &Door, stored: &Stored) -> Option<ProcessLease> {
+fn parse_lease(door: &Door, stored: &Stored) -> Option<ProcessLease> {
     match serde_json::from_slice(&stored.value) {
         Ok(lease) => Some(lease),
         Err(err) => {
--- a/crates/samphiredoor/src/orders_task.rs
+++ b/crates/samphiredoor/src/orders_task.rs
@@ -1,7 +1,7 @@
-//! The task that orders targets to load and drop weights.
+//! The task that orders targets to load and unload weights.
 //!
-//! What the declarations say a target is to hold is compared with what its orders have made it hold; each door looks
-//! after the targets that the ring gives it.
+//! It compares the weights that the manifest declares for a target with those that earlier orders have loaded there.
+//! Each gateway leads the targets that the consistent-hash ring assigns to it.
 
 use std::{collections::BTreeMap, rc::Rc, sync::Arc, time::Duration};
 
@@ -29,34 +29,34 @@
 };
 
 const TICK: Duration = Duration::from_millis(100);
-// Part of the lease that is left unused, for clocks that run differently.
-const LEASE_MARGIN_PART: u64 = 10;
+// One tenth of the lease is a safety margin, for clocks that run at different rates.
+const LEASE_MARGIN_DIVISOR: u64 = 10;
 const ORDERS_PATH: &str = "/v1/orders";
 const MAX_ANSWER_BYTES: usize = 64 * 1024;
 
-/// Handle to the orders' task.
+/// Handle to the orders task.
 #[derive(Clone)]
 pub struct OrdersHandle {
     messages: flume::Sender<OrdersInput>,
 }
 
-/// Inbox of the orders' task, before the task starts.
+/// Receiver of the orders task's messages; passed to the task when it starts.
 pub struct OrdersInbox(flume::Receiver<OrdersInput>);
 
 impl OrdersHandle {
-    /// Handle and inbox.
+    /// Creates the handle and the inbox.
     pub fn new() -> (OrdersHandle, OrdersInbox) {
         let (messages, inbox) = flume::unbounded();
         (OrdersHandle { messages }, OrdersInbox(inbox))
     }
 
-    /// Says until when this process holds its lease.
-    pub fn lease(&self, valid_until_ms: u64) {
+    /// Reports until when this process holds its lease; 0 if the lease is lost.
+    pub fn set_lease(&self, valid_until_ms: u64) {
         self.input(OrdersInput::Lease { valid_until_ms });
     }
 
-    /// Says that the lease of a process has lapsed.
-    pub fn lapsed(&self, process: Name, incarnation: u64) {
+    /// Reports that the lease of another process has expired.
+    pub fn lease_expired(&self, process: Name, incarnation: u64) {
         self.input(OrdersInput::LeaseExpired { process, incarnation });
     }
 
@@ -65,31 +65,31 @@
     }
 }
 
-/// What the orders' task uses.
+/// Dependencies of the orders task.
 pub struct OrdersEnv {
-    /// Decided options.
+    /// Checked settings.
     pub config: Rc<DoorConfig>,
-    /// Start of the process.
+    /// Incarnation of the process.
     pub incarnation: u64,
     /// Clock of the process.
     pub clock: Clock,
     /// The task's own handle.
     pub handle: OrdersHandle,
-    /// Declarations in force.
+    /// The active manifest.
     pub manifest: ManifestHandle,
-    /// Other doors, some of which look after targets of their own.
+    /// Peers, among which the ring divides the targets.
     pub peers: Peers,
-    /// The object API.
+    /// Client of the object API.
     pub store: StoreClient,
     /// Connections to targets.
     pub targets: TargetPools,
 }
 
-/// Gives orders until the process ends.
+/// Runs the orders task until the process ends.
 pub async fn run(env: OrdersEnv, inbox: OrdersInbox) {
     let env = Rc::new(env);
     let mut orders = Orders::new(config(&env));
-    let mut seen = Seen::default();
+    let mut desired = DesiredState::default();
     let mut actions = Vec::new();
     let mut inbox = TimedInbox::new(inbox.0, TICK);
     loop {
@@ -99,12 +99,12 @@
             InboxEvent::Tick => OrdersInput::Tick,
         };
         let now = env.clock.now();
-        for input in seen.changes(&env) {
+        for input in desired.changed_inputs(&env) {
             orders.handle(now, input, &mut actions);
         }
         orders.handle(now, input, &mut actions);
         for action in actions.drain(..) {
-            act(&env, action);
+            execute(&env, action);
         }
     }
 }
@@ -116,27 +116,28 @@
         process: env.config.name(),
         incarnation: env.incarnation,
         lease_ms,
-        margin_ms: lease_ms / LEASE_MARGIN_PART,
+        margin_ms: lease_ms / LEASE_MARGIN_DIVISOR,
         longest_order_ms: bounds.longest_order_ms,
         loads_at_once: bounds.loads_at_once,
     }
 }
 
-/// Declarations and members that the present wishes were worked out from.
+/// Manifest revision and live members from which the desired state was last computed.
 #[derive(Default)]
-struct Seen {
+struct DesiredState {
     revision: u64,
     live: Option<Arc<[Member]>>,
 }
 
-impl Seen {
-    fn changes(&mut self, env: &OrdersEnv) -> Vec<OrdersInput> {
+impl DesiredState {
+    // Recomputes the desired state if the manifest or the live members have changed; empty otherwise.
+    fn changed_inputs(&mut self, env: &OrdersEnv) -> Vec<OrdersInput> {
         let (manifest, live) = (env.manifest.current(), env.peers.live());
         let same_members = self.live.as_ref().is_some_and(|it| Arc::ptr_eq(it, &live));
         if manifest.revision == self.revision && same_members {
             return Vec::new();
         }
-        let wanted = wanted(&env.config.name, &manifest, &live);
+        let wanted = wanted_weights(&env.config.name, &manifest, &live);
         self.revision = manifest.revision;
         self.live = Some(live);
         let bounds = OrdersInput::Bounds {
@@ -147,7 +148,8 @@
     }
 }
 
-fn wanted(own: &Name, manifest: &Manifest, live: &[Member]) -> BTreeMap<Name, Wanted> {
+// Desired state of the targets that `own` leads.
+fn wanted_weights(own: &Name, manifest: &Manifest, live: &[Member]) -> BTreeMap<Name, Wanted> {
     let processes = live.iter().filter(|it| it.state == MemberState::Live).map(|it| &it.name);
     let ring = Ring::new(processes);
     let mut wanted = BTreeMap::new();
@@ -162,18 +164,18 @@
     wanted
 }
 
-fn act(env: &Rc<OrdersEnv>, action: OrdersAction) {
+fn execute(env: &Rc<OrdersEnv>, action: OrdersAction) {
     match action {
         OrdersAction::Store { call, op } => {
             let handle = env.handle.clone();
-            env.store.call_and_tell(op, move |answer| {
+            env.store.spawn_call(op, move |answer| {
                 handle.input(OrdersInput::Stored { call, answer });
             });
         }
         OrdersAction::Send { target, fence, order } => {
             let env = Rc::clone(env);
             compio::runtime::spawn(async move {
-                let end = send(&env, &target, fence, &order).await;
+                let end = send_order(&env, &target, fence, &order).await;
                 log::info!("orders: {order:?} to {target} under {fence}: {end:?}");
                 env.handle.input(OrdersInput::Ended { target, fence, end });
             })
@@ -182,17 +184,17 @@
     }
 }
 
-async fn send(env: &OrdersEnv, target: &Name, fence: u64, order: &Order) -> OrderEnd {
+async fn send_order(env: &OrdersEnv, target: &Name, fence: u64, order: &Order) -> OrderEnd {
     let manifest = env.manifest.current();
     let Some(declared) = manifest.targets.get(target) else { return OrderEnd::NotDone };
-    let call = call(fence, order);
+    let call = order_call(fence, order);
     let limit = Duration::from_millis(manifest.weight_store.longest_order_ms);
     let sent = within(limit, env.targets.send(declared.address, &call)).await;
     match sent {
         Some(Ok(response)) => {
             let status = response.status();
             match read_whole(response.into_body(), MAX_ANSWER_BYTES).await {
-                Ok(_) => end(status),
+                Ok(_) => order_end(status),
                 Err(_) => OrderEnd::Unknown,
             }
         }
@@ -201,7 +203,7 @@
     }
 }
 
-fn call(fence: u64, order: &Order) -> Call {
+fn order_call(fence: u64, order: &Order) -> Call {
     let action = match order {
         Order::Load(_) => "load",
         Order::Unload(_) => "unload",
@@ -216,7 +218,7 @@
     }
 }
 
-fn end(status: StatusCode) -> OrderEnd {
+fn order_end(status: StatusCode) -> OrderEnd {
     match status {
         StatusCode::CONFLICT => OrderEnd::Fenced,
         it if it.is_success() => OrderEnd::Done,
--- a/crates/samphiredoor/src/peers.rs
+++ b/crates/samphiredoor/src/peers.rs
@@ -1,7 +1,7 @@
-//! The members task as others speak to it: its handle, and the messages between it and the links.
+//! Handle to the members task, and the messages between that task and the links to peers.
 //!
-//! The members task owns what is known of members and decides which links there are. The two talk by messages:
-//! [`PeerMessage`] towards the members task, [`LinkCommand`] towards a link.
+//! The members task owns the member list and decides which links exist. It receives [`PeerMessage`]s from links and
+//! from other tasks, and sends [`LinkCommand`]s to links.
 
 use std::{cell::RefCell, net::SocketAddr, rc::Rc, sync::Arc, time::Duration};
 
@@ -12,113 +12,113 @@
     membership::{Heartbeat, Member, MemberState, MembershipInput, rendezvous_select},
 };
 
-/// Longest wait for a peer's answer to one call.
+/// Timeout of one call to a peer.
 pub const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-const COMMANDS_LEN: usize = 256;
+const COMMAND_QUEUE_LEN: usize = 256;
 
-/// Identity of a link within one process.
+/// Identifies a link within one process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LinkId(pub u64);
 
-/// News with the door that spread it, if it is meant for all.
+/// Hint as it travels over a link.
 #[derive(Debug, Clone)]
-pub struct Told {
-    /// Who spread it, and as which of its own; `None` for news meant for the receiver alone.
+pub struct HintMessage {
+    /// Origin of a broadcast, by which receivers drop duplicates; `None` for a hint to the receiver alone.
     pub origin: Option<Origin>,
-    /// What is told.
-    pub news: Hint,
+    /// The hint itself.
+    pub hint: Hint,
 }
 
-/// What the members task wants of a link.
+/// Command from the members task to a link.
 #[derive(Debug, Clone)]
 pub enum LinkCommand {
-    /// Send a heartbeat and report the answer.
+    /// Send a heartbeat and report the peer's heartbeat that answers it.
     Heartbeat(Heartbeat),
-    /// Tell news.
-    Tell(Told),
-    /// Ask for all members and report them.
+    /// Send a hint.
+    SendHint(HintMessage),
+    /// Request all members that the peer has, and report them.
     PullMembers,
-    /// Ask for a manifest above a revision and offer it.
+    /// Request the peer's manifest if its revision is higher, and offer it to the manifest task.
     PullManifest {
-        /// Revision in force here.
+        /// Revision that is active here.
         above: u64,
     },
-    /// Have the peer hold a manifest's record; the answer is whether it does.
-    Hold {
+    /// Replicate a manifest record to the peer.
+    ReplicateManifest {
         /// The record.
         record: Arc<[u8]>,
-        /// Where the answer goes.
+        /// Receives whether the peer now holds the record.
         reply: flume::Sender<bool>,
     },
 }
 
-/// A link that stands.
+/// An established link.
 #[derive(Debug)]
 pub struct LinkUp {
-    /// Identity.
+    /// Identifies the link.
     pub link: LinkId,
-    /// The far side, as it says of itself.
+    /// The peer, as it described itself when the link was opened.
     pub peer: Member,
     /// Whether this process opened it.
     pub opened: bool,
-    /// Where commands go; the link closes when this is dropped.
+    /// Sends commands to the link; dropping it closes the link.
     pub commands: flume::Sender<LinkCommand>,
 }
 
-/// What the members task is told.
+/// Message to the members task.
 pub enum PeerMessage {
-    /// A link stands.
-    Up(LinkUp),
+    /// A link was established.
+    LinkUp(LinkUp),
     /// A link has ended.
-    Down {
-        /// Which.
+    LinkDown {
+        /// The link.
         link: LinkId,
-        /// Its far side.
+        /// Its peer.
         peer: Name,
     },
-    /// A peer sent a heartbeat and waits for the answer.
+    /// A peer sent a heartbeat and waits for one in answer.
     Heartbeat {
-        /// Which peer.
+        /// Name of the peer.
         from: Name,
-        /// What it said.
+        /// The peer's heartbeat.
         heartbeat: Heartbeat,
-        /// Where the answer goes.
+        /// Receives the own heartbeat.
         reply: flume::Sender<Heartbeat>,
     },
-    /// A peer asks for a page of members.
-    PageAsked {
+    /// A peer requests a page of members.
+    MembersRequest {
         /// Name after which the page starts.
         after: Name,
-        /// Where the page goes.
+        /// Receives the page.
         reply: flume::Sender<Vec<Member>>,
     },
-    /// A peer told news.
-    News {
-        /// Which peer.
+    /// A peer sent hints.
+    Hints {
+        /// Name of the peer.
         from: Name,
-        /// What it told.
-        told: Vec<Told>,
+        /// The hints, in the order sent.
+        hints: Vec<HintMessage>,
     },
-    /// Spread news to all doors.
-    TellAll(Hint),
-    /// Tell one door.
-    Tell {
-        /// Which.
+    /// Send a hint to all gateways.
+    BroadcastHint(Hint),
+    /// Send a hint to one gateway.
+    SendHint {
+        /// Name of the gateway; may be this one.
         to: Name,
-        /// What.
-        news: Hint,
+        /// The hint.
+        hint: Hint,
     },
-    /// Have another door hold a manifest's record.
-    Hold {
+    /// Replicate a manifest record to the linked peers.
+    ReplicateManifest {
         /// The record.
         record: Arc<[u8]>,
-        /// Where the answer goes.
+        /// Receives the outcome.
         reply: flume::Sender<PeerConfirmation>,
     },
-    /// A pull of a manifest has ended.
-    PullEnded,
-    /// Something for the membership itself.
+    /// A link's [`LinkCommand::PullManifest`] has ended, with or without a manifest.
+    ManifestPullEnded,
+    /// Input for the membership state machine.
     Input(MembershipInput),
 }
 
@@ -130,59 +130,60 @@
     address: SocketAddr,
 }
 
-/// Inbox of the members task, before the task starts.
+/// Receiver of the members task's messages; passed to the task when it starts.
 pub struct PeersInbox(pub flume::Receiver<PeerMessage>);
 
 impl Peers {
-    /// Handle and inbox of a door that listens for peers on `address`.
+    /// Creates the handle and the inbox of a gateway that listens for peers on `address`.
     pub fn new(address: SocketAddr) -> (Peers, PeersInbox) {
         let (messages, inbox) = flume::unbounded();
         let live = Rc::new(RefCell::new(Arc::from([])));
         (Peers { messages, live, address }, PeersInbox(inbox))
     }
 
-    /// Where this door listens for peers.
+    /// Address on which this gateway listens for peers.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Members that are not reported dead, this process among them, in order of their names; a hint.
+    /// Members that are not reported dead, including this process, sorted by name. May be out of date.
     pub fn live(&self) -> Arc<[Member]> {
         Arc::clone(&self.live.borrow())
     }
 
-    /// Replaces what [`Peers::live`] gives; for the members task.
+    /// Replaces the list that [`Peers::live`] returns; called by the members task only.
     pub fn set_live(&self, live: Arc<[Member]>) {
         *self.live.borrow_mut() = live;
     }
 
-    /// Spreads news to all doors; it may be lost.
-    pub fn tell_all(&self, news: Hint) {
-        self.send(PeerMessage::TellAll(news));
+    /// Sends a hint to all gateways, without confirmation of delivery.
+    pub fn broadcast_hint(&self, hint: Hint) {
+        self.send(PeerMessage::BroadcastHint(hint));
     }
 
-    /// Offers a job that was handed over to the door that should take it; it may be lost.
-    pub fn offer(&self, job: Name) {
+    /// Notifies the gateway that should take over a job that this one released, without confirmation of delivery.
+    pub fn offer_job(&self, job: Name) {
         let live = self.live();
-        let working = live.iter().filter(|it| it.state == MemberState::Live).map(|it| &it.name);
-        for taker in rendezvous_select(&job, working, 1) {
-            self.tell(taker, Hint::HandedOver(Name::clone(&job)));
+        let not_stopping =
+            live.iter().filter(|it| it.state == MemberState::Live).map(|it| &it.name);
+        for next_owner in rendezvous_select(&job, not_stopping, 1) {
+            self.send_hint(next_owner, Hint::HandedOver(Name::clone(&job)));
         }
     }
 
-    /// Tells one door; it may be lost.
-    pub fn tell(&self, to: Name, news: Hint) {
-        self.send(PeerMessage::Tell { to, news });
+    /// Sends a hint to one gateway, without confirmation of delivery.
+    pub fn send_hint(&self, to: Name, hint: Hint) {
+        self.send(PeerMessage::SendHint { to, hint });
     }
 
-    /// Has another door hold a manifest's record, and tells whether one does.
-    pub async fn hold(&self, record: Arc<[u8]>) -> PeerConfirmation {
+    /// Replicates a manifest record to the linked peers; returns whether at least one of them holds it.
+    pub async fn replicate_manifest(&self, record: Arc<[u8]>) -> PeerConfirmation {
         let (reply, answer) = flume::bounded(1);
-        self.send(PeerMessage::Hold { record, reply });
+        self.send(PeerMessage::ReplicateManifest { record, reply });
         answer.recv_async().await.unwrap_or(PeerConfirmation::Unconfirmed)
     }
 
-    /// Tells the membership what happened.
+    /// Passes an input to the membership state machine.
     pub fn input(&self, input: MembershipInput) {
         self.send(PeerMessage::Input(input));
     }
@@ -193,7 +194,7 @@
     }
 }
 
-/// Channel for the commands of one link.
+/// Creates the bounded channel for the commands of one link.
 pub fn command_channel() -> (flume::Sender<LinkCommand>, flume::Receiver<LinkCommand>) {
-    flume::bounded(COMMANDS_LEN)
+    flume::bounded(COMMAND_QUEUE_LEN)
 }
--- a/crates/samphiredoor/src/quarantine_task.rs
+++ b/crates/samphiredoor/src/quarantine_task.rs
@@ -225,7 +225,7 @@
                 }
             }
             QuarantineAction::NotifyPeers(Suspect { fingerprint, deaths, lifted }) => {
-                self.env.peers.tell_all(Hint::Suspect { fingerprint, deaths, lifted });
+                self.env.peers.broadcast_hint(Hint::Suspect { fingerprint, deaths, lifted });
             }
             QuarantineAction::Quarantined { fingerprint } => {
                 self.env.metrics.quarantine().blamed();
@@ -235,7 +235,7 @@
             }
             QuarantineAction::Store { call, op } => {
                 let messages = self.env.handle.messages.clone();
-                self.env.store.call_and_tell(op, move |answer| {
+                self.env.store.spawn_call(op, move |answer| {
                     let _ = messages.send(Message::Input(QuarantineInput::Stored { call, answer }));
                 });
             }
--- a/crates/samphiredoor/src/store_client.rs
+++ b/crates/samphiredoor/src/store_client.rs
@@ -152,7 +152,7 @@
     }
 
     /// Makes one call in a task of its own, which tells the answer.
-    pub fn call_and_tell(&self, op: StoreOp, tell: impl FnOnce(StoreAnswer) + 'static) {
+    pub fn spawn_call(&self, op: StoreOp, tell: impl FnOnce(StoreAnswer) + 'static) {
         let store = self.clone();
         compio::runtime::spawn(async move { tell(store.call(op).await) }).detach();
     }
