--- a/crates/samphiredoor/src/cli.rs
+++ b/crates/samphiredoor/src/cli.rs
@@ -1,10 +1,10 @@
-//! Command line of the process.
+//! Command line of the `samphiredoor` program.
 
 use std::{net::SocketAddr, path::PathBuf};
 
 use bpaf::Bpaf;
 
-/// Door between callers and targets: online and batch inference on one fleet.
+/// Gateway between callers and targets: online and batch inference on one fleet.
 #[derive(Debug, Clone)]
 #[derive(Bpaf)]
 #[bpaf(options, version)]
@@ -52,7 +52,7 @@
     },
 }
 
-/// Parses the arguments; ends the process on `--help` and on errors.
+/// Parses the arguments; exits the process on `--help` and on errors.
 pub fn parse() -> Opts {
     opts().run()
 }
--- a/crates/samphiredoor/src/commands.rs
+++ b/crates/samphiredoor/src/commands.rs
@@ -1,8 +1,8 @@
-//! Operators' commands: changes of the declarations, and of jobs.
+//! Operators' commands, which change the manifest, cancel jobs or lift suspicions.
 //!
-//! A command that changes a declaration reads the manifest, changes the one value, and writes it by conditional
-//! update. Another operator's change in between makes the update fail, and the command is applied to what that operator
-//! left; so neither change is lost.
+//! A command that changes the manifest reads it, changes one value, and writes it by a conditional update. When another
+//! operator's change comes in between, the update fails and the command is applied again to the new manifest, so that
+//! neither change is lost.
 
 use std::rc::Rc;
 
@@ -23,27 +23,31 @@
     job_control, manifest_change,
 };
 
-const TRIES: u32 = 5;
+const MAX_TRIES: u32 = 5;
 
-/// Carries out a command.
+/// Carries out a command; returns the response to the operator.
 pub async fn run(door: &Rc<Door>, command: Command) -> Response<Body> {
     match command {
         Command::Cancel { job } => job_control::cancel(door, &job).await,
-        Command::Drain { target } => set(door, "targets", &target, "drained", json!(true)).await,
-        Command::Undrain { target } => set(door, "targets", &target, "drained", json!(false)).await,
+        Command::Drain { target } => {
+            set_field(door, "targets", &target, "drained", json!(true)).await
+        }
+        Command::Undrain { target } => {
+            set_field(door, "targets", &target, "drained", json!(false)).await
+        }
         Command::Reclaim { target } => {
-            set(door, "targets", &target, "reclaimed", json!(true)).await
+            set_field(door, "targets", &target, "reclaimed", json!(true)).await
         }
         Command::Release { target } => {
-            set(door, "targets", &target, "reclaimed", json!(false)).await
+            set_field(door, "targets", &target, "reclaimed", json!(false)).await
         }
         Command::Set { object, name, field, value } => {
             let value = value.parse::<u64>().unwrap_or_default();
-            set(door, section(object), &name, field, json!(value)).await
+            set_field(door, section(object), &name, field, json!(value)).await
         }
-        Command::Lift { suspect } => lift(door, &suspect),
+        Command::Lift { suspect } => lift_suspicion(door, &suspect),
         Command::Rollback => {
-            edit(door, |record| match record.previous.take() {
+            edit_manifest(door, |record| match record.previous.take() {
                 Some(previous) => {
                     record.previous = Some(std::mem::replace(&mut record.manifest, previous));
                     Ok(())
@@ -55,11 +59,11 @@
     }
 }
 
-fn lift(door: &Door, suspect: &str) -> Response<Body> {
+fn lift_suspicion(door: &Door, suspect: &str) -> Response<Body> {
     let Ok(fingerprint) = u64::from_str_radix(suspect, 16) else {
         return bad_request("suspect", "use the hexadecimal digits that `suspects` shows");
     };
-    log::info!("quarantine: an operator lifts {fingerprint:016x}");
+    log::info!("quarantine: an operator lifted the suspicion of {fingerprint:016x}");
     door.quarantine.lift(fingerprint);
     json_answer(StatusCode::OK, &json!({ "lifted": format!("{fingerprint:016x}") }))
 }
@@ -72,14 +76,14 @@
     }
 }
 
-async fn set(
+async fn set_field(
     door: &Rc<Door>,
     section: &str,
     name: &str,
     field: &str,
     value: Value,
 ) -> Response<Body> {
-    edit(door, |record| {
+    edit_manifest(door, |record| {
         record.previous = Some(record.manifest.clone());
         let declared = record.manifest.get_mut(section).and_then(Value::as_array_mut);
         let mut named = declared.into_iter().flatten().filter(|it| it["name"] == name);
@@ -94,21 +98,21 @@
     .await
 }
 
-async fn edit(
+async fn edit_manifest(
     door: &Rc<Door>,
     change: impl Fn(&mut ManifestRecord) -> Result<(), String>,
 ) -> Response<Body> {
     let mut end = ChangeEnd::Unavailable;
-    for _ in 0..TRIES {
-        let mut record = match last_record(door).await {
+    for _ in 0..MAX_TRIES {
+        let mut record = match latest_record(door).await {
             Ok(record) => record,
             Err(answer) => return answer,
         };
         if let Err(problem) = change(&mut record) {
             return bad_request("name", &problem);
         }
-        if let Some(problem) = problem_of(&record) {
-            return problem;
+        if let Some(refusal) = invalid_manifest(&record) {
+            return refusal;
         }
         let expected = Some(record.revision);
         let operator = &door.config.name;
@@ -120,8 +124,8 @@
     manifest_change::answer(end)
 }
 
-// The store's record, or the one in force here where the store was set back to an earlier one.
-async fn last_record(door: &Door) -> Result<ManifestRecord, Response<Body>> {
+// The stored record, or the active one if its revision is higher because the store was restored from an older copy.
+async fn latest_record(door: &Door) -> Result<ManifestRecord, Response<Body>> {
     let StoreAnswer::Object(stored) = door.store.call(StoreOp::Get { key: manifest_key() }).await
     else {
         return Err(no_manifest());
@@ -134,7 +138,8 @@
     }
 }
 
-fn problem_of(record: &ManifestRecord) -> Option<Response<Body>> {
+// Response that names the first problem of a manifest; `None` if it is valid.
+fn invalid_manifest(record: &ManifestRecord) -> Option<Response<Body>> {
     let declared = match serde_json::from_value(record.manifest.clone()) {
         Ok(declared) => declared,
         Err(err) => return Some(bad_request("value", &err.to_string())),
--- a/crates/samphiredoor/src/config.rs
+++ b/crates/samphiredoor/src/config.rs
@@ -1,4 +1,4 @@
-//! All that was decided before the process starts.
+//! Checked options of the process, from the command line and the settings file.
 
 use std::{
     net::SocketAddr,
@@ -22,25 +22,25 @@
 
 const MIN_LEASE_MS: u64 = 500;
 
-/// What the process does.
+/// Mode of operation, one for each command of the command line.
 #[derive(Debug)]
 pub enum Mode {
-    /// Run a door.
+    /// Run a door: a gateway with the listeners and settings of [`DoorConfig`].
     Serve(Box<DoorConfig>),
-    /// Run a gateway on the users' platform, with the file that its settings are read from again.
+    /// Run a gateway on the users' platform; the file is read again when settings are reloaded.
     Gateway(Box<GatewayConfig>, PathBuf),
     /// Run the process on a storage host of the users' platform.
     Storage(Box<StorageConfig>),
-    /// Only check the settings.
+    /// Check the settings and exit.
     Check,
-    /// Run a door with everything it needs inside.
+    /// Run a door with an embedded object API and embedded engines.
     Dev(DevConfig),
 }
 
-/// Decided options.
+/// Checked options of the process.
 #[derive(Debug)]
 pub struct Config {
-    /// What to do.
+    /// Mode of operation, with its options.
     pub mode: Mode,
     /// Least severe level that is logged.
     pub log_level: LevelFilter,
@@ -49,65 +49,65 @@
 /// Options of `dev`.
 #[derive(Debug)]
 pub struct DevConfig {
-    /// Address for callers.
+    /// Address of the callers' listener; the operators' and the peers' listeners use the next two ports.
     pub callers: SocketAddr,
-    /// Whether to show one completion and one job, and end.
+    /// Whether to run one completion and one job, print them, and exit.
     pub demo: bool,
 }
 
 /// Options of a door.
 #[derive(Debug, Clone)]
 pub struct DoorConfig {
-    /// Name of the process.
+    /// Name of the process, unique in the fleet.
     pub name: Name,
     /// Region of the host.
     pub region: Name,
     /// Availability zone of the host.
     pub availability_zone: Name,
-    /// Listener for callers.
+    /// Address of the callers' listener.
     pub callers: SocketAddr,
-    /// Listener for operators.
+    /// Address of the operators' listener.
     pub operators: SocketAddr,
-    /// Token that operators show; `None` lets all in, which is for loopback only.
+    /// Token that operators present; `None` admits everyone, which is allowed on loopback only.
     pub operators_token: Option<Token>,
-    /// Listener for other doors.
+    /// Address of the peers' listener.
     pub peers: SocketAddr,
-    /// Token that doors show each other.
+    /// Token that gateways present to each other.
     pub peer_token: Arc<[u8]>,
-    /// Doors to ask while the store is down.
+    /// Addresses of peers to connect to while this process has no link, for a start while the store is down.
     pub seeds: Vec<Arc<str>>,
-    /// Time between two heartbeats to a neighbour.
+    /// Interval of heartbeats to a neighbour.
     pub heartbeat: Duration,
-    /// The object API.
+    /// Address of the object API.
     pub store: SocketAddr,
-    /// Longest wait for the store.
+    /// Timeout of a store call.
     pub store_timeout: Duration,
-    /// Largest body of a request.
+    /// Largest request body.
     pub max_body_bytes: usize,
-    /// Longest wait for more of a request's body.
+    /// Longest wait for the next part of a request body.
     pub body_timeout: Duration,
-    /// Connections of callers held at once.
+    /// Most simultaneous connections from callers.
     pub max_connections: usize,
-    /// Deadline of a request that names none.
+    /// Deadline of a request that does not set one.
     pub default_deadline: Duration,
     /// How long an idempotency key is remembered.
     pub remember_keys: Duration,
-    /// Length of the process's lease.
+    /// Duration of the process's lease.
     pub lease: Duration,
-    /// Time between two renewals of the lease.
+    /// Interval of lease renewals.
     pub renew: Duration,
     /// Time between failing readiness and closing the callers' listener.
     pub unready: Duration,
-    /// Longest wait for running requests in a planned stop.
+    /// Longest wait for running requests in a graceful shutdown.
     pub finish: Duration,
 }
 
 impl Config {
-    /// Decides all options.
+    /// Reads and checks the options that the command line names.
     ///
     /// # Errors
     ///
-    /// Settings that cannot be read or make no sense; one sentence with the place and a hint.
+    /// The settings cannot be read or are invalid; one sentence with the line and a hint.
     pub fn new(opts: Opts) -> anyhow::Result<Config> {
         match opts {
             Opts::Serve { file } => {
@@ -140,7 +140,7 @@
 ///
 /// # Errors
 ///
-/// Settings that cannot be read or make no sense; one sentence with the place and a hint.
+/// The settings cannot be read or are invalid; one sentence with the line and a hint.
 pub fn gateway_config(file: &Path) -> anyhow::Result<GatewayConfig> {
     settings::read(file, GatewayConfig::new)
 }
@@ -160,17 +160,17 @@
 }
 
 impl DoorConfig {
-    /// Checks settings.
+    /// Checks the settings and reads the token files.
     ///
     /// # Errors
     ///
-    /// The first setting that makes no sense.
+    /// The first invalid setting.
     pub fn new(settings: &Settings) -> Result<DoorConfig, SettingError> {
         let callers = address("callers.address", &settings.callers.address)?;
         let operators = address("operators.address", &settings.operators.address)?;
         let peers = address("peers.address", &settings.peers.address)?;
-        check_apart("operators.address", operators, &[callers])?;
-        check_apart("peers.address", peers, &[callers, operators])?;
+        check_distinct("operators.address", operators, &[callers])?;
+        check_distinct("peers.address", peers, &[callers, operators])?;
         let ownership = settings.ownership.clone().unwrap_or_default();
         check_ownership(&ownership)?;
         let stopping = settings.stopping.clone().unwrap_or_default();
@@ -199,7 +199,7 @@
         })
     }
 
-    /// Name of the process, shared.
+    /// Name of the process, as a shared string.
     pub fn name(&self) -> Name {
         Arc::clone(&self.name)
     }
@@ -209,7 +209,7 @@
     validate_name(key, text).map_err(|err| SettingError::new(key, err.problem))
 }
 
-fn check_apart(
+fn check_distinct(
     key: &'static str,
     listener: SocketAddr,
     others: &[SocketAddr],
@@ -217,7 +217,8 @@
     if listener.port() == 0 || !others.contains(&listener) {
         return Ok(());
     }
-    let problem = format!("{listener} is given twice; callers, operators and peers are kept apart");
+    let problem =
+        format!("{listener} is given twice; callers, operators and peers need separate listeners");
     Err(SettingError::new(key, problem))
 }
 
@@ -244,7 +245,7 @@
             Err(err) => Err(SettingError::new(KEY, format!("{err:#}"))),
         },
         None if listener.ip().is_loopback() => Ok(None),
-        None => Err(SettingError::new(KEY, "is missing; only a loopback listener can do without")),
+        None => Err(SettingError::new(KEY, "is missing; only a loopback listener may omit it")),
     }
 }
 
@@ -256,7 +257,7 @@
             Err(err) => Err(SettingError::new(KEY, format!("{err:#}"))),
         },
         None if listener.ip().is_loopback() => Ok(Arc::from([])),
-        None => Err(SettingError::new(KEY, "is missing; only a loopback listener can do without")),
+        None => Err(SettingError::new(KEY, "is missing; only a loopback listener may omit it")),
     }
 }
 
--- a/crates/samphiredoor/src/dev.rs
+++ b/crates/samphiredoor/src/dev.rs
@@ -1,4 +1,5 @@
-//! A door with an object API and two small engines inside, for a first look. Nothing is kept.
+//! The `dev` command: a door, an object API and two small engines in one process, to try the system. Nothing is stored
+//! on disk.
 
 use std::{net::SocketAddr, thread, time::Duration};
 
@@ -15,10 +16,10 @@
 
 const ENGINES: usize = 2;
 const DEMO_ITEMS: usize = 10;
-const READY_TRIES: u32 = 200;
-const READY_PAUSE: Duration = Duration::from_millis(25);
+const MAX_POLLS: u32 = 200;
+const POLL_INTERVAL: Duration = Duration::from_millis(25);
 
-/// Runs the embedded parts and the door.
+/// Runs the embedded servers and the door.
 pub fn run(dev: DevConfig) -> anyhow::Result<Exit> {
     let store = start_store()?;
     let engines = (0..ENGINES).map(|_| start_engine()).collect::<anyhow::Result<Vec<_>>>()?;
@@ -30,11 +31,11 @@
     println!("samphiredoor dev: nothing is kept when it ends");
     let demo = dev.demo;
     let callers = config.callers;
-    let guide = thread::spawn(move || -> anyhow::Result<()> {
+    let demonstration = thread::spawn(move || -> anyhow::Result<()> {
         let runtime = compio::runtime::Runtime::new()?;
         runtime.block_on(async {
             declare(operators, &engines).await?;
-            if demo { show(callers).await } else { explain(callers) }
+            if demo { run_demo(callers).await } else { print_usage(callers) }
         })?;
         if demo {
             std::process::exit(0);
@@ -42,9 +43,9 @@
         Ok(())
     });
     let door = process::run(config);
-    match guide.join() {
-        Ok(guided) => guided?,
-        Err(_) => return Err(anyhow!("the guide's thread failed")),
+    match demonstration.join() {
+        Ok(shown) => shown?,
+        Err(_) => return Err(anyhow!("the thread that declares the engines panicked")),
     }
     door
 }
@@ -80,7 +81,7 @@
             Ok(())
         })
     })?;
-    receiver.recv().context("an embedded part did not start")
+    receiver.recv().context("an embedded server did not start")
 }
 
 fn door_config(dev: &DevConfig, store: SocketAddr) -> DoorConfig {
@@ -118,7 +119,7 @@
         "targets": targets,
     });
     let client = cyper::Client::new()?;
-    for _ in 0..READY_TRIES {
+    for _ in 0..MAX_POLLS {
         let url = format!("http://{operators}/manifest");
         if let Ok(answer) = client.put(url)?.json(&manifest)?.send().await {
             let status = answer.status();
@@ -126,9 +127,9 @@
             anyhow::ensure!(status.is_success(), "the manifest was refused: {text}");
             return Ok(());
         }
-        compio::time::sleep(READY_PAUSE).await;
+        compio::time::sleep(POLL_INTERVAL).await;
     }
-    Err(anyhow!("the operators' door did not open on {operators}"))
+    Err(anyhow!("the operators' listener on {operators} did not answer"))
 }
 
 fn target(number: usize, address: SocketAddr) -> Value {
@@ -144,7 +145,7 @@
     })
 }
 
-fn explain(callers: SocketAddr) -> anyhow::Result<()> {
+fn print_usage(callers: SocketAddr) -> anyhow::Result<()> {
     println!("samphiredoor dev: try");
     println!(
         "  curl http://{callers}/v1/completions -d '{{\"model\":\"small\",\"prompt\":\"hello\"}}'"
@@ -152,7 +153,7 @@
     Ok(())
 }
 
-async fn show(callers: SocketAddr) -> anyhow::Result<()> {
+async fn run_demo(callers: SocketAddr) -> anyhow::Result<()> {
     let client = cyper::Client::new()?;
     let call = json!({ "model": "small", "prompt": "hello", "max_tokens": 5 });
     let url = format!("http://{callers}/v1/completions");
@@ -160,7 +161,7 @@
     println!("completion: {answer}");
     let job = submit_demo_job(&client, callers).await?;
     let url = format!("http://{callers}/v1/batches/{job}");
-    for _ in 0..READY_TRIES {
+    for _ in 0..MAX_POLLS {
         let status: Value = client.get(&url)?.send().await?.json().await?;
         if status["status"] == "completed" {
             println!("job: {status}");
@@ -168,7 +169,7 @@
             print!("{results}");
             return Ok(());
         }
-        compio::time::sleep(READY_PAUSE).await;
+        compio::time::sleep(POLL_INTERVAL).await;
     }
     Err(anyhow!("the job did not complete"))
 }
--- a/crates/samphiredoor/src/dispatch_metrics.rs
+++ b/crates/samphiredoor/src/dispatch_metrics.rs
@@ -11,14 +11,14 @@
 use samphiredoor_core::dispatch::{Counters, Ejection, Gauges, RetryReason};
 use samphiredoor_net::metrics::{ReasonCounters, counter, gauge, raise_to};
 
-/// What the dispatcher counts, as of its last report.
+/// Metrics of the dispatcher, as of its last report.
 pub struct DispatcherMetrics {
     retries: ReasonCounters,
     retries_over_budget: Counter,
     ejections: ReasonCounters,
     reports_distrusted: Counter,
-    recalls: Counter,
-    recall_s: Histogram,
+    preemptions: Counter,
+    preemption_s: Histogram,
     bytes_to_other_regions: Counter,
     queued: Gauge,
     waiting_batch: Gauge,
@@ -28,20 +28,20 @@
 }
 
 impl DispatcherMetrics {
-    /// Metrics at zero.
+    /// Registers all metrics at zero.
     pub fn new(registry: &mut Registry) -> DispatcherMetrics {
         let mut counter = |name, help| counter(registry, name, help);
         let retries_over_budget =
             counter("retries_over_budget", "Retries that the budget did not allow");
         let reports_distrusted =
             counter("reports_distrusted", "Load reports found to be frozen or wrong");
-        let recalls = counter("recalls", "Items recalled to make room for online requests");
+        let preemptions = counter("recalls", "Items recalled to make room for online requests");
         let bytes_to_other_regions =
             counter("bytes_to_other_regions", "Bytes of bodies sent to targets of other regions");
-        // From a tenth of a millisecond to 1.6 s.
-        let recall_s = Histogram::new(exponential_buckets(0.000_1, 2.0, 15));
+        // Buckets from 0.1 ms to 1.6 s.
+        let preemption_s = Histogram::new(exponential_buckets(0.000_1, 2.0, 15));
         let help = "Time from the decision to take a slot back to its being free at this process";
-        registry.register("recall_seconds", help, recall_s.clone());
+        registry.register("recall_seconds", help, preemption_s.clone());
         let mut gauge = |name, help| gauge(registry, name, help);
         let queued = gauge("queued", "Online requests in queues");
         let waiting_batch = gauge("waiting_batch", "Items that wait for lent capacity");
@@ -56,8 +56,8 @@
             retries_over_budget,
             ejections,
             reports_distrusted,
-            recalls,
-            recall_s,
+            preemptions,
+            preemption_s,
             bytes_to_other_regions,
             queued,
             waiting_batch,
@@ -67,12 +67,12 @@
         }
     }
 
-    /// Counts the time that a recall took.
+    /// Observes the time from the decision to preempt an item until its slot is free.
     pub fn recalled(&self, elapsed_s: f64) {
-        self.recall_s.observe(elapsed_s);
+        self.preemption_s.observe(elapsed_s);
     }
 
-    /// Takes what the dispatcher counts.
+    /// Updates the metrics from the dispatcher's latest counts.
     pub fn set(&self, counters: &Counters, gauges: &Gauges) {
         for (reason, count) in RetryReason::ALL.into_iter().zip(counters.retries) {
             self.retries.raise_to(reason.label(), count);
@@ -82,7 +82,7 @@
         }
         raise_to(&self.retries_over_budget, counters.retries_over_budget);
         raise_to(&self.reports_distrusted, counters.reports_distrusted);
-        raise_to(&self.recalls, counters.preemptions);
+        raise_to(&self.preemptions, counters.preemptions);
         raise_to(&self.bytes_to_other_regions, counters.bytes_to_other_regions);
         self.queued.set(gauges.queued as i64);
         self.waiting_batch.set(gauges.waiting_batch as i64);
--- a/crates/samphiredoor/src/door.rs
+++ b/crates/samphiredoor/src/door.rs
@@ -1,4 +1,4 @@
-//! What the parts of a door share: handles to its tasks, and no state of their own.
+//! Handles to the tasks of a door, shared by its request handlers and tasks. State belongs to the tasks.
 
 use std::{cell::Cell, rc::Rc};
 
@@ -16,53 +16,53 @@
 
 /// Handles to all tasks of a door.
 pub struct Door {
-    /// Decided options.
+    /// Checked settings.
     pub config: Rc<DoorConfig>,
     /// Clock of the process.
     pub clock: Clock,
-    /// Start of the process, to tell it from an earlier one of the same name.
+    /// Incarnation of the process, which distinguishes it from an earlier one of the same name.
     pub incarnation: u64,
-    /// The dispatcher's task.
+    /// Handle to the dispatcher task.
     pub dispatch: Dispatch,
-    /// The ledger's task.
+    /// Handle to the jobs task, which owns the ledger.
     pub jobs: Jobs,
-    /// The idempotency keys' task.
+    /// Handle to the task of the idempotency keys.
     pub keys: KeysHandle,
-    /// The manifest's task.
+    /// Handle to the manifest task.
     pub manifest: ManifestHandle,
-    /// The members task.
+    /// Handle to the members task.
     pub peers: Peers,
-    /// The quarantine's task.
+    /// Handle to the quarantine task.
     pub quarantine: QuarantineHandle,
-    /// The object API.
+    /// Client of the object API.
     pub store: StoreClient,
-    /// Connections to targets.
+    /// Connection pools to targets.
     pub targets: TargetPools,
-    /// Metrics.
+    /// Metrics of the process.
     pub metrics: Rc<Metrics>,
-    /// The task that gives orders to targets.
+    /// Handle to the task that sends orders to targets.
     pub orders: OrdersHandle,
-    /// Whether a planned stop is under way.
+    /// Whether a graceful shutdown is in progress.
     pub stopping: Cell<bool>,
-    /// What [`Door::next_number`] gives next.
+    /// Next value of [`Door::next_number`].
     pub next_unique: Cell<u64>,
 }
 
 impl Door {
-    /// Name that no other door, and no other call, gives.
+    /// Returns a name that is unique across gateways, incarnations and calls.
     pub fn unique_name(&self, prefix: &str) -> String {
         let number = self.next_number();
         format!("{prefix}-{}-{:x}-{number}", self.config.name, self.incarnation)
     }
 
-    /// Number that no other call gives.
+    /// Returns a number that is unique within the process.
     pub fn next_number(&self) -> u64 {
         let number = self.next_unique.get();
         self.next_unique.set(number + 1);
         number
     }
 
-    /// This door as a member of the fleet.
+    /// This process as a member of the fleet.
     pub fn own_member(&self) -> Member {
         Member {
             name: self.config.name(),
--- a/crates/samphiredoor/src/exit_codes.rs
+++ b/crates/samphiredoor/src/exit_codes.rs
@@ -2,12 +2,12 @@
 
 use std::process::ExitCode;
 
-/// How the process ends.
+/// Outcome of the process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Exit {
-    /// All went well; a planned stop ends so, too.
+    /// Success, including a graceful shutdown after a signal.
     Success,
-    /// Settings, addresses or files were wrong, or the process could not go on.
+    /// A setting, address or file was invalid, a second signal cut the shutdown short, or the process failed.
     GeneralError,
 }
 
--- a/crates/samphiredoor/src/keys_metrics.rs
+++ b/crates/samphiredoor/src/keys_metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and gauges of the idempotency keys.
+//! Metrics of the idempotency keys.
 
 use prometheus_client::{
     metrics::{counter::Counter, gauge::Gauge},
@@ -14,7 +14,7 @@
 }
 
 impl KeysMetrics {
-    /// Registers all at zero.
+    /// Registers the metrics at zero.
     pub fn new(registry: &mut Registry) -> KeysMetrics {
         let replayed = counter(registry, "answers_replayed", "Answers to resent requests");
         let unsaved = gauge(registry, "outcomes_unsaved", "Outcomes that wait for the store");
@@ -22,17 +22,17 @@
         KeysMetrics { replayed, unsaved, unreadable }
     }
 
-    /// Counts an answer that was replayed.
+    /// Counts a response that was replayed to a resent request.
     pub fn replayed(&self) {
         self.replayed.inc();
     }
 
-    /// Sets the number of outcomes that wait for the store.
+    /// Sets the number of outcomes that are not saved in the store yet.
     pub fn set_unsaved(&self, outcomes: usize) {
         self.unsaved.set(outcomes as i64);
     }
 
-    /// Counts a shard that could not be read.
+    /// Counts a read of a damaged shard.
     pub fn unreadable(&self) {
         self.unreadable.inc();
     }
--- a/crates/samphiredoor/src/main.rs
+++ b/crates/samphiredoor/src/main.rs
@@ -1,4 +1,4 @@
-//! The process on an entry host.
+//! The `samphiredoor` program: runs a door, a gateway or a storage process, or checks their settings.
 
 mod access;
 mod answers;
--- a/crates/samphiredoor/src/metrics.rs
+++ b/crates/samphiredoor/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters, gauges and histograms.
+//! Prometheus metrics of a door, and their label values.
 
 use std::rc::Rc;
 
@@ -37,20 +37,20 @@
     pub class: &'static str,
 }
 
-/// Why something from a peer was refused.
+/// Reason why a link, or something that a peer sent or stored, was refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PeerRefusal {
-    /// The token was wrong.
+    /// The peer presented a wrong token.
     WrongToken,
-    /// A connection ended, or was ended, before its far side had entered.
+    /// A connection ended, or was closed, before the peer had authenticated.
     NoEntry,
     /// A message cannot be read.
     Unreadable,
-    /// News of a kind that a newer version has added.
+    /// A hint of a kind that only a newer version defines.
     UnknownNews,
-    /// More links than are held at once.
+    /// A link above the limit of accepted links.
     TooManyLinks,
-    /// A peer is slow to answer, so that a message to it was dropped.
+    /// A message to a peer was dropped because earlier calls to the peer are still running.
     SlowPeer,
     /// A process's lease object cannot be read.
     UnreadableLease,
@@ -84,14 +84,14 @@
     }
 }
 
-/// Why a manifest's record was not put in force.
+/// Reason why a manifest record was not made active.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ManifestRefusal {
-    /// Its revision is below the one in force.
+    /// Its revision is below the active one.
     Older,
-    /// Its revision is the one in force, and its content another.
+    /// Its revision is the active one, but it was written by another change.
     Forked,
-    /// It cannot be read, or a newer version wrote it.
+    /// It cannot be read, is invalid, or has a newer format.
     Unusable,
 }
 
@@ -112,7 +112,7 @@
 pub struct Metrics {
     registry: Registry,
     refusals: ReasonCounters,
-    doubts: ReasonCounters,
+    may_have_run: ReasonCounters,
     answered: Family<ClassLabel, Counter>,
     latency_s: Family<ClassLabel, Histogram>,
     running: Gauge,
@@ -134,7 +134,7 @@
 }
 
 impl Metrics {
-    /// Metrics with every reason at zero.
+    /// Registers all metrics, with every reason at zero.
     pub fn new() -> Rc<Metrics> {
         let mut registry = Registry::with_prefix("samphiredoor");
         let answered = Family::<ClassLabel, Counter>::default();
@@ -144,8 +144,8 @@
         };
         let refusals = Refusal::ALL.map(Refusal::label);
         let refusals = counters("refusals", "Requests refused before they ran", &refusals);
-        let doubts = MayHaveRunReason::ALL.map(MayHaveRunReason::label);
-        let doubts = counters("doubts", "Requests that may have run", &doubts);
+        let reasons = MayHaveRunReason::ALL.map(MayHaveRunReason::label);
+        let may_have_run = counters("doubts", "Requests that may have run", &reasons);
         let job_events = counters("job_events", "What became of jobs", &JOB_EVENTS);
         let item_ends = counters("item_ends", "Ends of runs of items", &ITEM_ENDS);
         let faults = Unreadable::ALL.map(Unreadable::label);
@@ -166,7 +166,7 @@
         Rc::new(Metrics {
             registry,
             refusals,
-            doubts,
+            may_have_run,
             answered,
             latency_s,
             running,
@@ -184,12 +184,12 @@
         })
     }
 
-    /// Counts something that was refused of a peer.
+    /// Counts a refusal.
     pub fn peer_refused(&self, reason: PeerRefusal) {
         self.peer_refusals.count(reason.label());
     }
 
-    /// Counts a manifest's record that was not put in force.
+    /// Counts a manifest record that was not made active.
     pub fn manifest_refused(&self, reason: ManifestRefusal) {
         self.manifest_refusals.count(reason.label());
     }
@@ -220,7 +220,7 @@
         Running(self.running.clone())
     }
 
-    /// Counts how a request ended.
+    /// Counts the outcome of a request; the latency of answered ones goes into the histogram.
     pub fn ended(&self, class: Class, verdict: Verdict, elapsed_s: f64) {
         let class = ClassLabel { class: class_label(class) };
         match verdict {
@@ -232,17 +232,17 @@
                 self.refusals.count(reason.label());
             }
             Verdict::MayHaveRun { reason } => {
-                self.doubts.count(reason.label());
+                self.may_have_run.count(reason.label());
             }
         }
     }
 
-    /// Counts what became of a job.
+    /// Counts an event of a job, one of `JOB_EVENTS`.
     pub fn job_event(&self, event: &'static str) {
         self.job_events.count(event);
     }
 
-    /// Counts the end of a run of an item.
+    /// Counts the end of a run of an item, one of `ITEM_ENDS`.
     pub fn item_ended(&self, end: &'static str) {
         self.item_ends.count(end);
     }
@@ -252,23 +252,23 @@
         self.unreadable.count(fault.label());
     }
 
-    /// Counts the time from the decision to take a slot back to its being free.
+    /// Observes the time from the decision to preempt an item until its slot is free.
     pub fn recalled(&self, elapsed_s: f64) {
         self.dispatcher.recalled(elapsed_s);
     }
 
-    /// Takes what the dispatcher counts.
+    /// Updates the dispatcher's metrics from its latest counts.
     pub fn dispatcher(&self, counters: &Counters, gauges: &Gauges) {
         self.dispatcher.set(counters, gauges);
     }
 
-    /// Text in the exposition format.
+    /// Returns all metrics in the text exposition format.
     pub fn text(&self) -> String {
         metrics::text(&self.registry)
     }
 }
 
-/// One online request that is being answered.
+/// Guard that counts one online request as running until it is dropped.
 pub struct Running(Gauge);
 
 impl Drop for Running {
--- a/crates/samphiredoor/src/operators.rs
+++ b/crates/samphiredoor/src/operators.rs
@@ -1,6 +1,7 @@
-//! The operators' door: health, readiness, metrics, statements and the manifest.
+//! The operators' listener: health, readiness, metrics, statements and the manifest.
 //!
-//! Health and readiness are open to the platform's balancer; all else wants the operators' token, if one is set.
+//! Health and readiness need no token, for the platform's load balancer; all other paths need the operators' token if one
+//! is set.
 
 use std::rc::Rc;
 
@@ -19,7 +20,7 @@
 
 const MAX_STATEMENT_BYTES: usize = 16 * 1024;
 
-/// Answers one request of an operator.
+/// Responds to one request on the operators' listener.
 pub async fn answer(door: Rc<Door>, request: Request<Incoming>) -> Response<Body> {
     match (request.method(), request.uri().path()) {
         (&Method::GET, "/health") => {
@@ -31,7 +32,7 @@
     if let Some(token) = &door.config.operators_token
         && !token.admits(request.headers())
     {
-        log::warn!("operators: a request without the token was refused");
+        log::warn!("operators: refused a request without a valid token");
         let value = json!({ "error": "show the operators' token as `authorization: Bearer`" });
         return json_answer(StatusCode::UNAUTHORIZED, &value);
     }
--- a/crates/samphiredoor/src/parts.rs
+++ b/crates/samphiredoor/src/parts.rs
@@ -1,4 +1,4 @@
-//! The parts of a door: which there are, and what each gets of the others.
+//! Creates the tasks of a door and passes each task its dependencies.
 
 use std::{
     cell::Cell,
@@ -45,7 +45,7 @@
     lending: flume::Receiver<(Name, Hint)>,
 }
 
-/// Starts all tasks of a door that listens for peers on `peer_address`.
+/// Starts all tasks of a door that listens for peers on `peer_address`; returns their handles.
 pub fn start(config: DoorConfig, peer_address: SocketAddr) -> Rc<Door> {
     let (door, inboxes) = new_door(config, peer_address);
     let runner = Rc::clone(&door);
@@ -74,18 +74,18 @@
     let (manifest, manifest_inbox) = ManifestHandle::new();
     let (peers, peers_inbox) = Peers::new(peer_address);
     let (orders, orders_inbox) = OrdersHandle::new();
-    let (lending_news, lending_inbox) = flume::unbounded();
+    let (lending_hints, lending_inbox) = flume::unbounded();
     let location = Location {
         region: Name::clone(&config.region),
         availability_zone: Name::clone(&config.availability_zone),
     };
     let metrics = Metrics::new();
-    // By name, so that a restarted door uses the same targets as before.
+    // Derived from the name, so that a restarted gateway uses the same targets as before.
     let seed = ask::hash(config.name.as_bytes());
     let door = Door {
         clock,
         incarnation,
-        dispatch: Dispatch::start(clock, location, seed, Rc::clone(&metrics), lending_news),
+        dispatch: Dispatch::start(clock, location, seed, Rc::clone(&metrics), lending_hints),
         jobs,
         keys,
         quarantine,
@@ -170,7 +170,7 @@
     }
 }
 
-/// Name of this run of the process in records.
+/// Name of this incarnation of the process in stored records.
 fn holder(door: &Door) -> Name {
     holder_name(&door.config.name, door.incarnation)
 }
--- a/crates/samphiredoor/src/process.rs
+++ b/crates/samphiredoor/src/process.rs
@@ -1,4 +1,4 @@
-//! The process of a door: its listeners, and its planned stop.
+//! Runs a door: its listeners, its tasks, and its graceful shutdown.
 
 use std::{pin::pin, rc::Rc};
 
@@ -10,7 +10,7 @@
 
 use crate::{callers, config::DoorConfig, door::Door, exit_codes::Exit, links, operators, parts};
 
-/// Runs a door until it is told to stop.
+/// Runs a door until SIGTERM or SIGINT and a graceful shutdown, or until a second signal.
 pub fn run(config: DoorConfig) -> anyhow::Result<Exit> {
     let runtime = compio::runtime::Runtime::new().context("the runtime cannot start")?;
     runtime.block_on(serve(config))
@@ -20,14 +20,13 @@
     let limits = ServeLimits { max_connections: config.max_connections, ..Default::default() };
     let mut callers = Server::bind(config.callers, limits)
         .await
-        .with_context(|| format!("callers.address: {} cannot be listened on", config.callers))?;
-    let operators =
-        Server::bind(config.operators, ServeLimits::default()).await.with_context(|| {
-            format!("operators.address: {} cannot be listened on", config.operators)
-        })?;
+        .with_context(|| format!("callers.address: cannot listen on {}", config.callers))?;
+    let operators = Server::bind(config.operators, ServeLimits::default())
+        .await
+        .with_context(|| format!("operators.address: cannot listen on {}", config.operators))?;
     let peer_listener = TcpListener::bind(config.peers)
         .await
-        .with_context(|| format!("peers.address: {} cannot be listened on", config.peers))?;
+        .with_context(|| format!("peers.address: cannot listen on {}", config.peers))?;
     let peer_address = peer_listener.local_addr()?;
     log::info!("door: callers on {}", callers.local_addr()?);
     log::info!("door: operators on {}", operators.local_addr()?);
@@ -47,14 +46,15 @@
     match select(stopping, pin!(wait_for_signal())).await {
         Either::Left(_) => Ok(Exit::Success),
         Either::Right(_) => {
-            log::warn!("door: told to stop a second time, ending at once");
+            log::warn!("door: received a second stop signal, exiting at once");
             Ok(Exit::GeneralError)
         }
     }
 }
 
-/// A planned stop, in an order that cuts no request: the balancer and the peers are told first and given time, while
-/// callers are still answered; the listener closes last, and what runs then is finished.
+/// Shuts down gracefully, in an order that cuts no request: readiness fails and the peers are notified first, and the
+/// load balancer has time to react while callers are still answered. The callers' listener closes last, and requests that
+/// are running then may finish.
 async fn stop(door: &Door, callers: Option<StopHandle>, serving: JoinHandle<()>) {
     log::info!("door: stopping");
     door.stopping.set(true);
@@ -65,12 +65,12 @@
     }
     compio::time::sleep(door.config.unready).await;
     drop(callers);
-    let all = async {
+    let running = async {
         let _ = serving.await;
         door.jobs.empty().await;
         door.keys.empty().await;
     };
-    let finished = compio::time::timeout(door.config.finish, all).await.is_ok();
+    let finished = compio::time::timeout(door.config.finish, running).await.is_ok();
     log::info!("door: stopped, all requests finished: {finished}");
 }
 
@@ -80,7 +80,7 @@
     match select(terminate, interrupt).await {
         Either::Left((result, _)) | Either::Right((result, _)) => {
             if let Err(err) = result {
-                log::error!("door: signals cannot be waited for: {err}");
+                log::error!("door: cannot wait for signals: {err}");
             }
         }
     }
--- a/crates/samphiredoor/src/quarantine_metrics.rs
+++ b/crates/samphiredoor/src/quarantine_metrics.rs
@@ -1,4 +1,4 @@
-//! Counters of the quarantine.
+//! Metrics of the quarantine of requests that crash targets.
 
 use prometheus_client::{metrics::counter::Counter, registry::Registry};
 use samphiredoor_net::metrics::counter;
@@ -9,14 +9,14 @@
 }
 
 impl QuarantineMetrics {
-    /// Registers all at zero.
+    /// Registers the metrics at zero.
     pub fn new(registry: &mut Registry) -> QuarantineMetrics {
         QuarantineMetrics {
             blamed: counter(registry, "requests_blamed", "Requests blamed for deaths"),
         }
     }
 
-    /// Counts a request that is refused from now on.
+    /// Counts a request that is quarantined: refused from now on, because targets died while they ran it.
     pub fn blamed(&self) {
         self.blamed.inc();
     }
--- a/crates/samphiredoor/src/query_rows.rs
+++ b/crates/samphiredoor/src/query_rows.rs
@@ -1,7 +1,7 @@
 //! Rows that answer operators' queries.
 //!
-//! Equal conditions on a job's state, owner and workspace are left to the store, which selects by label; the rest is
-//! filtered here. A query reads a bounded number of headers and says when it stopped there.
+//! Equality conditions on a job's state, owner and workspace are evaluated by the store, which selects by label; all
+//! other conditions are evaluated here. A query reads a bounded number of rows and reports when it was truncated.
 
 use std::{collections::HashMap, rc::Rc};
 
@@ -21,32 +21,32 @@
 
 use crate::door::Door;
 
-const PAGE: usize = 500;
-const MAX_READ: usize = 10_000;
+const PAGE_LEN: usize = 500;
+const MAX_ROWS_READ: usize = 10_000;
 const JOB_LABELS: [&str; 3] = ["state", "owner", "workspace"];
 
 /// Answer to a query.
 pub struct Answer {
-    /// Rows in the query's order.
+    /// Selected rows, in the order that the query requests.
     pub rows: Vec<Row>,
-    /// Whether more could not be read within the bound.
+    /// Whether there are more rows than the bound allows to read.
     pub truncated: bool,
 }
 
 /// Why a query has no answer.
 pub enum Failure {
-    /// The store is not reachable.
+    /// The store did not answer.
     StoreDown,
-    /// There is no such job.
+    /// The job that the query names does not exist.
     NoJob,
 }
 
-/// Reads and selects rows.
+/// Reads the rows of the query's noun, then filters, sorts and limits them.
 pub async fn answer(door: &Rc<Door>, query: &Query) -> Result<Answer, Failure> {
     let (rows, truncated) = match query.noun {
-        Noun::Jobs => listed(door, Kind::Job, job_labels(query), job_row).await?,
-        Noun::Doors => listed(door, Kind::Process, Labels::new(), door_row).await?,
-        Noun::Items => items(door, query).await?,
+        Noun::Jobs => list_rows(door, Kind::Job, job_labels(query), job_row).await?,
+        Noun::Doors => list_rows(door, Kind::Process, Labels::new(), door_row).await?,
+        Noun::Items => item_rows(door, query).await?,
         Noun::Services => (service_rows(&door.manifest.current()), false),
         Noun::Targets => {
             let views = door.dispatch.target_views().await;
@@ -63,7 +63,7 @@
     equal.map(|(label, value)| (label.to_owned(), value.to_owned())).collect()
 }
 
-async fn listed(
+async fn list_rows(
     door: &Door,
     kind: Kind,
     labels: Labels,
@@ -73,7 +73,7 @@
     let mut after = None;
     loop {
         let prefix = "".into();
-        let op = StoreOp::List { kind, prefix, labels: labels.clone(), after, limit: PAGE };
+        let op = StoreOp::List { kind, prefix, labels: labels.clone(), after, limit: PAGE_LEN };
         let StoreAnswer::Page { items, next, .. } = door.store.call(op).await else {
             return Err(Failure::StoreDown);
         };
@@ -82,7 +82,7 @@
         if after.is_none() {
             return Ok((rows, false));
         }
-        if rows.len() >= MAX_READ {
+        if rows.len() >= MAX_ROWS_READ {
             return Ok((rows, true));
         }
     }
@@ -149,7 +149,7 @@
     rows.filter_map(to_row).collect()
 }
 
-/// Rows of all targets; the load and the ejection only of those that the asked door uses.
+/// Rows of all targets; load and ejection only for targets that this gateway uses.
 fn target_rows(manifest: &Manifest, views: &[TargetView]) -> Vec<Row> {
     let views: HashMap<&str, &TargetView> = views.iter().map(|it| (&*it.name, it)).collect();
     let rows = manifest.targets.values().map(|it| {
@@ -207,15 +207,16 @@
     rows.filter_map(to_row).collect()
 }
 
-async fn items(door: &Door, query: &Query) -> Result<(Vec<Row>, bool), Failure> {
+async fn item_rows(door: &Door, query: &Query) -> Result<(Vec<Row>, bool), Failure> {
     let job = query.equal_to("job").unwrap_or_default().into();
-    let Some(header) = read::<JobHeader>(door, header_key(&job)).await? else {
+    let Some(header) = read_object::<JobHeader>(door, header_key(&job)).await? else {
         return Err(Failure::NoJob);
     };
     let mut rows = Vec::new();
     for number in 0..header.chunks {
-        let chunk = read::<Chunk>(door, chunk_key(&header.upload, number)).await?;
-        let results = read::<ChunkResults>(door, results_key(&header.upload, number)).await?;
+        let chunk = read_object::<Chunk>(door, chunk_key(&header.upload, number)).await?;
+        let results =
+            read_object::<ChunkResults>(door, results_key(&header.upload, number)).await?;
         let Some(chunk) = chunk else { continue };
         for (index, item) in chunk.items.iter().enumerate() {
             let result = results.as_ref().and_then(|it| it.results.get(&index.to_string()));
@@ -229,7 +230,7 @@
             });
             rows.extend(to_row(row));
         }
-        if rows.len() >= MAX_READ {
+        if rows.len() >= MAX_ROWS_READ {
             return Ok((rows, number + 1 < header.chunks));
         }
     }
@@ -251,14 +252,15 @@
     }
 }
 
-async fn read<T: DeserializeOwned>(
+// Reads and parses an object; an unreadable one is logged and treated as absent.
+async fn read_object<T: DeserializeOwned>(
     door: &Door,
     key: samphiredoor_core::store::ObjectKey,
 ) -> Result<Option<T>, Failure> {
     let name = key.name.clone();
     match door.store.call(StoreOp::Get { key }).await {
         StoreAnswer::Object(stored) => match serde_json::from_slice(&stored.value) {
-            Ok(read) => Ok(Some(read)),
+            Ok(object) => Ok(Some(object)),
             Err(err) => {
                 log::error!("query: {name} cannot be read: {err}");
                 Ok(None)
--- a/crates/samphiredoor/src/store_client.rs
+++ b/crates/samphiredoor/src/store_client.rs
@@ -1,7 +1,7 @@
 //! Client of the platform's object API.
 //!
-//! Tells apart a call that had no effect (refused, or never sent) from one whose answer was lost and that may have
-//! taken effect. Connections are taken as needed, so that a slow call never holds up another.
+//! Distinguishes a call that had no effect (refused, or never sent) from one whose response was lost and that may have
+//! taken effect. Connections are opened as needed, so that a slow call never delays another.
 
 use std::{collections::BTreeMap, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -19,9 +19,9 @@
 use serde_json::value::RawValue;
 
 const ROOT: &str = "/apis/samphiredoor.dev/v1";
-const WATCH_SECONDS: u32 = 240;
+const WATCH_TIMEOUT_S: u32 = 240;
 const MAX_EVENT_BYTES: usize = 4 * 1024 * 1024;
-const MAX_ANSWER_BYTES: usize = 64 * 1024 * 1024;
+const MAX_RESPONSE_BYTES: usize = 64 * 1024 * 1024;
 
 /// Client of the object API; clones share connections.
 #[derive(Clone)]
@@ -73,23 +73,23 @@
     object: Object,
 }
 
-/// What a watch saw.
+/// Event of a watch.
 #[derive(Debug, Clone, PartialEq)]
 pub enum WatchEvent {
-    /// The object was created or updated, to this.
+    /// An object was created or updated; its new state.
     Written(Stored),
     /// The object of this name was deleted.
     Deleted(Arc<str>),
 }
 
-/// A waiting watch. It may end at any time, and events may be missing or doubled.
+/// An open watch. It may end at any time, and events may be missing or duplicated.
 pub struct Watch {
     body: ResponseBody,
     buffer: Vec<u8>,
 }
 
 impl Watch {
-    /// Waits for the next event; `None` when the watch has ended. May be dropped and called again.
+    /// Waits for the next event; `None` when the watch has ended. Cancel safe: received bytes stay in the buffer.
     pub async fn next(&mut self) -> Option<WatchEvent> {
         loop {
             while let Some(end) = self.buffer.iter().position(|it| *it == b'\n') {
@@ -99,7 +99,7 @@
                 }
             }
             if self.buffer.len() > MAX_EVENT_BYTES {
-                log::warn!("store: a watch's event is too large");
+                log::warn!("store: a watch event exceeds {MAX_EVENT_BYTES} bytes");
                 return None;
             }
             let frame = self.body.frame().await?.ok()?;
@@ -117,50 +117,51 @@
         }
         Ok(event) => stored(event.object).map(WatchEvent::Written),
         Err(err) => {
-            log::warn!("store: a watch's event cannot be read: {err}");
+            log::warn!("store: unreadable watch event: {err}");
             None
         }
     }
 }
 
 impl StoreClient {
-    /// Client of the API at `address`.
+    /// Creates a client of the API at `address`; `timeout` bounds connecting and each call.
     pub fn new(address: SocketAddr, timeout: Duration) -> StoreClient {
         StoreClient { pool: Pool::new(address).with_connect_timeout(timeout), timeout }
     }
 
-    /// Makes one call.
+    /// Makes one call and waits for its result.
     pub async fn call(&self, op: StoreOp) -> StoreAnswer {
         let write = op.is_write();
         let delete = matches!(op, StoreOp::Delete { .. });
         let Some(request) = request(op) else { return StoreAnswer::Unavailable };
         let lost = if write { StoreAnswer::Unknown } else { StoreAnswer::Unavailable };
-        let limits = FetchLimits::new(self.timeout, MAX_ANSWER_BYTES);
+        let limits = FetchLimits::new(self.timeout, MAX_RESPONSE_BYTES);
         match self.pool.fetch(request, limits).await {
             Ok(fetched) if fetched.status == StatusCode::OK && delete => StoreAnswer::Deleted,
             Ok(fetched) => answer(fetched.status, &fetched.body, &lost),
             Err(FetchError::NotSent(err)) => {
-                log::debug!("store: not reached: {err}");
+                log::debug!("store: not reachable: {err}");
                 StoreAnswer::Unavailable
             }
             Err(FetchError::MayHaveRun(err)) => {
-                log::debug!("store: answer lost: {err}");
+                log::debug!("store: response lost: {err}");
                 lost
             }
             Err(FetchError::TimedOut { .. }) => lost,
         }
     }
 
-    /// Makes one call in a task of its own, which tells the answer.
-    pub fn spawn_call(&self, op: StoreOp, tell: impl FnOnce(StoreAnswer) + 'static) {
+    /// Makes one call in a new task, which passes the answer to `on_answer`.
+    pub fn spawn_call(&self, op: StoreOp, on_answer: impl FnOnce(StoreAnswer) + 'static) {
         let store = self.clone();
-        compio::runtime::spawn(async move { tell(store.call(op).await) }).detach();
+        compio::runtime::spawn(async move { on_answer(store.call(op).await) }).detach();
     }
 
-    /// Watches a kind from a version on; `None` if the store refuses or cannot be reached.
+    /// Watches the objects of a kind for changes after a version; `None` if the store does not answer within the timeout.
+    /// The status of the response is not checked: a watch that the store refuses yields no events and ends.
     pub async fn watch(&self, kind: Kind, version: Version) -> Option<Watch> {
         let path = format!(
-            "{ROOT}/{}?watch=1&resourceVersion={}&timeoutSeconds={WATCH_SECONDS}",
+            "{ROOT}/{}?watch=1&resourceVersion={}&timeoutSeconds={WATCH_TIMEOUT_S}",
             kind.path(),
             version.0
         );
