--- a/crates/samphiredoor/tests/it/env.rs
+++ b/crates/samphiredoor/tests/it/env.rs
@@ -1,4 +1,4 @@
-//! What a test needs around the real processes.
+//! Test environment: an embedded store and targets in threads of the test, and real gateway processes.
 
 use std::{
     io::{BufRead, BufReader},
@@ -21,14 +21,14 @@
 
 static NEXT_FOLDER: AtomicU32 = AtomicU32::new(0);
 
-/// A store and any number of targets and doors, ended with the test.
+/// A store and any number of targets and gateway processes, which end with the test.
 pub struct TestEnv {
     pub store: SocketAddr,
     folder: PathBuf,
     doors: Vec<TestDoor>,
 }
 
-/// Where a door stands, and the store that it sees.
+/// Location of a gateway, and the address of its store.
 pub struct DoorPlace {
     pub region: &'static str,
     pub availability_zone: &'static str,
@@ -45,7 +45,7 @@
     }
 }
 
-/// One door process.
+/// One gateway process.
 pub struct TestDoor {
     pub callers: SocketAddr,
     pub operators: SocketAddr,
@@ -54,17 +54,17 @@
 }
 
 impl TestDoor {
-    /// Ends the process at once, as a lost host would.
+    /// Kills the process, as the loss of its host would.
     pub fn kill(&mut self) {
         self.process.kill();
     }
 
-    /// Sends a signal by its name, as `STOP`.
+    /// Sends a signal by its name, e.g. `STOP`.
     pub fn signal(&self, name: &str) {
         self.process.signal(name);
     }
 
-    /// Waits for the end of the process; tells whether it ended well.
+    /// Waits for the end of the process; returns whether it exited successfully.
     pub fn wait(&mut self) -> bool {
         self.process.wait()
     }
@@ -77,7 +77,7 @@
 }
 
 impl TestEnv {
-    /// A store without doors or targets.
+    /// Starts a store, without gateways or targets.
     pub fn new() -> TestEnv {
         let number = NEXT_FOLDER.fetch_add(1, Ordering::Relaxed);
         let name = format!("samphiredoor-test-{}-{number}", std::process::id());
@@ -90,17 +90,17 @@
         TestEnv { store, folder, doors: Vec::new() }
     }
 
-    /// Starts a door and waits until it listens; returns its number.
+    /// Starts a gateway and waits until it listens; returns its number.
     pub fn start_door(&mut self) -> usize {
         self.start_door_with("")
     }
 
-    /// Starts a door with more lines of settings.
+    /// Starts a gateway with additional lines of settings.
     pub fn start_door_with(&mut self, more: &str) -> usize {
         self.start_door_at(&DoorPlace { store: self.store, ..DoorPlace::default() }, more)
     }
 
-    /// Starts a door at a place, with more lines of settings.
+    /// Starts a gateway at a location, with additional lines of settings.
     pub fn start_door_at(&mut self, place: &DoorPlace, more: &str) -> usize {
         let number = self.doors.len();
         let door = self.run_door(number, place, more);
@@ -108,7 +108,7 @@
         number
     }
 
-    /// Starts a door anew under its former name, after the former process has ended.
+    /// Starts a gateway again under its previous name, after the previous process has ended.
     pub fn restart_door(&mut self, number: usize, more: &str) {
         let place = DoorPlace { store: self.store, ..DoorPlace::default() };
         let door = self.run_door(number, &place, more);
@@ -137,7 +137,7 @@
             .arg(&file)
             .stderr(Stdio::piped())
             .spawn()
-            .expect("the door starts");
+            .expect("the gateway process starts");
         let mut lines = BufReader::new(child.stderr.take().expect("stderr is piped")).lines();
         let callers = listening(&mut lines, "door: callers on ");
         let operators = listening(&mut lines, "door: operators on ");
@@ -146,43 +146,43 @@
         TestDoor { callers, operators, peers, process: ChildProcess(child) }
     }
 
-    /// Door by its number.
+    /// Returns a gateway by its number.
     pub fn door(&mut self, number: usize) -> &mut TestDoor {
         &mut self.doors[number]
     }
 
-    /// Puts declarations in force through door 0 and waits until all doors are ready.
+    /// Applies a manifest through gateway 0 and waits until all gateways are ready.
     pub fn declare(&self, manifest: &Value) {
         let answer = self.put(self.doors[0].operators, "/manifest", manifest);
         assert_eq!(answer.status, 200, "{}", answer.text);
         for door in &self.doors {
-            wait_until("the door is ready", || get(door.operators, "/ready").status == 200);
+            wait_until("the gateway is ready", || get(door.operators, "/ready").status == 200);
         }
     }
 
-    /// Posts to the callers' listener of a door.
+    /// Sends a POST request to the callers' listener of a gateway.
     pub fn post(&self, door: usize, path: &str, headers: &[(&str, &str)], body: &str) -> Answer {
         post(self.doors[door].callers, path, headers, body)
     }
 
-    /// Gets from the callers' listener of a door.
+    /// Sends a GET request to the callers' listener of a gateway.
     pub fn get(&self, door: usize, path: &str) -> Answer {
         get(self.doors[door].callers, path)
     }
 
-    /// Writes a file into the folder of the test; returns its path.
+    /// Writes a file into the test's folder; returns its path.
     pub fn write(&self, name: &str, text: &str) -> String {
         let file = self.folder.join(name);
         std::fs::write(&file, text).expect("a file is written");
         file.display().to_string()
     }
 
-    /// Deletes at the callers' listener of a door.
+    /// Sends a DELETE request to the callers' listener of a gateway.
     pub fn delete(&self, door: usize, path: &str) -> Answer {
         call(hyper::Method::DELETE, self.doors[door].callers, path, &[], "")
     }
 
-    /// Callers' listener of a door.
+    /// Address of the callers' listener of a gateway.
     pub fn callers(&self, door: usize) -> SocketAddr {
         self.doors[door].callers
     }
@@ -200,31 +200,31 @@
         }));
     }
 
-    /// Switches faults of the store on or off.
+    /// Sets the store's injected faults.
     pub fn faults(&self, faults: &Value) {
         let answer = self.put(self.store, "/faults", faults);
         assert_eq!(answer.status, 200, "{}", answer.text);
     }
 
-    /// Calls that the store has counted, by verb and kind.
+    /// Number of calls that the store has received, by verb and kind.
     pub fn calls(&self) -> std::collections::BTreeMap<String, u64> {
         serde_json::from_str(&get(self.store, "/calls").text).expect("the store counts its calls")
     }
 
-    /// Counter or gauge of a door, with its labels as the exposition writes them.
+    /// Value of a counter or gauge of a gateway; `name` includes the labels as the exposition format writes them.
     pub fn metric(&self, door: usize, name: &str) -> u64 {
         let text = get(self.doors[door].operators, "/metrics").text;
         let line = text.lines().find(|it| it.starts_with(&format!("samphiredoor_{name} ")));
         line.and_then(|it| it.rsplit(' ').next()?.parse().ok()).unwrap_or(0)
     }
 
-    /// Puts a value to any address.
+    /// Sends a PUT request with a JSON body to any address.
     pub fn put(&self, address: SocketAddr, path: &str, value: &Value) -> Answer {
         call(hyper::Method::PUT, address, path, &[], &value.to_string())
     }
 }
 
-/// Starts an engine; returns where it listens.
+/// Starts an engine; returns its address.
 pub fn start_engine(config: EngineConfig) -> SocketAddr {
     start(move || {
         let engine = Engine::new(config);
@@ -233,7 +233,7 @@
     })
 }
 
-/// Starts a plain service; returns where it listens.
+/// Starts a plain service; returns its address.
 pub fn start_service(delay: Duration) -> SocketAddr {
     start(move || {
         let service = PlainService::new(delay);
@@ -241,7 +241,7 @@
     })
 }
 
-/// Declaration of a target that lends half of its 64 places.
+/// Declaration of a target with 64 slots, half of which batch items may use.
 pub fn target(name: &str, service: &str, address: SocketAddr) -> Value {
     json!({
         "name": name,
@@ -255,7 +255,7 @@
     })
 }
 
-/// Lines of a job of completions.
+/// Lines of a job of completion requests.
 pub fn job_lines(items: usize, max_tokens: usize) -> String {
     let line = |number| {
         json!({
@@ -270,10 +270,10 @@
 
 fn listening(lines: &mut impl Iterator<Item = std::io::Result<String>>, mark: &str) -> SocketAddr {
     for line in lines {
-        let line = line.expect("the door's log is text");
+        let line = line.expect("the log of the gateway is text");
         if let Some((_, address)) = line.split_once(mark) {
             return address.trim().parse().expect("an address in the log");
         }
     }
-    panic!("the door ended before it logged `{mark}`");
+    panic!("the gateway ended before it logged `{mark}`");
 }
--- a/crates/samphiredoor/tests/it/fleet.rs
+++ b/crates/samphiredoor/tests/it/fleet.rs
@@ -1,4 +1,4 @@
-//! Several doors: one manifest in force on all, members that come and go, and a region without the store.
+//! Several gateways: replication of the manifest, membership and links, an unreachable store, and leaving hosts.
 
 use std::{io::Write, net::TcpStream, thread, time::Duration};
 
@@ -9,7 +9,8 @@
     relay::Relay,
 };
 
-const FAST: &str = "peers.heartbeat_ms = 100\nownership.lease_ms = 2000\nownership.renew_ms = 500";
+const SHORT_INTERVALS: &str =
+    "peers.heartbeat_ms = 100\nownership.lease_ms = 2000\nownership.renew_ms = 500";
 const MANIFEST_PATH: &str = "/apis/samphiredoor.dev/v1/manifests/current";
 const ZONES: [(&str, &str); 3] =
     [("brisbane", "brisbane-north"), ("brisbane", "brisbane-south"), ("cairns", "cairns-port")];
@@ -19,10 +20,12 @@
     for number in 0..doors {
         let (region, availability_zone) = ZONES[number % ZONES.len()];
         let store = env.store;
-        env.start_door_at(&DoorPlace { region, availability_zone, store }, FAST);
+        env.start_door_at(&DoorPlace { region, availability_zone, store }, SHORT_INTERVALS);
     }
     for door in 0..doors {
-        wait_until("all doors know each other", || env.metric(door, "members") == doors as u64);
+        wait_until("all gateways list each other as members", || {
+            env.metric(door, "members") == doors as u64
+        });
     }
     env
 }
@@ -41,11 +44,11 @@
 }
 
 fn wait_for_revision(env: &mut TestEnv, door: usize, expected: u64) {
-    wait_until("the revision is in force", || revision(env, door) == expected);
+    wait_until("the revision is active", || revision(env, door) == expected);
 }
 
 #[test]
-fn a_change_accepted_by_one_of_nine_doors_is_in_force_on_all() {
+fn a_change_accepted_by_one_of_nine_gateways_becomes_active_on_all() {
     let mut env = fleet(9);
     for expected in 1..=5 {
         let answer = put(&mut env, expected as usize, &format!("service-{expected}"));
@@ -54,17 +57,17 @@
             wait_for_revision(&mut env, door, expected);
         }
     }
-    // Two a zone for the manifest, and two for the host list.
-    wait_until("only watchers watch", || {
+    // Two per availability zone for the manifest, and two for the host list.
+    wait_until("only the selected watchers watch", || {
         get(env.store, "/calls").json()["waiting watches"].as_u64() <= Some(8)
     });
 }
 
-/// A reconfiguration that an operator was told is accepted is gone in the morning. The store goes down right after its
-/// write, no watch has delivered it, and the door that accepted it is lost with its host. The cause would be an answer
-/// before any other door holds the revision.
+/// Guards against the loss of an accepted change. The store goes down right after the write, no watch has delivered the
+/// change, and the gateway that accepted it dies. The change would be lost if it were acknowledged before another gateway
+/// holds it.
 #[test]
-fn an_accepted_change_outlives_its_door_when_the_store_goes_down() {
+fn an_accepted_change_survives_its_gateway_when_the_store_goes_down() {
     let mut env = fleet(3);
     env.faults(&json!({ "watch_lag_ms": 600_000 }));
     let answer = put(&mut env, 0, "tours");
@@ -76,25 +79,25 @@
     }
 }
 
-/// A door that is replaced while the store is down serves nobody until the morning. It starts without a manifest, the
-/// store does not answer, and the cause would be that it asks nobody else.
+/// Guards against a gateway that stays unready when it is restarted during an outage of the store. It starts without a
+/// manifest and must request it from the seed peers.
 #[test]
-fn a_door_that_starts_in_an_outage_gets_the_manifest_from_its_peers() {
+fn a_gateway_that_starts_in_an_outage_gets_the_manifest_from_its_peers() {
     let mut env = fleet(3);
     assert_eq!(put(&mut env, 0, "tours").status, 200);
     env.door(2).kill();
     env.faults(&json!({ "outage": true }));
     let (first, second) = (env.door(0).peers, env.door(1).peers);
-    env.restart_door(2, &format!("{FAST}\npeers.seeds = [\"{first}\", \"{second}\"]"));
+    env.restart_door(2, &format!("{SHORT_INTERVALS}\npeers.seeds = [\"{first}\", \"{second}\"]"));
     wait_for_revision(&mut env, 2, 1);
     assert_eq!(get(env.door(2).operators, "/ready").status, 200);
 }
 
 #[test]
-fn a_door_without_a_manifest_is_not_ready() {
+fn a_gateway_without_a_manifest_is_not_ready() {
     let mut env = TestEnv::new();
     env.faults(&json!({ "outage": true }));
-    env.start_door_with(FAST);
+    env.start_door_with(SHORT_INTERVALS);
     assert_eq!(get(env.door(0).operators, "/ready").status, 503);
     assert_eq!(get(env.door(0).operators, "/health").status, 200);
 }
@@ -110,10 +113,10 @@
     assert_eq!(answer.status, 200, "{}", answer.text);
 }
 
-/// Yesterday's declarations come back: the platform restores its store from a copy, watches deliver the old object, and
-/// the cause would be a door that takes whatever it reads.
+/// Guards against the return of an old manifest. The store is restored from an older copy and watches deliver the old
+/// object, which a gateway must not make active because its revision is lower.
 #[test]
-fn a_store_that_was_set_back_reverts_nothing() {
+fn a_store_restored_from_an_older_copy_reverts_nothing() {
     let mut env = fleet(3);
     assert_eq!(put(&mut env, 0, "first").status, 200);
     let old = stored(&env)["spec"].clone();
@@ -123,7 +126,9 @@
     }
     overwrite(&env, &old);
     let refusals = "manifest_refusals_total{reason=\"older\"}";
-    wait_until("a door refused it", || (0..3).any(|door| env.metric(door, refusals) > 0));
+    wait_until("a gateway refused the old record", || {
+        (0..3).any(|door| env.metric(door, refusals) > 0)
+    });
     for door in 0..3 {
         assert_eq!(revision(&mut env, door), 2);
     }
@@ -135,20 +140,22 @@
 }
 
 #[test]
-fn a_manifest_of_a_newer_version_is_refused_and_the_one_in_force_stays() {
+fn a_manifest_of_a_newer_format_is_refused_and_the_active_one_stays() {
     let mut env = fleet(2);
     assert_eq!(put(&mut env, 0, "first").status, 200);
     overwrite(&env, &json!({ "format": 99, "revision": 9, "writer": "next", "manifest": {} }));
     let refusals = "manifest_refusals_total{reason=\"unusable\"}";
-    wait_until("a door refused it", || (0..2).any(|door| env.metric(door, refusals) > 0));
+    wait_until("a gateway refused the newer format", || {
+        (0..2).any(|door| env.metric(door, refusals) > 0)
+    });
     assert_eq!(revision(&mut env, 0), 1);
     assert_eq!(put(&mut env, 0, "second").status, 409);
 }
 
-/// Two operators work on the same page at once, and one's change is gone without a word. Both read revision 1, both
-/// write, and the cause would be a write that does not ask for what it replaces.
+/// Guards against a lost update. Two operators read revision 1 and write at the same time; a write that does not check
+/// the revision that it replaces would silently overwrite the other one.
 #[test]
-fn of_two_racing_operators_the_loser_is_told_who_won() {
+fn of_two_concurrent_changes_the_losing_response_names_the_winner() {
     let mut env = fleet(2);
     assert_eq!(put(&mut env, 0, "first").status, 200);
     wait_for_revision(&mut env, 1, 1);
@@ -165,32 +172,32 @@
     let mut statuses: Vec<u16> = answers.iter().map(|it| it.status).collect();
     statuses.sort_unstable();
     assert_eq!(statuses, [200, 409], "{answers:?}");
-    let lost = answers.iter().find(|it| it.status == 409).expect("one lost");
+    let lost = answers.iter().find(|it| it.status == 409).expect("one change lost");
     assert_eq!(lost.json()["revision"], 2);
     assert!(lost.json()["winner"].as_str().is_some_and(|it| it.starts_with("operator-door-")));
 }
 
-/// An operator applies a change, sees an error, and applies it again over a colleague's. The store took the write and
-/// lost the answer, and the cause would be a door that reports what it heard instead of what stands.
+/// Guards against an error for a change that was stored, which would make the operator apply it again over a later one.
+/// The store commits the write and its response is lost, so the gateway must read what is stored before it responds.
 #[test]
-fn a_write_whose_answer_was_lost_is_found_and_reported_as_accepted() {
+fn a_write_whose_response_was_lost_is_found_and_reported_as_accepted() {
     let mut env = fleet(2);
     assert_eq!(put(&mut env, 0, "first").status, 200);
     env.faults(&json!({ "lose_answers": 1 }));
-    // Another write, as a lease's renewal, may meet the fault; what is told is true in both cases.
+    // The fault may hit another write, such as a lease renewal; the expected response is the same.
     let answer = put(&mut env, 0, "second");
     assert_eq!(answer.json()["revision"], 2, "{}", answer.text);
 }
 
-/// A fault of one host, or a scan of the network, ends a door's work. Bytes that are no message, half a message, and a
-/// peer with a wrong token come to the peers' listener, and the cause would be a link whose failure reaches others.
+/// Guards against a faulty host or a network scan that stops a gateway. The peers' listener receives invalid bytes, half
+/// a message, and a peer with a wrong token; the failure of such a link must not affect others.
 #[test]
 fn garbage_and_wrong_tokens_are_refused_and_counted() {
     let mut env = TestEnv::new();
     let tokens = ["correct-horse-battery", "wrong-horse-battery-x"];
     let mut settings = tokens.map(|it| {
         let file = env.write(it, it);
-        format!("{FAST}\npeers.token_file = \"{file}\"")
+        format!("{SHORT_INTERVALS}\npeers.token_file = \"{file}\"")
     });
     env.start_door_with(&settings[0]);
     let peers = env.door(0).peers;
@@ -205,21 +212,23 @@
     let wrong = "peer_refusals_total{reason=\"wrong_token\"}";
     wait_until("the wrong token is refused", || env.metric(0, wrong) > 0);
     env.start_door_with(&settings[0]);
-    wait_until("a right token is let in", || env.metric(2, "peer_bytes_received_total") > 1_000);
+    wait_until("the correct token is accepted", || {
+        env.metric(2, "peer_bytes_received_total") > 1_000
+    });
     assert_eq!(get(env.door(0).operators, "/health").status, 200);
 }
 
-/// Drivers in the far region wait at the loading bay because the link to the store's region is cut. Their door has a
-/// manifest and targets of its own, and the cause would be an online path that asks the store.
+/// Guards against an online path that depends on the store. The link to the store's region is cut; the gateway has the
+/// manifest and targets, so it must serve online requests, and refuse jobs as not run.
 #[test]
-fn the_side_without_the_store_serves_online_and_refuses_jobs_truly() {
+fn a_gateway_cut_off_from_the_store_serves_online_requests_and_refuses_jobs_as_not_run() {
     let mut env = TestEnv::new();
     let relay = Relay::start(env.store);
     let store = env.store;
-    env.start_door_at(&DoorPlace { store, ..DoorPlace::default() }, FAST);
+    env.start_door_at(&DoorPlace { store, ..DoorPlace::default() }, SHORT_INTERVALS);
     let (region, availability_zone) = ZONES[2];
     let place = DoorPlace { region, availability_zone, store: relay.address };
-    env.start_door_at(&place, FAST);
+    env.start_door_at(&place, SHORT_INTERVALS);
     let service = start_service(Duration::ZERO);
     env.declare(&json!({
         "services": [{ "name": "pickup", "kind": "plain" }],
@@ -239,10 +248,10 @@
     wait_until("jobs are accepted again", || job("joined").status == 200);
 }
 
-/// A caller's request goes to a host that is being taken away. The host list says that the host leaves, and the cause
-/// would be that only the doors that read the list act on it.
+/// Guards against requests to a host that is leaving. The host list marks the host as leaving, and gateways that do not
+/// read the list must act on it, too.
 #[test]
-fn all_doors_stop_sending_to_a_target_whose_host_leaves() {
+fn all_gateways_stop_sending_to_a_target_whose_host_is_leaving() {
     let env = fleet(3);
     let service = start_service(Duration::ZERO);
     env.declare(&json!({
@@ -256,7 +265,7 @@
     let answer = post(env.store, "/apis/samphiredoor.dev/v1/hosts", &[], &entry.to_string());
     assert_eq!(answer.status, 201, "{}", answer.text);
     for door in 0..3 {
-        wait_until("the door sends nothing there", || {
+        wait_until("the gateway sends nothing to the target", || {
             env.post(door, "/services/pickup/count", &[], "{}").status == 503
         });
     }
--- a/crates/samphiredoor/tests/it/main.rs
+++ b/crates/samphiredoor/tests/it/main.rs
@@ -1,4 +1,4 @@
-//! Tests through the real process, with stand-ins in threads of the test.
+//! Integration tests with real processes; the store and the targets run in threads of the test.
 
 mod dispatch;
 mod env;
--- a/crates/samphiredoor/tests/it/orders.rs
+++ b/crates/samphiredoor/tests/it/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to load weights, through real doors and targets.
+//! Orders to load weights, with real gateway processes and targets.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -7,7 +7,7 @@
 
 use crate::env::{TestEnv, get, start, target, wait_until};
 
-const SHORT: &str = "ownership.lease_ms = 600\nownership.renew_ms = 150";
+const SHORT_LEASE: &str = "ownership.lease_ms = 600\nownership.renew_ms = 150";
 
 fn start_weights(checks_fencing: bool) -> SocketAddr {
     start(move || {
@@ -35,20 +35,20 @@
     get(target, "/v1/orders").json()["held"].clone()
 }
 
-/// New menus are declared while the door that gave an engine its orders is lost. Another door must take the engine over
-/// and make it hold what is declared, whether or not it checks fencing numbers, and no order of the lost door may come
-/// after.
+/// Guards against targets without a leader after a gateway died. New weights are declared at that time; another gateway
+/// must take over the targets and load the weights, whether or not a target checks fencing tokens, and no order with an
+/// older token may take effect afterwards.
 #[test]
-fn a_lost_doors_targets_are_ordered_by_another() {
+fn targets_of_a_dead_gateway_get_orders_from_another() {
     let mut env = TestEnv::new();
-    env.start_door_with(SHORT);
-    let lost = env.start_door_with(SHORT);
+    env.start_door_with(SHORT_LEASE);
+    let killed = env.start_door_with(SHORT_LEASE);
     let targets: Vec<SocketAddr> = (0..6).map(|it| start_weights(it % 2 == 0)).collect();
     env.declare(&declared(&targets, &["base"]));
     for target in &targets {
         wait_until("the weight is loaded", || held(*target) == json!(["base"]));
     }
-    env.door(lost).kill();
+    env.door(killed).kill();
     let operators = env.door(0).operators;
     let put = env.put(operators, "/manifest", &declared(&targets, &["menus"]));
     assert_eq!(put.status, 200, "{}", put.text);
--- a/crates/samphiredoor/tests/it/settings.rs
+++ b/crates/samphiredoor/tests/it/settings.rs
@@ -1,10 +1,10 @@
-//! What is said of settings that make no sense.
+//! Error messages for invalid settings.
 
 use std::process::Command;
 
 use crate::env::TestEnv;
 
-const GOOD: &str = r#"name = "door-1"
+const VALID_DOOR: &str = r#"name = "door-1"
 region = "finistere"
 availability_zone = "quimper"
 callers.address = "127.0.0.1:8080"
@@ -13,7 +13,7 @@
 store.address = "127.0.0.1:8083"
 "#;
 
-const GATEWAY: &str = r#"name = "gateway-1"
+const VALID_GATEWAY: &str = r#"name = "gateway-1"
 region = "brisbane"
 availability_zone = "brisbane-north"
 callers.address = "127.0.0.1:8080"
@@ -40,20 +40,20 @@
 }
 
 macro_rules! refused {
-    ($command:expr, $good:expr; $($name:ident: $old:expr => $new:expr, $holds:expr;)*) => {
+    ($command:expr, $valid:expr; $($name:ident: $old:expr => $new:expr, $expected:expr;)*) => {
         $(
             #[test]
             fn $name() {
-                let (good, text) = run($command, &$good.replace($old, $new));
-                assert!(!good, "{text}");
-                assert!(text.contains($holds), "{text}");
+                let (passed, text) = run($command, &$valid.replace($old, $new));
+                assert!(!passed, "{text}");
+                assert!(text.contains($expected), "{text}");
             }
         )*
     };
 }
 
 refused! {
-    "check", GOOD;
+    "check", VALID_DOOR;
     an_unknown_key: "callers.address" => "callers.adress", "line 4";
     a_host_name_for_an_address: "127.0.0.1:8083" => "store:8083", "line 7: store.address";
     one_address_for_two_listeners: "8081" => "8080", "line 5: operators.address";
@@ -68,7 +68,7 @@
 }
 
 refused! {
-    "gateway", GATEWAY;
+    "gateway", VALID_GATEWAY;
     a_gateways_unknown_key: "callers.address" => "callers.adress", "line 4";
     a_gateways_address_without_a_port: "127.0.0.1:8083" => "127.0.0.1", "line 7: store.address";
     a_gateway_without_a_name: "gateway-1" => "", "line 1: name";
@@ -77,13 +77,13 @@
 }
 
 #[test]
-fn good_settings_are_in_order() {
-    let (good, text) = check(GOOD);
-    assert!(good, "{text}");
+fn valid_settings_pass_the_check() {
+    let (passed, text) = check(VALID_DOOR);
+    assert!(passed, "{text}");
 }
 
 #[test]
-fn the_example_is_in_order() {
-    let (good, text) = check(include_str!("../../../../examples/door.toml"));
-    assert!(good, "{text}");
+fn the_example_settings_pass_the_check() {
+    let (passed, text) = check(include_str!("../../../../examples/door.toml"));
+    assert!(passed, "{text}");
 }
--- a/crates/samphiredoor/tests/it/stop.rs
+++ b/crates/samphiredoor/tests/it/stop.rs
@@ -1,4 +1,4 @@
-//! Planned stops: no request is cut or lost, and jobs go on elsewhere.
+//! Graceful shutdown: no request is cut or lost, and jobs continue at other gateways.
 
 use std::{
     io::{Read, Write},
@@ -19,59 +19,60 @@
 
 const DOORS: usize = 3;
 const CALLERS: usize = 6;
-// More than are taken while a listener closes.
+// More than a listener still accepts while it closes.
 const NEW_CONNECTIONS: usize = 200;
 const SETTINGS: &str =
     "peers.heartbeat_ms = 100\nownership.lease_ms = 60000\nstopping.unready_ms = 500";
-const READY_PAUSE: Duration = Duration::from_millis(20);
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What callers met.
+/// Outcomes that the callers observed.
 #[derive(Default)]
-struct Met {
+struct Outcomes {
     answered: AtomicU64,
-    faults: Mutex<Vec<String>>,
+    errors: Mutex<Vec<String>>,
 }
 
-/// Callers with kept connections, behind a balancer that asks the doors again and again whether they are ready.
+/// Callers with keep-alive connections, behind a load balancer that polls the readiness of the gateways.
 struct Load {
     doors: Doors,
-    met: Arc<Met>,
+    outcomes: Arc<Outcomes>,
     stop: Arc<AtomicBool>,
     callers: Vec<JoinHandle<()>>,
 }
 
-/// Doors with their addresses for callers and operators, and whether they are ready.
+/// For each gateway the addresses for callers and for operators, and whether it is ready.
 type Doors = Arc<Mutex<Vec<(SocketAddr, SocketAddr, bool)>>>;
 
 fn balance(doors: &Doors, stop: &AtomicBool) {
     while !stop.load(Ordering::SeqCst) {
-        let asked: Vec<_> = doors.lock().expect("no panic").clone();
-        for (number, (callers, operators, _)) in asked.into_iter().enumerate() {
+        let polled: Vec<_> = doors.lock().expect("no panic").clone();
+        for (number, (callers, operators, _)) in polled.into_iter().enumerate() {
             let ready = get(operators, "/ready").status == 200;
             let door = &mut doors.lock().expect("no panic")[number];
             if door.0 == callers {
                 door.2 = ready;
             }
         }
-        thread::sleep(READY_PAUSE);
+        thread::sleep(READY_POLL_INTERVAL);
     }
 }
 
 impl Load {
     fn start(doors: Vec<(SocketAddr, SocketAddr, bool)>) -> Load {
         let doors = Arc::new(Mutex::new(doors));
-        let (met, stop) = (Arc::<Met>::default(), Arc::<AtomicBool>::default());
-        let (asked, until) = (Arc::clone(&doors), Arc::clone(&stop));
-        let balancer = thread::spawn(move || balance(&asked, &until));
+        let (outcomes, stop) = (Arc::<Outcomes>::default(), Arc::<AtomicBool>::default());
+        let (polled, balancer_stop) = (Arc::clone(&doors), Arc::clone(&stop));
+        let balancer = thread::spawn(move || balance(&polled, &balancer_stop));
         let callers = (0..CALLERS).map(|number| {
-            let (doors, met, stop) = (Arc::clone(&doors), Arc::clone(&met), Arc::clone(&stop));
+            let (doors, outcomes, stop) =
+                (Arc::clone(&doors), Arc::clone(&outcomes), Arc::clone(&stop));
             thread::spawn(move || {
                 let runtime = compio::runtime::Runtime::new().expect("a runtime");
-                runtime.block_on(call_until(number, &doors, &met, &stop));
+                runtime.block_on(call_until(number, &doors, &outcomes, &stop));
             })
         });
         let callers = callers.chain([balancer]).collect();
-        Load { doors, met, stop, callers }
+        Load { doors, outcomes, stop, callers }
     }
 
     fn replace(&self, number: usize, callers: SocketAddr, operators: SocketAddr) {
@@ -79,7 +80,7 @@
     }
 
     fn answered(&self) -> u64 {
-        self.met.answered.load(Ordering::SeqCst)
+        self.outcomes.answered.load(Ordering::SeqCst)
     }
 
     fn end(self) -> (u64, Vec<String>) {
@@ -87,12 +88,12 @@
         for caller in self.callers {
             caller.join().expect("the caller's thread ends");
         }
-        let faults = std::mem::take(&mut *self.met.faults.lock().expect("no panic"));
-        (self.met.answered.load(Ordering::SeqCst), faults)
+        let errors = std::mem::take(&mut *self.outcomes.errors.lock().expect("no panic"));
+        (self.outcomes.answered.load(Ordering::SeqCst), errors)
     }
 }
 
-async fn call_until(mut number: usize, doors: &Doors, met: &Met, stop: &AtomicBool) {
+async fn call_until(mut number: usize, doors: &Doors, outcomes: &Outcomes, stop: &AtomicBool) {
     let mut pools: std::collections::HashMap<SocketAddr, Pool> = Default::default();
     while !stop.load(Ordering::SeqCst) {
         let (address, _, ready) = {
@@ -106,35 +107,37 @@
         let pool = pools.entry(address).or_insert_with(|| Pool::new(address)).clone();
         match call(&pool).await {
             Ok(()) => {
-                met.answered.fetch_add(1, Ordering::SeqCst);
+                outcomes.answered.fetch_add(1, Ordering::SeqCst);
+            }
+            // Nothing was sent, so no request was lost: try the next gateway.
+            Err(CallError::NotSent) => number += 1,
+            Err(CallError::Failed(problem)) => {
+                outcomes.errors.lock().expect("no panic").push(problem);
             }
-            // Nothing was sent, so that nothing was lost.
-            Err(Fault::NotSent) => number += 1,
-            Err(Fault::Lost(fault)) => met.faults.lock().expect("no panic").push(fault),
         }
     }
 }
 
-enum Fault {
+enum CallError {
     NotSent,
-    Lost(String),
+    Failed(String),
 }
 
-async fn call(pool: &Pool) -> Result<(), Fault> {
+async fn call(pool: &Pool) -> Result<(), CallError> {
     let request = Request::post("/services/pickup/count")
         .header(header::HOST, "door")
         .body(Body::full(Bytes::from_static(b"{\"coach\":7}")))
         .expect("a request");
     let response = match pool.send(request).await {
         Ok(response) => response,
-        Err(SendError::NotSent(_)) => return Err(Fault::NotSent),
-        Err(SendError::MayHaveRun(err)) => return Err(Fault::Lost(format!("cut: {err}"))),
+        Err(SendError::NotSent(_)) => return Err(CallError::NotSent),
+        Err(SendError::MayHaveRun(err)) => return Err(CallError::Failed(format!("cut: {err}"))),
     };
     let status = response.status().as_u16();
     match read_whole(response.into_body(), 10_000).await {
         Ok(_) if status == 200 => Ok(()),
-        Ok(body) => Err(Fault::Lost(format!("{status}: {}", String::from_utf8_lossy(&body)))),
-        Err(_) => Err(Fault::Lost("the answer was cut".to_owned())),
+        Ok(body) => Err(CallError::Failed(format!("{status}: {}", String::from_utf8_lossy(&body)))),
+        Err(_) => Err(CallError::Failed("the answer was cut".to_owned())),
     }
 }
 
@@ -147,11 +150,11 @@
     env
 }
 
-/// Drivers see errors each time the hosts are replaced, and an excursion list stands still until a lease has lapsed.
-/// All doors are stopped and started one after another under load while a job runs. The causes would be connections
-/// closed under a request, or jobs that are not handed over; the lease is so long that only a handing over helps.
+/// Guards against errors during a rolling restart, and against jobs that stall until a lease expires. All gateways are
+/// stopped and started one after another under load while a job runs. Failures would come from connections closed during
+/// a request, or from a job that is not handed over; the lease is so long that only a handover helps.
 #[test]
-fn a_rolling_restart_under_load_cuts_no_request_and_ends_the_job() {
+fn a_rolling_restart_under_load_cuts_no_request_and_completes_the_job() {
     let mut env = three_doors();
     let lines = job_lines(1_000, 20);
     let answer = env.post(0, "/v1/batches", &[("idempotency-key", "tour-9")], &lines);
@@ -163,34 +166,34 @@
         let before = load.answered();
         wait_until("callers are answered", || load.answered() > before + 50);
         env.door(door).signal("TERM");
-        assert!(env.door(door).wait(), "the door ends well");
+        assert!(env.door(door).wait(), "the process exits successfully");
         if door == 0 {
-            let taken = "job_events_total{reason=\"taken\"}";
-            wait_until("another door took the job", || {
-                (1..DOORS).any(|it| env.metric(it, taken) > 0)
+            let takeovers = "job_events_total{reason=\"taken\"}";
+            wait_until("another gateway has taken over the job", || {
+                (1..DOORS).any(|it| env.metric(it, takeovers) > 0)
             });
         }
         env.restart_door(door, SETTINGS);
         let operators = env.door(door).operators;
-        wait_until("the door is ready", || get(operators, "/ready").status == 200);
+        wait_until("the gateway is ready", || get(operators, "/ready").status == 200);
         load.replace(door, env.door(door).callers, operators);
     }
     wait_until("the job is completed", || env.get(0, &path).json()["status"] == "completed");
-    let (answered, faults) = load.end();
+    let (answered, errors) = load.end();
     assert!(answered > 150);
-    assert_eq!(faults, Vec::<String>::new());
+    assert_eq!(errors, Vec::<String>::new());
     assert_eq!(env.get(0, &path).json()["request_counts"]["completed"], 1_000);
 }
 
-/// A driver meets a closed door: the balancer still sends requests to a door that has stopped, or a request goes out on
-/// a kept connection just as it is closed. The causes would be a listener that closes before the balancer can have seen
-/// that the door is not ready any more, and a client that is not told that its connection ends.
+/// Guards against requests that reach a gateway after it has stopped. They would come from a load balancer that has not
+/// seen the failed readiness yet because the listener closed too early, or on a keep-alive connection whose client was
+/// not sent `connection: close`.
 #[test]
-fn a_stopping_door_is_not_ready_and_goes_on_to_answer() {
+fn a_stopping_gateway_is_not_ready_and_continues_to_answer() {
     let mut env = three_doors();
     let number = env.start_door_with("stopping.unready_ms = 60000");
     let (callers, operators) = (env.door(number).callers, env.door(number).operators);
-    wait_until("the door is ready", || get(operators, "/ready").status == 200);
+    wait_until("the gateway is ready", || get(operators, "/ready").status == 200);
     let mut kept = TcpStream::connect(callers).expect("a connection");
     assert!(!answer_on(&mut kept).contains("connection: close"));
     env.door(number).signal("TERM");
@@ -219,7 +222,7 @@
 }
 
 #[test]
-fn a_second_signal_ends_a_stopping_door_at_once() {
+fn a_second_signal_ends_a_stopping_gateway_immediately() {
     let mut env = three_doors();
     let callers = env.door(0).callers;
     let call = r#"{"model":"small","prompt":"hello","max_tokens":100000,"stream":true}"#;
@@ -229,7 +232,7 @@
     let operators = env.door(0).operators;
     wait_until("it is not ready", || get(operators, "/ready").status == 503);
     env.door(0).signal("TERM");
-    assert!(!env.door(0).wait(), "it does not say that all went well");
+    assert!(!env.door(0).wait(), "the exit code reports no success");
     let answer = caller.join().expect("the caller's thread ends");
     assert!(!answer.text.contains("[DONE]"));
 }
