--- a/crates/samphiredoor/src/cli.rs
+++ b/crates/samphiredoor/src/cli.rs
@@ -37,7 +37,7 @@
         #[bpaf(positional("FILE"))]
         file: PathBuf,
     },
-    /// Runs one door with an object API and two small engines inside; nothing is kept
+    /// Runs one door with an embedded object API and two small engines; nothing is stored on disk
     #[bpaf(command)]
     Dev {
         /// Address for callers
--- a/crates/samphiredoor/src/commands.rs
+++ b/crates/samphiredoor/src/commands.rs
@@ -121,7 +121,7 @@
             break;
         }
     }
-    manifest_change::answer(end)
+    manifest_change::change_response(end)
 }
 
 // The stored record, or the active one if its revision is higher because the store was restored from an older copy.
--- a/crates/samphiredoor/src/config.rs
+++ b/crates/samphiredoor/src/config.rs
@@ -224,7 +224,8 @@
 
 fn check_ownership(ownership: &OwnershipSettings) -> Result<(), SettingError> {
     if ownership.lease_ms < MIN_LEASE_MS {
-        let problem = format!("is below {MIN_LEASE_MS}; the store's answers take that long");
+        let problem =
+            format!("is below {MIN_LEASE_MS}; a response of the store may take that long");
         return Err(SettingError::new("ownership.lease_ms", problem));
     }
     if ownership.renew_ms == 0 || ownership.renew_ms * 2 > ownership.lease_ms {
--- a/crates/samphiredoor/src/links/codec.rs
+++ b/crates/samphiredoor/src/links/codec.rs
@@ -1,4 +1,6 @@
 //! Converts between the Cap'n Proto messages of the wire and the types of `samphiredoor_core`.
+//!
+//! The schema calls a hint `News`.
 
 use capnp::{Error, NotInSchema, struct_list};
 use samphiredoor_core::{
--- a/crates/samphiredoor/src/manifest_change.rs
+++ b/crates/samphiredoor/src/manifest_change.rs
@@ -69,7 +69,7 @@
 }
 
 /// Response to the operator for each outcome.
-pub fn answer(end: ChangeEnd) -> Response<Body> {
+pub fn change_response(end: ChangeEnd) -> Response<Body> {
     let (status, value) = match end {
         ChangeEnd::Accepted { revision } => {
             return json_answer(StatusCode::OK, &json!({ "revision": revision }));
@@ -100,7 +100,7 @@
                 "written_revision": revision,
             }),
         ),
-        ChangeEnd::TooLarge => return bad_request("manifest", "is larger than the store takes"),
+        ChangeEnd::TooLarge => return bad_request("manifest", "is larger than the store accepts"),
         ChangeEnd::Unreadable(problem) => (
             StatusCode::CONFLICT,
             json!({ "error": format!("the stored manifest cannot be read: {problem}") }),
--- a/crates/samphiredoor/src/manifest_http.rs
+++ b/crates/samphiredoor/src/manifest_http.rs
@@ -10,7 +10,7 @@
     answers::{bad_request, not_found},
     ask::header_text,
     door::Door,
-    manifest_change::{answer, change},
+    manifest_change::{change, change_response},
 };
 
 const MAX_MANIFEST_BYTES: usize = 450_000;
@@ -20,7 +20,7 @@
 pub async fn get(door: &Door) -> Response<Body> {
     match door.manifest.record_above(0).await {
         Some(record) => answers::json(StatusCode::OK, record.to_vec()),
-        None => not_found("no manifest is in force yet"),
+        None => not_found("no manifest is active yet"),
     }
 }
 
@@ -42,7 +42,7 @@
         return bad_request(&err.field, &err.problem);
     }
     let declared = serde_json::from_slice(&body).unwrap_or_default();
-    answer(change(door, &operator, declared, expected).await)
+    change_response(change(door, &operator, declared, expected).await)
 }
 
 fn expected_revision(request: &Request<Incoming>) -> Result<Option<u64>, Response<Body>> {
--- a/crates/samphiredoor/src/members_task.rs
+++ b/crates/samphiredoor/src/members_task.rs
@@ -228,8 +228,8 @@
             return hints::deliver(&self.door, &to, hint);
         }
         if self.links.contains_key(&to) {
-            let message = HintMessage { origin: None, hint };
-            return self.send_command(&to, LinkCommand::SendHint(message));
+            return self
+                .send_command(&to, LinkCommand::SendHint(HintMessage { origin: None, hint }));
         }
         let Some(member) = self.membership.roster().get(&to) else { return };
         let address = Arc::clone(&member.address);
@@ -305,7 +305,7 @@
     fn publish_live(&self) {
         let live: Vec<Member> = self.membership.live().cloned().collect();
         self.door.jobs.live(self.not_stopping());
-        self.door.metrics.members(live.len());
+        self.door.metrics.set_members(live.len());
         self.door.peers.set_live(live.into());
     }
 }
--- a/crates/samphiredoor/src/metrics.rs
+++ b/crates/samphiredoor/src/metrics.rs
@@ -200,7 +200,7 @@
     }
 
     /// Sets the number of members that are not reported dead.
-    pub fn members(&self, members: usize) {
+    pub fn set_members(&self, members: usize) {
         self.members.set(members as i64);
     }
 
--- a/crates/samphiredoor/src/operators.rs
+++ b/crates/samphiredoor/src/operators.rs
@@ -15,13 +15,13 @@
     commands,
     door::Door,
     manifest_http,
-    query_rows::{self, Failure},
+    query_rows::{self, QueryError},
 };
 
 const MAX_STATEMENT_BYTES: usize = 16 * 1024;
 
 /// Responds to one request on the operators' listener.
-pub async fn answer(door: Rc<Door>, request: Request<Incoming>) -> Response<Body> {
+pub async fn handle_request(door: Rc<Door>, request: Request<Incoming>) -> Response<Body> {
     match (request.method(), request.uri().path()) {
         (&Method::GET, "/health") => {
             return json_answer(StatusCode::OK, &json!({ "health": "ok" }));
@@ -33,7 +33,7 @@
         && !token.admits(request.headers())
     {
         log::warn!("operators: refused a request without a valid token");
-        let value = json!({ "error": "show the operators' token as `authorization: Bearer`" });
+        let value = json!({ "error": "present the operators' token as `authorization: Bearer`" });
         return json_answer(StatusCode::UNAUTHORIZED, &value);
     }
     match (request.method(), request.uri().path()) {
@@ -59,21 +59,21 @@
     match samphiredoor_query::parse(&String::from_utf8_lossy(&body)) {
         Err(err) => bad_request("statement", &err.to_string()),
         Ok(Statement::Command(command)) => commands::run(door, command).await,
-        Ok(Statement::Query(query)) => match query_rows::answer(door, &query).await {
-            Ok(answer) if query.count => {
-                let value = json!({ "count": answer.rows.len(), "truncated": answer.truncated });
+        Ok(Statement::Query(query)) => match query_rows::run_query(door, &query).await {
+            Ok(result) if query.count => {
+                let value = json!({ "count": result.rows.len(), "truncated": result.truncated });
                 json_answer(StatusCode::OK, &value)
             }
-            Ok(answer) => json_answer(
+            Ok(result) => json_answer(
                 StatusCode::OK,
                 &json!({
                     "fields": query.noun.fields(),
-                    "rows": answer.rows,
-                    "truncated": answer.truncated,
+                    "rows": result.rows,
+                    "truncated": result.truncated,
                 }),
             ),
-            Err(Failure::StoreDown) => store_down(),
-            Err(Failure::NoJob) => not_found("no such job"),
+            Err(QueryError::StoreDown) => store_down(),
+            Err(QueryError::NoJob) => not_found("no such job"),
         },
     }
 }
--- a/crates/samphiredoor/src/orders_task.rs
+++ b/crates/samphiredoor/src/orders_task.rs
@@ -89,7 +89,7 @@
 pub async fn run(env: OrdersEnv, inbox: OrdersInbox) {
     let env = Rc::new(env);
     let mut orders = Orders::new(config(&env));
-    let mut desired = DesiredState::default();
+    let mut source = DesiredStateSource::default();
     let mut actions = Vec::new();
     let mut inbox = TimedInbox::new(inbox.0, TICK);
     loop {
@@ -99,7 +99,7 @@
             InboxEvent::Tick => OrdersInput::Tick,
         };
         let now = env.clock.now();
-        for input in desired.changed_inputs(&env) {
+        for input in source.changed_inputs(&env) {
             orders.handle(now, input, &mut actions);
         }
         orders.handle(now, input, &mut actions);
@@ -124,12 +124,12 @@
 
 /// Manifest revision and live members from which the desired state was last computed.
 #[derive(Default)]
-struct DesiredState {
+struct DesiredStateSource {
     revision: u64,
     live: Option<Arc<[Member]>>,
 }
 
-impl DesiredState {
+impl DesiredStateSource {
     // Recomputes the desired state if the manifest or the live members have changed; empty otherwise.
     fn changed_inputs(&mut self, env: &OrdersEnv) -> Vec<OrdersInput> {
         let (manifest, live) = (env.manifest.current(), env.peers.live());
--- a/crates/samphiredoor/src/process.rs
+++ b/crates/samphiredoor/src/process.rs
@@ -35,8 +35,9 @@
     let door = parts::start(config, peer_address);
     compio::runtime::spawn(links::listen(Rc::clone(&door), peer_listener)).detach();
     let for_operators = Rc::clone(&door);
-    let answer_operator = move |request| operators::answer(Rc::clone(&for_operators), request);
-    compio::runtime::spawn(operators.run(answer_operator)).detach();
+    let handle_operator =
+        move |request| operators::handle_request(Rc::clone(&for_operators), request);
+    compio::runtime::spawn(operators.run(handle_operator)).detach();
     let for_callers = Rc::clone(&door);
     let serving = compio::runtime::spawn(
         callers.run(move |request| callers::answer(Rc::clone(&for_callers), request)),
--- a/crates/samphiredoor/src/query_rows.rs
+++ b/crates/samphiredoor/src/query_rows.rs
@@ -25,16 +25,16 @@
 const MAX_ROWS_READ: usize = 10_000;
 const JOB_LABELS: [&str; 3] = ["state", "owner", "workspace"];
 
-/// Answer to a query.
-pub struct Answer {
+/// Result of a query.
+pub struct QueryResult {
     /// Selected rows, in the order that the query requests.
     pub rows: Vec<Row>,
     /// Whether there are more rows than the bound allows to read.
     pub truncated: bool,
 }
 
-/// Why a query has no answer.
-pub enum Failure {
+/// Reason why a query failed.
+pub enum QueryError {
     /// The store did not answer.
     StoreDown,
     /// The job that the query names does not exist.
@@ -42,7 +42,7 @@
 }
 
 /// Reads the rows of the query's noun, then filters, sorts and limits them.
-pub async fn answer(door: &Rc<Door>, query: &Query) -> Result<Answer, Failure> {
+pub async fn run_query(door: &Rc<Door>, query: &Query) -> Result<QueryResult, QueryError> {
     let (rows, truncated) = match query.noun {
         Noun::Jobs => list_rows(door, Kind::Job, job_labels(query), job_row).await?,
         Noun::Doors => list_rows(door, Kind::Process, Labels::new(), door_row).await?,
@@ -55,7 +55,7 @@
         Noun::Suspects => (suspect_rows(&door.quarantine.list().await), false),
         Noun::Workspaces => (workspace_rows(&door.manifest.current()), false),
     };
-    Ok(Answer { rows: select(query, rows), truncated })
+    Ok(QueryResult { rows: select(query, rows), truncated })
 }
 
 fn job_labels(query: &Query) -> Labels {
@@ -68,14 +68,14 @@
     kind: Kind,
     labels: Labels,
     row: fn(&Stored) -> Option<Value>,
-) -> Result<(Vec<Row>, bool), Failure> {
+) -> Result<(Vec<Row>, bool), QueryError> {
     let mut rows = Vec::new();
     let mut after = None;
     loop {
         let prefix = "".into();
         let op = StoreOp::List { kind, prefix, labels: labels.clone(), after, limit: PAGE_LEN };
         let StoreAnswer::Page { items, next, .. } = door.store.call(op).await else {
-            return Err(Failure::StoreDown);
+            return Err(QueryError::StoreDown);
         };
         rows.extend(items.iter().filter_map(|it| to_row(row(it)?)));
         after = next;
@@ -99,7 +99,7 @@
     let header: JobHeader = serde_json::from_slice(&stored.value).ok()?;
     Some(json!({
         "id": &*stored.name,
-        "state": state_word(header.state),
+        "state": job_state_name(header.state),
         "workspace": header.workspace,
         "service": header.service,
         "items": header.items,
@@ -111,7 +111,7 @@
     }))
 }
 
-fn state_word(state: JobState) -> &'static str {
+fn job_state_name(state: JobState) -> &'static str {
     match state {
         JobState::Running => "running",
         JobState::Cancelling => "cancelling",
@@ -207,10 +207,10 @@
     rows.filter_map(to_row).collect()
 }
 
-async fn item_rows(door: &Door, query: &Query) -> Result<(Vec<Row>, bool), Failure> {
+async fn item_rows(door: &Door, query: &Query) -> Result<(Vec<Row>, bool), QueryError> {
     let job = query.equal_to("job").unwrap_or_default().into();
     let Some(header) = read_object::<JobHeader>(door, header_key(&job)).await? else {
-        return Err(Failure::NoJob);
+        return Err(QueryError::NoJob);
     };
     let mut rows = Vec::new();
     for number in 0..header.chunks {
@@ -223,7 +223,7 @@
             let row = json!({
                 "job": &*job,
                 "custom_id": item.custom_id,
-                "state": result.map_or("waiting", |it| outcome_word(it.outcome)),
+                "state": result.map_or("waiting", |it| outcome_name(it.outcome)),
                 "status": result.map(|it| it.status),
                 "tries": result.map(|it| it.tries),
                 "reason": result.and_then(|it| failure_reason(it.outcome, it.body.as_ref())),
@@ -237,7 +237,7 @@
     Ok((rows, false))
 }
 
-fn outcome_word(outcome: ItemOutcome) -> &'static str {
+fn outcome_name(outcome: ItemOutcome) -> &'static str {
     match outcome {
         ItemOutcome::Answered => "answered",
         ItemOutcome::Failed => "failed",
@@ -256,7 +256,7 @@
 async fn read_object<T: DeserializeOwned>(
     door: &Door,
     key: samphiredoor_core::store::ObjectKey,
-) -> Result<Option<T>, Failure> {
+) -> Result<Option<T>, QueryError> {
     let name = key.name.clone();
     match door.store.call(StoreOp::Get { key }).await {
         StoreAnswer::Object(stored) => match serde_json::from_slice(&stored.value) {
@@ -267,6 +267,6 @@
             }
         },
         StoreAnswer::Absent => Ok(None),
-        _ => Err(Failure::StoreDown),
+        _ => Err(QueryError::StoreDown),
     }
 }
--- a/crates/samphiredoor/tests/it/env.rs
+++ b/crates/samphiredoor/tests/it/env.rs
@@ -29,15 +29,15 @@
 }
 
 /// Location of a gateway, and the address of its store.
-pub struct DoorPlace {
+pub struct DoorLocation {
     pub region: &'static str,
     pub availability_zone: &'static str,
     pub store: SocketAddr,
 }
 
-impl Default for DoorPlace {
-    fn default() -> DoorPlace {
-        DoorPlace {
+impl Default for DoorLocation {
+    fn default() -> DoorLocation {
+        DoorLocation {
             region: "brisbane",
             availability_zone: "brisbane-north",
             store: SocketAddr::from(([127, 0, 0, 1], 1)),
@@ -97,28 +97,28 @@
 
     /// Starts a gateway with additional lines of settings.
     pub fn start_door_with(&mut self, more: &str) -> usize {
-        self.start_door_at(&DoorPlace { store: self.store, ..DoorPlace::default() }, more)
+        self.start_door_at(&DoorLocation { store: self.store, ..DoorLocation::default() }, more)
     }
 
     /// Starts a gateway at a location, with additional lines of settings.
-    pub fn start_door_at(&mut self, place: &DoorPlace, more: &str) -> usize {
+    pub fn start_door_at(&mut self, location: &DoorLocation, more: &str) -> usize {
         let number = self.doors.len();
-        let door = self.run_door(number, place, more);
+        let door = self.run_door(number, location, more);
         self.doors.push(door);
         number
     }
 
     /// Starts a gateway again under its previous name, after the previous process has ended.
     pub fn restart_door(&mut self, number: usize, more: &str) {
-        let place = DoorPlace { store: self.store, ..DoorPlace::default() };
-        let door = self.run_door(number, &place, more);
+        let location = DoorLocation { store: self.store, ..DoorLocation::default() };
+        let door = self.run_door(number, &location, more);
         self.doors[number] = door;
     }
 
-    fn run_door(&self, number: usize, place: &DoorPlace, more: &str) -> TestDoor {
+    fn run_door(&self, number: usize, location: &DoorLocation, more: &str) -> TestDoor {
         let file = self.folder.join(format!("door-{number}.toml"));
         let unready = if more.contains("unready_ms") { "" } else { "stopping.unready_ms = 50" };
-        let (region, zone) = (place.region, place.availability_zone);
+        let (region, zone) = (location.region, location.availability_zone);
         let settings = format!(
             "name = \"door-{number}\"\n\
              region = \"{region}\"\n\
@@ -129,7 +129,7 @@
              store.address = \"{}\"\n\
              {unready}\n\
              {more}\n",
-            place.store
+            location.store
         );
         std::fs::write(&file, settings).expect("settings are written");
         let mut child = Command::new(env!("CARGO_BIN_EXE_samphiredoor"))
--- a/crates/samphiredoor/tests/it/fleet.rs
+++ b/crates/samphiredoor/tests/it/fleet.rs
@@ -5,7 +5,7 @@
 use serde_json::{Value, json};
 
 use crate::{
-    env::{Answer, DoorPlace, TestEnv, get, post, start_service, target, wait_until},
+    env::{Answer, DoorLocation, TestEnv, get, post, start_service, target, wait_until},
     relay::Relay,
 };
 
@@ -20,7 +20,7 @@
     for number in 0..doors {
         let (region, availability_zone) = ZONES[number % ZONES.len()];
         let store = env.store;
-        env.start_door_at(&DoorPlace { region, availability_zone, store }, SHORT_INTERVALS);
+        env.start_door_at(&DoorLocation { region, availability_zone, store }, SHORT_INTERVALS);
     }
     for door in 0..doors {
         wait_until("all gateways list each other as members", || {
@@ -225,10 +225,10 @@
     let mut env = TestEnv::new();
     let relay = Relay::start(env.store);
     let store = env.store;
-    env.start_door_at(&DoorPlace { store, ..DoorPlace::default() }, SHORT_INTERVALS);
+    env.start_door_at(&DoorLocation { store, ..DoorLocation::default() }, SHORT_INTERVALS);
     let (region, availability_zone) = ZONES[2];
-    let place = DoorPlace { region, availability_zone, store: relay.address };
-    env.start_door_at(&place, SHORT_INTERVALS);
+    let location = DoorLocation { region, availability_zone, store: relay.address };
+    env.start_door_at(&location, SHORT_INTERVALS);
     let service = start_service(Duration::ZERO);
     env.declare(&json!({
         "services": [{ "name": "pickup", "kind": "plain" }],
--- a/crates/samphiredoor/tests/it/stop.rs
+++ b/crates/samphiredoor/tests/it/stop.rs
@@ -194,15 +194,15 @@
     let number = env.start_door_with("stopping.unready_ms = 60000");
     let (callers, operators) = (env.door(number).callers, env.door(number).operators);
     wait_until("the gateway is ready", || get(operators, "/ready").status == 200);
-    let mut kept = TcpStream::connect(callers).expect("a connection");
-    assert!(!answer_on(&mut kept).contains("connection: close"));
+    let mut keep_alive = TcpStream::connect(callers).expect("a connection");
+    assert!(!answer_on(&mut keep_alive).contains("connection: close"));
     env.door(number).signal("TERM");
     wait_until("it is not ready", || get(operators, "/ready").status == 503);
     for _ in 0..NEW_CONNECTIONS {
         let answer = post(callers, "/services/pickup/count", &[], "{}");
-        assert_eq!(answer.status, 200, "a new connection is still taken: {}", answer.text);
+        assert_eq!(answer.status, 200, "a new connection is still accepted: {}", answer.text);
     }
-    let answer = answer_on(&mut kept);
+    let answer = answer_on(&mut keep_alive);
     assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
     assert!(answer.contains("connection: close"), "{answer}");
 }
