--- a/crates/samphiredoor/src/manifest_change.rs
+++ b/crates/samphiredoor/src/manifest_change.rs
@@ -19,8 +19,8 @@
 const REPLICATION_TRIES: u32 = 30;
 const REPLICATION_BACKOFF: Duration = Duration::from_millis(100);
 
-/// Replaces the declarations by `declared` on behalf of `operator`; with an expected revision, only if it is the latest.
-/// The change continues when the operator's connection is lost, so that it never stops half-way.
+/// Replaces the declarations by `declared` on behalf of `operator`; with an expected revision, only if it is the
+/// latest. The change continues when the operator's connection is lost, so that it never stops half-way.
 pub async fn change(
     door: &Rc<Door>,
     operator: &str,
--- a/crates/samphiredoor/src/manifest_task.rs
+++ b/crates/samphiredoor/src/manifest_task.rs
@@ -155,8 +155,8 @@
     }
 }
 
-/// Whether this process is one of its zone's watchers. The member list that decides it may be out of date; a wrong result
-/// costs an extra call, nothing else.
+/// Whether this process is one of its zone's watchers. The member list that decides it may be out of date; a wrong
+/// result costs an extra call, nothing else.
 fn is_watcher(env: &ManifestEnv) -> bool {
     let live = env.peers.live();
     let zone = &env.config.availability_zone;
--- a/crates/samphiredoor/src/operators.rs
+++ b/crates/samphiredoor/src/operators.rs
@@ -1,7 +1,7 @@
 //! The operators' listener: health, readiness, metrics, statements and the manifest.
 //!
-//! Health and readiness need no token, for the platform's load balancer; all other paths need the operators' token if one
-//! is set.
+//! Health and readiness need no token, for the platform's load balancer; all other paths need the operators' token if
+//! one is set.
 
 use std::rc::Rc;
 
--- a/crates/samphiredoor/src/process.rs
+++ b/crates/samphiredoor/src/process.rs
@@ -54,8 +54,8 @@
 }
 
 /// Shuts down gracefully, in an order that cuts no request: readiness fails and the peers are notified first, and the
-/// load balancer has time to react while callers are still answered. The callers' listener closes last, and requests that
-/// are running then may finish.
+/// load balancer has time to react while callers are still answered. The callers' listener closes last, and requests
+/// that are running then may finish.
 async fn stop(door: &Door, callers: Option<StopHandle>, serving: JoinHandle<()>) {
     log::info!("door: stopping");
     door.stopping.set(true);
--- a/crates/samphiredoor/src/store_client.rs
+++ b/crates/samphiredoor/src/store_client.rs
@@ -157,8 +157,8 @@
         compio::runtime::spawn(async move { on_answer(store.call(op).await) }).detach();
     }
 
-    /// Watches the objects of a kind for changes after a version; `None` if the store does not answer within the timeout.
-    /// The status of the response is not checked: a watch that the store refuses yields no events and ends.
+    /// Watches the objects of a kind for changes after a version; `None` if the store does not answer within the
+    /// timeout. The status of the response is not checked: a watch that the store refuses yields no events and ends.
     pub async fn watch(&self, kind: Kind, version: Version) -> Option<Watch> {
         let path = format!(
             "{ROOT}/{}?watch=1&resourceVersion={}&timeoutSeconds={WATCH_TIMEOUT_S}",
--- a/crates/samphiredoor/tests/it/fleet.rs
+++ b/crates/samphiredoor/tests/it/fleet.rs
@@ -64,8 +64,8 @@
 }
 
 /// Guards against the loss of an accepted change. The store goes down right after the write, no watch has delivered the
-/// change, and the gateway that accepted it dies. The change would be lost if it were acknowledged before another gateway
-/// holds it.
+/// change, and the gateway that accepted it dies. The change would be lost if it were acknowledged before another
+/// gateway holds it.
 #[test]
 fn an_accepted_change_survives_its_gateway_when_the_store_goes_down() {
     let mut env = fleet(3);
@@ -189,8 +189,8 @@
     assert_eq!(answer.json()["revision"], 2, "{}", answer.text);
 }
 
-/// Guards against a faulty host or a network scan that stops a gateway. The peers' listener receives invalid bytes, half
-/// a message, and a peer with a wrong token; the failure of such a link must not affect others.
+/// Guards against a faulty host or a network scan that stops a gateway. The peers' listener receives invalid bytes,
+/// half a message, and a peer with a wrong token; the failure of such a link must not affect others.
 #[test]
 fn garbage_and_wrong_tokens_are_refused_and_counted() {
     let mut env = TestEnv::new();
--- a/crates/samphiredoor/tests/it/stop.rs
+++ b/crates/samphiredoor/tests/it/stop.rs
@@ -151,8 +151,8 @@
 }
 
 /// Guards against errors during a rolling restart, and against jobs that stall until a lease expires. All gateways are
-/// stopped and started one after another under load while a job runs. Failures would come from connections closed during
-/// a request, or from a job that is not handed over; the lease is so long that only a handover helps.
+/// stopped and started one after another under load while a job runs. Failures would come from connections closed
+/// during a request, or from a job that is not handed over; the lease is so long that only a handover helps.
 #[test]
 fn a_rolling_restart_under_load_cuts_no_request_and_completes_the_job() {
     let mut env = three_doors();
