--- a/crates/samphiredoor/src/main.rs
+++ b/crates/samphiredoor/src/main.rs
@@ -1,8 +1,8 @@
 //! The `samphiredoor` program.
 //!
 //! `serve` runs a door: the gateway of this crate, which keeps its state in an object API. `gateway` and `storage` run
-//! the processes of `samphiredoor_gateway` on the users' platform. `check` checks the settings of a door, and `dev` runs
-//! a door with everything that it needs in one process.
+//! the processes of `samphiredoor_gateway` on the users' platform. `check` checks the settings of a door, and `dev`
+//! runs a door with everything that it needs in one process.
 
 mod access;
 mod answers;
