--- a/crates/samphiredoor/src/cli.rs
+++ b/crates/samphiredoor/src/cli.rs
@@ -1,10 +1,10 @@
-//! Command line of the process.
+//! Command line of the `samphiredoor` program.
 
 use std::{net::SocketAddr, path::PathBuf};
 
 use bpaf::Bpaf;
 
-/// Door between callers and targets: online and batch inference on one fleet.
+/// Gateway between callers and targets: online and batch inference on one fleet.
 #[derive(Debug, Clone)]
 #[derive(Bpaf)]
 #[bpaf(options, version)]
@@ -37,7 +37,7 @@
         #[bpaf(positional("FILE"))]
         file: PathBuf,
     },
-    /// Runs one door with an object API and two small engines inside; nothing is kept
+    /// Runs one door with an embedded object API and two small engines; nothing is stored on disk
     #[bpaf(command)]
     Dev {
         /// Address for callers
@@ -52,7 +52,7 @@
     },
 }
 
-/// Parses the arguments; ends the process on `--help` and on errors.
+/// Parses the arguments; exits the process on `--help` and on errors.
 pub fn parse() -> Opts {
     opts().run()
 }
--- a/crates/samphiredoor/src/lending_task.rs
+++ b/crates/samphiredoor/src/lending_task.rs
@@ -20,7 +20,7 @@
         report_live_gateways(&door);
         let forwarding = async {
             while let Ok((to, hint)) = hints.recv_async().await {
-                door.peers.tell(to, hint);
+                door.peers.send_hint(to, hint);
             }
         };
         if within(LIVE_REPORT_PERIOD, forwarding).await.is_some() {
