--- a/crates/samphiredoor/src/dispatch_metrics.rs
+++ b/crates/samphiredoor/src/dispatch_metrics.rs
@@ -68,12 +68,12 @@
     }
 
     /// Observes the time from the decision to preempt an item until its slot is free.
-    pub fn recalled(&self, elapsed_s: f64) {
+    pub fn observe_preemption(&self, elapsed_s: f64) {
         self.preemption_s.observe(elapsed_s);
     }
 
     /// Updates the metrics from the dispatcher's latest counts.
-    pub fn set(&self, counters: &Counters, gauges: &Gauges) {
+    pub fn update(&self, counters: &Counters, gauges: &Gauges) {
         for (reason, count) in RetryReason::ALL.into_iter().zip(counters.retries) {
             self.retries.raise_to(reason.label(), count);
         }
--- a/crates/samphiredoor/src/dispatch_task.rs
+++ b/crates/samphiredoor/src/dispatch_task.rs
@@ -247,7 +247,7 @@
     fn publish(&mut self) {
         if self.ticks.is_multiple_of(TICKS_BETWEEN_METRICS) {
             let gauges = self.dispatcher.gauges(self.clock.now());
-            self.metrics.dispatcher(self.dispatcher.counters(), &gauges);
+            self.metrics.update_dispatcher(self.dispatcher.counters(), &gauges);
         }
         self.ticks += 1;
     }
@@ -256,7 +256,7 @@
         if let Input::Cancelled { request } | Input::AttemptEnded { request, .. } = input
             && let Some(preempted_at) = self.preempted_at.remove(request)
         {
-            self.metrics.recalled(preempted_at.elapsed().as_secs_f64());
+            self.metrics.observe_preemption(preempted_at.elapsed().as_secs_f64());
         }
         match input {
             Input::Cancelled { request } => {
--- a/crates/samphiredoor/src/hosts_task.rs
+++ b/crates/samphiredoor/src/hosts_task.rs
@@ -87,7 +87,7 @@
     match (entry, address) {
         (Ok(entry), Some(address)) => entry.leaving.then_some(address),
         _ => {
-            door.metrics.peer_refused(PeerRefusal::UnreadableHost);
+            door.metrics.count_peer_refusal(PeerRefusal::UnreadableHost);
             log::warn!("hosts: the entry of {} cannot be read", stored.name);
             None
         }
--- a/crates/samphiredoor/src/item_run.rs
+++ b/crates/samphiredoor/src/item_run.rs
@@ -60,7 +60,7 @@
                         admitted.answered();
                         handle.ended(AttemptEnd::Completed);
                         let elapsed_s = started.elapsed().as_secs_f64();
-                        door.metrics.ended(Class::Batch, Verdict::Done, elapsed_s);
+                        door.metrics.count_outcome(Class::Batch, Verdict::Done, elapsed_s);
                         return end;
                     }
                     AttemptResult::Ended(Err(end)) => {
@@ -80,7 +80,7 @@
             }
             Decision::Abort => {}
             Decision::Refused(verdict) => {
-                door.metrics.ended(Class::Batch, verdict, 0.0);
+                door.metrics.count_outcome(Class::Batch, verdict, 0.0);
                 return item_end(verdict);
             }
         }
@@ -116,7 +116,7 @@
 /// lost, because the item can never be completed.
 fn end_quarantined(door: &Door) -> ItemEnd {
     let reason = Refusal::Quarantined;
-    door.metrics.ended(Class::Batch, Verdict::NotRun { retry_after_ms: 0, reason }, 0.0);
+    door.metrics.count_outcome(Class::Batch, Verdict::NotRun { retry_after_ms: 0, reason }, 0.0);
     ItemEnd::Refused { reason: reason.to_string() }
 }
 
--- a/crates/samphiredoor/src/job_reads.rs
+++ b/crates/samphiredoor/src/job_reads.rs
@@ -123,7 +123,7 @@
         StoreAnswer::Object(stored) => match read_results(&stored.value) {
             Ok(read) => Ok(Some(read)),
             Err(fault) => {
-                door.metrics.unreadable(fault);
+                door.metrics.count_unreadable(fault);
                 log::error!("jobs: results {} are unreadable: {fault}", key.name);
                 Ok(None)
             }
@@ -164,7 +164,7 @@
         StoreAnswer::Object(stored) => match parse_header(&stored.value) {
             Ok(header) => Ok((header, stored.version)),
             Err(fault) => {
-                door.metrics.unreadable(fault);
+                door.metrics.count_unreadable(fault);
                 log::error!("jobs: header {job} is unreadable: {fault}");
                 Err(unreadable())
             }
--- a/crates/samphiredoor/src/jobs_task.rs
+++ b/crates/samphiredoor/src/jobs_task.rs
@@ -187,7 +187,7 @@
     fn handle(&mut self, input: LedgerInput) {
         if let LedgerInput::ItemEnded { item, end } = &input {
             self.stop_senders.remove(item);
-            self.env.metrics.item_ended(end_label(end));
+            self.env.metrics.count_item_end(end_label(end));
         }
         self.ledger.handle(self.env.clock.now(), input, &mut self.actions);
         for action in std::mem::take(&mut self.actions) {
@@ -210,7 +210,7 @@
                 }
             }
             LedgerAction::HandedOver(job) => {
-                self.env.metrics.job_event("handed_over");
+                self.env.metrics.count_job_event("handed_over");
                 log::info!("jobs: {job} handed over");
                 self.env.peers.offer_job(job);
             }
@@ -234,23 +234,23 @@
         let metrics = &self.env.metrics;
         match note {
             Note::TakenOver { job, epoch } => {
-                metrics.job_event("taken");
+                metrics.count_job_event("taken");
                 log::info!("jobs: {job} taken over with epoch {epoch}");
             }
             Note::Dropped { job } => {
-                metrics.job_event("dropped");
+                metrics.count_job_event("dropped");
                 log::info!("jobs: {job} dropped, another process owns it");
             }
             Note::Closed { job, state } => {
-                metrics.job_event(state_label(*state));
+                metrics.count_job_event(state_label(*state));
                 log::info!("jobs: {job} is {}", state_label(*state));
             }
             Note::LeaseExpired => {
-                metrics.job_event("lease_over");
+                metrics.count_job_event("lease_over");
                 log::warn!("jobs: the lease has expired; no items are run until it is renewed");
             }
             Note::Unreadable { key, fault } => {
-                metrics.unreadable(*fault);
+                metrics.count_unreadable(*fault);
                 log::error!("jobs: {}/{} is unreadable: {fault}", key.kind.path(), key.name);
             }
         }
--- a/crates/samphiredoor/src/keyed.rs
+++ b/crates/samphiredoor/src/keyed.rs
@@ -202,7 +202,7 @@
         return online.refused(Verdict::MayHaveRun { reason: MayHaveRunReason::AnswerNotKept });
     };
     let elapsed_s = online.started.elapsed().as_secs_f64();
-    online.door.metrics.ended(Class::Online, Verdict::Done, elapsed_s);
+    online.door.metrics.count_outcome(Class::Online, Verdict::Done, elapsed_s);
     let mut response = Response::new(Body::full(body.to_vec()));
     *response.status_mut() = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::OK);
     let headers = response.headers_mut();
--- a/crates/samphiredoor/src/keys_metrics.rs
+++ b/crates/samphiredoor/src/keys_metrics.rs
@@ -23,7 +23,7 @@
     }
 
     /// Counts a response that was replayed to a resent request.
-    pub fn replayed(&self) {
+    pub fn count_replayed(&self) {
         self.replayed.inc();
     }
 
@@ -33,7 +33,7 @@
     }
 
     /// Counts a read of a damaged shard.
-    pub fn unreadable(&self) {
+    pub fn count_unreadable(&self) {
         self.unreadable.inc();
     }
 }
--- a/crates/samphiredoor/src/keys_task.rs
+++ b/crates/samphiredoor/src/keys_task.rs
@@ -176,7 +176,7 @@
             KeysAction::Run { request } => self.reply(request, KeyDecision::Run),
             KeysAction::Joined { request } => self.reply(request, KeyDecision::Joined),
             KeysAction::Replay { request, answer } => {
-                self.env.metrics.keys().replayed();
+                self.env.metrics.keys().count_replayed();
                 self.reply(request, KeyDecision::Replay(answer));
                 self.waiting.remove(&request);
             }
@@ -185,7 +185,7 @@
                 self.waiting.remove(&request);
             }
             KeysAction::Unreadable { object } => {
-                self.env.metrics.keys().unreadable();
+                self.env.metrics.keys().count_unreadable();
                 log::error!("keys: {object} cannot be read; its keys are refused");
             }
         }
--- a/crates/samphiredoor/src/links/link.rs
+++ b/crates/samphiredoor/src/links/link.rs
@@ -60,7 +60,7 @@
     loop {
         match listener.accept().await {
             Ok(_) if open_links.get() >= MAX_ACCEPTED_LINKS => {
-                door.metrics.peer_refused(PeerRefusal::TooManyLinks);
+                door.metrics.count_peer_refusal(PeerRefusal::TooManyLinks);
                 log::warn!("peers: closed a link above the limit of {MAX_ACCEPTED_LINKS}");
             }
             Ok((stream, from)) => {
@@ -118,7 +118,7 @@
     let mut entered = pin!(wait_for_enter(&remote).fuse());
     let (peer, client) = select! {
         ended = system => {
-            door.metrics.peer_refused(PeerRefusal::NoEntry);
+            door.metrics.count_peer_refusal(PeerRefusal::Unauthenticated);
             return Ok(ended?);
         }
         entered = entered => match entered {
@@ -126,7 +126,7 @@
             None => {
                 // Leaves the RPC system time to send the refusal.
                 let _ = within(ACCEPT_DELAY, &mut system).await;
-                door.metrics.peer_refused(PeerRefusal::NoEntry);
+                door.metrics.count_peer_refusal(PeerRefusal::Unauthenticated);
                 bail!("the peer did not authenticate");
             }
         },
@@ -235,7 +235,7 @@
     let calls = Rc::new(Cell::new(0_usize));
     while let Ok(command) = commands.recv_async().await {
         if calls.get() >= MAX_CONCURRENT_CALLS {
-            door.metrics.peer_refused(PeerRefusal::SlowPeer);
+            door.metrics.count_peer_refusal(PeerRefusal::SlowPeer);
             continue;
         }
         calls.set(calls.get() + 1);
--- a/crates/samphiredoor/src/links/service.rs
+++ b/crates/samphiredoor/src/links/service.rs
@@ -56,7 +56,7 @@
         let params = params.get()?;
         if token_digest(params.get_token()?) != token_digest(&self.door.config.peer_token) {
             self.remote.refused.set(true);
-            self.door.metrics.peer_refused(PeerRefusal::WrongToken);
+            self.door.metrics.count_peer_refusal(PeerRefusal::WrongToken);
             log::warn!("peers: refused a connection with a wrong token");
             return Err(Error::failed("wrong token".to_owned()));
         }
@@ -101,7 +101,7 @@
     // Counts and logs a message that cannot be read.
     fn checked<T>(&self, read: Result<T, Error>) -> Result<T, Error> {
         read.inspect_err(|err| {
-            self.door.metrics.peer_refused(PeerRefusal::Unreadable);
+            self.door.metrics.count_peer_refusal(PeerRefusal::Unreadable);
             log::warn!("peers: refused an unreadable message from {}: {err}", self.peer.borrow());
         })
     }
@@ -151,7 +151,7 @@
             match self.checked(codec::read_hint(news))? {
                 Some(hint) => hints.push(hint),
                 None => {
-                    self.door.metrics.peer_refused(PeerRefusal::UnknownNews);
+                    self.door.metrics.count_peer_refusal(PeerRefusal::UnknownHint);
                     log::warn!("peers: ignored a hint of an unknown kind from {from}");
                 }
             }
--- a/crates/samphiredoor/src/manifest_task.rs
+++ b/crates/samphiredoor/src/manifest_task.rs
@@ -134,20 +134,20 @@
         // From a peer, an older revision is merely late. From the store, it is a stale read, or the store was restored
         // from an older copy.
         UpdateOutcome::Older { revision } if source == Source::Store => {
-            env.metrics.manifest_refused(ManifestRefusal::Older);
+            env.metrics.count_manifest_refusal(ManifestRefusal::Older);
             log::error!(
                 "manifest: the store returned revision {revision}; revision {held} stays active"
             );
         }
-        UpdateOutcome::Older { .. } => env.metrics.manifest_refused(ManifestRefusal::Older),
+        UpdateOutcome::Older { .. } => env.metrics.count_manifest_refusal(ManifestRefusal::Older),
         UpdateOutcome::Forked { revision } => {
-            env.metrics.manifest_refused(ManifestRefusal::Forked);
+            env.metrics.count_manifest_refusal(ManifestRefusal::Forked);
             log::error!(
                 "manifest: two different manifests have revision {revision}; apply the declarations again"
             );
         }
         UpdateOutcome::Unusable(problem) => {
-            env.metrics.manifest_refused(ManifestRefusal::Unusable);
+            env.metrics.count_manifest_refusal(ManifestRefusal::Unusable);
             log::error!(
                 "manifest: revision {held} stays active; refused a record from {source:?}: {problem}"
             );
--- a/crates/samphiredoor/src/members_task.rs
+++ b/crates/samphiredoor/src/members_task.rs
@@ -172,7 +172,7 @@
     fn send_command(&self, peer: &Name, command: LinkCommand) {
         let Some(link) = self.links.get(peer).and_then(|it| it.last()) else { return };
         if let Err(flume::TrySendError::Full(_)) = link.commands.try_send(command) {
-            self.door.metrics.peer_refused(PeerRefusal::SlowPeer);
+            self.door.metrics.count_peer_refusal(PeerRefusal::SlowPeer);
         }
     }
 
@@ -350,7 +350,7 @@
     match serde_json::from_slice(&stored.value) {
         Ok(lease) => Some(lease),
         Err(err) => {
-            door.metrics.peer_refused(PeerRefusal::UnreadableLease);
+            door.metrics.count_peer_refusal(PeerRefusal::UnreadableLease);
             log::warn!("peers: the lease of {} cannot be read: {err}", stored.name);
             None
         }
--- a/crates/samphiredoor/src/metrics.rs
+++ b/crates/samphiredoor/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Prometheus metrics of a door, and their label values.
+//! Prometheus metrics of this process, and their label values.
 
 use std::rc::Rc;
 
@@ -43,11 +43,11 @@
     /// The peer presented a wrong token.
     WrongToken,
     /// A connection ended, or was closed, before the peer had authenticated.
-    NoEntry,
+    Unauthenticated,
     /// A message cannot be read.
     Unreadable,
     /// A hint of a kind that only a newer version defines.
-    UnknownNews,
+    UnknownHint,
     /// A link above the limit of accepted links.
     TooManyLinks,
     /// A message to a peer was dropped because earlier calls to the peer are still running.
@@ -61,9 +61,9 @@
 impl PeerRefusal {
     const ALL: [PeerRefusal; 8] = [
         PeerRefusal::WrongToken,
-        PeerRefusal::NoEntry,
+        PeerRefusal::Unauthenticated,
         PeerRefusal::Unreadable,
-        PeerRefusal::UnknownNews,
+        PeerRefusal::UnknownHint,
         PeerRefusal::TooManyLinks,
         PeerRefusal::SlowPeer,
         PeerRefusal::UnreadableLease,
@@ -73,9 +73,9 @@
     fn label(self) -> &'static str {
         match self {
             PeerRefusal::WrongToken => "wrong_token",
-            PeerRefusal::NoEntry => "no_entry",
+            PeerRefusal::Unauthenticated => "no_entry",
             PeerRefusal::Unreadable => "unreadable",
-            PeerRefusal::UnknownNews => "unknown_news",
+            PeerRefusal::UnknownHint => "unknown_news",
             PeerRefusal::TooManyLinks => "too_many_links",
             PeerRefusal::SlowPeer => "slow_peer",
             PeerRefusal::UnreadableLease => "unreadable_lease",
@@ -185,12 +185,12 @@
     }
 
     /// Counts a refusal.
-    pub fn peer_refused(&self, reason: PeerRefusal) {
+    pub fn count_peer_refusal(&self, reason: PeerRefusal) {
         self.peer_refusals.count(reason.label());
     }
 
     /// Counts a manifest record that was not made active.
-    pub fn manifest_refused(&self, reason: ManifestRefusal) {
+    pub fn count_manifest_refusal(&self, reason: ManifestRefusal) {
         self.manifest_refusals.count(reason.label());
     }
 
@@ -215,13 +215,13 @@
     }
 
     /// Counts an online request as running until the guard is dropped.
-    pub fn running(&self) -> Running {
+    pub fn track_running(&self) -> RunningGuard {
         self.running.inc();
-        Running(self.running.clone())
+        RunningGuard(self.running.clone())
     }
 
     /// Counts the outcome of a request; the latency of answered ones goes into the histogram.
-    pub fn ended(&self, class: Class, verdict: Verdict, elapsed_s: f64) {
+    pub fn count_outcome(&self, class: Class, verdict: Verdict, elapsed_s: f64) {
         let class = ClassLabel { class: class_label(class) };
         match verdict {
             Verdict::Done => {
@@ -238,28 +238,28 @@
     }
 
     /// Counts an event of a job, one of `JOB_EVENTS`.
-    pub fn job_event(&self, event: &'static str) {
+    pub fn count_job_event(&self, event: &'static str) {
         self.job_events.count(event);
     }
 
     /// Counts the end of a run of an item, one of `ITEM_ENDS`.
-    pub fn item_ended(&self, end: &'static str) {
+    pub fn count_item_end(&self, end: &'static str) {
         self.item_ends.count(end);
     }
 
     /// Counts a stored object that cannot be read.
-    pub fn unreadable(&self, fault: Unreadable) {
+    pub fn count_unreadable(&self, fault: Unreadable) {
         self.unreadable.count(fault.label());
     }
 
     /// Observes the time from the decision to preempt an item until its slot is free.
-    pub fn recalled(&self, elapsed_s: f64) {
-        self.dispatcher.recalled(elapsed_s);
+    pub fn observe_preemption(&self, elapsed_s: f64) {
+        self.dispatcher.observe_preemption(elapsed_s);
     }
 
     /// Updates the dispatcher's metrics from its latest counts.
-    pub fn dispatcher(&self, counters: &Counters, gauges: &Gauges) {
-        self.dispatcher.set(counters, gauges);
+    pub fn update_dispatcher(&self, counters: &Counters, gauges: &Gauges) {
+        self.dispatcher.update(counters, gauges);
     }
 
     /// Returns all metrics in the text exposition format.
@@ -269,9 +269,9 @@
 }
 
 /// Guard that counts one online request as running until it is dropped.
-pub struct Running(Gauge);
+pub struct RunningGuard(Gauge);
 
-impl Drop for Running {
+impl Drop for RunningGuard {
     fn drop(&mut self) {
         self.0.dec();
     }
--- a/crates/samphiredoor/src/online.rs
+++ b/crates/samphiredoor/src/online.rs
@@ -29,7 +29,7 @@
     dispatch_task::{Decision, RequestHandle},
     door::Door,
     keyed,
-    metrics::Running,
+    metrics::RunningGuard,
     quarantine_task::AdmittedAttempt,
     request_body::RequestBody,
     request_spec::{
@@ -71,7 +71,7 @@
         headers: forwarded_headers(&parts.headers, &door, spec.request),
         body,
     };
-    let running = door.metrics.running();
+    let running = door.metrics.track_running();
     let is_engine = is_engine(&door, &spec.service);
     let online =
         OnlineRequest { door, call, is_engine, stream: params.stream, started, deadline, running };
@@ -93,7 +93,7 @@
     pub started: Instant,
     /// When the caller stops waiting for an answer.
     pub deadline: Instant,
-    running: Running,
+    running: RunningGuard,
 }
 
 /// Result of one attempt, as far as the caller gets something from it.
@@ -200,7 +200,11 @@
     }
 
     fn record_verdict(&self, verdict: Verdict) {
-        self.door.metrics.ended(Class::Online, verdict, self.started.elapsed().as_secs_f64());
+        self.door.metrics.count_outcome(
+            Class::Online,
+            verdict,
+            self.started.elapsed().as_secs_f64(),
+        );
     }
 
     /// Counts a verdict in the metrics and returns it as an answer to the caller.
--- a/crates/samphiredoor/src/quarantine_metrics.rs
+++ b/crates/samphiredoor/src/quarantine_metrics.rs
@@ -5,19 +5,19 @@
 
 /// Metrics of the quarantine.
 pub struct QuarantineMetrics {
-    blamed: Counter,
+    quarantined: Counter,
 }
 
 impl QuarantineMetrics {
     /// Registers the metrics at zero.
     pub fn new(registry: &mut Registry) -> QuarantineMetrics {
         QuarantineMetrics {
-            blamed: counter(registry, "requests_blamed", "Requests blamed for deaths"),
+            quarantined: counter(registry, "requests_blamed", "Requests blamed for deaths"),
         }
     }
 
     /// Counts a request that is quarantined: refused from now on, because targets died while they ran it.
-    pub fn blamed(&self) {
-        self.blamed.inc();
+    pub fn count_quarantined(&self) {
+        self.quarantined.inc();
     }
 }
--- a/crates/samphiredoor/src/quarantine_task.rs
+++ b/crates/samphiredoor/src/quarantine_task.rs
@@ -229,7 +229,7 @@
                 self.env.peers.broadcast_hint(Hint::Suspect { fingerprint, deaths, lifted });
             }
             QuarantineAction::Quarantined { fingerprint } => {
-                self.env.metrics.quarantine().blamed();
+                self.env.metrics.quarantine().count_quarantined();
                 log::warn!(
                     "quarantine: request {fingerprint:016x} is quarantined, targets died while running it"
                 );
--- a/crates/samphiredoor/src/stream_forwarding.rs
+++ b/crates/samphiredoor/src/stream_forwarding.rs
@@ -16,7 +16,7 @@
 use crate::{
     answers::verdict_json,
     dispatch_task::RequestHandle,
-    metrics::{Metrics, Running},
+    metrics::{Metrics, RunningGuard},
     quarantine_task::AdmittedAttempt,
     stream_end::{DoneDetector, StreamEnd},
 };
@@ -43,7 +43,7 @@
     /// When the caller stops waiting for the answer.
     pub deadline: Instant,
     /// Counts the request as running until it is dropped.
-    pub _running: Running,
+    pub _running: RunningGuard,
 }
 
 /// Piece of a stream.
@@ -92,7 +92,7 @@
 
     fn record_verdict(&self, verdict: Verdict) {
         self.end.set(verdict);
-        self.metrics.ended(Class::Online, verdict, self.started.elapsed().as_secs_f64());
+        self.metrics.count_outcome(Class::Online, verdict, self.started.elapsed().as_secs_f64());
     }
 }
 
