--- a/crates/samphiredoor-core/src/hints.rs
+++ b/crates/samphiredoor-core/src/hints.rs
@@ -27,7 +27,7 @@
     /// This target refused connections, or reported that it is leaving.
     Leaving(Name),
     /// From the slot allocator of a target to a leaseholder: a new limit on its batch requests.
-    Recall {
+    SlotGrant {
         /// Name of the target.
         target: Name,
         /// Most batch requests at once.
--- a/crates/samphiredoor/src/dispatch_task.rs
+++ b/crates/samphiredoor/src/dispatch_task.rs
@@ -283,7 +283,7 @@
             Action::Refuse { request, verdict } => (request, Decision::Refused(verdict)),
             Action::SlotGrant { target, grant } => {
                 let SlotGrant { gateway, slots, epoch } = grant;
-                let hint = Hint::Recall { target, batch_slots: slots, epoch };
+                let hint = Hint::SlotGrant { target, batch_slots: slots, epoch };
                 return self.notify(gateway, hint);
             }
             Action::Demand { allocator, load } => return self.notify(allocator, Hint::Need(load)),
--- a/crates/samphiredoor/src/hints.rs
+++ b/crates/samphiredoor/src/hints.rs
@@ -17,7 +17,7 @@
         Hint::Leaving(target) => door.dispatch.mark_leaving(target),
         // The members task handles revisions: it pulls the manifest over the link that the hint came from.
         Hint::Revision(_) => {}
-        Hint::Recall { target, batch_slots, epoch } => {
+        Hint::SlotGrant { target, batch_slots, epoch } => {
             let allocator = Name::clone(from);
             door.dispatch.input(Input::SlotGrant { target, allocator, slots: batch_slots, epoch });
         }
--- a/crates/samphiredoor/src/links/codec.rs
+++ b/crates/samphiredoor/src/links/codec.rs
@@ -98,7 +98,7 @@
             suspect.set_lifted(*lifted);
         }
         Hint::Leaving(target) => builder.set_leaving(&**target),
-        Hint::Recall { target, batch_slots, epoch } => {
+        Hint::SlotGrant { target, batch_slots, epoch } => {
             let mut grant = builder.init_recall();
             grant.set_target(&**target);
             grant.set_batch_slots(*batch_slots);
@@ -130,7 +130,7 @@
         Ok(news::Leaving(target)) => Hint::Leaving(to_name(target?)?),
         Ok(news::Recall(grant)) => {
             let grant = grant?;
-            Hint::Recall {
+            Hint::SlotGrant {
                 target: to_name(grant.get_target()?)?,
                 batch_slots: grant.get_batch_slots(),
                 epoch: grant.get_epoch(),
