--- a/crates/samphiredoor-core/src/hints.rs
+++ b/crates/samphiredoor-core/src/hints.rs
@@ -42,7 +42,7 @@
     /// This job was released by its owner and can be taken over now.
     HandedOver(Name),
     /// The lease of a process has expired.
-    Lapsed {
+    LeaseExpired {
         /// Name of the process.
         process: Name,
         /// Incarnation that held the lease.
--- a/crates/samphiredoor/src/hints.rs
+++ b/crates/samphiredoor/src/hints.rs
@@ -9,7 +9,7 @@
     match hint {
         Hint::Cancelled(job) => door.jobs.cancel_hint(job),
         Hint::HandedOver(job) => door.jobs.job_handed_over(job),
-        Hint::Lapsed { process, incarnation } => {
+        Hint::LeaseExpired { process, incarnation } => {
             door.jobs.lease_expired(Name::clone(&process), incarnation);
             door.keys.lease_expired(&process, incarnation);
             door.orders.lease_expired(process, incarnation);
--- a/crates/samphiredoor/src/links/codec.rs
+++ b/crates/samphiredoor/src/links/codec.rs
@@ -107,7 +107,7 @@
         Hint::Need(load) => write_load(load, builder.init_need()),
         Hint::Revision(revision) => builder.set_revision(*revision),
         Hint::HandedOver(job) => builder.set_handed_over(&**job),
-        Hint::Lapsed { process, incarnation } => {
+        Hint::LeaseExpired { process, incarnation } => {
             let mut expired = builder.init_lapsed();
             expired.set_process(&**process);
             expired.set_incarnation(*incarnation);
@@ -141,7 +141,7 @@
         Ok(news::HandedOver(job)) => Hint::HandedOver(to_name(job?)?),
         Ok(news::Lapsed(expired)) => {
             let expired = expired?;
-            Hint::Lapsed {
+            Hint::LeaseExpired {
                 process: to_name(expired.get_process()?)?,
                 incarnation: expired.get_incarnation(),
             }
--- a/crates/samphiredoor/src/members_task.rs
+++ b/crates/samphiredoor/src/members_task.rs
@@ -288,7 +288,7 @@
         log::info!("peers: the lease of {process} has expired");
         for scanner in orphan_scanners(process, &self.not_stopping()) {
             let process = Name::clone(process);
-            self.send_hint(scanner, Hint::Lapsed { process, incarnation });
+            self.send_hint(scanner, Hint::LeaseExpired { process, incarnation });
         }
         self.door.jobs.lease_expired(Name::clone(process), incarnation);
         self.door.orders.lease_expired(Name::clone(process), incarnation);
