--- a/crates/samphiredoor-core/src/hints.rs
+++ b/crates/samphiredoor-core/src/hints.rs
@@ -36,7 +36,7 @@
         epoch: u64,
     },
     /// From a leaseholder to the slot allocator of a target: its own traffic there.
-    Need(TargetLoad),
+    Demand(TargetLoad),
     /// A newer manifest, with this revision, is active.
     Revision(u64),
     /// This job was released by its owner and can be taken over now.
--- a/crates/samphiredoor/src/dispatch_task.rs
+++ b/crates/samphiredoor/src/dispatch_task.rs
@@ -286,7 +286,9 @@
                 let hint = Hint::SlotGrant { target, batch_slots: slots, epoch };
                 return self.notify(gateway, hint);
             }
-            Action::Demand { allocator, load } => return self.notify(allocator, Hint::Need(load)),
+            Action::Demand { allocator, load } => {
+                return self.notify(allocator, Hint::Demand(load));
+            }
         };
         let last = matches!(decision, Decision::Refused(_));
         if let Some(reply) = self.waiting.get(&request) {
--- a/crates/samphiredoor/src/hints.rs
+++ b/crates/samphiredoor/src/hints.rs
@@ -21,7 +21,7 @@
             let allocator = Name::clone(from);
             door.dispatch.input(Input::SlotGrant { target, allocator, slots: batch_slots, epoch });
         }
-        Hint::Need(load) => {
+        Hint::Demand(load) => {
             door.dispatch.input(Input::Demand { gateway: Name::clone(from), load });
         }
         Hint::Suspect { fingerprint, deaths, lifted } => {
--- a/crates/samphiredoor/src/links/codec.rs
+++ b/crates/samphiredoor/src/links/codec.rs
@@ -104,7 +104,7 @@
             grant.set_batch_slots(*batch_slots);
             grant.set_epoch(*epoch);
         }
-        Hint::Need(load) => write_load(load, builder.init_need()),
+        Hint::Demand(load) => write_load(load, builder.init_need()),
         Hint::Revision(revision) => builder.set_revision(*revision),
         Hint::HandedOver(job) => builder.set_handed_over(&**job),
         Hint::LeaseExpired { process, incarnation } => {
@@ -136,7 +136,7 @@
                 epoch: grant.get_epoch(),
             }
         }
-        Ok(news::Need(load)) => Hint::Need(read_load(load?)?),
+        Ok(news::Need(load)) => Hint::Demand(read_load(load?)?),
         Ok(news::Revision(revision)) => Hint::Revision(revision),
         Ok(news::HandedOver(job)) => Hint::HandedOver(to_name(job?)?),
         Ok(news::Lapsed(expired)) => {
