--- a/crates/samphiredoor-core/src/orders/leader.rs
+++ b/crates/samphiredoor-core/src/orders/leader.rs
@@ -6,7 +6,7 @@
 
 use super::{
     load_slots::LoadSlots,
-    messages::{Order, OrderEnd, OrdersAction, OrdersConfig, Wanted},
+    messages::{DesiredState, Order, OrderEnd, OrdersAction, OrdersConfig},
     outbox::Outbox,
 };
 use crate::{
@@ -40,7 +40,7 @@
 #[derive(Debug)]
 pub(super) struct OrderLeader {
     target: Name,
-    wanted: Option<Wanted>,
+    desired: Option<DesiredState>,
     config: OrdersConfig,
     state: State,
     version: Option<Version>,
@@ -58,10 +58,10 @@
 }
 
 impl OrderLeader {
-    pub(super) fn new(target: Name, wanted: Wanted, config: OrdersConfig) -> OrderLeader {
+    pub(super) fn new(target: Name, desired: DesiredState, config: OrdersConfig) -> OrderLeader {
         OrderLeader {
             target,
-            wanted: Some(wanted),
+            desired: Some(desired),
             config,
             state: State::Unread,
             version: None,
@@ -76,9 +76,9 @@
         }
     }
 
-    pub(super) fn set_wanted(&mut self, wanted: Option<Wanted>) {
-        self.wanted = wanted;
-        self.wants_slot &= self.wanted.is_some() || self.is_busy();
+    pub(super) fn set_desired(&mut self, desired: Option<DesiredState>) {
+        self.desired = desired;
+        self.wants_slot &= self.desired.is_some() || self.is_busy();
     }
 
     pub(super) fn set_longest_order(&mut self, longest_order_ms: u64) {
@@ -91,7 +91,7 @@
 
     /// Whether this state may be dropped: no state is desired any more, and no outcome of an order has yet to be stored.
     pub(super) fn is_finished(&self) -> bool {
-        self.wanted.is_none() && !self.is_busy()
+        self.desired.is_none() && !self.is_busy()
     }
 
     fn is_busy(&self) -> bool {
@@ -120,8 +120,10 @@
                 self.call_sent_ms = now.mono_ms;
                 self.state = State::Reading(outbox.store(op));
             }
-            State::Idle if self.wanted.is_some() && leased => self.advance(now, load_slots, outbox),
-            State::Intended if self.wanted.is_none() => self.state = State::Idle,
+            State::Idle if self.desired.is_some() && leased => {
+                self.advance(now, load_slots, outbox)
+            }
+            State::Intended if self.desired.is_none() => self.state = State::Idle,
             State::Intended => self.send(now, leased, outbox),
             State::Done => self.write_outcome(now, outbox),
             State::Idle | State::Reading(_) | State::Writing(_) | State::Sent => {}
@@ -194,12 +196,12 @@
     }
 
     fn next_order(&self) -> Option<Order> {
-        let wanted = &self.wanted.as_ref()?.weights;
-        let extra = self.held.difference(wanted).next();
+        let desired = &self.desired.as_ref()?.weights;
+        let extra = self.held.difference(desired).next();
         if let Some(weight) = extra {
             return Some(Order::Unload(Arc::clone(weight)));
         }
-        wanted.difference(&self.held).next().map(|it| Order::Load(Arc::clone(it)))
+        desired.difference(&self.held).next().map(|it| Order::Load(Arc::clone(it)))
     }
 
     /// Stores this process as the leader, with the next fencing number.
@@ -323,7 +325,7 @@
     }
 
     fn checks_fencing(&self) -> bool {
-        self.wanted.as_ref().is_some_and(|it| it.checks_fencing)
+        self.desired.as_ref().is_some_and(|it| it.checks_fencing)
     }
 
     fn is_leader(&self) -> bool {
--- a/crates/samphiredoor-core/src/orders/messages.rs
+++ b/crates/samphiredoor-core/src/orders/messages.rs
@@ -10,7 +10,7 @@
 
 /// Desired state of a target.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Wanted {
+pub struct DesiredState {
     /// Weights that the target is to hold.
     pub weights: BTreeSet<Name>,
     /// Whether the target refuses orders with old fencing numbers.
@@ -69,7 +69,7 @@
 #[derive(Debug, Clone)]
 pub enum OrdersInput {
     /// Targets that this process is to lead, with their desired state; replaces the previous ones.
-    Wanted(BTreeMap<Name, Wanted>),
+    DesiredStates(BTreeMap<Name, DesiredState>),
     /// Bounds from the manifest.
     Bounds {
         /// Limit of simultaneous loads from the weight store, over all processes.
--- a/crates/samphiredoor-core/src/orders/mod.rs
+++ b/crates/samphiredoor-core/src/orders/mod.rs
@@ -22,7 +22,7 @@
     sync::Arc,
 };
 
-pub use messages::{Order, OrderEnd, OrdersAction, OrdersConfig, OrdersInput, Wanted};
+pub use messages::{DesiredState, Order, OrderEnd, OrdersAction, OrdersConfig, OrdersInput};
 pub use ring::Ring;
 
 use crate::{Name, time::Now};
@@ -56,7 +56,7 @@
     /// Handles one event and appends the resulting actions to `out`.
     pub fn handle(&mut self, now: Now, input: OrdersInput, out: &mut Vec<OrdersAction>) {
         match input {
-            OrdersInput::Wanted(wanted) => self.set_wanted(wanted),
+            OrdersInput::DesiredStates(desired) => self.set_desired(desired),
             OrdersInput::Bounds { loads_at_once, longest_order_ms } => {
                 self.config.longest_order_ms = longest_order_ms;
                 self.load_slots.set_limit(loads_at_once);
@@ -94,13 +94,13 @@
         self.load_slots.step(now, &mut outbox);
     }
 
-    fn set_wanted(&mut self, wanted: BTreeMap<Name, Wanted>) {
+    fn set_desired(&mut self, desired: BTreeMap<Name, DesiredState>) {
         for (target, leader) in &mut self.leaders {
-            leader.set_wanted(wanted.get(target).cloned());
+            leader.set_desired(desired.get(target).cloned());
         }
-        for (target, wanted) in wanted {
+        for (target, desired) in desired {
             let config = &self.config;
-            let new = || OrderLeader::new(Arc::clone(&target), wanted, config.clone());
+            let new = || OrderLeader::new(Arc::clone(&target), desired, config.clone());
             self.leaders.entry(Arc::clone(&target)).or_insert_with(new);
         }
     }
--- a/crates/samphiredoor-core/tests/orders.rs
+++ b/crates/samphiredoor-core/tests/orders.rs
@@ -12,7 +12,7 @@
 use samphiredoor_core::{
     Name,
     ledger::CallId,
-    orders::{Order, OrderEnd, Orders, OrdersAction, OrdersConfig, OrdersInput, Wanted},
+    orders::{DesiredState, Order, OrderEnd, Orders, OrdersAction, OrdersConfig, OrdersInput},
     store::{StoreAnswer, StoreOp, Stored, Version},
     time::Now,
 };
@@ -123,7 +123,7 @@
             Step::NotDone { which } => self.not_done(*which),
             Step::Pause { process } => self.processes[*process].paused = true,
             Step::Resume { process } => self.processes[*process].paused = false,
-            Step::Assign { process, weights: bits } => self.set_wanted(*process, *bits),
+            Step::Assign { process, weights: bits } => self.set_desired(*process, *bits),
             Step::Wait { steps } => self.advance_time(steps * STEP_MS),
         }
     }
@@ -137,14 +137,14 @@
         expired.iter().for_each(|it| self.end(it, OrderEnd::Unknown));
     }
 
-    fn set_wanted(&mut self, leader: usize, bits: u8) {
+    fn set_desired(&mut self, leader: usize, bits: u8) {
         for number in 0..self.processes.len() {
-            let mut wanted = BTreeMap::new();
+            let mut desired = BTreeMap::new();
             if number == leader {
                 let checks_fencing = self.checks_fencing;
-                wanted.insert(target(), Wanted { weights: weights(bits), checks_fencing });
+                desired.insert(target(), DesiredState { weights: weights(bits), checks_fencing });
             }
-            self.processes[number].ends.push_back(OrdersInput::Wanted(wanted));
+            self.processes[number].ends.push_back(OrdersInput::DesiredStates(desired));
         }
     }
 
@@ -323,7 +323,7 @@
         for process in &mut self.processes {
             process.paused = false;
         }
-        self.set_wanted(0, bits);
+        self.set_desired(0, bits);
         for _ in 0..400 {
             self.run_round(false, false);
             self.deliver(0, false, false);
@@ -366,14 +366,14 @@
     fn no_late_order_undoes_a_newer_one(
         checks_fencing: bool,
         steps in prop::collection::vec(step(), 1..120),
-        wanted in 0..8_u8,
+        desired in 0..8_u8,
     ) {
         let mut world = World::new(checks_fencing);
         for step in &steps {
             world.apply(step);
         }
-        world.run_until_stable(wanted);
-        prop_assert_eq!(&world.held, &weights(wanted));
+        world.run_until_stable(desired);
+        prop_assert_eq!(&world.held, &weights(desired));
     }
 }
 
@@ -382,12 +382,12 @@
 #[test]
 fn a_paused_leader_reads_the_record_again_before_it_sends() {
     let mut world = World::new(false);
-    world.set_wanted(1, 1);
+    world.set_desired(1, 1);
     world.run_until_sent(1);
     world.not_done(0);
     world.run_round(false, false);
     world.processes[1].paused = true;
-    world.set_wanted(0, 2);
+    world.set_desired(0, 2);
     let expired = OrdersInput::LeaseExpired { process: "gateway-1".into(), incarnation: 1 };
     world.processes[0].ends.push_back(expired);
     for _ in 0..150 {
@@ -409,12 +409,12 @@
 fn a_different_order_waits_until_an_order_with_unknown_outcome_cannot_take_effect() {
     for checks_fencing in [false, true] {
         let mut world = World::new(checks_fencing);
-        world.set_wanted(0, 1);
+        world.set_desired(0, 1);
         world.run_until_sent(1);
         world.cut_connection(0);
         world.run_until_sent(2);
         world.deliver_connected();
-        world.set_wanted(0, 0);
+        world.set_desired(0, 0);
         for _ in 0..30 {
             world.run_round(false, false);
             world.deliver_connected();
@@ -430,11 +430,11 @@
 #[test]
 fn a_new_leader_waits_until_orders_of_the_previous_one_cannot_take_effect() {
     let mut world = World::new(false);
-    world.set_wanted(1, 1);
+    world.set_desired(1, 1);
     world.run_until_sent(1);
     world.cut_connection(0);
     world.processes[1].paused = true;
-    world.set_wanted(0, 0);
+    world.set_desired(0, 0);
     let expired = OrdersInput::LeaseExpired { process: "gateway-1".into(), incarnation: 1 };
     world.processes[0].ends.push_back(expired);
     for _ in 0..150 {
@@ -450,10 +450,10 @@
 #[test]
 fn loads_wait_for_a_slot() {
     let mut world = World::new(true);
-    let wanted = Wanted { weights: weights(1), checks_fencing: true };
+    let desired = DesiredState { weights: weights(1), checks_fencing: true };
     for (number, name) in ["engine-0", "engine-1"].into_iter().enumerate() {
-        let wanted = BTreeMap::from([(Name::from(name), wanted.clone())]);
-        world.processes[number].ends.push_back(OrdersInput::Wanted(wanted));
+        let desired = BTreeMap::from([(Name::from(name), desired.clone())]);
+        world.processes[number].ends.push_back(OrdersInput::DesiredStates(desired));
     }
     for _ in 0..60 {
         world.run_round(false, false);
@@ -467,15 +467,15 @@
 #[test]
 fn a_process_that_waited_for_more_slots_releases_those_it_has() {
     let mut world = World::new(true);
-    let wanted = |bits| Wanted { weights: weights(bits), checks_fencing: true };
-    let both = BTreeMap::from([(target(), wanted(1)), (Name::from("engine-1"), wanted(1))]);
-    world.processes[0].ends.push_back(OrdersInput::Wanted(both));
+    let desired = |bits| DesiredState { weights: weights(bits), checks_fencing: true };
+    let both = BTreeMap::from([(target(), desired(1)), (Name::from("engine-1"), desired(1))]);
+    world.processes[0].ends.push_back(OrdersInput::DesiredStates(both));
     world.run_until_sent(1);
-    world.processes[0].ends.push_back(OrdersInput::Wanted(BTreeMap::new()));
+    world.processes[0].ends.push_back(OrdersInput::DesiredStates(BTreeMap::new()));
     world.run_round(false, false);
     world.deliver(0, false, false);
     (0..5).for_each(|_| world.run_round(false, false));
-    world.set_wanted(1, 3);
+    world.set_desired(1, 3);
     world.run_until_sent(2);
 }
 
@@ -484,10 +484,10 @@
 #[test]
 fn an_order_is_sent_as_soon_as_the_lease_allows() {
     let mut world = World::new(false);
-    world.set_wanted(1, 1);
+    world.set_desired(1, 1);
     world.run_until_sent(1);
     world.processes[1].paused = true;
-    world.set_wanted(0, 1);
+    world.set_desired(0, 1);
     let expired = OrdersInput::LeaseExpired { process: "gateway-1".into(), incarnation: 1 };
     world.processes[0].ends.push_back(expired);
     world.lease_is_short = true;
--- a/crates/samphiredoor/src/orders_task.rs
+++ b/crates/samphiredoor/src/orders_task.rs
@@ -10,7 +10,9 @@
     Name,
     manifest::Manifest,
     membership::{Member, MemberState},
-    orders::{Order, OrderEnd, Orders, OrdersAction, OrdersConfig, OrdersInput, Ring, Wanted},
+    orders::{
+        DesiredState, Order, OrderEnd, Orders, OrdersAction, OrdersConfig, OrdersInput, Ring,
+    },
 };
 use samphiredoor_net::{
     body::read_whole,
@@ -137,31 +139,35 @@
         if manifest.revision == self.revision && same_members {
             return Vec::new();
         }
-        let wanted = wanted_weights(&env.config.name, &manifest, &live);
+        let desired = desired_states(&env.config.name, &manifest, &live);
         self.revision = manifest.revision;
         self.live = Some(live);
         let bounds = OrdersInput::Bounds {
             loads_at_once: manifest.weight_store.loads_at_once,
             longest_order_ms: manifest.weight_store.longest_order_ms,
         };
-        vec![bounds, OrdersInput::Wanted(wanted)]
+        vec![bounds, OrdersInput::DesiredStates(desired)]
     }
 }
 
 // Desired state of the targets that `own` leads.
-fn wanted_weights(own: &Name, manifest: &Manifest, live: &[Member]) -> BTreeMap<Name, Wanted> {
+fn desired_states(
+    own: &Name,
+    manifest: &Manifest,
+    live: &[Member],
+) -> BTreeMap<Name, DesiredState> {
     let processes = live.iter().filter(|it| it.state == MemberState::Live).map(|it| &it.name);
     let ring = Ring::new(processes);
-    let mut wanted = BTreeMap::new();
+    let mut desired = BTreeMap::new();
     for (name, target) in &manifest.targets {
         let Some(weights) = &target.weights else { continue };
         if ring.leader(name).is_some_and(|it| it == own) {
             let checks_fencing = target.checks_fencing;
             let weights = weights.clone();
-            wanted.insert(Arc::clone(name), Wanted { weights, checks_fencing });
+            desired.insert(Arc::clone(name), DesiredState { weights, checks_fencing });
         }
     }
-    wanted
+    desired
 }
 
 fn execute(env: &Rc<OrdersEnv>, action: OrdersAction) {
