--- a/crates/samphiredoor-core/src/hints.rs
+++ b/crates/samphiredoor-core/src/hints.rs
@@ -69,7 +69,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Origin {
     /// Name and incarnation of the gateway that sent it first.
-    pub door: Name,
+    pub gateway: Name,
     /// Grows with each hint that this gateway broadcasts.
     pub number: u64,
 }
--- a/crates/samphiredoor/src/links/codec.rs
+++ b/crates/samphiredoor/src/links/codec.rs
@@ -86,7 +86,7 @@
 
 pub(super) fn write_hint(message: &HintMessage, mut builder: news::Builder<'_>) {
     if let Some(origin) = &message.origin {
-        builder.set_origin(&*origin.door);
+        builder.set_origin(&*origin.gateway);
         builder.set_number(origin.number);
     }
     match &message.hint {
@@ -148,8 +148,8 @@
         }
         Err(NotInSchema(_)) => return Ok(None),
     };
-    let door = to_name(reader.get_origin()?)?;
-    let origin = (!door.is_empty()).then(|| Origin { door, number: reader.get_number() });
+    let gateway = to_name(reader.get_origin()?)?;
+    let origin = (!gateway.is_empty()).then(|| Origin { gateway, number: reader.get_number() });
     Ok(Some(HintMessage { origin, hint }))
 }
 
--- a/crates/samphiredoor/src/members_task.rs
+++ b/crates/samphiredoor/src/members_task.rs
@@ -210,7 +210,8 @@
     }
 
     fn broadcast_hint(&mut self, hint: Hint) {
-        let origin = Origin { door: Name::clone(&self.own_origin), number: self.next_hint_number };
+        let origin =
+            Origin { gateway: Name::clone(&self.own_origin), number: self.next_hint_number };
         self.next_hint_number += 1;
         self.seen_hints.insert(&origin);
         self.send_to_linked(&HintMessage { origin: Some(origin), hint }, None);
