--- a/crates/samphiredoor/src/config.rs
+++ b/crates/samphiredoor/src/config.rs
@@ -25,7 +25,7 @@
 /// Mode of operation, one for each command of the command line.
 #[derive(Debug)]
 pub enum Mode {
-    /// Run a door: a gateway with the listeners and settings of [`DoorConfig`].
+    /// Run the gateway of this crate, with the listeners and settings of [`DoorConfig`].
     Serve(Box<DoorConfig>),
     /// Run a gateway on the users' platform; the file is read again when settings are reloaded.
     Gateway(Box<GatewayConfig>, PathBuf),
@@ -33,7 +33,7 @@
     Storage(Box<StorageConfig>),
     /// Check the settings and exit.
     Check,
-    /// Run a door with an embedded object API and embedded engines.
+    /// Run the gateway of this crate with an embedded object API and embedded engines.
     Dev(DevConfig),
 }
 
@@ -55,7 +55,7 @@
     pub demo: bool,
 }
 
-/// Options of a door.
+/// Settings of the gateway of this crate.
 #[derive(Debug, Clone)]
 pub struct DoorConfig {
     /// Name of the process, unique in the fleet.
--- a/crates/samphiredoor/src/dev.rs
+++ b/crates/samphiredoor/src/dev.rs
@@ -1,5 +1,5 @@
-//! The `dev` command: a door, an object API and two small engines in one process, to try the system. Nothing is stored
-//! on disk.
+//! The `dev` command: a gateway, an object API and two small engines in one process, to try the system. Nothing is
+//! stored on disk.
 
 use std::{net::SocketAddr, thread, time::Duration};
 
@@ -19,7 +19,7 @@
 const MAX_POLLS: u32 = 200;
 const POLL_INTERVAL: Duration = Duration::from_millis(25);
 
-/// Runs the embedded servers and the door.
+/// Runs the embedded servers and the gateway.
 pub fn run(dev: DevConfig) -> anyhow::Result<Exit> {
     let store = start_store()?;
     let engines = (0..ENGINES).map(|_| start_engine()).collect::<anyhow::Result<Vec<_>>>()?;
--- a/crates/samphiredoor/src/dispatch_task.rs
+++ b/crates/samphiredoor/src/dispatch_task.rs
@@ -174,8 +174,8 @@
         }
     }
 
-    /// Reports how the current attempt ended; further reports on the same attempt are ignored. After a final end no
-    /// decision follows, after any other one does.
+    /// Reports how the current attempt ended; further reports on the same attempt are ignored. A final end is followed
+    /// by no decision, any other end by one.
     pub fn ended(&mut self, end: AttemptEnd) {
         if !std::mem::take(&mut self.at_target) {
             return;
--- a/crates/samphiredoor/src/door.rs
+++ b/crates/samphiredoor/src/door.rs
@@ -1,4 +1,4 @@
-//! Handles to the tasks of a door, shared by its request handlers and tasks. State belongs to the tasks.
+//! Handles to the tasks of the process, shared by its request handlers and tasks. State belongs to the tasks.
 
 use std::{cell::Cell, rc::Rc};
 
@@ -15,7 +15,7 @@
     store_client::StoreClient, targets::TargetPools,
 };
 
-/// Handles to all tasks of a door.
+/// Handles to all tasks of the process, and its settings, clock and connections.
 pub struct Door {
     /// Checked settings.
     pub config: Rc<DoorConfig>,
--- a/crates/samphiredoor/src/keyed.rs
+++ b/crates/samphiredoor/src/keyed.rs
@@ -166,7 +166,7 @@
         match this.body.frame().await {
             Some(Ok(frame)) => {
                 let piece = frame.into_data().unwrap_or_default();
-                // One byte above the limit is enough to tell that the answer is too large.
+                // One byte above the limit is enough to detect that the answer is too large.
                 let remaining = (MAX_BODY_BYTES + 1).saturating_sub(this.bytes.len());
                 this.bytes.extend_from_slice(&piece[..piece.len().min(remaining)]);
                 Some((Ok(piece), Some(this)))
--- a/crates/samphiredoor/src/lending_task.rs
+++ b/crates/samphiredoor/src/lending_task.rs
@@ -30,7 +30,7 @@
 }
 
 /// Reports which gateways share the batch slots of targets. This gateway is left out while it is stopping, so that its
-/// part moves to others before it ends.
+/// slots are granted to others before it ends.
 fn report_live_gateways(door: &Door) {
     let own = LiveGateway { name: door.config.name(), region: Name::clone(&door.config.region) };
     let members = door.peers.live();
--- a/crates/samphiredoor/src/load_poll.rs
+++ b/crates/samphiredoor/src/load_poll.rs
@@ -1,9 +1,9 @@
 //! Polls the load of the engines that this process uses, at a bounded rate.
 //!
-//! There is one call at a time, with a pause after each, whatever the number of engines. So the traffic stays within
-//! the budget of a node for control messages, and with more engines the reports get older instead. Engines that run
-//! requests of this process are polled in each round, a few of the idle ones in rotation. A refused connection takes a
-//! target out of service before a request is sent to it.
+//! Calls are made one at a time, with a fixed interval after each, whatever the number of engines. The traffic stays
+//! within the budget of a node for control messages; with more engines, each is polled less often instead. Engines that
+//! run requests of this process are polled in each round, a few of the idle ones in rotation. A refused connection takes
+//! a target out of service before a request is sent to it.
 
 use std::{rc::Rc, time::Duration};
 
--- a/crates/samphiredoor/src/manifest_change.rs
+++ b/crates/samphiredoor/src/manifest_change.rs
@@ -1,5 +1,5 @@
 //! Carries out an operator's change of the manifest: writes it to the store, makes it active here and replicates it to
-//! a peer. Only then it counts as accepted.
+//! a peer. It counts as accepted only after that.
 
 use std::{rc::Rc, sync::Arc, time::Duration};
 
@@ -20,7 +20,7 @@
 const REPLICATION_BACKOFF: Duration = Duration::from_millis(100);
 
 /// Replaces the declarations by `declared` on behalf of `operator`; with an expected revision, only if it is the
-/// latest. The change continues when the operator's connection is lost, so that it never stops half-way.
+/// latest. The change continues when the operator's connection is lost, so that none is left half done.
 pub async fn change(
     door: &Rc<Door>,
     operator: &str,
@@ -56,7 +56,7 @@
     }
 }
 
-// Retries, since a link may still be opening, or a dead member not be detected yet.
+// Retries, since a link may still be opening, or a dead member may not have been detected yet.
 async fn replicate(door: &Door, record: Arc<[u8]>) -> PeerConfirmation {
     for _ in 0..REPLICATION_TRIES {
         let confirmation = door.peers.replicate_manifest(Arc::clone(&record)).await;
--- a/crates/samphiredoor/src/metrics.rs
+++ b/crates/samphiredoor/src/metrics.rs
@@ -184,7 +184,7 @@
         })
     }
 
-    /// Counts a refusal.
+    /// Counts a refused link, or something refused that a peer sent or stored.
     pub fn count_peer_refusal(&self, reason: PeerRefusal) {
         self.peer_refusals.count(reason.label());
     }
--- a/crates/samphiredoor/src/parts.rs
+++ b/crates/samphiredoor/src/parts.rs
@@ -1,4 +1,4 @@
-//! Creates the tasks of a door and passes each task its dependencies.
+//! Creates the tasks of the process and passes each task its dependencies.
 
 use std::{
     cell::Cell,
@@ -42,10 +42,10 @@
     manifest: ManifestInbox,
     peers: PeersInbox,
     orders: OrdersInbox,
-    lending: flume::Receiver<(Name, Hint)>,
+    slot_hints: flume::Receiver<(Name, Hint)>,
 }
 
-/// Starts all tasks of a door that listens for peers on `peer_address`; returns their handles.
+/// Starts all tasks of a gateway that listens for peers on `peer_address`; returns their handles.
 pub fn start(config: DoorConfig, peer_address: SocketAddr) -> Rc<Door> {
     let (door, inboxes) = new_door(config, peer_address);
     let runner = Rc::clone(&door);
@@ -54,7 +54,7 @@
     compio::runtime::spawn(keys_task::run(keys_env(&door), inboxes.keys)).detach();
     compio::runtime::spawn(lease_task::run(Rc::clone(&door))).detach();
     compio::runtime::spawn(load_poll::run(Rc::clone(&door))).detach();
-    compio::runtime::spawn(lending_task::run(Rc::clone(&door), inboxes.lending)).detach();
+    compio::runtime::spawn(lending_task::run(Rc::clone(&door), inboxes.slot_hints)).detach();
     compio::runtime::spawn(manifest_task::run(manifest_env(&door), inboxes.manifest)).detach();
     compio::runtime::spawn(members_task::run(Rc::clone(&door), inboxes.peers)).detach();
     compio::runtime::spawn(orders_task::run(orders_env(&door), inboxes.orders)).detach();
@@ -74,7 +74,7 @@
     let (manifest, manifest_inbox) = ManifestHandle::new();
     let (peers, peers_inbox) = Peers::new(peer_address);
     let (orders, orders_inbox) = OrdersHandle::new();
-    let (lending_hints, lending_inbox) = flume::unbounded();
+    let (slot_hints, slot_hints_inbox) = flume::unbounded();
     let location = Location {
         region: Name::clone(&config.region),
         availability_zone: Name::clone(&config.availability_zone),
@@ -85,7 +85,7 @@
     let door = Door {
         clock,
         incarnation,
-        dispatch: DispatchHandle::start(clock, location, seed, Rc::clone(&metrics), lending_hints),
+        dispatch: DispatchHandle::start(clock, location, seed, Rc::clone(&metrics), slot_hints),
         jobs,
         keys,
         quarantine,
@@ -106,7 +106,7 @@
         manifest: manifest_inbox,
         peers: peers_inbox,
         orders: orders_inbox,
-        lending: lending_inbox,
+        slot_hints: slot_hints_inbox,
     };
     (Rc::new(door), inboxes)
 }
--- a/crates/samphiredoor/src/process.rs
+++ b/crates/samphiredoor/src/process.rs
@@ -1,4 +1,4 @@
-//! Runs a door: its listeners, its tasks, and its graceful shutdown.
+//! Runs a gateway: its listeners, its tasks, and its graceful shutdown.
 
 use std::{pin::pin, rc::Rc};
 
@@ -10,7 +10,7 @@
 
 use crate::{callers, config::DoorConfig, door::Door, exit_codes::Exit, links, operators, parts};
 
-/// Runs a door until SIGTERM or SIGINT and a graceful shutdown, or until a second signal.
+/// Runs a gateway until SIGTERM or SIGINT and a graceful shutdown, or until a second signal.
 pub fn run(config: DoorConfig) -> anyhow::Result<Exit> {
     let runtime = compio::runtime::Runtime::new().context("the runtime cannot start")?;
     runtime.block_on(serve(config))
--- a/crates/samphiredoor/src/stream_end.rs
+++ b/crates/samphiredoor/src/stream_end.rs
@@ -13,7 +13,7 @@
 /// Detects the last event of a stream, also if it is split over several pieces.
 #[derive(Debug, Default)]
 pub struct DoneDetector {
-    /// Start of the current line, at most one byte longer than [`DONE`]; that is enough to tell them apart.
+    /// Start of the current line, at most one byte longer than [`DONE`]; that is enough to distinguish them.
     line: Vec<u8>,
     seen: bool,
 }
