--- a/crates/samphiredoor/src/load_poll.rs
+++ b/crates/samphiredoor/src/load_poll.rs
@@ -2,8 +2,8 @@
 //!
 //! Calls are made one at a time, with a fixed interval after each, whatever the number of engines. The traffic stays
 //! within the budget of a node for control messages; with more engines, each is polled less often instead. Engines that
-//! run requests of this process are polled in each round, a few of the idle ones in rotation. A refused connection takes
-//! a target out of service before a request is sent to it.
+//! run requests of this process are polled in each round, a few of the idle ones in rotation. A refused connection
+//! takes a target out of service before a request is sent to it.
 
 use std::{rc::Rc, time::Duration};
 
--- a/crates/samphiredoor/src/main.rs
+++ b/crates/samphiredoor/src/main.rs
@@ -1,8 +1,8 @@
 //! The `samphiredoor` program.
 //!
 //! `serve` runs the gateway of this crate, called a door, which keeps its state in an object API. `gateway` and
-//! `storage` run the processes of `samphiredoor_gateway` on the users' platform. `check` checks the settings of `serve`,
-//! and `dev` runs such a gateway with everything that it needs in one process.
+//! `storage` run the processes of `samphiredoor_gateway` on the users' platform. `check` checks the settings of
+//! `serve`, and `dev` runs such a gateway with everything that it needs in one process.
 
 mod access;
 mod answers;
