--- a/crates/samphiredoor/src/peers.rs
+++ b/crates/samphiredoor/src/peers.rs
@@ -21,7 +21,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LinkId(pub u64);
 
-/// Hint as it travels over a link.
+/// Hint in the form that is sent over a link.
 #[derive(Debug, Clone)]
 pub struct HintMessage {
     /// Origin of a broadcast, by which receivers drop duplicates; `None` for a hint to the receiver alone.
