--- a/crates/samphiredoor-core/src/hints.rs
+++ b/crates/samphiredoor-core/src/hints.rs
@@ -27,7 +27,7 @@
     /// This target refused connections, or reported that it is leaving.
     Leaving(Name),
     /// From the slot allocator of a target to a leaseholder: a new limit on its batch requests.
-    Recall {
+    SlotGrant {
         /// Name of the target.
         target: Name,
         /// Most batch requests at once.
@@ -36,13 +36,13 @@
         epoch: u64,
     },
     /// From a leaseholder to the slot allocator of a target: its own traffic there.
-    Need(TargetLoad),
+    Demand(TargetLoad),
     /// A newer manifest, with this revision, is active.
     Revision(u64),
     /// This job was released by its owner and can be taken over now.
     HandedOver(Name),
     /// The lease of a process has expired.
-    Lapsed {
+    LeaseExpired {
         /// Name of the process.
         process: Name,
         /// Incarnation that held the lease.
@@ -57,7 +57,7 @@
     pub target: Name,
     /// Online requests that are running.
     pub online_in_flight: u32,
-    /// Online requests that may run soon.
+    /// Sent as 0 and ignored; the wire format has this field.
     pub online_envelope: u32,
     /// Batch requests that are running.
     pub batch_in_flight: u32,
@@ -69,7 +69,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Origin {
     /// Name and incarnation of the gateway that sent it first.
-    pub door: Name,
+    pub gateway: Name,
     /// Grows with each hint that this gateway broadcasts.
     pub number: u64,
 }
--- a/crates/samphiredoor-core/src/keys/mod.rs
+++ b/crates/samphiredoor-core/src/keys/mod.rs
@@ -28,7 +28,7 @@
 pub use config::{KeysConfig, SHARDS, holder_name};
 pub use keyed_request::{KeyId, KeyedRequest, key_id};
 pub use messages::{KeyOutcome, KeysAction, KeysInput};
-pub use record::{CLOCK_MARGIN_MS, KeptAnswer};
+pub use record::{CLOCK_MARGIN_MS, SavedAnswer};
 
 use crate::{
     Name,
@@ -65,7 +65,7 @@
 enum CallPurpose {
     Shard(u32),
     UploadBody { key: KeyId, object: Name },
-    FetchBody { arrival: KeyedRequest, answer: KeptAnswer },
+    FetchBody { arrival: KeyedRequest, answer: SavedAnswer },
     DeleteBody,
 }
 
@@ -180,8 +180,8 @@
             return;
         }
         let mut effects = Vec::new();
-        self.with_shard(now, number, |shard, cx| {
-            shard.decide(arrival, read_since, cx, &mut effects)
+        self.with_shard(now, number, |shard, ctx| {
+            shard.decide(arrival, read_since, ctx, &mut effects)
         });
         self.apply_effects(number, effects, out);
     }
@@ -281,8 +281,8 @@
             Some(CallPurpose::UploadBody { key, object }) => {
                 self.upload_answered(now, key, &object, answer, out);
             }
-            Some(CallPurpose::FetchBody { arrival, answer: kept }) => {
-                self.fetch_answered(arrival, kept, answer, out);
+            Some(CallPurpose::FetchBody { arrival, answer: saved }) => {
+                self.fetch_answered(arrival, saved, answer, out);
             }
             Some(CallPurpose::DeleteBody) | None => {}
         }
@@ -297,7 +297,7 @@
     ) {
         let mut effects = Vec::new();
         let read_since = self
-            .with_shard(now, number, |shard, cx| shard.store_answered(answer, cx, &mut effects));
+            .with_shard(now, number, |shard, ctx| shard.store_answered(answer, ctx, &mut effects));
         self.apply_effects(number, effects, out);
         for arrival in read_since {
             self.decide(now, number, arrival, true, out);
@@ -310,7 +310,7 @@
 
     fn advance(&mut self, now: Now, number: u32, out: &mut Vec<KeysAction>) {
         let mut effects = Vec::new();
-        self.with_shard(now, number, |shard, cx| shard.advance(cx, &mut effects));
+        self.with_shard(now, number, |shard, ctx| shard.advance(ctx, &mut effects));
         self.apply_effects(number, effects, out);
         let Some(shard) = self.shards.get(&number) else { return };
         if let Some(due_ms) = shard.due_ms(now) {
@@ -358,7 +358,7 @@
         }
     }
 
-    fn replay(&mut self, request: RequestId, answer: KeptAnswer, out: &mut Vec<KeysAction>) {
+    fn replay(&mut self, request: RequestId, answer: SavedAnswer, out: &mut Vec<KeysAction>) {
         if self.requests.remove(&request).is_some() {
             out.push(KeysAction::Replay { request, answer });
         }
@@ -409,7 +409,7 @@
     fn fetch_answered(
         &mut self,
         arrival: KeyedRequest,
-        kept: KeptAnswer,
+        saved: SavedAnswer,
         answer: StoreAnswer,
         out: &mut Vec<KeysAction>,
     ) {
@@ -417,7 +417,7 @@
             StoreAnswer::Object(stored) => {
                 let body = serde_json::from_slice::<KeptBody>(&stored.value).ok();
                 if let Some(body) = body.as_ref().and_then(decode_body) {
-                    let answer = KeptAnswer { body: Some(body), ..kept };
+                    let answer = SavedAnswer { body: Some(body), ..saved };
                     return self.replay(arrival.request, answer, out);
                 }
                 MayHaveRunReason::AnswerNotKept
@@ -462,13 +462,13 @@
     ) -> T {
         let shard = self.shards.entry(number).or_insert_with(|| Shard::new(number));
         let before = shard.bytes();
-        let mut cx = Context {
+        let mut ctx = Context {
             config: &self.config,
             now,
             expired_holders: &self.expired_holders,
             counter: &self.counter,
         };
-        let result = step(shard, &mut cx);
+        let result = step(shard, &mut ctx);
         self.cached_bytes = self.cached_bytes + shard.bytes() - before;
         result
     }
@@ -491,15 +491,15 @@
 }
 
 /// Puts an answer into a record; returns whether its body needs an object of its own.
-fn save_answer(record: &mut KeyRecord, answer: &KeptAnswer) -> bool {
+fn save_answer(record: &mut KeyRecord, answer: &SavedAnswer) -> bool {
     record.state = KeyState::Answered;
     record.status = answer.status;
     record.content_type = answer.content_type.to_string();
     let Some(body) = &answer.body else { return false };
-    let kept = encode_body(body);
-    let bytes = serde_json::to_vec(&kept).map_or(usize::MAX, |it| it.len());
+    let saved = encode_body(body);
+    let bytes = serde_json::to_vec(&saved).map_or(usize::MAX, |it| it.len());
     if bytes <= INLINE_BODY_BYTES {
-        record.body = Some(kept);
+        record.body = Some(saved);
         return false;
     }
     body.len() <= MAX_BODY_BYTES && bytes <= MAX_OBJECT_BYTES
--- a/crates/samphiredoor-core/tests/orders.rs
+++ b/crates/samphiredoor-core/tests/orders.rs
@@ -12,7 +12,7 @@
 use samphiredoor_core::{
     Name,
     ledger::CallId,
-    orders::{Order, OrderEnd, Orders, OrdersAction, OrdersConfig, OrdersInput, Wanted},
+    orders::{DesiredState, Order, OrderEnd, Orders, OrdersAction, OrdersConfig, OrdersInput},
     store::{StoreAnswer, StoreOp, Stored, Version},
     time::Now,
 };
@@ -29,7 +29,7 @@
     /// An order in transit takes effect or is dropped; its answer may be lost.
     Deliver { which: usize, drop: bool, lose_answer: bool },
     /// The connection of an order breaks: its sender gets an unknown outcome, but the order is still in transit.
-    Cut { which: usize },
+    Disconnect { which: usize },
     /// The target reports that it did nothing.
     NotDone { which: usize },
     /// A process is paused.
@@ -37,7 +37,7 @@
     /// A paused process continues.
     Resume { process: usize },
     /// One process is assigned the target, with a desired state.
-    Want { process: usize, weights: u8 },
+    Assign { process: usize, weights: u8 },
     /// Time passes without any process running.
     Wait { steps: u64 },
 }
@@ -55,7 +55,7 @@
     fence: u64,
     order: Order,
     until_ms: u64,
-    cut: bool,
+    disconnected: bool,
 }
 
 struct World {
@@ -119,11 +119,11 @@
             Step::Deliver { which, drop, lose_answer } => {
                 self.deliver(*which, *drop, *lose_answer);
             }
-            Step::Cut { which } => self.cut_connection(*which),
+            Step::Disconnect { which } => self.cut_connection(*which),
             Step::NotDone { which } => self.not_done(*which),
             Step::Pause { process } => self.processes[*process].paused = true,
             Step::Resume { process } => self.processes[*process].paused = false,
-            Step::Want { process, weights: bits } => self.set_wanted(*process, *bits),
+            Step::Assign { process, weights: bits } => self.set_desired(*process, *bits),
             Step::Wait { steps } => self.advance_time(steps * STEP_MS),
         }
     }
@@ -137,14 +137,14 @@
         expired.iter().for_each(|it| self.end(it, OrderEnd::Unknown));
     }
 
-    fn set_wanted(&mut self, leader: usize, bits: u8) {
+    fn set_desired(&mut self, leader: usize, bits: u8) {
         for number in 0..self.processes.len() {
-            let mut wanted = BTreeMap::new();
+            let mut desired = BTreeMap::new();
             if number == leader {
                 let checks_fencing = self.checks_fencing;
-                wanted.insert(target(), Wanted { weights: weights(bits), checks_fencing });
+                desired.insert(target(), DesiredState { weights: weights(bits), checks_fencing });
             }
-            self.processes[number].ends.push_back(OrdersInput::Wanted(wanted));
+            self.processes[number].ends.push_back(OrdersInput::DesiredStates(desired));
         }
     }
 
@@ -201,7 +201,7 @@
                     fence,
                     order,
                     until_ms: self.now_ms + ORDER_MS,
-                    cut: false,
+                    disconnected: false,
                 });
             }
         }
@@ -255,10 +255,10 @@
     fn cut_connection(&mut self, which: usize) {
         let count = self.in_transit.len().max(1);
         let Some(sent) = self.in_transit.get_mut(which % count) else { return };
-        if sent.cut {
+        if sent.disconnected {
             return;
         }
-        sent.cut = true;
+        sent.disconnected = true;
         let end = OrderEnd::Unknown;
         let input = OrdersInput::Ended { target: target(), fence: sent.fence, end };
         self.processes[sent.process].ends.push_back(input);
@@ -288,22 +288,22 @@
     }
 
     fn end(&mut self, sent: &InTransit, end: OrderEnd) {
-        if sent.cut {
+        if sent.disconnected {
             return;
         }
         let input = OrdersInput::Ended { target: target(), fence: sent.fence, end };
         self.processes[sent.process].ends.push_back(input);
     }
 
-    fn deliver_uncut(&mut self) {
-        if let Some(which) = self.in_transit.iter().position(|it| !it.cut) {
+    fn deliver_connected(&mut self) {
+        if let Some(which) = self.in_transit.iter().position(|it| !it.disconnected) {
             self.deliver(which, false, false);
         }
     }
 
-    fn deliver_cut_after_another(&mut self) {
+    fn deliver_disconnected_after_another(&mut self) {
         let other = |it: &InTransit| self.effects.iter().any(|(_, order)| *order != it.order);
-        if let Some(which) = self.in_transit.iter().position(|it| it.cut && other(it)) {
+        if let Some(which) = self.in_transit.iter().position(|it| it.disconnected && other(it)) {
             self.deliver(which, false, false);
         }
     }
@@ -323,7 +323,7 @@
         for process in &mut self.processes {
             process.paused = false;
         }
-        self.set_wanted(0, bits);
+        self.set_desired(0, bits);
         for _ in 0..400 {
             self.run_round(false, false);
             self.deliver(0, false, false);
@@ -337,11 +337,11 @@
             .prop_map(|(lose_answer, refuse)| Step::Round { lose_answer, refuse }),
         3 => (0..4_usize, prop::bool::weighted(0.2), prop::bool::weighted(0.2))
             .prop_map(|(which, drop, lose_answer)| Step::Deliver { which, drop, lose_answer }),
-        1 => (0..4_usize).prop_map(|which| Step::Cut { which }),
+        1 => (0..4_usize).prop_map(|which| Step::Disconnect { which }),
         1 => (0..4_usize).prop_map(|which| Step::NotDone { which }),
         1 => (0..3_usize).prop_map(|process| Step::Pause { process }),
         1 => (0..3_usize).prop_map(|process| Step::Resume { process }),
-        1 => (0..3_usize, 0..8_u8).prop_map(|(process, weights)| Step::Want { process, weights }),
+        1 => (0..3_usize, 0..8_u8).prop_map(|(process, weights)| Step::Assign { process, weights }),
         1 => (0..60_u64).prop_map(|steps| Step::Wait { steps }),
     ]
 }
@@ -366,14 +366,14 @@
     fn no_late_order_undoes_a_newer_one(
         checks_fencing: bool,
         steps in prop::collection::vec(step(), 1..120),
-        wanted in 0..8_u8,
+        desired in 0..8_u8,
     ) {
         let mut world = World::new(checks_fencing);
         for step in &steps {
             world.apply(step);
         }
-        world.run_until_stable(wanted);
-        prop_assert_eq!(&world.held, &weights(wanted));
+        world.run_until_stable(desired);
+        prop_assert_eq!(&world.held, &weights(desired));
     }
 }
 
@@ -382,14 +382,14 @@
 #[test]
 fn a_paused_leader_reads_the_record_again_before_it_sends() {
     let mut world = World::new(false);
-    world.set_wanted(1, 1);
+    world.set_desired(1, 1);
     world.run_until_sent(1);
     world.not_done(0);
     world.run_round(false, false);
     world.processes[1].paused = true;
-    world.set_wanted(0, 2);
-    let lapsed = OrdersInput::LeaseExpired { process: "gateway-1".into(), incarnation: 1 };
-    world.processes[0].ends.push_back(lapsed);
+    world.set_desired(0, 2);
+    let expired = OrdersInput::LeaseExpired { process: "gateway-1".into(), incarnation: 1 };
+    world.processes[0].ends.push_back(expired);
     for _ in 0..150 {
         world.run_round(false, false);
         world.deliver(0, false, false);
@@ -409,16 +409,16 @@
 fn a_different_order_waits_until_an_order_with_unknown_outcome_cannot_take_effect() {
     for checks_fencing in [false, true] {
         let mut world = World::new(checks_fencing);
-        world.set_wanted(0, 1);
+        world.set_desired(0, 1);
         world.run_until_sent(1);
         world.cut_connection(0);
         world.run_until_sent(2);
-        world.deliver_uncut();
-        world.set_wanted(0, 0);
+        world.deliver_connected();
+        world.set_desired(0, 0);
         for _ in 0..30 {
             world.run_round(false, false);
-            world.deliver_uncut();
-            world.deliver_cut_after_another();
+            world.deliver_connected();
+            world.deliver_disconnected_after_another();
         }
         world.run_until_stable(0);
         assert_eq!(world.held, weights(0));
@@ -430,17 +430,17 @@
 #[test]
 fn a_new_leader_waits_until_orders_of_the_previous_one_cannot_take_effect() {
     let mut world = World::new(false);
-    world.set_wanted(1, 1);
+    world.set_desired(1, 1);
     world.run_until_sent(1);
     world.cut_connection(0);
     world.processes[1].paused = true;
-    world.set_wanted(0, 0);
-    let lapsed = OrdersInput::LeaseExpired { process: "gateway-1".into(), incarnation: 1 };
-    world.processes[0].ends.push_back(lapsed);
+    world.set_desired(0, 0);
+    let expired = OrdersInput::LeaseExpired { process: "gateway-1".into(), incarnation: 1 };
+    world.processes[0].ends.push_back(expired);
     for _ in 0..150 {
         world.run_round(false, false);
-        world.deliver_uncut();
-        world.deliver_cut_after_another();
+        world.deliver_connected();
+        world.deliver_disconnected_after_another();
     }
     assert_eq!(world.held, weights(0));
 }
@@ -450,10 +450,10 @@
 #[test]
 fn loads_wait_for_a_slot() {
     let mut world = World::new(true);
-    let wanted = Wanted { weights: weights(1), checks_fencing: true };
+    let desired = DesiredState { weights: weights(1), checks_fencing: true };
     for (number, name) in ["engine-0", "engine-1"].into_iter().enumerate() {
-        let wanted = BTreeMap::from([(Name::from(name), wanted.clone())]);
-        world.processes[number].ends.push_back(OrdersInput::Wanted(wanted));
+        let desired = BTreeMap::from([(Name::from(name), desired.clone())]);
+        world.processes[number].ends.push_back(OrdersInput::DesiredStates(desired));
     }
     for _ in 0..60 {
         world.run_round(false, false);
@@ -467,15 +467,15 @@
 #[test]
 fn a_process_that_waited_for_more_slots_releases_those_it_has() {
     let mut world = World::new(true);
-    let wanted = |bits| Wanted { weights: weights(bits), checks_fencing: true };
-    let both = BTreeMap::from([(target(), wanted(1)), (Name::from("engine-1"), wanted(1))]);
-    world.processes[0].ends.push_back(OrdersInput::Wanted(both));
+    let desired = |bits| DesiredState { weights: weights(bits), checks_fencing: true };
+    let both = BTreeMap::from([(target(), desired(1)), (Name::from("engine-1"), desired(1))]);
+    world.processes[0].ends.push_back(OrdersInput::DesiredStates(both));
     world.run_until_sent(1);
-    world.processes[0].ends.push_back(OrdersInput::Wanted(BTreeMap::new()));
+    world.processes[0].ends.push_back(OrdersInput::DesiredStates(BTreeMap::new()));
     world.run_round(false, false);
     world.deliver(0, false, false);
     (0..5).for_each(|_| world.run_round(false, false));
-    world.set_wanted(1, 3);
+    world.set_desired(1, 3);
     world.run_until_sent(2);
 }
 
@@ -484,12 +484,12 @@
 #[test]
 fn an_order_is_sent_as_soon_as_the_lease_allows() {
     let mut world = World::new(false);
-    world.set_wanted(1, 1);
+    world.set_desired(1, 1);
     world.run_until_sent(1);
     world.processes[1].paused = true;
-    world.set_wanted(0, 1);
-    let lapsed = OrdersInput::LeaseExpired { process: "gateway-1".into(), incarnation: 1 };
-    world.processes[0].ends.push_back(lapsed);
+    world.set_desired(0, 1);
+    let expired = OrdersInput::LeaseExpired { process: "gateway-1".into(), incarnation: 1 };
+    world.processes[0].ends.push_back(expired);
     world.lease_is_short = true;
     (0..100).for_each(|_| world.run_round(false, false));
     assert!(world.sent >= 2, "the order was never sent");
--- a/crates/samphiredoor-standin/src/emulate/engine.rs
+++ b/crates/samphiredoor-standin/src/emulate/engine.rs
@@ -1,151 +1,160 @@
-//! A target with continuous batching.
+//! Model of an inference engine with continuous batching and chunked prefill.
 //!
-//! It works in steps. In each step every request that has been read puts out one token, and a part of the prompts that
-//! have not been read is read, in order of arrival. A step takes the longer the more requests run and the more is read.
-//! Requests beyond the slots wait in order of arrival; there are no priorities.
+//! It works in steps. In each step every running request whose prompt is prefilled generates one token, and up to
+//! `chunk_tokens` of the other prompts are prefilled in order of arrival. The duration of a step grows with the number
+//! of running requests and of prefilled tokens. Requests beyond the slots wait in order of arrival; there are no
+//! priorities.
 
 use std::collections::VecDeque;
 
 use super::scenario::Targets;
 
-/// A request at a target.
+/// An attempt of a request at a target.
 #[derive(Debug, Clone)]
 pub struct Sequence {
-    /// Which attempt of which request.
+    /// ID of the attempt, which includes the request.
     pub attempt: u64,
-    /// Shared beginning of its prompt; 0 for none.
-    pub beginning: u64,
-    /// Tokens of that beginning.
+    /// ID of its prompt's shared prefix; 0 for none.
+    pub prefix: u64,
+    /// Tokens of that shared prefix.
     pub shared_tokens: u32,
-    /// Tokens to read beside it: the rest of the prompt, and what was put out before.
+    /// Other tokens to prefill: the rest of the prompt, and the output of earlier attempts.
     pub own_tokens: u32,
-    /// Tokens that it has put out, those of attempts before among them.
-    pub made: u32,
-    /// Tokens after which it ends.
+    /// Tokens generated so far, including those of earlier attempts.
+    pub generated: u32,
+    /// Number of generated tokens at which it is finished.
     pub output_tokens: u32,
-    unread: u32,
+    prefill_left: u32,
 }
 
 impl Sequence {
-    /// A request that has just arrived.
+    /// Creates the sequence of an attempt that has just arrived.
     pub fn new(
         attempt: u64,
-        (beginning, shared_tokens): (u64, u32),
+        (prefix, shared_tokens): (u64, u32),
         own_tokens: u32,
-        (made, output_tokens): (u32, u32),
+        (generated, output_tokens): (u32, u32),
     ) -> Sequence {
-        let unread = 0;
-        Sequence { attempt, beginning, shared_tokens, own_tokens, made, output_tokens, unread }
+        let prefill_left = 0;
+        Sequence {
+            attempt,
+            prefix,
+            shared_tokens,
+            own_tokens,
+            generated,
+            output_tokens,
+            prefill_left,
+        }
     }
 }
 
-/// What a step did for a request.
+/// Progress that a request made in a step.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Progress {
-    /// It put out the first token of this attempt.
-    Begun,
-    /// It put out its last token.
-    Ended,
+    /// It generated the first token of this attempt.
+    FirstToken,
+    /// It generated its last token.
+    Finished,
 }
 
-/// State of a target's process.
+/// State of a target's engine.
 #[derive(Debug)]
 pub struct Engine {
     config: Targets,
     running: Vec<Sequence>,
     queue: VecDeque<Sequence>,
-    /// Beginnings that are kept, the latest used last.
-    kept: Vec<u64>,
-    /// Requests that have put out a token in this attempt.
-    begun: Vec<u64>,
-    /// Whether a step is under way.
-    pub stepping: bool,
+    /// IDs of the cached shared prefixes, most recently used last.
+    cached_prefixes: Vec<u64>,
+    /// Attempts that have generated a token here.
+    started: Vec<u64>,
+    /// Whether a step is in progress.
+    pub is_stepping: bool,
 }
 
 impl Engine {
-    /// An engine that has just started.
+    /// Creates an engine without requests and with an empty prefix cache.
     pub fn new(config: Targets) -> Engine {
         Engine {
             config,
             running: Vec::new(),
             queue: VecDeque::new(),
-            kept: Vec::new(),
-            begun: Vec::new(),
-            stepping: false,
+            cached_prefixes: Vec::new(),
+            started: Vec::new(),
+            is_stepping: false,
         }
     }
 
-    /// Takes a request; `false` if it is refused.
+    /// Queues a request; returns `false` if slots and queue are full.
     pub fn offer(&mut self, sequence: Sequence) -> bool {
-        let room = self.config.slots + self.config.queue;
-        let takes = self.running.len() + self.queue.len() < room as usize;
-        if takes {
+        let capacity = self.config.slots + self.config.queue;
+        let is_accepted = self.running.len() + self.queue.len() < capacity as usize;
+        if is_accepted {
             self.queue.push_back(sequence);
         }
-        takes
+        is_accepted
     }
 
-    /// Drops a request, and tells what it has put out.
+    /// Removes an attempt and returns the number of tokens generated so far.
     pub fn drop_attempt(&mut self, attempt: u64) -> Option<u32> {
-        let made = self.made(attempt);
+        let generated = self.generated(attempt);
         self.running.retain(|it| it.attempt != attempt);
         self.queue.retain(|it| it.attempt != attempt);
-        self.begun.retain(|it| *it != attempt);
-        made
+        self.started.retain(|it| *it != attempt);
+        generated
     }
 
-    /// Tokens that a request has put out.
-    pub fn made(&self, attempt: u64) -> Option<u32> {
+    /// Tokens generated so far for the request of an attempt, if it is here.
+    pub fn generated(&self, attempt: u64) -> Option<u32> {
         let mut all = self.running.iter().chain(&self.queue);
-        all.find(|it| it.attempt == attempt).map(|it| it.made)
+        all.find(|it| it.attempt == attempt).map(|it| it.generated)
     }
 
-    /// Requests that run, and that wait.
+    /// Numbers of running and waiting requests.
     pub fn load(&self) -> (u32, u32) {
         (self.running.len() as u32, self.queue.len() as u32)
     }
 
-    /// All requests here.
+    /// IDs of all attempts here, running or waiting.
     pub fn attempts(&self) -> impl Iterator<Item = u64> {
         self.running.iter().chain(&self.queue).map(|it| it.attempt)
     }
 
-    /// Begins a step, and tells how long it takes; `None` if there is nothing to do.
+    /// Begins a step and returns its duration in microseconds; `None` if no request is running or waiting.
     pub fn begin_step(&mut self) -> Option<u64> {
         self.admit();
-        self.stepping = !self.running.is_empty();
-        if !self.stepping {
+        self.is_stepping = !self.running.is_empty();
+        if !self.is_stepping {
             return None;
         }
-        let read = self.read_prompts();
+        let prefilled_tokens = self.prefill();
         let Targets { step_ms, step_per_request_ms, prompt_tokens_per_ms, .. } = self.config;
         let running = self.running.len() as f64;
-        let reading_ms = f64::from(read) / prompt_tokens_per_ms;
-        let whole_ms = step_ms + step_per_request_ms * running + reading_ms;
+        let prefill_ms = f64::from(prefilled_tokens) / prompt_tokens_per_ms;
+        let whole_ms = step_ms + step_per_request_ms * running + prefill_ms;
         Some((whole_ms * 1_000.0).ceil() as u64)
     }
 
-    /// Ends a step, and tells which requests began or ended in it.
+    /// Ends a step and returns the attempts that generated their first or last token in it.
     pub fn end_step(&mut self) -> Vec<(u64, Progress)> {
-        self.stepping = false;
+        self.is_stepping = false;
         let mut progress = Vec::new();
-        let mut read = Vec::new();
-        for sequence in self.running.iter_mut().filter(|it| it.unread == 0) {
-            sequence.made += 1;
-            if !self.begun.contains(&sequence.attempt) {
-                self.begun.push(sequence.attempt);
-                read.push(sequence.beginning);
-                progress.push((sequence.attempt, Progress::Begun));
+        let mut prefilled_prefixes = Vec::new();
+        for sequence in self.running.iter_mut().filter(|it| it.prefill_left == 0) {
+            sequence.generated += 1;
+            if !self.started.contains(&sequence.attempt) {
+                self.started.push(sequence.attempt);
+                prefilled_prefixes.push(sequence.prefix);
+                progress.push((sequence.attempt, Progress::FirstToken));
             }
-            if sequence.made >= sequence.output_tokens {
-                progress.push((sequence.attempt, Progress::Ended));
+            if sequence.generated >= sequence.output_tokens {
+                progress.push((sequence.attempt, Progress::Finished));
             }
         }
-        self.running.retain(|it| it.made < it.output_tokens);
+        self.running.retain(|it| it.generated < it.output_tokens);
         let running = &self.running;
-        self.begun.retain(|it| running.iter().any(|running| running.attempt == *it));
-        for beginning in read {
-            self.keep(beginning);
+        self.started.retain(|it| running.iter().any(|running| running.attempt == *it));
+        for prefix in prefilled_prefixes {
+            self.cache_prefix(prefix);
         }
         progress
     }
@@ -153,30 +162,30 @@
     fn admit(&mut self) {
         while self.running.len() < self.config.slots as usize {
             let Some(mut sequence) = self.queue.pop_front() else { return };
-            let is_kept = sequence.beginning == 0 || self.kept.contains(&sequence.beginning);
-            sequence.unread = sequence.own_tokens;
-            sequence.unread += if is_kept { 0 } else { sequence.shared_tokens };
+            let is_cached = sequence.prefix == 0 || self.cached_prefixes.contains(&sequence.prefix);
+            sequence.prefill_left = sequence.own_tokens;
+            sequence.prefill_left += if is_cached { 0 } else { sequence.shared_tokens };
             self.running.push(sequence);
         }
     }
 
-    fn read_prompts(&mut self) -> u32 {
-        let mut left = self.config.chunk_tokens;
+    fn prefill(&mut self) -> u32 {
+        let mut budget = self.config.chunk_tokens;
         for sequence in &mut self.running {
-            let part = sequence.unread.min(left);
-            sequence.unread -= part;
-            left -= part;
+            let part = sequence.prefill_left.min(budget);
+            sequence.prefill_left -= part;
+            budget -= part;
         }
-        self.config.chunk_tokens - left
+        self.config.chunk_tokens - budget
     }
 
-    fn keep(&mut self, beginning: u64) {
-        if beginning == 0 {
+    fn cache_prefix(&mut self, prefix: u64) {
+        if prefix == 0 {
             return;
         }
-        self.kept.retain(|it| *it != beginning);
-        self.kept.push(beginning);
-        let more = self.kept.len().saturating_sub(self.config.kept_beginnings);
-        self.kept.drain(..more);
+        self.cached_prefixes.retain(|it| *it != prefix);
+        self.cached_prefixes.push(prefix);
+        let more = self.cached_prefixes.len().saturating_sub(self.config.kept_beginnings);
+        self.cached_prefixes.drain(..more);
     }
 }
--- a/crates/samphiredoor-standin/src/http.rs
+++ b/crates/samphiredoor-standin/src/http.rs
@@ -1,53 +1,57 @@
-//! Single calls over HTTP, and servers for the stand-ins.
+//! Blocking HTTP calls for tests, and servers on threads of their own.
 
 use std::{net::SocketAddr, thread, time::Duration};
 
 use samphiredoor_net::{Body, ServeLimits, Server};
 use serde_json::Value;
 
-const TRIES: u32 = 9_000;
-const PAUSE: Duration = Duration::from_millis(10);
+const MAX_POLLS: u32 = 9_000;
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Answer to a call.
+/// Answer to an HTTP call.
 #[derive(Debug)]
 pub struct Answer {
-    /// Status; 0 if the answer was cut.
+    /// Status; 0 if no complete answer was received.
     pub status: u16,
     /// Headers.
     pub headers: hyper::HeaderMap,
-    /// Body, or what went wrong.
+    /// Body, or the error message if there is no complete answer.
     pub text: String,
 }
 
 impl Answer {
-    /// Body as JSON; null if it is none.
+    /// Body as JSON; null if it isn't valid JSON.
     pub fn json(&self) -> Value {
         serde_json::from_str(&self.text).unwrap_or(Value::Null)
     }
 }
 
-/// Posts a body.
+/// Sends a POST request.
 pub fn post(address: SocketAddr, path: &str, headers: &[(&str, &str)], body: &str) -> Answer {
     call(hyper::Method::POST, address, path, headers, body)
 }
 
-/// Gets a path.
+/// Sends a GET request.
 pub fn get(address: SocketAddr, path: &str) -> Answer {
     call(hyper::Method::GET, address, path, &[], "")
 }
 
-/// Waits for something that must come, without saying when.
+/// Polls a condition until it holds.
+///
+/// # Panics
+///
+/// The condition does not hold within 90 s.
 pub fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
-    for _ in 0..TRIES {
+    for _ in 0..MAX_POLLS {
         if condition() {
             return;
         }
-        thread::sleep(PAUSE);
+        thread::sleep(POLL_INTERVAL);
     }
-    panic!("never: {what}");
+    panic!("timed out waiting: {what}");
 }
 
-/// Makes one call on a connection of its own; status 0 if its answer was cut.
+/// Sends one request on a new connection; the status is 0 if no complete answer was received.
 pub fn call(
     method: hyper::Method,
     address: SocketAddr,
@@ -66,14 +70,14 @@
         let headers = response.headers().clone();
         Ok::<_, cyper::Error>(Answer { status, headers, text: response.text().await? })
     };
-    let runtime = compio::runtime::Runtime::new().expect("a runtime");
+    let runtime = compio::runtime::Runtime::new().expect("the runtime starts");
     match runtime.block_on(exchange) {
         Ok(answer) => answer,
         Err(err) => Answer { status: 0, headers: hyper::HeaderMap::new(), text: err.to_string() },
     }
 }
 
-/// Starts a server with a handler of the test's own; returns where it listens.
+/// Starts a server on a new thread with the handler that `make` creates there; returns its address.
 pub fn start<M, H, F>(make: M) -> SocketAddr
 where
     M: FnOnce() -> H + Send + 'static,
@@ -82,13 +86,13 @@
 {
     let (sender, receiver) = flume::bounded(1);
     thread::spawn(move || {
-        let runtime = compio::runtime::Runtime::new().expect("a runtime");
+        let runtime = compio::runtime::Runtime::new().expect("the runtime starts");
         runtime.block_on(async move {
             let any = SocketAddr::from(([127, 0, 0, 1], 0));
-            let server = Server::bind(any, ServeLimits::default()).await.expect("a port");
+            let server = Server::bind(any, ServeLimits::default()).await.expect("a free port");
             sender.send(server.local_addr().expect("an address")).expect("a waiting test");
             server.run(make()).await;
         });
     });
-    receiver.recv().expect("the stand-in starts")
+    receiver.recv().expect("the server starts")
 }
--- a/crates/samphiredoor-standin/src/measured.rs
+++ b/crates/samphiredoor-standin/src/measured.rs
@@ -1,44 +1,44 @@
-//! What a run measured, and its row in the table.
+//! Measurements of a run, and their row in the result file.
 
 use std::{collections::BTreeMap, time::Duration};
 
 use hdrhistogram::Histogram;
-use samphiredoor_embedded::engine_record::{EngineRecord, STEP_CLASS_US};
+use samphiredoor_embedded::engine_record::{EngineRecord, STEP_BUCKET_US};
 
-/// How one online request ended.
+/// Outcome and latencies of one online request.
 #[derive(Debug, Clone, Default)]
-pub struct OnlineEnd {
-    /// From the time it should have been sent to its first token.
+pub struct OnlineOutcome {
+    /// Time from when it was due to its first token.
     pub first_token_us: Option<u64>,
-    /// Between tokens.
+    /// Times between tokens.
     pub gaps_us: Vec<u64>,
-    /// From the time it should have been sent to its last token.
-    pub whole_us: u64,
-    /// Why it has no whole answer.
+    /// Time from when it was due to its last token.
+    pub total_us: u64,
+    /// Reason for which it has no complete answer.
     pub error: Option<String>,
 }
 
-impl OnlineEnd {
-    /// A request without a whole answer.
-    pub fn failed(why: &str) -> OnlineEnd {
-        OnlineEnd { error: Some(why.to_owned()), ..OnlineEnd::default() }
+impl OnlineOutcome {
+    /// Request without a complete answer.
+    pub fn failed(reason: &str) -> OnlineOutcome {
+        OnlineOutcome { error: Some(reason.to_owned()), ..OnlineOutcome::default() }
     }
 }
 
 type Times = Histogram<u64>;
 
-fn times() -> Times {
-    // The arguments are constants that the library takes.
-    Histogram::new_with_bounds(1, 120_000_000, 3).expect("a histogram of up to two minutes")
+fn new_histogram() -> Times {
+    // Up to two minutes, in microseconds; these constants are valid bounds.
+    Histogram::new_with_bounds(1, 120_000_000, 3).expect("the bounds are valid")
 }
 
-/// Figures of a run.
+/// Latency histograms, errors and engine counters of a run.
 #[derive(Debug)]
-pub struct Measured {
+pub struct Measurements {
     from: Duration,
     first_token: Times,
     gap: Times,
-    whole: Times,
+    total: Times,
     first_token_by_second: BTreeMap<u64, Times>,
     gap_by_second: BTreeMap<u64, Times>,
     errors: BTreeMap<String, u64>,
@@ -46,20 +46,20 @@
     elapsed_s: f64,
 }
 
-impl Default for Measured {
-    fn default() -> Measured {
-        Measured::new(Duration::ZERO)
+impl Default for Measurements {
+    fn default() -> Measurements {
+        Measurements::new(Duration::ZERO)
     }
 }
 
-impl Measured {
-    /// Nothing measured; requests due before `from` will not count.
-    pub fn new(from: Duration) -> Measured {
-        Measured {
+impl Measurements {
+    /// Empty measurements; requests that are due before `from` are ignored.
+    pub fn new(from: Duration) -> Measurements {
+        Measurements {
             from,
-            first_token: times(),
-            gap: times(),
-            whole: times(),
+            first_token: new_histogram(),
+            gap: new_histogram(),
+            total: new_histogram(),
             first_token_by_second: BTreeMap::new(),
             gap_by_second: BTreeMap::new(),
             errors: BTreeMap::new(),
@@ -69,35 +69,35 @@
     }
 
     /// Adds an online request that was due at `at`.
-    pub fn online(&mut self, at: Duration, end: &OnlineEnd) {
+    pub fn add_online(&mut self, at: Duration, end: &OnlineOutcome) {
         let Some(measured_at) = at.checked_sub(self.from) else { return };
         if let Some(error) = &end.error {
             *self.errors.entry(error.clone()).or_default() += 1;
             return;
         }
         let second = measured_at.as_secs();
-        let first_token_us = end.first_token_us.unwrap_or(end.whole_us);
+        let first_token_us = end.first_token_us.unwrap_or(end.total_us);
         self.first_token.saturating_record(first_token_us);
-        let by_second = self.first_token_by_second.entry(second).or_insert_with(times);
+        let by_second = self.first_token_by_second.entry(second).or_insert_with(new_histogram);
         by_second.saturating_record(first_token_us);
-        self.whole.saturating_record(end.whole_us);
-        let by_second = self.gap_by_second.entry(second).or_insert_with(times);
+        self.total.saturating_record(end.total_us);
+        let by_second = self.gap_by_second.entry(second).or_insert_with(new_histogram);
         for gap_us in &end.gaps_us {
             self.gap.saturating_record(*gap_us);
             by_second.saturating_record(*gap_us);
         }
     }
 
-    /// Adds what the engines recorded during `elapsed_s`.
-    pub fn engines(&mut self, records: Vec<EngineRecord>, elapsed_s: f64) {
+    /// Sets the engines' counters of a time of `elapsed_s`.
+    pub fn set_engine_records(&mut self, records: Vec<EngineRecord>, elapsed_s: f64) {
         self.engines = records;
         self.elapsed_s = elapsed_s;
     }
 
-    /// Row of the table.
+    /// Row of the result file.
     pub fn row(&self, label: &str) -> Row {
         let sum = |field: fn(&EngineRecord) -> u64| self.engines.iter().map(field).sum::<u64>();
-        let steps = self.steps();
+        let step_times = self.online_step_times();
         let steps_done = sum(|it| it.steps).max(1);
         let completed = sum(|it| it.batch_tokens_completed);
         let aborted = sum(|it| it.batch_tokens_aborted);
@@ -105,23 +105,23 @@
         let mut row = Row { label: label.to_owned(), ..Row::default() };
         let figures = &mut row.figures;
         let mut add = |name: &str, value: f64| figures.push((name.to_owned(), value));
-        add("answered", self.whole.len() as f64);
+        add("answered", self.total.len() as f64);
         add("errors", self.errors.values().sum::<u64>() as f64);
         for (name, histogram) in
-            [("ttft", &self.first_token), ("gap", &self.gap), ("whole", &self.whole)]
+            [("ttft", &self.first_token), ("gap", &self.gap), ("whole", &self.total)]
         {
             for (quantile, at) in [("p50", 0.5), ("p99", 0.99), ("p999", 0.999)] {
                 let ms = histogram.value_at_quantile(at) as f64 / 1_000.0;
                 add(&format!("{name}_{quantile}_ms"), ms);
             }
         }
-        add("worst_second_ttft_p99_ms", worst_second(&self.first_token_by_second));
-        add("worst_second_gap_p99_ms", worst_second(&self.gap_by_second));
+        add("worst_second_ttft_p99_ms", worst_second_p99_ms(&self.first_token_by_second));
+        add("worst_second_gap_p99_ms", worst_second_p99_ms(&self.gap_by_second));
         for (quantile, at) in [("p50", 0.5), ("p99", 0.99)] {
-            let ms = steps.value_at_quantile(at) as f64 / 1_000.0;
+            let ms = step_times.value_at_quantile(at) as f64 / 1_000.0;
             add(&format!("online_step_{quantile}_ms"), ms);
         }
-        add("online_step_mean_ms", steps.mean() / 1_000.0);
+        add("online_step_mean_ms", step_times.mean() / 1_000.0);
         add("online_tokens_per_s", sum(|it| it.online_tokens) as f64 / self.elapsed_s);
         add("batch_tokens_per_s", completed as f64 / self.elapsed_s);
         add("batch_generated_per_s", batch_tokens as f64 / self.elapsed_s);
@@ -138,22 +138,22 @@
         row
     }
 
-    /// Errors by reason.
+    /// Number of errors by reason.
     pub fn errors(&self) -> &BTreeMap<String, u64> {
         &self.errors
     }
 
-    fn steps(&self) -> Times {
-        let mut steps = times();
-        for (class, count) in self.engines.iter().flat_map(|it| &it.online_steps) {
-            let us = class * STEP_CLASS_US + STEP_CLASS_US / 2;
+    fn online_step_times(&self) -> Times {
+        let mut steps = new_histogram();
+        for (bucket, count) in self.engines.iter().flat_map(|it| &it.online_steps) {
+            let us = bucket * STEP_BUCKET_US + STEP_BUCKET_US / 2;
             let _ = steps.record_n(us, *count);
         }
         steps
     }
 }
 
-fn worst_second(by_second: &BTreeMap<u64, Times>) -> f64 {
+fn worst_second_p99_ms(by_second: &BTreeMap<u64, Times>) -> f64 {
     let p99 = by_second.values().map(|it| it.value_at_quantile(0.99)).max();
     p99.unwrap_or(0) as f64 / 1_000.0
 }
@@ -163,17 +163,17 @@
     text.split(' ').next().and_then(|it| it.parse().ok()).unwrap_or(0.0)
 }
 
-/// One run as figures with names.
+/// Named figures of one run.
 #[derive(Debug, Clone, Default)]
 pub struct Row {
-    /// Variant that was run.
+    /// Name of the variant that was run.
     pub label: String,
-    /// Figures in order.
+    /// Figures with their names, in the order of the columns.
     pub figures: Vec<(String, f64)>,
 }
 
 impl Row {
-    /// Names of the columns.
+    /// Names of the columns, separated by commas.
     pub fn heading(&self) -> String {
         let names: Vec<&str> = self.figures.iter().map(|(name, _)| name.as_str()).collect();
         format!("label,{}", names.join(","))
--- a/crates/samphiredoor-standin/src/platform_target.rs
+++ b/crates/samphiredoor-standin/src/platform_target.rs
@@ -1,4 +1,5 @@
-//! A replica of the platform, over plain sockets, so that it can answer in ways that no HTTP library would.
+//! Simulated replica of the platform (a target), over plain sockets, so that it can send invalid and incomplete
+//! answers.
 
 use std::{
     collections::VecDeque,
@@ -15,71 +16,71 @@
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
 
-/// Longer than any request of the tests waits.
-const SILENCE: Duration = Duration::from_secs(120);
+/// Time without an answer; longer than the timeout of any request in tests.
+const NO_ANSWER_TIME: Duration = Duration::from_secs(120);
 const MAX_HEADERS: usize = 64;
 
-/// How the next requests are answered.
+/// Fault with which a request is answered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum TargetFault {
-    /// As they should be.
+    /// No fault.
     #[default]
     None,
-    /// The connection ends after so many events.
+    /// The connection is closed after this number of events.
     CutAfter(u64),
-    /// The request runs, and its connection is reset without an answer.
+    /// The request runs, and its connection is closed without an answer.
     AnswerLost,
-    /// The request is refused, and the answer says that it did not run.
+    /// The request is rejected with 503 and marked as not run.
     Full,
-    /// The request runs and fails.
+    /// The request runs and fails with 500.
     Fails,
-    /// The request can never be done.
+    /// The request runs and is answered with 422: it can never succeed.
     Impossible,
-    /// A second answer, to an earlier request, comes before the one that is due.
+    /// An answer that names another request is sent before the correct one.
     Stray,
-    /// The request runs and no answer comes.
+    /// The request runs and is not answered.
     Silent,
-    /// The answer has no length and ends with its connection.
+    /// The answer has neither a length nor chunked framing; it ends with the connection.
     Unframed,
 }
 
-/// One request that began to run.
+/// Request that the target started to run.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Run {
-    /// Its id.
+    /// Request id.
     pub id: String,
-    /// Event after which it goes on.
+    /// Number of the event after which it resumes.
     pub after: Option<u64>,
-    /// Body.
+    /// Body of the request.
     pub body: Vec<u8>,
-    /// When it began.
+    /// Time of its start.
     pub at: Instant,
 }
 
 #[derive(Debug)]
 struct State {
-    /// Faults of the next requests.
+    /// Faults of the next requests, in order.
     faults: VecDeque<TargetFault>,
     runs: Vec<Run>,
     events: u64,
     pause: Duration,
 }
 
-/// A replica that listens until the process ends.
+/// Handle to a replica; it listens until it crashes or the process ends.
 #[derive(Debug, Clone)]
 pub struct PlatformTarget {
-    /// Its name.
+    /// Name under which it is registered.
     pub name: String,
-    /// Where it listens.
+    /// Address of its listener.
     pub address: SocketAddr,
     state: Arc<Mutex<State>>,
-    gone: Arc<AtomicBool>,
+    is_crashed: Arc<AtomicBool>,
 }
 
 impl PlatformTarget {
-    /// Replica that makes so many events, with a pause between them.
+    /// Starts a replica that answers with `events` events and waits `pause` after each.
     ///
     /// # Errors
     ///
@@ -91,16 +92,16 @@
             name: name.to_owned(),
             address: listener.local_addr()?,
             state: Arc::new(Mutex::new(state)),
-            gone: Arc::default(),
+            is_crashed: Arc::default(),
         };
-        let accepting = target.clone();
+        let acceptor = target.clone();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let target = accepting.clone();
-                if target.gone.load(Ordering::Relaxed) {
+                let target = acceptor.clone();
+                if target.is_crashed.load(Ordering::Relaxed) {
                     return;
                 }
-                // The end of a connection, orderly or not, is no failure of the replica.
+                // Errors of a connection are ignored: closed and reset connections are expected.
                 thread::spawn(move || drop(target.serve(stream)));
             }
         });
@@ -111,30 +112,30 @@
         self.state.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    /// Has the next requests answered with a fault.
+    /// Sets the fault of the next `count` requests; replaces faults set before.
     pub fn fail_next(&self, count: u32, fault: TargetFault) {
         self.state().faults.clear();
         self.fail_then(count, fault);
     }
 
-    /// Has requests answered with a fault that come after those that were told of before.
+    /// Sets the fault of `count` requests after those that have a fault already.
     pub fn fail_then(&self, count: u32, fault: TargetFault) {
         self.state().faults.extend((0..count).map(|_| fault));
     }
 
-    /// Requests that began to run.
+    /// Requests that started to run, in order.
     pub fn runs(&self) -> Vec<Run> {
         self.state().runs.clone()
     }
 
-    /// Ends it as a crash would: nothing is taken any more.
+    /// Simulates a crash: closes the listener and handles no further requests.
     pub fn crash(&self) {
-        self.gone.store(true, Ordering::Relaxed);
-        // Wakes the accepting thread, which then closes the listener.
+        self.is_crashed.store(true, Ordering::Relaxed);
+        // This connection wakes the accepting thread, which then closes the listener.
         let _ = TcpStream::connect(self.address);
     }
 
-    /// Entry by which it registers itself.
+    /// Entry in the store that registers it.
     pub fn entry(&self, service: &str, zone: &str, state: &str) -> Value {
         json!({
             "service": service, "addr": self.address.to_string(), "zone": zone, "version": "v1",
@@ -142,10 +143,10 @@
         })
     }
 
-    /// Output of a whole run, as the text of an item's result.
+    /// Output of a complete run, as the text of an item's result.
     pub fn text(&self) -> String {
         let events = self.state().events;
-        (1..=events).map(data).collect::<Vec<String>>().join("\n")
+        (1..=events).map(event_data).collect::<Vec<String>>().join("\n")
     }
 
     fn next_fault(&self) -> TargetFault {
@@ -156,28 +157,28 @@
         stream.set_nodelay(true)?;
         let mut buffer = Vec::new();
         while let Some(request) = read_request(&mut stream, &mut buffer)? {
-            if self.gone.load(Ordering::Relaxed) || !self.answer(&mut stream, &request)? {
+            if self.is_crashed.load(Ordering::Relaxed) || !self.answer(&mut stream, &request)? {
                 return Ok(());
             }
         }
         Ok(())
     }
 
-    /// Answers a request; says whether the connection goes on.
+    /// Answers a request; returns whether the connection stays open.
     fn answer(&self, stream: &mut TcpStream, request: &HttpRequest) -> io::Result<bool> {
         let id = request.header("x-request-id").unwrap_or_default();
         if request.header("x-expect-instance").is_some_and(|it| it != self.name) {
-            whole(stream, "421 Misdirected Request", id, "", "")?;
+            write_answer(stream, "421 Misdirected Request", id, "", "")?;
             return Ok(true);
         }
         if id.is_empty() {
-            // Refused as not run, as by every replica; a call to a process that had this port before may be such a one.
-            whole(stream, "400 Bad Request", id, "X-Not-Run: 1\r\n", "")?;
+            // Rejected as not run, as every replica does. It may be a call to a process that used this port before.
+            write_answer(stream, "400 Bad Request", id, "X-Not-Run: 1\r\n", "")?;
             return Ok(true);
         }
         let fault = self.next_fault();
         if fault == TargetFault::Full {
-            whole(stream, "503 Service Unavailable", id, "X-Not-Run: 1\r\n", "")?;
+            write_answer(stream, "503 Service Unavailable", id, "X-Not-Run: 1\r\n", "")?;
             return Ok(true);
         }
         let after = request.header("last-event-id").and_then(|it| it.parse().ok());
@@ -185,22 +186,28 @@
         self.state().runs.push(run);
         match fault {
             TargetFault::Fails => {
-                whole(stream, "500 Internal Server Error", id, &stamp(id), "failed")?
+                write_answer(stream, "500 Internal Server Error", id, &stamp_header(id), "failed")?
             }
             TargetFault::Impossible => {
-                whole(stream, "422 Unprocessable Entity", id, &stamp(id), "impossible")?;
+                write_answer(
+                    stream,
+                    "422 Unprocessable Entity",
+                    id,
+                    &stamp_header(id),
+                    "impossible",
+                )?;
             }
             TargetFault::AnswerLost => return Ok(false),
             TargetFault::Silent => {
-                thread::sleep(SILENCE);
+                thread::sleep(NO_ANSWER_TIME);
                 return Ok(false);
             }
             TargetFault::Stray => {
-                whole(
+                write_answer(
                     stream,
                     "200 OK",
                     "of-another-request",
-                    &stamp("of-another-request"),
+                    &stamp_header("of-another-request"),
                     "stray",
                 )?;
                 self.stream_events(stream, id, after, fault)?;
@@ -221,47 +228,53 @@
             let state = self.state();
             (state.events, state.pause)
         };
-        let unframed = fault == TargetFault::Unframed;
-        let framing = if unframed { "" } else { "Transfer-Encoding: chunked\r\n" };
+        let is_unframed = fault == TargetFault::Unframed;
+        let framing = if is_unframed { "" } else { "Transfer-Encoding: chunked\r\n" };
         write!(
             stream,
             "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n{framing}X-Request-Id: {id}\r\n\
              X-Server-Load: 1,0,8\r\n{}\r\n",
-            stamp(id)
+            stamp_header(id)
         )?;
         let first = after.unwrap_or(0) + 1;
         for (sent, number) in (first..=events).enumerate() {
             if fault == TargetFault::CutAfter(sent as u64) {
-                // A part of an event may be out already.
+                // Also sends a part of the next event.
                 write!(stream, "8\r\nid: {number}\r\n")?;
                 return Ok(false);
             }
-            let event = format!("id: {number}\ndata: {}\n\n", data(number));
-            match unframed {
+            let event = format!("id: {number}\ndata: {}\n\n", event_data(number));
+            match is_unframed {
                 true => stream.write_all(event.as_bytes())?,
                 false => write!(stream, "{:x}\r\n{event}\r\n", event.len())?,
             }
             thread::sleep(pause);
         }
-        if !unframed {
+        if !is_unframed {
             stream.write_all(b"0\r\n\r\n")?;
         }
-        Ok(!unframed)
+        Ok(!is_unframed)
     }
 }
 
-fn data(number: u64) -> String {
+fn event_data(number: u64) -> String {
     format!("piece-{number}")
 }
 
-fn stamp(id: &str) -> String {
+fn stamp_header(id: &str) -> String {
     format!("X-Server-Stamp: stamp-{id}\r\n")
 }
 
-fn whole(stream: &mut TcpStream, status: &str, id: &str, more: &str, body: &str) -> io::Result<()> {
+fn write_answer(
+    stream: &mut TcpStream,
+    status: &str,
+    id: &str,
+    extra_headers: &str,
+    body: &str,
+) -> io::Result<()> {
     write!(
         stream,
-        "HTTP/1.1 {status}\r\nContent-Length: {}\r\nX-Request-Id: {id}\r\n{more}\r\n{body}",
+        "HTTP/1.1 {status}\r\nContent-Length: {}\r\nX-Request-Id: {id}\r\n{extra_headers}\r\n{body}",
         body.len()
     )
 }
@@ -277,7 +290,7 @@
     }
 }
 
-/// Next request of a connection; `None` at its end.
+/// Reads the next request of a connection; `None` at its end.
 fn read_request(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> io::Result<Option<HttpRequest>> {
     loop {
         if let Some((request, len)) = parse(buffer) {
--- a/crates/samphiredoor/src/dispatch_task.rs
+++ b/crates/samphiredoor/src/dispatch_task.rs
@@ -174,8 +174,8 @@
         }
     }
 
-    /// Reports how the current attempt ended; further reports on the same attempt are ignored. After a final end no
-    /// decision follows, after any other one does.
+    /// Reports how the current attempt ended; further reports on the same attempt are ignored. A final end is followed
+    /// by no decision, any other end by one.
     pub fn ended(&mut self, end: AttemptEnd) {
         if !std::mem::take(&mut self.at_target) {
             return;
@@ -247,7 +247,7 @@
     fn publish(&mut self) {
         if self.ticks.is_multiple_of(TICKS_BETWEEN_METRICS) {
             let gauges = self.dispatcher.gauges(self.clock.now());
-            self.metrics.dispatcher(self.dispatcher.counters(), &gauges);
+            self.metrics.update_dispatcher(self.dispatcher.counters(), &gauges);
         }
         self.ticks += 1;
     }
@@ -256,7 +256,7 @@
         if let Input::Cancelled { request } | Input::AttemptEnded { request, .. } = input
             && let Some(preempted_at) = self.preempted_at.remove(request)
         {
-            self.metrics.recalled(preempted_at.elapsed().as_secs_f64());
+            self.metrics.observe_preemption(preempted_at.elapsed().as_secs_f64());
         }
         match input {
             Input::Cancelled { request } => {
@@ -283,10 +283,12 @@
             Action::Refuse { request, verdict } => (request, Decision::Refused(verdict)),
             Action::SlotGrant { target, grant } => {
                 let SlotGrant { gateway, slots, epoch } = grant;
-                let hint = Hint::Recall { target, batch_slots: slots, epoch };
+                let hint = Hint::SlotGrant { target, batch_slots: slots, epoch };
                 return self.notify(gateway, hint);
             }
-            Action::Demand { allocator, load } => return self.notify(allocator, Hint::Need(load)),
+            Action::Demand { allocator, load } => {
+                return self.notify(allocator, Hint::Demand(load));
+            }
         };
         let last = matches!(decision, Decision::Refused(_));
         if let Some(reply) = self.waiting.get(&request) {
--- a/crates/samphiredoor/src/main.rs
+++ b/crates/samphiredoor/src/main.rs
@@ -1,4 +1,8 @@
-//! The process on an entry host.
+//! The `samphiredoor` program.
+//!
+//! `serve` runs the gateway of this crate, called a door, which keeps its state in an object API. `gateway` and
+//! `storage` run the processes of `samphiredoor_gateway` on the users' platform. `check` checks the settings of
+//! `serve`, and `dev` runs such a gateway with everything that it needs in one process.
 
 mod access;
 mod answers;
@@ -11,6 +15,7 @@
 mod dispatch_task;
 mod door;
 mod exit_codes;
+mod hints;
 mod hosts_task;
 mod item_call;
 mod item_run;
@@ -30,7 +35,6 @@
 mod manifest_task;
 mod members_task;
 mod metrics;
-mod news;
 mod online;
 mod operators;
 mod orders_task;
--- a/crates/samphiredoor/src/manifest_http.rs
+++ b/crates/samphiredoor/src/manifest_http.rs
@@ -1,4 +1,4 @@
-//! The manifest at the operators' door: read it, and change it.
+//! The `/manifest` endpoint of the operators' listener: reads and replaces the manifest.
 
 use std::rc::Rc;
 
@@ -9,22 +9,22 @@
 use crate::{
     answers::{bad_request, not_found},
     door::Door,
-    manifest_change::{answer, change},
+    manifest_change::{change, change_response},
     request_spec::header_text,
 };
 
 const MAX_MANIFEST_BYTES: usize = 450_000;
 const OPERATOR_HEADER: &str = "x-samphiredoor-operator";
 
-/// Answers with the record in force.
+/// Responds with the active record.
 pub async fn get(door: &Door) -> Response<Body> {
-    match door.manifest.above(0).await {
+    match door.manifest.record_above(0).await {
         Some(record) => answers::json(StatusCode::OK, record.to_vec()),
-        None => not_found("no manifest is in force yet"),
+        None => not_found("no manifest is active yet"),
     }
 }
 
-/// Changes the manifest. With `if-match` or `expected_revision` it has no effect unless that revision is the last one.
+/// Replaces the manifest. With `if-match` or `expected_revision`, only if that revision is the latest.
 pub async fn put(door: &Rc<Door>, request: Request<Incoming>) -> Response<Body> {
     let expected = match expected_revision(&request) {
         Ok(expected) => expected,
@@ -42,7 +42,7 @@
         return bad_request(&err.field, &err.problem);
     }
     let declared = serde_json::from_slice(&body).unwrap_or_default();
-    answer(change(door, &operator, declared, expected).await)
+    change_response(change(door, &operator, declared, expected).await)
 }
 
 fn expected_revision(request: &Request<Incoming>) -> Result<Option<u64>, Response<Body>> {
--- a/crates/samphiredoor/src/metrics.rs
+++ b/crates/samphiredoor/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters, gauges and histograms.
+//! Prometheus metrics of this process, and their label values.
 
 use std::rc::Rc;
 
@@ -37,20 +37,20 @@
     pub class: &'static str,
 }
 
-/// Why something from a peer was refused.
+/// Reason why a link, or something that a peer sent or stored, was refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PeerRefusal {
-    /// The token was wrong.
+    /// The peer presented a wrong token.
     WrongToken,
-    /// A connection ended, or was ended, before its far side had entered.
-    NoEntry,
+    /// A connection ended, or was closed, before the peer had authenticated.
+    Unauthenticated,
     /// A message cannot be read.
     Unreadable,
-    /// News of a kind that a newer version has added.
-    UnknownNews,
-    /// More links than are held at once.
+    /// A hint of a kind that only a newer version defines.
+    UnknownHint,
+    /// A link above the limit of accepted links.
     TooManyLinks,
-    /// A peer is slow to answer, so that a message to it was dropped.
+    /// A message to a peer was dropped because earlier calls to the peer are still running.
     SlowPeer,
     /// A process's lease object cannot be read.
     UnreadableLease,
@@ -61,9 +61,9 @@
 impl PeerRefusal {
     const ALL: [PeerRefusal; 8] = [
         PeerRefusal::WrongToken,
-        PeerRefusal::NoEntry,
+        PeerRefusal::Unauthenticated,
         PeerRefusal::Unreadable,
-        PeerRefusal::UnknownNews,
+        PeerRefusal::UnknownHint,
         PeerRefusal::TooManyLinks,
         PeerRefusal::SlowPeer,
         PeerRefusal::UnreadableLease,
@@ -73,9 +73,9 @@
     fn label(self) -> &'static str {
         match self {
             PeerRefusal::WrongToken => "wrong_token",
-            PeerRefusal::NoEntry => "no_entry",
+            PeerRefusal::Unauthenticated => "no_entry",
             PeerRefusal::Unreadable => "unreadable",
-            PeerRefusal::UnknownNews => "unknown_news",
+            PeerRefusal::UnknownHint => "unknown_news",
             PeerRefusal::TooManyLinks => "too_many_links",
             PeerRefusal::SlowPeer => "slow_peer",
             PeerRefusal::UnreadableLease => "unreadable_lease",
@@ -84,14 +84,14 @@
     }
 }
 
-/// Why a manifest's record was not put in force.
+/// Reason why a manifest record was not made active.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ManifestRefusal {
-    /// Its revision is below the one in force.
+    /// Its revision is below the active one.
     Older,
-    /// Its revision is the one in force, and its content another.
+    /// Its revision is the active one, but it was written by another change.
     Forked,
-    /// It cannot be read, or a newer version wrote it.
+    /// It cannot be read, is invalid, or has a newer format.
     Unusable,
 }
 
@@ -112,7 +112,7 @@
 pub struct Metrics {
     registry: Registry,
     refusals: ReasonCounters,
-    doubts: ReasonCounters,
+    may_have_run: ReasonCounters,
     answered: Family<ClassLabel, Counter>,
     latency_s: Family<ClassLabel, Histogram>,
     running: Gauge,
@@ -134,7 +134,7 @@
 }
 
 impl Metrics {
-    /// Metrics with every reason at zero.
+    /// Registers all metrics, with every reason at zero.
     pub fn new() -> Rc<Metrics> {
         let mut registry = Registry::with_prefix("samphiredoor");
         let answered = Family::<ClassLabel, Counter>::default();
@@ -144,8 +144,8 @@
         };
         let refusals = Refusal::ALL.map(Refusal::label);
         let refusals = counters("refusals", "Requests refused before they ran", &refusals);
-        let doubts = MayHaveRunReason::ALL.map(MayHaveRunReason::label);
-        let doubts = counters("doubts", "Requests that may have run", &doubts);
+        let reasons = MayHaveRunReason::ALL.map(MayHaveRunReason::label);
+        let may_have_run = counters("doubts", "Requests that may have run", &reasons);
         let job_events = counters("job_events", "What became of jobs", &JOB_EVENTS);
         let item_ends = counters("item_ends", "Ends of runs of items", &ITEM_ENDS);
         let faults = Unreadable::ALL.map(Unreadable::label);
@@ -166,7 +166,7 @@
         Rc::new(Metrics {
             registry,
             refusals,
-            doubts,
+            may_have_run,
             answered,
             latency_s,
             running,
@@ -184,13 +184,13 @@
         })
     }
 
-    /// Counts something that was refused of a peer.
-    pub fn peer_refused(&self, reason: PeerRefusal) {
+    /// Counts a refused link, or something refused that a peer sent or stored.
+    pub fn count_peer_refusal(&self, reason: PeerRefusal) {
         self.peer_refusals.count(reason.label());
     }
 
-    /// Counts a manifest's record that was not put in force.
-    pub fn manifest_refused(&self, reason: ManifestRefusal) {
+    /// Counts a manifest record that was not made active.
+    pub fn count_manifest_refusal(&self, reason: ManifestRefusal) {
         self.manifest_refusals.count(reason.label());
     }
 
@@ -200,7 +200,7 @@
     }
 
     /// Sets the number of members that are not reported dead.
-    pub fn members(&self, members: usize) {
+    pub fn set_members(&self, members: usize) {
         self.members.set(members as i64);
     }
 
@@ -215,13 +215,13 @@
     }
 
     /// Counts an online request as running until the guard is dropped.
-    pub fn running(&self) -> Running {
+    pub fn track_running(&self) -> RunningGuard {
         self.running.inc();
-        Running(self.running.clone())
+        RunningGuard(self.running.clone())
     }
 
-    /// Counts how a request ended.
-    pub fn ended(&self, class: Class, verdict: Verdict, elapsed_s: f64) {
+    /// Counts the outcome of a request; the latency of answered ones goes into the histogram.
+    pub fn count_outcome(&self, class: Class, verdict: Verdict, elapsed_s: f64) {
         let class = ClassLabel { class: class_label(class) };
         match verdict {
             Verdict::Done => {
@@ -232,46 +232,46 @@
                 self.refusals.count(reason.label());
             }
             Verdict::MayHaveRun { reason } => {
-                self.doubts.count(reason.label());
+                self.may_have_run.count(reason.label());
             }
         }
     }
 
-    /// Counts what became of a job.
-    pub fn job_event(&self, event: &'static str) {
+    /// Counts an event of a job, one of `JOB_EVENTS`.
+    pub fn count_job_event(&self, event: &'static str) {
         self.job_events.count(event);
     }
 
-    /// Counts the end of a run of an item.
-    pub fn item_ended(&self, end: &'static str) {
+    /// Counts the end of a run of an item, one of `ITEM_ENDS`.
+    pub fn count_item_end(&self, end: &'static str) {
         self.item_ends.count(end);
     }
 
     /// Counts a stored object that cannot be read.
-    pub fn unreadable(&self, fault: Unreadable) {
+    pub fn count_unreadable(&self, fault: Unreadable) {
         self.unreadable.count(fault.label());
     }
 
-    /// Counts the time from the decision to take a slot back to its being free.
-    pub fn recalled(&self, elapsed_s: f64) {
-        self.dispatcher.recalled(elapsed_s);
+    /// Observes the time from the decision to preempt an item until its slot is free.
+    pub fn observe_preemption(&self, elapsed_s: f64) {
+        self.dispatcher.observe_preemption(elapsed_s);
     }
 
-    /// Takes what the dispatcher counts.
-    pub fn dispatcher(&self, counters: &Counters, gauges: &Gauges) {
-        self.dispatcher.set(counters, gauges);
+    /// Updates the dispatcher's metrics from its latest counts.
+    pub fn update_dispatcher(&self, counters: &Counters, gauges: &Gauges) {
+        self.dispatcher.update(counters, gauges);
     }
 
-    /// Text in the exposition format.
+    /// Returns all metrics in the text exposition format.
     pub fn text(&self) -> String {
         metrics::text(&self.registry)
     }
 }
 
-/// One online request that is being answered.
-pub struct Running(Gauge);
+/// Guard that counts one online request as running until it is dropped.
+pub struct RunningGuard(Gauge);
 
-impl Drop for Running {
+impl Drop for RunningGuard {
     fn drop(&mut self) {
         self.0.dec();
     }
--- a/crates/samphiredoor/src/online.rs
+++ b/crates/samphiredoor/src/online.rs
@@ -29,7 +29,7 @@
     dispatch_task::{Decision, RequestHandle},
     door::Door,
     keyed,
-    metrics::Running,
+    metrics::RunningGuard,
     quarantine_task::AdmittedAttempt,
     request_body::RequestBody,
     request_spec::{
@@ -71,7 +71,7 @@
         headers: forwarded_headers(&parts.headers, &door, spec.request),
         body,
     };
-    let running = door.metrics.running();
+    let running = door.metrics.track_running();
     let is_engine = is_engine(&door, &spec.service);
     let online =
         OnlineRequest { door, call, is_engine, stream: params.stream, started, deadline, running };
@@ -93,7 +93,7 @@
     pub started: Instant,
     /// When the caller stops waiting for an answer.
     pub deadline: Instant,
-    running: Running,
+    running: RunningGuard,
 }
 
 /// Result of one attempt, as far as the caller gets something from it.
@@ -200,7 +200,11 @@
     }
 
     fn record_verdict(&self, verdict: Verdict) {
-        self.door.metrics.ended(Class::Online, verdict, self.started.elapsed().as_secs_f64());
+        self.door.metrics.count_outcome(
+            Class::Online,
+            verdict,
+            self.started.elapsed().as_secs_f64(),
+        );
     }
 
     /// Counts a verdict in the metrics and returns it as an answer to the caller.
@@ -270,7 +274,7 @@
 }
 
 /// Recognizes a refusal of an engine: 503 and 429 mean that it did not run the request. A plain service's 503 or 429 is
-/// its answer, because only the service can tell whether the request ran.
+/// its answer, because it does not show whether the request ran.
 pub fn pushback<B>(is_engine: bool, response: &Response<B>) -> Option<AttemptEnd> {
     let refuses = matches!(
         response.status(),
--- a/crates/samphiredoor/src/operators.rs
+++ b/crates/samphiredoor/src/operators.rs
@@ -1,6 +1,7 @@
-//! The operators' door: health, readiness, metrics, statements and the manifest.
+//! The operators' listener: health, readiness, metrics, statements and the manifest.
 //!
-//! Health and readiness are open to the platform's balancer; all else wants the operators' token, if one is set.
+//! Health and readiness need no token, for the platform's load balancer; all other paths need the operators' token if
+//! one is set.
 
 use std::rc::Rc;
 
@@ -14,13 +15,13 @@
     commands,
     door::Door,
     manifest_http,
-    query_rows::{self, Failure},
+    query_rows::{self, QueryError},
 };
 
 const MAX_STATEMENT_BYTES: usize = 16 * 1024;
 
-/// Answers one request of an operator.
-pub async fn answer(door: Rc<Door>, request: Request<Incoming>) -> Response<Body> {
+/// Responds to one request on the operators' listener.
+pub async fn handle_request(door: Rc<Door>, request: Request<Incoming>) -> Response<Body> {
     match (request.method(), request.uri().path()) {
         (&Method::GET, "/health") => {
             return json_response(StatusCode::OK, &json!({ "health": "ok" }));
@@ -31,8 +32,8 @@
     if let Some(token) = &door.config.operators_token
         && !token.admits(request.headers())
     {
-        log::warn!("operators: a request without the token was refused");
-        let value = json!({ "error": "show the operators' token as `authorization: Bearer`" });
+        log::warn!("operators: refused a request without a valid token");
+        let value = json!({ "error": "present the operators' token as `authorization: Bearer`" });
         return json_response(StatusCode::UNAUTHORIZED, &value);
     }
     match (request.method(), request.uri().path()) {
@@ -58,21 +59,21 @@
     match samphiredoor_query::parse(&String::from_utf8_lossy(&body)) {
         Err(err) => bad_request("statement", &err.to_string()),
         Ok(Statement::Command(command)) => commands::run(door, command).await,
-        Ok(Statement::Query(query)) => match query_rows::answer(door, &query).await {
-            Ok(answer) if query.count => {
-                let value = json!({ "count": answer.rows.len(), "truncated": answer.truncated });
+        Ok(Statement::Query(query)) => match query_rows::run_query(door, &query).await {
+            Ok(result) if query.count => {
+                let value = json!({ "count": result.rows.len(), "truncated": result.truncated });
                 json_response(StatusCode::OK, &value)
             }
-            Ok(answer) => json_response(
+            Ok(result) => json_response(
                 StatusCode::OK,
                 &json!({
                     "fields": query.noun.fields(),
-                    "rows": answer.rows,
-                    "truncated": answer.truncated,
+                    "rows": result.rows,
+                    "truncated": result.truncated,
                 }),
             ),
-            Err(Failure::StoreDown) => store_down(),
-            Err(Failure::NoJob) => not_found("no such job"),
+            Err(QueryError::StoreDown) => store_down(),
+            Err(QueryError::NoJob) => not_found("no such job"),
         },
     }
 }
--- a/crates/samphiredoor/tests/it/platform/jobs.rs
+++ b/crates/samphiredoor/tests/it/platform/jobs.rs
@@ -138,8 +138,8 @@
     platform.gateway(0).kill();
     let results = platform.all_results(1, "job-1", ITEMS.len());
     assert!(results.iter().all(|it| it["text"] == target.text()));
-    let begun = target.runs().iter().filter(|it| it.after.is_none()).count();
-    assert_eq!(begun, ITEMS.len(), "each item is started once");
+    let started = target.runs().iter().filter(|it| it.after.is_none()).count();
+    assert_eq!(started, ITEMS.len(), "each item is started once");
 }
 
 // A caller cancels a job at a gateway that has just started and has received no heartbeats yet. Guards against
@@ -166,14 +166,14 @@
     platform.watch_ms = 30_000;
     let target = platform.start_target("t-0", Duration::from_millis(300));
     platform.start_gateway();
-    platform.set_way_fault(0, StoreFault::WatchesSilent);
+    platform.set_store_path_fault(0, StoreFault::WatchesSilent);
     platform.start_gateway();
     platform.start_gateway();
     // Without heartbeats for this long, the others declare the owner dead.
     std::thread::sleep(Duration::from_secs(4));
     assert_eq!(platform.submit_many(0, "job-1", 200).status, 202);
     wait_until("the cancellation is acknowledged", || platform.cancel(1, "job-1").status == 200);
-    platform.set_way_fault(0, StoreFault::None);
+    platform.set_store_path_fault(0, StoreFault::None);
     platform.wait_logged(1, "peers: peer is live peer=gateway-0");
     std::thread::sleep(Duration::from_secs(6));
     let runs = target.runs().len();
@@ -249,7 +249,7 @@
     platform.wait_logged(0, "peers: peer is live");
     platform.wait_logged(1, "peers: peer is live");
     assert_eq!(platform.submit(0, "job-1", &ITEMS).status, 202);
-    platform.set_way_fault(0, StoreFault::Busy);
+    platform.set_store_path_fault(0, StoreFault::Busy);
     platform.wait_logged(0, "runs stopped, the store answers other gateways but not this one");
     platform.store.set_fault(StoreFault::Busy);
     platform.wait_logged(1, "store: lost");
@@ -329,7 +329,7 @@
 fn accepted_through_another_gateway(fault: StoreFault) {
     let (platform, target) = two_gateways(FAST);
     platform.wait_logged(0, "peers: peer is live");
-    platform.set_way_fault(0, fault);
+    platform.set_store_path_fault(0, fault);
     assert_eq!(platform.submit(0, "job-1", &ITEMS).status, 202);
     let results = platform.all_results(1, "job-1", ITEMS.len());
     assert_eq!(ids(&results), ITEMS);
@@ -362,8 +362,8 @@
 }
 
 // The header of a job is written at once, its parts only later. Meanwhile its caller cancels it at another gateway,
-// which cannot tell the owner, as that has not started the job. The owner must find the cancellation when it starts the
-// job.
+// which cannot notify the owner, as that has not started the job. The owner must find the cancellation when it starts
+// the job.
 #[test]
 fn a_job_cancelled_before_it_starts_is_not_run() {
     let (platform, target) = two_gateways(FAST);
@@ -374,8 +374,8 @@
         let submission = scope.spawn(|| platform.submit(0, "job-1", &ITEMS).status);
         wait_until("the header exists", || platform.store.spec("orderedjobs", "job-1").is_some());
         assert_eq!(platform.cancel(1, "job-1").status, 504);
-        // Wait past the delay after which a submission is forwarded; before it, no caller has been told that the job is
-        // accepted, and its owner does not check for a cancellation.
+        // Wait past the delay after which a submission is forwarded; before it, no caller has got the answer that
+        // the job is accepted, and its owner does not check for a cancellation.
         std::thread::sleep(Duration::from_millis(300));
         platform.store.set_fault(StoreFault::None);
         assert_eq!(submission.join().expect("the submission is answered"), 202);
